--- /dev/null
+++ b/granitespool/planner/candidates.py
@@ -0,0 +1,117 @@
+"""Candidate updates: entries whose wanted weight differs from the one published, ranked by their gain."""
+
+from collections import defaultdict
+from typing import NamedTuple
+
+from granitespool.planner.dirty_set import DirtySet, TableEntry
+from granitespool.planner.fleet import Fleet
+from granitespool.planner.records import READY, Backend
+from granitespool.planner.slow_start import SlowStart
+from granitespool.planner.tables import TableDirectory
+from granitespool.planner.weights import EntryWeights
+
+RESEND_SHARE = 0.1  # share that a weight must move by to be published: the design page's tenth
+
+
+def has_moved(wanted: float, published: float) -> bool:
+    """Whether a weight is far enough from the one published."""
+    if wanted == published:
+        return False
+    return not published or abs(wanted - published) > RESEND_SHARE * published
+
+
+class Candidate(NamedTuple):
+    """An update that may be published."""
+
+    backend: Backend
+    table: int
+    weight: float
+    is_rule: bool  # asked for by a rule: a drain, a removal, a table without entries
+    is_ordinary: bool  # nothing is wrong: a cost has moved
+    rank: float  # below 0: how much weight it moves; 0 for rules
+    due_since: int  # ns since when a rule asks for it
+
+    @property
+    def adds_entry(self) -> bool:
+        """Whether the table gets an entry that it does not have."""
+        return bool(self.weight) and not self.backend.published.get(self.table)
+
+
+class CandidateSelection:
+    """Finds the candidates of a publication pass."""
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        dirty: DirtySet,
+        tables: TableDirectory,
+        weights: EntryWeights,
+        slow_start: SlowStart,
+    ) -> None:
+        self._fleet = fleet
+        self._dirty = dirty
+        self._tables = tables
+        self._weights = weights
+        self._slow_start = slow_start
+
+    def select(self, now: int, only: Backend | None) -> list[Candidate]:
+        """All candidates, or those of one backend, by priority.
+
+        Rules come first, by age; then tables by how much weight moves in them, so that the updates of a table
+        share a message.
+        """
+        entries = self._entries(now, only)
+        self._weights.update_fallback()
+        candidates = []
+        for entry in entries:
+            candidate = self._candidate(now, entry, is_single=only is not None)
+            if candidate is not None:
+                candidates.append(candidate)
+        gains: defaultdict[int, float] = defaultdict(int)
+        for candidate in candidates:
+            gains[candidate.table] += candidate.rank
+        candidates.sort(key=lambda each: _priority(each, gains[each.table]))
+        return candidates
+
+    def _entries(self, now: int, only: Backend | None) -> list[TableEntry]:
+        if only is not None:
+            return self._dirty.entries_of(only)
+        return self._dirty.entries(
+            self._fleet.backends.values(),
+            lambda backend, zone: self._weights.wanted(now, backend, zone),
+            has_moved,
+        )
+
+    def _candidate(self, now: int, entry: TableEntry, is_single: bool) -> Candidate | None:
+        backend, zone, table, is_held = entry
+        weight = self._weights.wanted(now, backend, zone) if is_held else 0.0
+        published = backend.published.get(table, 0.0)
+        if weight == published:
+            return None
+        if backend.phase != READY or not self._tables.entry_counts[table]:
+            return Candidate(backend, table, weight, True, False, 0, backend.left_ready_at)
+        moved = abs(weight - published)
+        is_urgent = self._is_urgent(now, backend, zone, weight, published)
+        if not is_urgent and (is_single or moved <= RESEND_SHARE * published):
+            return None
+        if not weight and self._tables.entry_counts[table] <= 1:
+            return None  # the last entry stays: a table without any is worse
+        # A new entry ranks by what it will carry
+        rank = -(moved if published else backend.configured_weight)
+        return Candidate(backend, table, weight, False, not is_urgent, rank, 0)
+
+    def _is_urgent(self, now: int, backend: Backend, zone: str, weight: float, published: float) -> bool:
+        """Whether an update brings a backend in or out, or takes from one that is ejected or cold."""
+        if not weight or not published:
+            return True
+        if weight >= published * (1 - RESEND_SHARE):
+            return False
+        link = backend.links.get(zone)
+        is_ejected = link is not None and link.is_ejected
+        return is_ejected or not self._slow_start.is_warm(now, backend)
+
+
+def _priority(candidate: Candidate, gain: float) -> tuple[bool, float, float, int, str, int]:
+    if candidate.is_rule:
+        return (False, 0, candidate.due_since, candidate.table, candidate.backend.name, candidate.table)
+    return (True, gain, candidate.rank, 0, candidate.backend.name, candidate.table)
--- /dev/null
+++ b/granitespool/planner/health.py
@@ -0,0 +1,22 @@
+"""Verification by health check: who is asked, and how often."""
+
+from granitespool.planner.actions import PlannerActions
+from granitespool.planner.fleet import PERIOD
+from granitespool.planner.records import Backend
+from granitespool.settings import Settings
+
+
+class HealthVerification:
+    """Sends health checks, where the deployment permits them, at most one a period and backend."""
+
+    def __init__(self, actions: PlannerActions, settings: Settings) -> None:
+        self.settings = settings
+        self._actions = actions
+
+    def check(self, now: int, backend: Backend, at_once: bool = False) -> None:
+        """Send a health check, unless one was sent within the period and this one is not `at_once`."""
+        if not self.settings.health_checks_allowed:
+            return
+        if at_once or now - backend.health_checked_at >= PERIOD:
+            backend.health_checked_at = now
+            self._actions.check_health(backend.name)
--- /dev/null
+++ b/granitespool/planner/load_reports.py
@@ -0,0 +1,43 @@
+"""Load reports: what they add to the records, and what they make of the reported link."""
+
+from granitespool.planner.cost import SUCCESSES_MIN
+from granitespool.planner.dirty_set import DirtySet
+from granitespool.planner.ejection import OutlierEjection, Verdict
+from granitespool.planner.events import LoadReport
+from granitespool.planner.fleet import Fleet
+from granitespool.planner.overload import OverloadDetector
+from granitespool.planner.records import Backend, Link
+from granitespool.planner.restoration import drop_contradicted
+
+DECAY_FACTOR = 0.92  # of the sums each period: a mean over some twelve seconds
+
+
+def successes_of(report: LoadReport) -> int | float:
+    """The attempts of a report that got an answer; none where it tells no time of them."""
+    return max(0, report.attempts - report.failures) if report.mean > 0 else 0
+
+
+class LoadReports:
+    """Adds load reports to the links and backends."""
+
+    def __init__(
+        self, fleet: Fleet, dirty: DirtySet, ejection: OutlierEjection, overload: OverloadDetector
+    ) -> None:
+        self._fleet = fleet
+        self._dirty = dirty
+        self._ejection = ejection
+        self._overload = overload
+
+    def add(self, report: LoadReport, backend: Backend, link: Link) -> Verdict:
+        """Add a report to the records of its backend; returns what it makes of the link."""
+        attempts = report.attempts
+        successes = successes_of(report)
+        if link.restored and attempts >= SUCCESSES_MIN:
+            drop_contradicted(link, attempts, report.failures, report.mean, bool(successes))
+        failures = min(report.failures, attempts)
+        response_time = successes * report.mean
+        link.observe(attempts, failures, successes, response_time)
+        backend.observe(attempts, failures, successes, response_time)
+        if link.successes >= SUCCESSES_MIN:
+            self._dirty.mark_observed(backend, report.zone)
+        return self._ejection.judge(link, attempts, report.failures, successes)
--- /dev/null
+++ b/granitespool/planner/membership.py
@@ -0,0 +1,119 @@
+"""Membership: what the endpoint list makes of the fleet.
+
+The list may be old or wrong: a backend that comes in while the planner runs earns its place by a health check
+or an answer, where health checks are permitted, and where only a drain binds, a health check confirms what
+the list alone removes.
+"""
+
+from granitespool.endpoints import Endpoint
+from granitespool.planner.cost import CostTable
+from granitespool.planner.dirty_set import DirtySet
+from granitespool.planner.events import EndpointListUpdate, ListForm
+from granitespool.planner.fleet import Fleet
+from granitespool.planner.health import HealthVerification
+from granitespool.planner.overload import OverloadDetector
+from granitespool.planner.records import GONE, READY, Backend
+from granitespool.planner.slow_start import SlowStart
+from granitespool.planner.subsets import Subsets
+from granitespool.settings import Settings
+
+DEFAULT_WEIGHT = 1.0  # where the list tells none above 0
+
+
+class FleetMembership:
+    """Applies endpoint lists."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        fleet: Fleet,
+        dirty: DirtySet,
+        costs: CostTable,
+        subsets: Subsets,
+        slow_start: SlowStart,
+        health: HealthVerification,
+        overload: OverloadDetector,
+    ) -> None:
+        self.settings = settings
+        self._fleet = fleet
+        self._dirty = dirty
+        self._costs = costs
+        self._subsets = subsets
+        self._slow_start = slow_start
+        self._health = health
+        self._overload = overload
+        self._has_list = False  # since the first one was applied
+
+    def apply(self, now: int, update: EndpointListUpdate) -> None:
+        """Apply a list that could be read."""
+        for entry in update.entries:
+            self._apply_entry(now, entry)
+        if update.form != ListForm.CHANGES:
+            named = {entry.name for entry in update.entries}
+            for backend in list(self._fleet.backends.values()):
+                if backend.name not in named:
+                    self._apply_entry(now, _removal_of(backend))
+        self._has_list = True
+
+    def _apply_entry(self, now: int, entry: Endpoint) -> None:
+        backend = self._fleet.backends.get(entry.name)
+        before = None if backend is None else _listed_state(backend)
+        if backend is None:
+            backend = self._fleet.create(entry.name, now)
+            self._costs.restart(backend)
+        was_ready = backend.phase == READY
+        is_removal = entry.phase == GONE and was_ready
+        backend.removal_unconfirmed = bool(is_removal and self.settings.removal_needs_drain)
+        if backend.removal_unconfirmed:
+            self._health.check(now, backend, at_once=True)
+            return
+        if was_ready and entry.phase != READY:
+            backend.left_ready_at = now
+        if entry.phase == READY and (not was_ready or entry.started_at > backend.started_at):
+            self._start(now, backend, entry.started_at)
+        if entry.machine_type != backend.machine_type and backend.costed:
+            self._costs.freeze(backend, self._subsets.tables, self._fleet.period)
+        backend.zone = entry.zone
+        backend.machine_type = entry.machine_type
+        backend.phase = entry.phase
+        backend.started_at = max(entry.started_at, backend.started_at)
+        backend.configured_weight = entry.weight if entry.weight > 0 else DEFAULT_WEIGHT
+        if before != _listed_state(backend):
+            self._dirty.mark_changed(backend)
+
+    def _start(self, now: int, backend: Backend, started_at: int) -> None:
+        """A backend is new, has returned or has restarted: its links and its slow start begin anew.
+
+        Of the first list only those still cold are new; an overload may be on, whose levels are lost.
+        """
+        is_cold = self._slow_start.is_cold_at_start(now, started_at)
+        self._costs.restart(backend)
+        backend.slow_start_since = now if self._has_list or is_cold else None
+        backend.verified = not (self._has_list and self.settings.health_checks_allowed)
+        if not backend.verified:
+            self._health.check(now, backend, at_once=True)
+        if is_cold and not self._has_list:
+            self._overload.expect_cold_start()
+
+
+def _listed_state(backend: Backend) -> tuple[object, ...]:
+    return (
+        backend.zone,
+        backend.machine_type,
+        backend.phase,
+        backend.configured_weight,
+        backend.started_at,
+    )
+
+
+def _removal_of(backend: Backend) -> Endpoint:
+    """The entry that stands for a complete list which does not name a backend."""
+    return Endpoint(
+        name=backend.name,
+        zone=backend.zone,
+        machine_type=backend.machine_type,
+        cell=None,
+        phase=GONE,
+        weight=backend.configured_weight,
+        started_at=0,
+    )
--- /dev/null
+++ b/granitespool/planner/planner.py
@@ -0,0 +1,318 @@
+"""`class Planner`: one coordinator's decisions. It takes events and calls the parts in order.
+
+A planner is made when its instance starts; then `handle` is called for each event and `on_timer` for each
+timer, with the time in whole nanoseconds, and it acts by calling its `PlannerActions` at once. Every decision
+is in the part that is named after it; here is only what follows what.
+"""
+
+from random import Random
+
+from granitespool.planner.actions import PlannerActions
+from granitespool.planner.admission import AdmissionControl
+from granitespool.planner.assignment import ProxyAssignment
+from granitespool.planner.budget import ChannelBudget
+from granitespool.planner.candidates import CandidateSelection
+from granitespool.planner.cost import CostTable, link_cost
+from granitespool.planner.dirty_set import DirtySet
+from granitespool.planner.ejection import OutlierEjection, Verdict, effective_outcome
+from granitespool.planner.events import (
+    Acknowledged,
+    EndpointListUpdate,
+    Event,
+    GossipReceived,
+    HealthCheckOutcome,
+    HealthCheckResult,
+    ListForm,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+    Restored,
+    SliceAssigned,
+    SliceEntry,
+    SliceLoad,
+    UsageReport,
+)
+from granitespool.planner.exclusion import ExclusionControl
+from granitespool.planner.fleet import PERIOD, Fleet
+from granitespool.planner.health import HealthVerification
+from granitespool.planner.in_flight import InFlightAccount
+from granitespool.planner.inspection import PlannerInspection
+from granitespool.planner.load_reports import DECAY_FACTOR, LoadReports, successes_of
+from granitespool.planner.membership import FleetMembership
+from granitespool.planner.outbox import Outbox
+from granitespool.planner.overload import OverloadDetector
+from granitespool.planner.publication import Publisher
+from granitespool.planner.records import GONE, READY, Backend, Exclusion
+from granitespool.planner.restoration import Restoration
+from granitespool.planner.slices import SliceTables
+from granitespool.planner.slow_start import SlowStart
+from granitespool.planner.subsets import Subsets
+from granitespool.planner.tables import TableDirectory
+from granitespool.planner.timers import Timer
+from granitespool.planner.weights import EntryWeights
+from granitespool.settings import Settings
+from granitespool.units import SECOND
+
+REMOVED_KEPT = 20 * SECOND  # ns that a removed backend is known: joiners with old tables are assigned within
+#                             a few seconds
+POLL_RETRY_JITTER = 0.5, 1.5  # factors of a period between which a failed list call is retried
+
+
+class Planner:
+    """Decides for one coordinator; `seed` is that of its one source of chance."""
+
+    def __init__(self, actions: PlannerActions, now: int, seed: int, settings: Settings) -> None:
+        self._actions = actions
+        self._random = Random(seed)
+        self.settings = settings
+        self._make_state(settings)
+        self._make_parts(actions, settings)
+        self.new_settings(now, settings)
+        if settings.subscribe:
+            actions.subscribe(True)
+        actions.set_timer(PERIOD, Timer.RECOMPUTE)
+
+    def _make_state(self, settings: Settings) -> None:
+        self.fleet = Fleet()
+        self.costs = CostTable()
+        self.in_flight = InFlightAccount(settings)
+        self.subsets = Subsets(settings.zones or [])
+        self.dirty = DirtySet(self.subsets)
+        self.tables = TableDirectory(self.subsets)
+        self.budget = ChannelBudget(self.in_flight, settings)
+
+    def _make_parts(self, actions: PlannerActions, settings: Settings) -> None:
+        fleet, dirty, costs, tables, budget = self.fleet, self.dirty, self.costs, self.tables, self.budget
+        outbox = Outbox(actions, self.in_flight, tables)
+        self.slow_start = SlowStart(settings)
+        self.overload = OverloadDetector(settings)
+        self._health = HealthVerification(actions, settings)
+        self._ejection = OutlierEjection(fleet, dirty, costs, self.overload)
+        self._load_reports = LoadReports(fleet, dirty, self._ejection, self.overload)
+        self._membership = FleetMembership(
+            settings, fleet, dirty, costs, self.subsets, self.slow_start, self._health, self.overload
+        )
+        self._restoration = Restoration(settings, fleet, dirty, self._ejection, self._health, self.overload)
+        self.weights = EntryWeights(settings, fleet, costs, self.slow_start, self.overload)
+        self.admission = AdmissionControl(settings, self.overload, tables, budget, outbox)
+        self.assignment = ProxyAssignment(settings, actions, tables, self.admission.ordered, budget, outbox)
+        self.exclusion = ExclusionControl(
+            settings, actions, fleet, dirty, tables, self.assignment, budget, outbox
+        )
+        self._slices = SliceTables(settings, actions, fleet, self.slow_start, self.assignment, outbox)
+        selection = CandidateSelection(fleet, dirty, tables, self.weights, self.slow_start)
+        self.publisher = Publisher(
+            actions,
+            budget,
+            selection,
+            tables,
+            dirty,
+            costs,
+            self.slow_start,
+            self.assignment,
+            self.exclusion,
+            self.admission,
+            outbox,
+        )
+        self.inspection = PlannerInspection(
+            fleet, costs, self.subsets, self.in_flight, self.assignment, self.overload, self.slow_start
+        )
+
+    def new_settings(self, now: int, settings: Settings) -> None:
+        """Settings that act from the next decision on."""
+        self.settings = settings
+        self.in_flight.new_settings(settings)
+        self.admission.new_settings(settings)
+        for part in (
+            self.slow_start,
+            self.overload,
+            self.weights,
+            self.assignment,
+            self.exclusion,
+            self._health,
+            self._membership,
+            self._restoration,
+            self._slices,
+        ):
+            part.settings = settings
+        self.dirty.new_settings(self.fleet.backends.values())
+
+    # Events
+
+    def handle(self, now: int, event: Event) -> None:
+        """Decide on what has happened."""
+        match event:
+            case LoadReport():
+                self._on_load_report(now, event)
+            case UsageReport():
+                self.overload.observe_demand(event.request_class, event.requests)
+            case Acknowledged():
+                self._on_acknowledged(now, event)
+            case EndpointListUpdate():
+                self._on_endpoint_list(now, event)
+            case HealthCheckResult():
+                self._on_health_check(now, event)
+            case ProxyJoined():
+                self._on_proxy_joined(now, event)
+            case ProxyLeft():
+                self._remove_proxy(event.proxy, event.unreachable)
+            case SliceAssigned():
+                self._slices.assign(event.table, event.owned)
+            case SliceEntry():
+                self._slices.set_entry(event.table, event.backend, event.weight)
+            case Restored():
+                self._on_restored(now, event)
+            case GossipReceived() | SliceLoad():
+                pass  # nothing is decided on them: each instance keeps the rules alone
+            case _:
+                raise TypeError(f"no event of the planner: {event!r:.100}")
+
+    def on_timer(self, now: int, cookie: str) -> None:
+        """A timer has fired that `set_timer` was asked for."""
+        if cookie == Timer.RECOMPUTE:
+            self._actions.set_timer(PERIOD, Timer.RECOMPUTE)
+            self._recompute(now)
+        elif cookie == Timer.PUBLISH:
+            if self.publisher.is_due(now):
+                self._publish(now)
+        elif cookie == Timer.SUBSCRIBE:
+            self._actions.subscribe(True)
+
+    def _on_endpoint_list(self, now: int, update: EndpointListUpdate) -> None:
+        if update.form == ListForm.FAILED:
+            delay = int(PERIOD * self._random.uniform(*POLL_RETRY_JITTER))
+            self._actions.set_timer(delay, Timer.SUBSCRIBE)
+            return
+        self._membership.apply(now, update)
+        self._assign_subsets()
+        self._publish(now)
+
+    def _on_load_report(self, now: int, report: LoadReport) -> None:
+        backend = self.fleet.backends.get(report.backend)
+        if backend is None or report.attempts <= 0:
+            return
+        zone = self.subsets.ensure_zone(report.zone)
+        link = backend.link(zone, self.fleet.period)
+        link.decay_to(self.fleet.period, DECAY_FACTOR)
+        self.overload.observe(backend)
+        if successes_of(report):
+            self._verify(now, backend)
+        verdict = self._load_reports.add(report, backend, link)
+        if verdict == Verdict.READMIT:
+            self._ejection.readmit(now, link)
+            self._publish(now, backend)
+        elif verdict == Verdict.EJECT:
+            self._ejection.eject(now, zone, backend)
+            self._publish(now, backend)
+        elif verdict == Verdict.CHECK:
+            self._health.check(now, backend)
+
+    def _on_health_check(self, now: int, result: HealthCheckResult) -> None:
+        backend = self.fleet.backends.get(result.backend)
+        if backend is None:
+            return
+        outcome = effective_outcome(result.outcome, result.latency)
+        if outcome in (HealthCheckOutcome.OK, HealthCheckOutcome.REJECTED):
+            self._verify(now, backend)
+        elif outcome != HealthCheckOutcome.ERROR and not self.overload.is_overloaded:
+            if backend.removal_unconfirmed:
+                self._confirm_removal(now, backend)
+            self._ejection.health_check_failed(now, backend, outcome == HealthCheckOutcome.TIMED_OUT)
+            self._publish(now, backend)
+
+    def _on_proxy_joined(self, now: int, joined: ProxyJoined) -> None:
+        self._remove_proxy(joined.proxy, joined.resumed)
+        table = self.assignment.join(joined.proxy, joined.zone, joined.rate)
+        if self.settings.slices:
+            self._slices.proxy_joined()
+            self._publish(now)
+            return
+        known = len(self.fleet.backends)
+        if joined.bootstrap:
+            known = min(known, self.settings.bootstrap_entries)
+        self.assignment.await_table(now, joined.proxy, known)
+        if not self.tables.entry_counts[table]:
+            self._publish(now)
+        self.admission.publish_first(now, table)
+        self.assignment.assign(now, joined.proxy)
+
+    def _remove_proxy(self, proxy: int, is_unreachable: bool) -> None:
+        self.assignment.leave(proxy)
+        if not is_unreachable:  # else what waits for it may still be on its way
+            self.in_flight.release(proxy)
+
+    def _on_acknowledged(self, now: int, event: Acknowledged) -> None:
+        if self.in_flight.acknowledge(now, event.proxy, event.sequence, event.latency):
+            if event.latency is not None:
+                self.inspection.acknowledgement_latency = event.latency
+            self.assignment.assign_next(now)
+
+    def _on_restored(self, now: int, restored: Restored) -> None:
+        self._restoration.apply(now, restored)
+        self._evaluate_costs(now)
+        self._publish(now)
+
+    # Steps
+
+    def _recompute(self, now: int) -> None:
+        self._evaluate_costs(now)
+        self.budget.refill()
+        self.overload.evaluate(now)
+        self.fleet.period += 1
+        self.dirty.decay_observed(self.fleet.period, DECAY_FACTOR)
+        for backend in self.dirty.due_for_recompute():
+            self._review(now, backend)
+        self.in_flight.expire(now)
+        self._publish(now)
+
+    def _review(self, now: int, backend: Backend) -> None:
+        """Check the health of a backend that needs it, readmit its links, and forget it once it is over."""
+        if backend.phase == READY and not backend.verified:
+            self._health.check(now, backend)
+        if backend.ejected_links:
+            self._health.check(now, backend)
+        self._ejection.readmit_unobserved(now, backend)
+        is_used = backend.is_in_tables or backend.exclusion == Exclusion.EXCLUDED
+        if backend.phase == GONE and not is_used and now - backend.left_ready_at > REMOVED_KEPT:
+            self._forget(backend)
+
+    def _forget(self, backend: Backend) -> None:
+        self.dirty.forget(backend)
+        self.overload.forget(backend)
+        self.fleet.remove(backend.name)
+        self._actions.forget(backend.name)
+
+    def _evaluate_costs(self, now: int) -> None:
+        self.costs.begin_evaluation()
+        is_overloaded = not self.overload.is_at_ease
+        for zone in self.subsets.tables:
+            observed = self.dirty.observed_costs(zone, lambda link: link_cost(now, link, is_overloaded))
+            if self.costs.evaluate_zone(zone, observed):
+                self.dirty.invalidate_zone(zone)
+
+    def _verify(self, now: int, backend: Backend) -> None:
+        if backend.verified:
+            return
+        backend.verified = True
+        backend.slow_start_since = now
+        self.dirty.mark_changed(backend)
+        self._assign_subsets()
+        self._publish(now, backend)
+
+    def _confirm_removal(self, now: int, backend: Backend) -> None:
+        backend.removal_unconfirmed = False
+        backend.phase = GONE
+        backend.left_ready_at = now
+        self.dirty.mark_changed(backend)
+
+    def _assign_subsets(self) -> None:
+        backends = self.fleet.backends.values()
+        changed = self.dirty.take_changed()
+        for backend in self.subsets.assign(self.settings, self.in_flight, backends, changed):
+            self.dirty.mark_dirty(backend)
+
+    def _publish(self, now: int, only: Backend | None = None) -> None:
+        if self.settings.slices:
+            self._slices.publish(now)
+        else:
+            self.publisher.publish(now, only)
--- /dev/null
+++ b/granitespool/planner/status.py
@@ -0,0 +1,119 @@
+"""What can be read of a planner: snapshots to restore from, operational state and metrics. Records alone.
+
+Times are ns, costs are ns, weights and shares have no unit.
+"""
+
+import msgspec
+
+from granitespool.endpoints import Label, Phase
+from granitespool.planner.records import MinimumRtt
+
+
+class FleetSnapshot(msgspec.Struct, frozen=True, kw_only=True):
+    """The load of the fleet as a whole, to be restored by a later process."""
+
+    is_overloaded: bool
+    admitted_share: float
+    success_ratio: float  # of attempts
+    demand: dict[str | None, float]  # request class -> requests of about the last second
+
+
+class LinkSnapshot(msgspec.Struct, frozen=True, kw_only=True):
+    """What the proxies of one zone observed at a backend; sums are decayed up to the snapshot."""
+
+    attempts: float
+    failures: float
+    successes: float
+    response_time: float  # ns of all successes
+    overloaded_reports: int
+    consecutive_failures: float
+    ejected_at: int | None
+    slow_start_since: int | None
+    minimum_rtt: MinimumRtt | None
+
+
+class BackendSnapshot(msgspec.Struct, frozen=True, kw_only=True):
+    """A backend, to be restored by a later process."""
+
+    phase: Phase
+    zone: Label
+    machine_type: Label
+    configured_weight: float
+    started_at: int
+    left_ready_at: int
+    slow_start_since: int | None
+    verified: bool
+    removal_unconfirmed: bool
+    links: dict[str, LinkSnapshot]  # by zone
+
+
+class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
+    """What a planner knows of the fleet and of some backends."""
+
+    fleet: FleetSnapshot
+    backends: dict[str, BackendSnapshot]  # by name
+
+
+class EntryStatus(msgspec.Struct, frozen=True, kw_only=True):
+    """A backend in the tables of one zone."""
+
+    weight: float  # the largest published
+    cost: float | None  # ns; None where nothing tells
+    is_ejected: bool
+
+
+class BackendStatus(msgspec.Struct, frozen=True, kw_only=True):
+    """A backend's operational state."""
+
+    phase: Phase
+    zone: Label
+    machine_type: Label
+    verified: bool
+    entries: dict[str, EntryStatus]  # by zone
+
+
+class PlannerStatus(msgspec.Struct, frozen=True, kw_only=True):
+    """A planner's operational state."""
+
+    joined: int  # proxies
+    unassigned: int  # of them
+    in_flight: float  # table entries
+    acknowledgement_latency: int  # ns, the last
+    is_overloaded: bool
+    admitted_share: float
+    success_ratio: float
+
+
+class PlannerMetrics(msgspec.Struct, frozen=True, kw_only=True):
+    """What can be summed over coordinators: gauges, and totals since the start."""
+
+    joined: int
+    unassigned: int
+    in_flight: float  # table entries
+    in_flight_limit: float
+    configured_rate: float  # entries a second
+    observed_rate: float
+    total_entries: float
+    acknowledgement_latency: int  # ns, the last
+    is_overloaded: bool
+    admitted_share: float
+    success_ratio: float
+    subsets: int
+    ejected_links: int
+    last_resort_links: int
+
+
+class Outlier(msgspec.Struct, frozen=True, kw_only=True):
+    """A backend that carries no ordinary share."""
+
+    reason: str
+    attempts: float  # of about the last second
+    failures: float
+    weight: float  # of all its entries
+
+
+class Outliers(msgspec.Struct, frozen=True, kw_only=True):
+    """Those with most attempts, and how many more there are."""
+
+    backends: dict[str, Outlier]  # by name, most attempts first
+    omitted: int
--- /dev/null
+++ b/granitespool/planner/weights.py
@@ -0,0 +1,78 @@
+"""The weight that a backend's entry should have in the tables of a zone."""
+
+from granitespool.planner.cost import CostTable
+from granitespool.planner.fleet import Fleet
+from granitespool.planner.overload import OverloadDetector
+from granitespool.planner.records import READY, Backend, Link
+from granitespool.planner.slow_start import SlowStart
+from granitespool.settings import Settings
+
+LAST_RESORT_SHARE = 0.02  # share of its weight that a last resort keeps: some attempts to observe it
+OVERLOAD_GUARD = 0.5  # share of the multiple of its work, at which a warming backend fails, that it may get
+WEIGHT_MIN = 0.0001  # what rounding leaves of a weight above 0: an entry must not vanish by it
+
+
+class EntryWeights:
+    """Weights by cost, slow start and ejection."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        fleet: Fleet,
+        costs: CostTable,
+        slow_start: SlowStart,
+        overload: OverloadDetector,
+    ) -> None:
+        self.settings = settings
+        self._fleet = fleet
+        self._costs = costs
+        self._slow_start = slow_start
+        self._overload = overload
+        self._uses_unverified = False  # since nobody is verified
+
+    def update_fallback(self) -> None:
+        """Unverified backends get entries as long as no ready one is verified."""
+        self._uses_unverified = not any(
+            backend.phase == READY and backend.verified for backend in self._fleet.backends.values()
+        )
+
+    def wanted(self, now: int, backend: Backend, zone: str) -> float:
+        """The weight that a backend should have in the tables of a zone; 0: no entry."""
+        link = backend.links.get(zone)
+        if not self._is_eligible(backend, link):
+            return 0.0
+        share = self._slow_start_share(now, backend, link)
+        if link is not None and link.is_ejected:
+            share = min(share, LAST_RESORT_SHARE)
+        zone_mean = self._costs.zone_means.get(zone)
+        cost = self._costs.of(backend, zone)
+        warm_up_share = self._slow_start.warm_up_share(now, backend)
+        if warm_up_share < 1:
+            share = min(share, self._guarded_share(share, warm_up_share))
+            zone_mean = min(zone_mean or 0, cost or 0)  # an idle cold backend is fast: no more for that
+        cost_ratio = zone_mean / cost if zone_mean and cost else 1.0
+        return max(WEIGHT_MIN, round(backend.configured_weight * cost_ratio * share, 4))
+
+    def _is_eligible(self, backend: Backend, link: Link | None) -> bool:
+        if link is not None and link.is_ejected and not link.last_resort:
+            return False
+        if backend.exclusion.is_in_force or backend.phase != READY:
+            return False
+        return backend.verified or self._uses_unverified
+
+    def _slow_start_share(self, now: int, backend: Backend, link: Link | None) -> float:
+        share = 1.0
+        if backend.slow_start_since is not None:
+            share = min(share, self._slow_start.weight_share(now, backend.slow_start_since))
+        if link is not None and link.slow_start_since is not None:
+            share = min(share, self._slow_start.weight_share(now, link.slow_start_since))
+        return share
+
+    def _guarded_share(self, share: float, warm_up_share: float) -> float:
+        """The share that a cold backend may have while attempts fail.
+
+        During an overload a quarter of a weight is many times a quarter of the work: it gets its share of
+        what is answered, or by its warm-up what stays below the multiple at which it would fail.
+        """
+        allowed = OVERLOAD_GUARD * self.settings.overload_multiple * warm_up_share
+        return self._overload.success_ratio * max(share, allowed)
--- a/granitespool/settings.py
+++ b/granitespool/settings.py
@@ -1,209 +1,206 @@
-"""Settings, load reports and list entries in our words: the one translation, for both ways in.
+"""The settings that a deployment gives its coordinators: one typed record, and its translation from the wire.
 
-The simulator's wire and the sockets name a list entry's fields differently; each way has its names here, and
-no wire name is seen further in. No decision is taken in this file."""
+The wire's names end here. Times are whole nanoseconds; None stands for what the deployment does not tell.
+No decision is taken here: what stands in for an unknown value is with the module that needs it.
+"""
 
 from collections import Counter
-from math import isfinite
-from types import NoneType
-
-NUM = (int, float)
-MOST = 1e18  # a figure above it is no time or weight: Unix time in microseconds is a thousandth
-COUNT_MOST = 1e6  # tries or transactions in one report: a thousand proxies' thousand in a second
-MS_MOST = 3.6e6  # ms of a span that a report tells, an hour: no client waits so long for an answer
-US = 1_000  # nanoseconds in a microsecond: the settings' times and the simulator's
-MS = 1_000_000  # nanoseconds in a millisecond: the sockets' times
-
-# Settings: our name -> (path on the wire, is it a time)
-SETTINGS = {
-    "zones": ("zones", False),
-    "zone": ("zone", False),
-    "index": ("index", False),
-    "planners": ("balancers", False),
-    "probes": ("permissions.probes", False),
-    "peers": ("permissions.peers", False),
-    "connect_timeout": ("permissions.connect_timeout_us", True),
-    "admission": ("family_info.admit", False),
-    "lines_per_s": ("family_info.egress_per_s", False),
-    "message_head": ("family_info.envelope", False),
-    "backlog_limit": ("family_info.most_waiting", False),
-    "messages_limit": ("family_info.messages_most", False),
-    "messages_span": ("family_info.counted_over_us", True),
-    "message_delay": ("family_info.push_delay_us", True),
-    "message_delay_worst": ("family_info.worst_transit_us", True),
-    "report_every": ("family_info.report_every_us", True),
-    "reports_per_s": ("family_info.ingest_rate", False),
-    "avoid_after": ("family_info.outlier_after", False),
-    "try_factor": ("family_info.try_factor", False),
-    "standing_lines": ("family_info.bootstrap", False),
-    "usual_retry": ("family_info.default_retry", False),
-    "empty_limit": ("family_info.empty_for_us", True),
-    "proxies_expected": ("family_info.proxy_count", False),
-    "slices": ("family_info.slices", False),
-    "one_owner": ("family_info.one_owner", False),
-    "lease": ("family_info.lease_us", True),
-    "write_life": ("family_info.write_life_us", True),
-    "hold_time": ("family_info.buffer_for_us", True),
-    "drain_grace": ("rules.stop_sending_within_us", True),
-    "ask_within": ("rules.ask_within_us", True),
-    "cold_time": ("rules.cold_us", True),
-    "cold_share": ("rules.cold_from", False),
-    "fall_multiple": ("rules.fall_multiple", False),
-    "fall_time": ("rules.fall_us", True),
-    "drain_needs_entry": ("rules.soft_removal", False),
+from collections.abc import Mapping
+from enum import StrEnum
+from typing import Any, NamedTuple
+
+import msgspec
+
+from granitespool.errors import InvalidInputError
+from granitespool.fields import required_number
+from granitespool.units import MICROSECOND, SECOND
+
+
+class Admission(StrEnum):
+    """How proxies admit a share of a class."""
+
+    FRACTION = "fraction"
+    PER_SECOND = "per_second"
+    NONE = "none"
+
+
+class RequestClass(msgspec.Struct, frozen=True, kw_only=True):
+    """One class of requests."""
+
+    name: str | None = None
+    effect: str | None = None  # free, guarded or single_shot: what an attempt that is repeated may do
+    idempotency_scope: str | None = None  # all, zone or cell: where a repeated key is recognized
+    idempotency_window: int | None = None  # ns
+    latency_objective: int = SECOND  # ns
+    timeout: int | None = None  # ns
+    priority_weight: float = 1
+    late_share: float | None = None  # share of the priority weight that a late answer still has
+    writes: bool | None = None
+    zone_local: bool | None = None
+
+
+class Settings(msgspec.Struct, frozen=True, kw_only=True):
+    """All settings of a deployment."""
+
+    classes: list[RequestClass] = []
+    zones: list[str] = []
+    zone: str | None = None  # this coordinator's
+    coordinator_index: int | None = None
+    coordinators: int | None = None
+    health_checks_allowed: bool = False
+    gossip_allowed: bool = False
+    subscribe: bool = False  # endpoint list changes are sent without being asked for
+    connect_timeout: int | None = None  # ns
+    admission: str | None = None  # an `Admission`
+    entries_per_s: float | None = None  # rate of the channel to all proxies
+    message_header: float = 0  # entries that each message costs beside its own
+    backlog_limit: float | None = None  # entries that may wait in the channel
+    messages_limit: int | None = None  # to one proxy within `messages_span`
+    messages_span: int | None = None  # ns
+    message_delay: int | None = None  # ns
+    message_delay_max: int | None = None  # ns
+    report_interval: int | None = None  # ns
+    reports_per_s: float | None = None
+    proxy_ejection_failures: int | None = None  # consecutive failures after which a proxy avoids a backend
+    attempt_factor: float | None = None
+    bootstrap_entries: int = 0  # most backends in the table that a proxy starts with
+    default_retries: int = 0
+    empty_table_limit: int | None = None  # ns
+    proxies_expected: int | None = None
+    slices: int | None = None
+    one_owner: bool = False  # a slice has a single owner
+    lease: int | None = None  # ns
+    write_life: int | None = None  # ns
+    hold_time: int | None = None  # ns
+    drain_grace: int | None = None  # ns that a draining backend may still be sent requests
+    poll_within: int | None = None  # ns
+    warm_up_time: int | None = None  # ns until a new backend can do its whole work
+    warm_up_start_share: float = 0  # of its work that it can do at once
+    overload_multiple: float = 0  # of its work at which a warming backend fails
+    overload_time: int | None = None  # ns
+    removal_needs_drain: bool = False  # the list alone removes no backend that did not drain
+
+    @property
+    def class_names(self) -> list[str | None]:
+        """The names of the request classes, in their order."""
+        return [each.name for each in self.classes]
+
+
+class WireField(NamedTuple):
+    """Where the wire has a setting, and what it holds."""
+
+    path: str
+    is_time: bool = False  # microseconds on the wire
+    is_number: bool = False
+
+
+def _time(path: str) -> WireField:
+    return WireField(path, is_time=True)
+
+
+def _number(path: str) -> WireField:
+    return WireField(path, is_number=True)
+
+
+SETTING_FIELDS = {
+    "zones": WireField("zones"),
+    "zone": WireField("zone"),
+    "coordinator_index": _number("index"),
+    "coordinators": _number("balancers"),
+    "health_checks_allowed": WireField("permissions.probes"),
+    "gossip_allowed": WireField("permissions.peers"),
+    "connect_timeout": _time("permissions.connect_timeout_us"),
+    "admission": WireField("family_info.admit"),
+    "entries_per_s": _number("family_info.egress_per_s"),
+    "message_header": _number("family_info.envelope"),
+    "backlog_limit": _number("family_info.most_waiting"),
+    "messages_limit": _number("family_info.messages_most"),
+    "messages_span": _time("family_info.counted_over_us"),
+    "message_delay": _time("family_info.push_delay_us"),
+    "message_delay_max": _time("family_info.worst_transit_us"),
+    "report_interval": _time("family_info.report_every_us"),
+    "reports_per_s": _number("family_info.ingest_rate"),
+    "proxy_ejection_failures": _number("family_info.outlier_after"),
+    "attempt_factor": _number("family_info.try_factor"),
+    "bootstrap_entries": _number("family_info.bootstrap"),
+    "default_retries": _number("family_info.default_retry"),
+    "empty_table_limit": _time("family_info.empty_for_us"),
+    "proxies_expected": _number("family_info.proxy_count"),
+    "slices": _number("family_info.slices"),
+    "one_owner": WireField("family_info.one_owner"),
+    "lease": _time("family_info.lease_us"),
+    "write_life": _time("family_info.write_life_us"),
+    "hold_time": _time("family_info.buffer_for_us"),
+    "drain_grace": _time("rules.stop_sending_within_us"),
+    "poll_within": _time("rules.ask_within_us"),
+    "warm_up_time": _time("rules.cold_us"),
+    "warm_up_start_share": _number("rules.cold_from"),
+    "overload_multiple": _number("rules.fall_multiple"),
+    "overload_time": _time("rules.fall_us"),
+    "removal_needs_drain": WireField("rules.soft_removal"),
 }
-FIGURES = frozenset(
-    (  # those of the settings and of a class that are numbers, and no times
-        "index",
-        "planners",
-        "lines_per_s",
-        "message_head",
-        "backlog_limit",
-        "messages_limit",
-        "reports_per_s",
-        "avoid_after",
-        "try_factor",
-        "standing_lines",
-        "usual_retry",
-        "proxies_expected",
-        "slices",
-        "cold_share",
-        "fall_multiple",
-        "benefit",
-        "late_share",
-    )
-)
-CLASS = {
-    "name": ("name", False),
-    "effect": ("semantics", False),
-    "repeat_scope": ("key_scope", False),
-    "repeat_window": ("window_us", True),
-    "promised_time": ("aim_us", True),
-    "time_limit": ("give_up_us", True),
-    "benefit": ("worth", False),
-    "late_share": ("late_share", False),
-}
-LOAD = {
-    "util": ("busy", 1),
-    "latency_ms": ("service", MS),
-    "queue": ("queued", 1),
-    "inflight": ("holding", 1),
-    "qps": ("answered_per_s", 1),
-    "eps": ("errors_per_s", 1),
+CLASS_FIELDS = {
+    "name": WireField("name"),
+    "effect": WireField("semantics"),
+    "idempotency_scope": WireField("key_scope"),
+    "idempotency_window": _time("window_us"),
+    "latency_objective": _time("aim_us"),
+    "timeout": _time("give_up_us"),
+    "priority_weight": _number("worth"),
+    "late_share": _number("late_share"),
 }
 
-# A list entry: what each way calls it, the time unit of its start, and its phases in our words
-SIMULATED = {
-    "backend": "backend",
-    "kind": "machine",
-    "cell": "pack",
-    "phase": "phase",
-    "started": "since_us",
-    "unit": US,
-    "phases": {"live": "ready", "quiescing": "draining", "dead": "gone"},
-}
-SOCKETS = {
-    "backend": "name",
-    "kind": "type",
-    "cell": "group",
-    "phase": "status",
-    "started": "since_ms",
-    "unit": MS,
-    "phases": {"ready": "ready", "draining": "draining", "gone": "gone"},
-}
+
+def settings_from_wire(wire: Mapping[str, Any]) -> Settings:
+    """The settings as the wire tells them; raises InvalidInputError with one sentence."""
+    values = _values(wire, SETTING_FIELDS)
+    settings = Settings(
+        classes=_classes_from_wire(wire),
+        subscribe=wire.get("membership_mode") == "subscribe",
+        **values,
+    )
+    if settings.entries_per_s == 0:
+        raise InvalidInputError("the settings' channel has no pace")
+    if settings.backlog_limit == 0:
+        raise InvalidInputError("the settings' channel may hold no line")
+    _check_names("zone", settings.zones or [])
+    _check_names("class", settings.class_names)
+    return settings
 
 
-class BadInput(Exception):
-    """Input that is not what the pages say; the text says what is wrong in one sentence."""
-
-
-def need(item, key, kind=object):
-    """A field that must be there; numbers may come as whole or broken ones, and are finite."""
-    value = item.get(key)
-    if value is None:
-        raise BadInput(f"a {item.get('type', 'list entry')!r:.40} lacks the field {key!r}")
-    if (
-        not isinstance(value, kind)
-        or (isinstance(value, bool) and kind is not bool and kind is not object)
-        or isinstance(value, float)
-        and not isfinite(value)
-    ):
-        raise BadInput(f"the field {key!r} of a {item.get('type', 'list entry')!r:.40} holds {value!r:.40}")
-    return value
-
-
-def figure(item, key, kind=NUM, most=MOST):
-    """A number that must be there, is not below 0 and not above the most that it can be."""
-    value = need(item, key, kind)
-    if not 0 <= value <= most:
-        raise BadInput(f"the field {key!r} of a {item.get('type', 'list entry')!r:.40} is {value!r:.40}")
-    return value
-
-
-def renamed(source, names):
-    """A plain map in our words from nested wire settings; what is absent stays absent."""
-    result = {}
-    for ours, (path, is_time) in names.items():
-        value = source
-        for part in path.split("."):
-            value = value.get(part) if isinstance(value, dict) else None
-        if value is not None and (is_time or ours in FIGURES):
-            figure({"type": "settings", path: value}, path)
-        if value is not None:
-            result[ours] = int(value * US) if is_time else value
-    return result
-
-
-def settings_map(wire):
-    result = renamed(wire, SETTINGS)
+def _classes_from_wire(wire: Mapping[str, Any]) -> list[RequestClass]:
     info = wire.get("family_info") or {}
-    classes = [renamed(entry, CLASS) for entry in wire.get("classes") or []]
-    for ours, flags in (("writes", info.get("write_classes")), ("own_zone_only", info.get("zone_bound"))):
-        for entry, flag in zip(classes, flags or []):
-            entry[ours] = flag
-    result["classes"] = classes
-    if not result.get("lines_per_s", 1):
-        raise BadInput("the settings' channel has no pace")
-    if not result.get("backlog_limit", 1):
-        raise BadInput("the settings' channel may hold no line")
-    kinds = [kind.get("name") for kind in classes]
-    for what, names in (("zone", result.get("zones") or []), ("class", kinds)):
-        # What proxies and orders name: any text, but a name, and one that means one thing
-        if odd := [name for name in names if not isinstance(name, str)]:
-            raise BadInput(f"the settings name a {what} {odd[0]!r:.40}, which is no text")
-        if twice := sorted(name for name, times in Counter(names).items() if times > 1):
-            raise BadInput(f"the settings name the {what} {twice[0]!r:.40} twice")
-    result["subscribe"] = wire.get("membership_mode") == "subscribe"
-    return result
-
-
-def load_map(pairs):
-    """A load report, an object or a list of pairs; what is not known or no number is skipped."""
-    pairs = pairs.items() if isinstance(pairs, dict) else pairs or ()
-    return {
-        LOAD[k][0]: v * LOAD[k][1]
-        for k, v in pairs
-        if k in LOAD and isinstance(v, NUM) and not isinstance(v, bool) and abs(v) <= MOST
-    }
-
-
-def list_entry(row, names):
-    if not isinstance(row, dict):
-        raise BadInput("a list entry is not an object")
-    for name in ("zone", names["kind"], names["cell"]):
-        # Against a list or an object where a name is due: the planner counts by these, and would fail in each
-        # of its rounds from then on. Harm: such an entry is left out, as any that cannot be read.
-        if not isinstance(row.get(name), (str, *NUM, NoneType)):
-            raise BadInput(f"the field {name!r} of a 'list entry' holds {row[name]!r:.40}")
-    weight = row.get("weight")
-    return {
-        "backend": need(row, names["backend"], str),
-        "zone": row.get("zone"),
-        "kind": row.get(names["kind"]),
-        "cell": row.get(names["cell"]),
-        "phase": names["phases"].get(need(row, names["phase"], str), "gone"),
-        "weight": 1 if weight is None else figure(row, "weight"),
-        "started": 0
-        if row.get(names["started"]) is None
-        else int(figure(row, names["started"]) * names["unit"]),
-    }
+    classes = [_values(entry, CLASS_FIELDS) for entry in wire.get("classes") or []]
+    for name, flags in (("writes", info.get("write_classes")), ("zone_local", info.get("zone_bound"))):
+        for values, flag in zip(classes, flags or []):
+            values[name] = flag
+    return [RequestClass(**values) for values in classes]
+
+
+def _values(source: Mapping[str, Any], fields: Mapping[str, WireField]) -> dict[str, Any]:
+    """Our name -> value, for what is told; numbers are checked."""
+    values = {}
+    for name, field in fields.items():
+        value = _at(source, field.path)
+        if value is None:
+            continue
+        if field.is_time or field.is_number:
+            required_number({"type": "settings", field.path: value}, field.path)
+        values[name] = int(value * MICROSECOND) if field.is_time else value
+    return values
+
+
+def _at(source: Any, path: str) -> Any:
+    for part in path.split("."):
+        source = source.get(part) if isinstance(source, dict) else None
+    return source
+
+
+def _check_names(what: str, names: list[Any]) -> None:
+    """Zones and classes are named in messages: each name is text and stands once."""
+    odd = [name for name in names if not isinstance(name, str)]
+    if odd:
+        raise InvalidInputError(f"the settings name a {what} {odd[0]!r:.40}, which is no text")
+    twice = sorted(name for name, times in Counter(names).items() if times > 1)
+    if twice:
+        raise InvalidInputError(f"the settings name the {what} {twice[0]!r:.40} twice")
