--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 lint: build
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
-	$(BIN)/pyang --strict --lint granitespool/manage/granitespool.yang
+	$(BIN)/pyang --strict --lint granitespool/management/granitespool.yang
 
 run: build
 	$(BIN)/python -m granitespool serve --config examples/config.json
@@ -45,7 +45,7 @@
 	$(BIN)/python -m bench.state
 
 bench-restart: build
-	$(BIN)/python -m granitespool lab run restart --set "sizes=30x150, 120x640, 500x2000"
+	$(BIN)/python -m granitespool emulate run restart --set "sizes=30x150, 120x640, 500x2000"
 
 SCENARIO ?= steady
 
--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -13,9 +13,11 @@
 import msgspec
 import orjson
 
-from granitespool.facade import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
 from granitespool.net.frames import HEAD, frame, parsed, updates
-from granitespool.settings import MS, SOCKETS, list_entry, settings_map
+from granitespool.settings import settings_from_wire
+from granitespool.units import MILLISECOND
 
 SECOND = 1_000_000_000  # ns
 TURNS = 10  # turns of the loop in a virtual second
@@ -197,7 +199,7 @@
         self.free_at = 0.0  # ns when the channel has written all that waits
         self.ready = list(range(sizes.backends))
         self.next_number = sizes.backends
-        settings = settings_map(wire_settings(sizes, index))
+        settings = settings_from_wire(wire_settings(sizes, index))
         self.settings = settings
         self.coordinator = self._timed(lambda: Coordinator(settings, seed, self.now))
 
@@ -209,7 +211,7 @@
 
     def tell(self, form: str, rows: Iterable[dict[str, object]]) -> None:
         """Discovery tells a list or changes of it."""
-        entries = [list_entry(row, SOCKETS) for row in rows]
+        entries = [endpoint_from_wire(row, SOCKET_ENTRY) for row in rows]
         self._timed(lambda: self.coordinator.report(self.now, "list_news", form=form, entries=entries))
 
     def tell_whole(self, form: str = "whole") -> None:
@@ -235,7 +237,7 @@
             number = self.next_number
             self.next_number += 1
             if zone is None or number % self.sizes.zones == zone:
-                rows.append(row_of(number, self.sizes.zones, since_ms=self.now // MS))
+                rows.append(row_of(number, self.sizes.zones, since_ms=self.now // MILLISECOND))
                 self.ready.append(number)
         self.tell("changes", rows)
 
@@ -257,7 +259,8 @@
 
     def change_settings(self) -> None:
         """A configuration with another figure and the same classes comes into force."""
-        changed = {**self.settings, "drain_grace": self.settings["drain_grace"] + MS}
+        grace = self.settings.drain_grace + MILLISECOND
+        changed = msgspec.structs.replace(self.settings, drain_grace=grace)
         self._timed(lambda: self.coordinator.new_settings(self.now, changed))
 
     def heard_messages(self) -> list[bytes]:
@@ -344,7 +347,7 @@
         for backend in probed:
             self._timed(
                 lambda name=backend: coordinator.report(
-                    self.now, "probed", backend=name, status="ok", took=2 * MS, load={}
+                    self.now, "probed", backend=name, status="ok", took=2 * MILLISECOND, load={}
                 )
             )
         while self.waiting and self.waiting[0].leaves_at <= self.now:
@@ -408,14 +411,14 @@
             "grade": message["route"],
             "number": message["total"],
             "unanswered": message["errors"],
-            "window": int(message["interval"] * MS),
+            "window": int(message["interval"] * MILLISECOND),
         }
     return "heard", {
         "zone": message["locality"],
         "backend": message["endpoint"],
         "tries": message["total"],
         "failed": message["errors"],
-        "mean": int(message["rtt"] * MS),
-        "window": int(message["interval"] * MS),
+        "mean": int(message["rtt"] * MILLISECOND),
+        "window": int(message["interval"] * MILLISECOND),
         "load": message["metrics"],
     }
--- a/bench/manage.py
+++ b/bench/manage.py
@@ -16,15 +16,15 @@
 import time
 
 from granitespool.net.service import Service
-from granitespool.operator import Gnmi, Netconf, Operator, Tls, User
-from granitespool.settings import settings_map
+from granitespool.operator_settings import Gnmi, Netconf, Operator, Tls, User
+from granitespool.settings import settings_from_wire
 
 if sys.argv[1:2] != ["serve"]:  # the coordinator's process has only what a coordinator has
     import grpc
 
     from granitespool.cli.keys import make
+    from granitespool.emulator.managers import Manager, tag_of
     from granitespool.gnmi import gnmi_pb2 as pb
-    from granitespool.lab.managers import Manager, tag_of
 
 SECOND = 1_000_000_000
 SIZES = (120, 640), (1000, 5000)
@@ -58,7 +58,7 @@
 def serve(backends, proxies, doors, keys, ports):
     """The child: serves until SIGTERM; SIGUSR1 prints and forgets the turns so far."""
     zones = ["n", "s"]
-    settings = settings_map(
+    settings = settings_from_wire(
         {
             "zones": zones,
             "classes": [{"name": "pay", "worth": 1.0}],
--- a/bench/state.py
+++ b/bench/state.py
@@ -15,13 +15,15 @@
 import tempfile
 import time
 
-from granitespool.facade import Coordinator
+from granitespool.coordinator import Coordinator
+from granitespool.endpoints import Endpoint, Phase
 from granitespool.net.loop import Loop
-from granitespool.operator import State
-from granitespool.state import record, trust
+from granitespool.operator_settings import State
+from granitespool.settings import RequestClass, Settings
+from granitespool.state import record, restore_policy
 from granitespool.state.disk import Folder
-from granitespool.state.keeper import Keeper
-from granitespool.state.memory import Memory
+from granitespool.state.recovery import Memory
+from granitespool.state.snapshotter import Keeper
 from granitespool.state.store import Store
 from granitespool.state.writer import read_back
 
@@ -35,7 +37,9 @@
 
 
 def settings(zones):
-    return {"zones": [f"z{k}" for k in range(zones)], "classes": [{"name": "pay"}], "cold_time": 10 * SECOND}
+    return Settings(
+        zones=[f"z{k}" for k in range(zones)], classes=[RequestClass(name="pay")], warm_up_time=10 * SECOND
+    )
 
 
 class Fleet:
@@ -56,15 +60,7 @@
         return name
 
     def entry(self, name, phase="ready"):
-        return {
-            "backend": name,
-            "zone": "z0",
-            "kind": "m",
-            "cell": 0,
-            "phase": phase,
-            "weight": 1.0,
-            "started": 0,
-        }
+        return Endpoint(name, "z0", "m", 0, Phase(phase), 1.0, 0)
 
     def list(self, coordinator, now):
         coordinator.report(
@@ -96,7 +92,7 @@
 
 
 def identity(zones):
-    return trust.Identity("n0", ["pay"], [f"z{k}" for k in range(zones)])
+    return restore_policy.Identity("n0", ["pay"], [f"z{k}" for k in range(zones)])
 
 
 def header(zones, now):
@@ -144,7 +140,7 @@
         opened, _ = read_back(Folder(folder), 64 * MB)
         read = time.perf_counter()
         memory = Memory(State(folder="x"), identity(10))
-        memory.opened(opened.found, opened.kept, None, trust.Clocks(now, now))
+        memory.opened(opened.found, opened.kept, None, restore_policy.Clocks(now, now))
         carried = time.perf_counter()
         known = memory.first_list({"index": -1})
         listed = time.perf_counter()
@@ -153,20 +149,12 @@
             "list_news",
             form="restored",
             entries=[
-                {
-                    "backend": each["name"],
-                    "zone": each["zone"],
-                    "kind": each["type"],
-                    "cell": 0,
-                    "phase": "ready",
-                    "weight": 1.0,
-                    "started": 0,
-                }
+                Endpoint(each["name"], each["zone"], each["type"], 0, Phase.READY, 1.0, 0)
                 for each in known["endpoints"]
             ],
         )
         told = time.perf_counter()
-        belief = memory.recall(coordinator, now, trust.Clocks(now, now))
+        belief = memory.recall(coordinator, now, restore_policy.Clocks(now, now))
         done = time.perf_counter()
     print(
         f"open: 1,000 backends x 10 zones, {size / 1e6:.2f} MB, {opened.found.frames} frames: read "
--- a/granitespool/cli/__init__.py
+++ b/granitespool/cli/__init__.py
@@ -6,8 +6,8 @@
   granitespool state (show | verify | compact) DIR
   granitespool keys make DIR [--name NAME]... [--user NAME]... [--days DAYS]
   granitespool keys show FILE...
-  granitespool lab list
-  granitespool lab run EXPERIMENT [--set KEY=VALUE]... [--json] [--plot FILE]
+  granitespool emulate list
+  granitespool emulate run EXPERIMENT [--set KEY=VALUE]... [--json] [--plot FILE]
   granitespool scale list
   granitespool scale run SCENARIO [--set KEY=VALUE]... [--seed N] [--report FILE] [--plot FILE]
   granitespool scale plot PLOT REPORT...
@@ -49,7 +49,7 @@
 from docopt import DocoptExit, docopt
 
 from granitespool import __version__
-from granitespool.settings import BadInput
+from granitespool.errors import InvalidInputError
 
 FAILED = 1  # exit code where something that was read cannot be used
 MISUSED = 2  # exit code where the call itself is wrong
@@ -68,7 +68,7 @@
         return 0
     try:
         return _command(told)(told)
-    except (BadInput, OSError) as error:
+    except (InvalidInputError, OSError) as error:
         print(f"granitespool: {error}", file=sys.stderr)
         return FAILED
 
@@ -80,8 +80,8 @@
         from granitespool.cli.state import run  # noqa: PLC0415
     elif told["keys"]:
         from granitespool.cli.keys import run  # noqa: PLC0415
-    elif told["lab"]:
-        from granitespool.cli.lab import run  # noqa: PLC0415
+    elif told["emulate"]:
+        from granitespool.cli.emulate import run  # noqa: PLC0415
     elif told["scale"]:
         from granitespool.cli.scale import run  # noqa: PLC0415
     elif told["check"]:
--- a/granitespool/cli/check.py
+++ b/granitespool/cli/check.py
@@ -9,7 +9,7 @@
     if path or not operator_path:
         print(config.summary(config.load(path)))
     if operator_path:
-        from granitespool import operator  # noqa: PLC0415
+        from granitespool import operator_settings  # noqa: PLC0415
 
-        print(operator.summary(operator_of(operator_path)))
+        print(operator_settings.summary(operator_of(operator_path)))
     return 0
--- a/granitespool/cli/lab.py
+++ b/granitespool/cli/emulate.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from granitespool.lab import play, schema
+from granitespool.emulator import play, schema
 
 
 def run(told):
--- a/granitespool/cli/files.py
+++ b/granitespool/cli/files.py
@@ -17,9 +17,9 @@
     """The operator's settings, or None where no file is named: then nothing of them is imported."""
     if not path:
         return None
-    from granitespool import operator  # noqa: PLC0415
+    from granitespool import operator_settings  # noqa: PLC0415
 
-    return operator.load(path)
+    return operator_settings.load(path)
 
 
 def read(told):
--- a/granitespool/cli/keys.py
+++ b/granitespool/cli/keys.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from granitespool.settings import BadInput
+from granitespool.errors import InvalidInputError
 
 DAYS = 90  # that certificates hold: for trying out
 SOON_DAYS = 14  # before the end a certificate is called so
@@ -29,10 +29,10 @@
 def make(folder, names, users, days):
     """ca, server and one client certificate a user in a folder that must be new or empty."""
     if not days.isdecimal() or not 1 <= int(days) <= 3650:
-        raise BadInput(f"--days is {days!r:.20}, where a whole number from 1 to 3650 would do")
+        raise InvalidInputError(f"--days is {days!r:.20}, where a whole number from 1 to 3650 would do")
     os.makedirs(folder, mode=0o700, exist_ok=True)
     if os.listdir(folder):
-        raise BadInput(f"the folder {folder} is not empty, and keys are never overwritten")
+        raise InvalidInputError(f"the folder {folder} is not empty, and keys are never overwritten")
     days = int(days)
     authority_key = ec.generate_private_key(ec.SECP256R1())
     authority = _certificate("granitespool trial authority", authority_key, days, None, None, None, [])
@@ -118,7 +118,7 @@
             with open(path, "rb") as file:
                 certificates = x509.load_pem_x509_certificates(file.read())
         except ValueError:
-            raise BadInput(f"{path} holds no certificate in PEM") from None
+            raise InvalidInputError(f"{path} holds no certificate in PEM") from None
         for each in certificates:
             left = (each.not_valid_after_utc - now).total_seconds() / 86400
             word = "has ended" if left < 0 else "ends soon" if left < SOON_DAYS else "holds"
--- a/granitespool/cli/scale.py
+++ b/granitespool/cli/scale.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from granitespool.cli import FAILED
+from granitespool.errors import InvalidInputError
 from granitespool.scale import plot, report, runner, schema
-from granitespool.settings import BadInput
 
 
 def run(told: dict[str, Any]) -> int:
-    """Lists scenarios or plays one; the exit code. Ends in BadInput where the scenario cannot be played."""
+    """Lists scenarios or plays one; the exit code. Raises InvalidInputError where it cannot be played."""
     if told["list"]:
         for name in schema.names():
             print(f"{name:12} {schema.load(name).scale.title}")
@@ -42,6 +42,6 @@
             with open(each, "rb") as file:
                 read.append(report.of_json(file.read()))
         except msgspec.DecodeError as error:
-            raise BadInput(f"{each} is no report of a scale run: {error}") from None
+            raise InvalidInputError(f"{each} is no report of a scale run: {error}") from None
     plot.plot(read, path)
     return 0
--- a/granitespool/cli/state.py
+++ b/granitespool/cli/state.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from granitespool import __version__
-from granitespool.operator import State
-from granitespool.settings import BadInput
-from granitespool.state import record, trust
+from granitespool.errors import InvalidInputError
+from granitespool.operator_settings import State
+from granitespool.state import record, restore_policy
 from granitespool.state.disk import Folder, Owned
 from granitespool.state.record import Spoilt
 from granitespool.state.store import Newer, Store, ours, read_file, recover
@@ -23,9 +23,9 @@
             if told[command]:
                 return globals()[command](folder)
     except Owned as error:
-        raise BadInput(str(error)) from None
+        raise InvalidInputError(str(error)) from None
     except Newer as error:
-        raise BadInput(f"{error}; it was left untouched") from None
+        raise InvalidInputError(f"{error}; it was left untouched") from None
     finally:
         folder.close()
 
@@ -65,7 +65,7 @@
     try:
         return found, record.kept(found.header.format, found.held)
     except Spoilt as error:
-        raise BadInput(f"{found.name}: {error}") from None
+        raise InvalidInputError(f"{found.name}: {error}") from None
 
 
 def show(folder):
@@ -74,8 +74,11 @@
     if found is None:
         return 1
     header = found.header
-    now, then = trust.Clocks(time.time_ns(), time.monotonic_ns()), trust.Clocks(*found.clocks)
-    age, usual = trust.age_of(then, now), State(folder=folder.path)
+    now, then = (
+        restore_policy.Clocks(time.time_ns(), time.monotonic_ns()),
+        restore_policy.Clocks(*found.clocks),
+    )
+    age, usual = restore_policy.age_of(then, now), State(folder=folder.path)
     classes, zones = (", ".join(map(str, names)) or "none" for names in (header.classes, header.zones))
     print(
         f"{found.name}: format {header.format}, of {header.name!r}, start {header.start}, program "
@@ -91,14 +94,16 @@
             f"{fleet.room:.0%} let in, "
             f"{fleet.through:.1%} of tries answered"
         )
-    identity = trust.Identity(header.name, header.classes, header.zones)
+    identity = restore_policy.Identity(header.name, header.classes, header.zones)
     oldest, half_life = int(usual.oldest_s * 1e9), int(usual.half_life_s * 1e9)
-    why = trust.doubt(header, then, now, identity, oldest)
+    why = restore_policy.doubt(header, then, now, identity, oldest)
     if why:
         print(f"nothing of it would be believed now: {why}")
         return 0
     listed = {name: (facts.phase, facts.started) for name, (facts, _) in kept.backends.items()}
-    belief = trust.believed(kept, then, now, listed, frozenset(header.zones), True, half_life, oldest)
+    belief = restore_policy.believed(
+        kept, then, now, listed, frozenset(header.zones), True, half_life, oldest
+    )
     print(
         f"believed now, with a half-life of {usual.half_life_s:g} s: {len(belief.backends)} backends, "
         f"{belief.links} links, {belief.cuts} cuts"
@@ -121,7 +126,7 @@
 def compact(folder):
     """One snapshot in the newest format in the place of what is there; the folder must not be in use."""
     if not os.path.isdir(folder.path):
-        raise BadInput(f"there is no folder {folder.path}")
+        raise InvalidInputError(f"there is no folder {folder.path}")
     folder.lock()
     found, kept = _newest(folder)
     if found is None:
--- a/granitespool/facade.py
+++ b/granitespool/coordinator.py
@@ -12,29 +12,128 @@
 import heapq
 import traceback
 
-from granitespool.rules import KEEP, MET, REMEMBERED, Planner
+import msgspec
+
+from granitespool.planner.events import (
+    Acknowledged,
+    EndpointListUpdate,
+    Event,
+    GossipReceived,
+    HealthCheckOutcome,
+    HealthCheckResult,
+    ListForm,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+    Restored,
+    SliceAssigned,
+    SliceEntry,
+    SliceLoad,
+    UsageReport,
+)
+from granitespool.planner.planner import Planner
+from granitespool.planner.records import MinimumRtt
+from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
 
 # Parties other than the proxies, which are numbers: what they are given to do, say, write down or forget
 PROBES, PEERS, REMARKS, GONE = "probes", "peers", "remarks", "gone"
-FIXED = "classes", "slices", "subscribe", "index"  # settings that what is kept here or there is built on
-REPORTS = frozenset(
-    (
-        "list_news",
-        "heard",
-        "arrivals",
-        "joined",
-        "left",
-        "applied",
-        "probed",
-        "peer_said",
-        "slice_given",
-        "slice_line",
-        "slice_load",
-        "recalled",
+FIXED = (
+    "classes",
+    "slices",
+    "subscribe",
+    "coordinator_index",
+)  # settings that what is kept here or there is built on
+
+
+BACKEND_FACTS = {
+    "phase": "phase",
+    "zone": "zone",
+    "kind": "machine_type",
+    "listed": "configured_weight",
+    "started": "started_at",
+    "gone_at": "left_ready_at",
+    "ramp_from": "slow_start_since",
+    "proven": "verified",
+    "missing": "removal_unconfirmed",
+}
+LINK_FACTS = {
+    "low": "minimum_rtt",
+    "tries": "attempts",
+    "failed": "failures",
+    "answered": "successes",
+    "time": "response_time",
+    "over": "overloaded_reports",
+    "streak": "consecutive_failures",
+    "cut_at": "ejected_at",
+    "ramp_from": "slow_start_since",
+}
+REASONS = {
+    "removal_unconfirmed": "missing",
+    "unverified": "unproven",
+    "ejected": "cut",
+    "warming_up": "cold",
+    "recovering": "returning",
+}
+
+
+def _event_of(what, met):
+    """The event of a former report: its name and words."""
+    return EVENTS[what](**met)
+
+
+def _list_news(form, entries):
+    form = "complete" if form == "whole" else form
+    return EndpointListUpdate(ListForm(form), entries)
+
+
+def _recalled(fleet, backends):
+    def link(facts):
+        values = {theirs: facts[ours] for ours, theirs in LINK_FACTS.items()}
+        low = values.pop("minimum_rtt")
+        return LinkSnapshot(minimum_rtt=MinimumRtt(*low) if low else None, **values)
+
+    usual = dict.fromkeys(BACKEND_FACTS)
+    return Restored(
+        FleetSnapshot(
+            is_overloaded=fleet["strained"],
+            admitted_share=fleet["room"],
+            success_ratio=fleet["through"],
+            demand=fleet["asked"],
+        ),
+        {
+            name: BackendSnapshot(
+                **{theirs: {**usual, **facts}[ours] for ours, theirs in BACKEND_FACTS.items()},
+                links={zone: link(each) for zone, each in links.items()},
+            )
+            for name, (facts, links) in backends.items()
+        },
     )
-)
-RETURNING = 20 * 10**9  # ns after a ramp's begin for which a backend is shown as returning
-AS_THEY_COME = frozenset(("peer_said", "slice_load"))  # whose words the planner does not name
+
+
+EVENTS = {
+    "list_news": _list_news,
+    "heard": lambda zone, backend, tries, failed, mean, window, load: LoadReport(
+        zone, backend, tries, failed, mean, window, load
+    ),
+    "arrivals": lambda proxy, grade, number, unanswered, window: UsageReport(
+        proxy, grade, number, unanswered, window
+    ),
+    "joined": lambda proxy, zone, standing, rate, again=False: ProxyJoined(
+        proxy, zone, standing, rate, again
+    ),
+    "left": lambda proxy, silent=False: ProxyLeft(proxy, silent),
+    "applied": lambda proxy, serial, took: Acknowledged(proxy, serial, took),
+    "probed": lambda backend, status, took, load: HealthCheckResult(
+        backend, HealthCheckOutcome(status), took, load
+    ),
+    "peer_said": lambda sender, contents: GossipReceived(sender, contents),
+    "slice_given": lambda table, ours: SliceAssigned(table, ours),
+    "slice_line": lambda table, backend, weight: SliceEntry(table, backend, weight),
+    "slice_load": lambda table, grade, number, unanswered, window: SliceLoad(
+        table, grade, number, unanswered, window
+    ),
+    "recalled": _recalled,
+}
 
 
 class Party:
@@ -71,28 +170,25 @@
         self.planner = Planner(self, now, seed, settings)
 
     def report(self, now, what, **met):
-        """What was met; `what` and the words of `met` are the planner's method and its parameters."""
-        assert what in REPORTS, what
+        """What was met: an event; or its former name and words, until all callers have events."""
+        event = what if isinstance(what, Event) else _event_of(what, met)
         self.now = max(self.now, now)
-        self.reports += what == "heard"
-        if what == "joined":
-            self._forget_party(met["proxy"])
+        self.reports += isinstance(event, LoadReport)
+        if isinstance(event, ProxyJoined):
+            self._forget_party(event.proxy)
             held = Party(self.suspects)
-            self.proxies[met["proxy"]] = self.loose[met["proxy"]] = held
-        elif what == "left":
-            self._forget_party(met["proxy"])
-        elif what == "list_news":
+            self.proxies[event.proxy] = self.loose[event.proxy] = held
+        elif isinstance(event, ProxyLeft):
+            self._forget_party(event.proxy)
+        elif isinstance(event, EndpointListUpdate):
             # A name that was not told before was shut out by nobody, or let back by who saw it return; one
             # told again as it was has not been out. Harm: a return between two such tellings is not seen.
-            self.suspects |= {entry["backend"] for entry in met["entries"] if self._may_be_out(entry)}
-        if what in AS_THEY_COME:
-            self._guarded(getattr(self.planner, what), *met.values())
-        else:
-            self._guarded(getattr(self.planner, what), **met)
+            self.suspects |= {entry.name for entry in event.entries if self._may_be_out(entry)}
+        self._guarded(self.planner.handle, event)
 
     def _may_be_out(self, entry):
-        known = self.planner.backends.get(entry["backend"])
-        return entry["phase"] != "ready" or known is not None and entry["started"] > known.started
+        known = self.planner.inspection.backend(entry.name)
+        return entry.phase != "ready" or known is not None and entry.started_at > known.started_at
 
     def _forget_party(self, proxy):
         for kept in (self.proxies, self.waiting, self.touched, self.loose, *self.users.values()):
@@ -100,47 +196,50 @@
 
     def listed(self):
         """{backend: (phase, started ns)} of every backend that is known."""
-        return {rec.id: (rec.phase, rec.started) for rec in self.planner.backends.values()}
+        return {rec.name: (rec.phase, rec.started_at) for rec in self.planner.inspection.backends()}
 
     def learnt(self, backends):
         """What the planner has learnt of the fleet and of these backends, to be reported as `recalled` by a
         later life: (fleet, {backend: (facts, {zone: facts})}), times in ns of the clock that was told."""
-        fleet = {key: getattr(self.planner, key) for key in ("strained", "room", "through", "asked")}
-        return fleet, {
-            rec.id: (
-                {key: getattr(rec, key) for key in REMEMBERED},
-                {
-                    zone: {
-                        "low": link.lows[0] if link.lows else None,
-                        **{key: getattr(link, key) for key in MET},
-                    }
-                    for zone in self.planner.tables
-                    for link in (rec.link_as_of(zone, self.planner.period, KEEP),)
-                },
-            )
-            for rec in map(self.planner.backends.get, backends)
-            if rec
-        }
+        snapshot = self.planner.inspection.snapshot(backends)
+        return (
+            {
+                "strained": snapshot.fleet.is_overloaded,
+                "room": snapshot.fleet.admitted_share,
+                "through": snapshot.fleet.success_ratio,
+                "asked": snapshot.fleet.demand,
+            },
+            {
+                name: (
+                    {ours: getattr(each, theirs) for ours, theirs in BACKEND_FACTS.items()},
+                    {
+                        zone: {ours: getattr(link, theirs) for ours, theirs in LINK_FACTS.items()}
+                        for zone, link in each.links.items()
+                    },
+                )
+                for name, each in snapshot.backends.items()
+            },
+        )
 
     def pictured_fleet(self):
         """Figures of the whole: joined, unbound, waiting (lines), lag (ns), strained, room, through, and
         tables as (zone, number of lines, {class: (share, retries)})."""
-        planner = self.planner
+        status = self.planner.inspection.status()
         return {
-            "joined": len(planner.proxies),
-            "unbound": len(planner.unbound),
-            "waiting": planner.channel.waiting,
-            "lag": planner.lag,
-            "strained": planner.strained,
-            "room": planner.room,
-            "through": planner.through,
+            "joined": status.joined,
+            "unbound": status.unassigned,
+            "waiting": status.in_flight,
+            "lag": status.acknowledgement_latency,
+            "strained": status.is_overloaded,
+            "room": status.admitted_share,
+            "through": status.success_ratio,
             "tables": [
                 (
                     zone,
                     sum(len(self.tables.get(table, ())) for table in tables),
                     self._levels_of(tables),
                 )
-                for zone, tables in planner.tables.items()
+                for zone, tables in self.planner.inspection.tables().items()
             ],
         }
 
@@ -152,79 +251,57 @@
     def pictured(self, backend):
         """(phase, zone, kind and proven by name, {zone: (weight, cost in ns or None, cut, shut out)}) of a
         backend, or None where it is not known."""
-        rec = self.planner.backends.get(backend)
-        return rec and (
-            {"phase": rec.phase, "zone": rec.zone, "kind": rec.kind, "proven": rec.proven},
+        status = self.planner.inspection.backend_status(backend)
+        return status and (
             {
-                zone: (
-                    max(rec.sent.get(table, 0.0) for table in tables),
-                    self.planner.costs.of(rec, zone),
-                    bool(link) and link.cut_at is not None,
-                    backend in self.withdrawn,
-                )
-                for zone, tables in self.planner.tables.items()
-                for link in (rec.links.get(zone),)
+                "phase": status.phase,
+                "zone": status.zone,
+                "kind": status.machine_type,
+                "proven": status.verified,
+            },
+            {
+                zone: (entry.weight, entry.cost, entry.is_ejected, backend in self.withdrawn)
+                for zone, entry in status.entries.items()
             },
         )
 
     def figures(self):
         """What can be summed over coordinators: figures of now, and totals since the start."""
-        planner, channel = self.planner, self.planner.channel
-        links = [link for rec in planner.backends.values() for link in rec.links.values()]
+        metrics = self.planner.inspection.metrics()
         return {
-            "joined": len(planner.proxies),
-            "unbound": len(planner.unbound),
-            "waiting": channel.waiting,
-            "limit": channel.limit,
-            "pace": channel.pace,
-            "met": channel.met,
-            "ordered": channel.ordered,
-            "lag": planner.lag,
-            "strained": planner.strained,
-            "room": planner.room,
-            "through": planner.through,
-            "subsets": planner.subsets.count,
+            "joined": metrics.joined,
+            "unbound": metrics.unassigned,
+            "waiting": metrics.in_flight,
+            "limit": metrics.in_flight_limit,
+            "pace": metrics.configured_rate,
+            "met": metrics.observed_rate,
+            "ordered": metrics.total_entries,
+            "lag": metrics.acknowledgement_latency,
+            "strained": metrics.is_overloaded,
+            "room": metrics.admitted_share,
+            "through": metrics.success_ratio,
+            "subsets": metrics.subsets,
             "reports": self.reports,
-            "cut": sum(link.cut_at is not None and not link.spare for link in links),
-            "last_resort": sum(link.cut_at is not None and link.spare for link in links),
+            "cut": metrics.ejected_links,
+            "last_resort": metrics.last_resort_links,
         }
 
     def unusual(self, most):
         """{backend: (why, tries, failed, weight)} of the backends that carry no ordinary part, those with
         most tries of about the last second first, `most` of them; and how many more there are."""
-        found = {
-            rec.id: (
-                why,
-                rec.tried,
-                rec.missed,
-                sum(weight for table, weight in rec.sent.items() if table != "out"),
-            )
-            for rec in self.planner.backends.values()
-            if (why := self._why(rec))
-        }
-        order = sorted(found, key=lambda backend: -found[backend][1])
-        return {backend: found[backend] for backend in order[:most]}, max(0, len(order) - most)
-
-    def _why(self, rec):
-        ramps = [each.ramp_from for each in (rec, *rec.links.values()) if each.ramp_from is not None]
-        if rec.phase != "ready":
-            return rec.phase if rec.tried >= 0.5 or any(rec.sent.values()) else None
-        if rec.missing or not rec.proven:
-            return "missing" if rec.missing else "unproven"
-        if any(link.cut_at is not None for link in rec.links.values()):
-            return "cut"
-        if self.planner.warm(self.now, rec) < 1:
-            return "cold"
-        return "returning" if ramps and self.now - max(ramps) < RETURNING else None
+        outliers = self.planner.inspection.outliers(self.now, most)
+        return {
+            name: (REASONS.get(each.reason, each.reason), each.attempts, each.failures, each.weight)
+            for name, each in outliers.backends.items()
+        }, outliers.omitted
 
     def joined_zones(self):
         """Zones that proxies have joined from."""
-        used = {table for table, _ in self.planner.proxies.values()}
-        return {zone for zone, tables in self.planner.tables.items() if used.intersection(tables)}
+        return self.planner.inspection.joined_zones()
 
     def waits(self, settings):
         """Names of these settings that differ from those in force and would wait for a restart."""
-        names = [name for name in FIXED if settings.get(name) != self.settings.get(name)]
+        names = [name for name in FIXED if getattr(settings, name) != getattr(self.settings, name)]
         if "classes" in names and self._class_names(settings) == self.classes:
             names.remove("classes")  # tables and levels go by their order; their figures may change
         return names
@@ -232,14 +309,16 @@
     def new_settings(self, now, settings):
         """Settings for what is decided from now on; returns the names of those that wait for a restart."""
         waits = self.waits(settings)
-        self.settings = {**settings, **{name: self.settings.get(name) for name in waits}}
+        self.settings = msgspec.structs.replace(
+            settings, **{name: getattr(self.settings, name) for name in waits}
+        )
         self.now = max(self.now, now)
         self._guarded(self.planner.new_settings, self.settings)
         return waits
 
     @staticmethod
     def _class_names(settings):
-        return [kind.get("name") for kind in settings.get("classes") or ()]
+        return settings.class_names
 
     def tick(self, now):
         """Lets the timers run that are due, ends the turn and returns when the next is due."""
@@ -248,7 +327,7 @@
         while self.timers and self.timers[0][0] <= self.now:
             due.append(heapq.heappop(self.timers)[2])
         for cookie in due:
-            self._guarded(self.planner.timer, cookie)
+            self._guarded(self.planner.on_timer, cookie)
         for proxy in self.touched:
             if self.mark_now is not None:
                 self.proxies[proxy].mark = self.mark_now
@@ -262,7 +341,7 @@
         try:
             call(self.now, *words, **met)
         except Exception:
-            self.remark(traceback.format_exc())
+            self.log(traceback.format_exc())
 
     def parties(self):
         return [*self.waiting, *(party for party, queue in self.queues.items() if queue)]
@@ -320,7 +399,7 @@
 
     # The planner's host
 
-    def weigh(self, table, backend, weight):
+    def set_entry(self, table, backend, weight):
         lines = self.tables.setdefault(table, {})
         lines[backend] = weight
         if not weight:
@@ -336,7 +415,7 @@
         for held, classes in self._users(table):
             self._rewrite(held, classes, table)
 
-    def bind(self, proxy, table, classes):
+    def assign(self, proxy, table, classes):
         held, classes = self.proxies.get(proxy), classes or self.every
         if held is None:
             return
@@ -368,7 +447,8 @@
                 if position in self.levels.get(table, ()):
                     held.levels[position] = self.levels[table][position]
 
-    def withdraw(self, backend, out):
+    def exclude(self, backend, excluded):
+        out = excluded
         (self.withdrawn.add if out else self.withdrawn.discard)(backend)
         # Who is bound needs it where its tables hold the backend; else it follows with the line, if ever
         using = [self.users.get(table, {}) for table, lines in self.tables.items() if backend in lines]
@@ -376,7 +456,8 @@
             if self._shut(held, backend, out):
                 self.touched[proxy] = None
 
-    def reach(self, backend, out, unbound, known):
+    def exclusion_cost(self, backend, excluded, unassigned, known):
+        out = excluded
         # Nobody knows what a proxy holds that was never written to on this stream, so all are told
         return {
             proxy: 1
@@ -384,13 +465,13 @@
             if (not held.told.get(backend) if out else held.shut(backend))
         }
 
-    def returns(self, proxies, table, backend=None):
+    def readmission_cost(self, proxies, table, backend=None):
         names = (backend,) if backend is not None else self.tables.get(table, ())
         held = {proxy: self.proxies[proxy] for proxy in proxies if proxy in self.proxies}
         more = {proxy: sum(map(each.shut, names)) for proxy, each in held.items()}
         return {proxy: lines for proxy, lines in more.items() if lines}
 
-    def level(self, table, classes, share, retries):
+    def set_admission(self, table, classes, share, retries):
         for position in range(len(self.classes)):
             if not classes or classes >> position & 1:
                 self.levels.setdefault(table, {})[position] = share, retries
@@ -398,12 +479,12 @@
                     if bound >> position & 1:
                         held.levels[position] = share, retries
 
-    def mark(self, serial, everyone):
+    def request_acknowledgement(self, serial, everyone):
         self.mark_now = serial
         if everyone:
             self.touched.update(dict.fromkeys(self.proxies))
 
-    def probe(self, backend):
+    def check_health(self, backend):
         if backend not in self.queues[PROBES]:
             self.queues[PROBES].append(backend)
 
@@ -416,18 +497,18 @@
             held.told.pop(backend, None)
         self.queues[GONE].append(backend)
 
-    def observe(self, on):
+    def subscribe(self, on):
         """The list's watch stands by itself as long as the service runs, so there is nothing to ask for."""
 
-    def lookup(self):
+    def fetch_endpoints(self):
         """Nor here: a watch brings the whole list where there is a gap."""
 
-    def wake(self, delay, cookie):
+    def set_timer(self, delay, cookie):
         self.serial += 1
         heapq.heappush(self.timers, (self.now + delay, self.serial, cookie))
 
-    def post(self, peer, contents):
+    def send_gossip(self, peer, contents):
         self.queues[PEERS].append((peer, contents))
 
-    def remark(self, text):
+    def log(self, text):
         self.queues[REMARKS].append(text)
--- a/granitespool/lab/play.py
+++ b/granitespool/emulator/play.py
@@ -5,13 +5,14 @@
 import tempfile
 
 from granitespool import __version__
-from granitespool.lab.world import BEGAN, SECOND, World
-from granitespool.settings import MS, BadInput
-from granitespool.state import record, trust
+from granitespool.emulator.world import BEGAN, SECOND, World
+from granitespool.errors import InvalidInputError
+from granitespool.state import record, restore_policy
 from granitespool.state.disk import Folder
-from granitespool.state.memory import Memory
+from granitespool.state.recovery import Memory
 from granitespool.state.store import Store
 from granitespool.state.writer import read_back
+from granitespool.units import MILLISECOND
 
 LOOK = SECOND // 10  # ns between looks at the tables
 BEFORE = 5 * SECOND  # ns before the kill whose mean tables are the ones to come back to
@@ -43,7 +44,7 @@
     def __init__(self, setup, variant, backends, proxies, seed, folder):
         self.setup, self.variant, self.restart = setup, variant, setup.restart
         self.world, self.mono = World(setup, backends, proxies, seed), 0
-        self.identity = trust.Identity("lab", list(setup.classes), self.world.zones)
+        self.identity = restore_policy.Identity("lab", list(setup.classes), self.world.zones)
         self.folder, self.memory, self.store = folder, None, None
         step = max(1, proxies // HOLDERS)
         self.holders = self.world.proxies[::step]
@@ -73,7 +74,7 @@
             return [sorted(column)[int(WANDER * len(column))] for column in list(zip(*self.looks))[1:]]
         first = int(restart.learn_s + restart.down_s)
         if world.faults:
-            raise BadInput(f"the planner failed in {self.variant}: {world.faults[0][-300:]}")
+            raise InvalidInputError(f"the planner failed in {self.variant}: {world.faults[0][-300:]}")
         moved = self.variant in CHANGED  # then there is nothing to come back to
         return {
             "tables_s": None if moved else self._settled(1, near[0], restart.settle_s),
@@ -96,7 +97,7 @@
     def _sweep(self, life):
         world = self.world
         if world.coordinator is not None and life == world.lives:
-            world.at(world.now + self.restart.every_ms * MS // 2, self._sweep, life)
+            world.at(world.now + self.restart.every_ms * MILLISECOND // 2, self._sweep, life)
             changes = self.memory.changes(
                 world.coordinator, {}, 0, world.now, list(world.coordinator.listed()), True
             )
@@ -108,7 +109,7 @@
         if self.variant in ("without", "changed"):
             return None
         later = int(self.restart.old_s * SECOND) if self.variant == "old" else 0
-        clocks = trust.Clocks(self.world.now + later, self.world.now + later)
+        clocks = restore_policy.Clocks(self.world.now + later, self.world.now + later)
         opened, _ = read_back(self.folder, MOST)
         memory = Memory(self.restart, self.identity)
         memory.opened(opened.found, opened.kept, opened.why, clocks)
@@ -238,7 +239,7 @@
     try:
         import matplotlib  # noqa: PLC0415 an extra, and slow to import
     except ImportError:
-        raise BadInput("a plot needs the extra `plot` (pip install granitespool[plot])") from None
+        raise InvalidInputError("a plot needs the extra `plot` (pip install granitespool[plot])") from None
     matplotlib.use("Agg")
     from matplotlib import pyplot  # noqa: PLC0415
 
--- a/granitespool/lab/schema.py
+++ b/granitespool/emulator/schema.py
@@ -8,7 +8,7 @@
 from msgspec import Meta
 
 from granitespool import ini
-from granitespool.settings import BadInput
+from granitespool.errors import InvalidInputError
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
@@ -108,24 +108,24 @@
 
 def names():
     """The experiments that come with the program."""
-    folder = importlib.resources.files("granitespool.lab") / "experiments"
+    folder = importlib.resources.files("granitespool.emulator") / "experiments"
     return sorted(entry.name[: -len(".ini")] for entry in folder.iterdir() if entry.name.endswith(".ini"))
 
 
 def load(told, changes=()):
     """The Setup of a file or of a name that `names` has, with other values for some keys ("fleet.load=0.9",
-    or the key alone where only one section has it), or BadInput."""
+    or the key alone where only one section has it), or InvalidInputError."""
     known = names()
     if told in known and not os.path.exists(told):
         path = f"{told}.ini"
-        text = (importlib.resources.files("granitespool.lab") / "experiments" / path).read_text()
+        text = (importlib.resources.files("granitespool.emulator") / "experiments" / path).read_text()
     else:
         path = told
         try:
             with open(path, encoding="utf-8") as file:
                 text = file.read()
         except (OSError, UnicodeDecodeError) as error:
-            raise BadInput(
+            raise InvalidInputError(
                 f"{told}: no such experiment ({', '.join(known)} come with the program), and as a "
                 f"file it cannot be read: {getattr(error, 'strerror', error)}"
             ) from None
@@ -133,7 +133,7 @@
         text = changed(text, change)
     read = ini.parse(path, text, {**SECTIONS, "class.*": Class})
     if "experiment" not in read:
-        raise BadInput(f"{path}: it lacks the section [experiment]")
+        raise InvalidInputError(f"{path}: it lacks the section [experiment]")
     own = {name.removeprefix("class."): read.pop(name) for name in list(read) if name.startswith("class.")}
     return Setup(**read, classes=own or {"pay": Class()})
 
@@ -143,7 +143,7 @@
     key, equals, value = change.partition("=")
     section, dot, name = key.strip().rpartition(".")
     if not equals:
-        raise BadInput(f"--set {change!r:.60} is no KEY=VALUE")
+        raise InvalidInputError(f"--set {change!r:.60} is no KEY=VALUE")
     if not dot:
         having = [
             each
@@ -151,7 +151,7 @@
             if name in (field.name for field in msgspec.structs.fields(struct))
         ]
         if len(having) != 1:
-            raise BadInput(
+            raise InvalidInputError(
                 f"--set {name!r:.60}: "
                 + (
                     "no section has this key"
--- a/granitespool/lab/world.py
+++ b/granitespool/emulator/world.py
@@ -7,16 +7,18 @@
 from itertools import accumulate
 from random import Random
 
-from granitespool.facade import GONE, PEERS, PROBES, REMARKS, Coordinator
-from granitespool.settings import MS
+from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.endpoints import Endpoint, Phase
+from granitespool.settings import Admission, RequestClass, Settings
+from granitespool.units import MILLISECOND
 
 SECOND = 1_000_000_000  # ns
 BEGAN = 10**18  # ns: the virtual clock begins here
-ERROR = 5 * MS  # ns that a quick failure takes
-PROBE = 2 * MS  # ns that a probe's answer takes
+ERROR = 5 * MILLISECOND  # ns that a quick failure takes
+PROBE = 2 * MILLISECOND  # ns that a probe's answer takes
 PROBE_LATE = SECOND // 2  # ns after which a probe without an answer is late: the service's
-APPLY = 5 * MS  # ns in which a proxy applies a message
-BATCH = 10 * MS  # ns within which what arrives at the coordinator is one turn
+APPLY = 5 * MILLISECOND  # ns in which a proxy applies a message
+BATCH = 10 * MILLISECOND  # ns within which what arrives at the coordinator is one turn
 MIN_ROUND = 0.1  # part of the way to another zone that a round trip within one takes
 
 
@@ -35,7 +37,7 @@
         if self.failing and random.random() < self.failing:
             return ERROR, False
         begin = max(now, self.free[0])
-        if begin - now > fleet.queue_ms * MS:
+        if begin - now > fleet.queue_ms * MILLISECOND:
             return ERROR, False
         cold = self.started and now - self.started < fleet.cold_s * SECOND
         took = random.expovariate(1.0) * self.service * self.slow / (fleet.cold_share if cold else 1.0)
@@ -88,7 +90,7 @@
         for k in range(backends):
             name = f"s-{k:05d}"
             self.backends[name] = Backend(
-                name, self.zones[k % len(self.zones)], "m", fleet.workers, fleet.service_ms * MS
+                name, self.zones[k % len(self.zones)], "m", fleet.workers, fleet.service_ms * MILLISECOND
             )
         self.strike(list(self.backends.values()))
         equal = dict.fromkeys(self.backends, 1.0)
@@ -171,12 +173,12 @@
 
     def _try(self, proxy, name, count, begun, tries):
         kind, backend = self.classes[name], self.backends.get(proxy.pick(self.random))
-        limit = begun + int(kind.limit_ms * MS) - self.now
+        limit = begun + int(kind.limit_ms * MILLISECOND) - self.now
         if backend is None or limit <= 0:
             count[3] += 1
             return
         took, worked = backend.answer(self.now, self.random, self.setup.fleet)
-        way = self.setup.fleet.cross_zone_ms * MS
+        way = self.setup.fleet.cross_zone_ms * MILLISECOND
         way = int(way if backend.zone != proxy.zone else way * MIN_ROUND)
         took = limit if took is None else min(limit, took + way)
         worked = worked and took < limit
@@ -186,7 +188,7 @@
         met[0] += 1
         if worked:
             met[2], met[3] = met[2] + 1, met[3] + took
-            count[1 if end - begun <= kind.promised_ms * MS else 2] += 1
+            count[1 if end - begun <= kind.promised_ms * MILLISECOND else 2] += 1
             return
         met[1] += 1
         if kind.again and tries < proxy.level(name)[1]:
@@ -224,7 +226,9 @@
             )
             for (number, name), (told, lost) in asked.items()
         ]
-        self.at(self.now + int(self.setup.channel.report_lag_ms * MS), self._arrive, self.lives, words)
+        self.at(
+            self.now + int(self.setup.channel.report_lag_ms * MILLISECOND), self._arrive, self.lives, words
+        )
 
     def _arrive(self, life, words):
         if life == self.lives and self.coordinator is not None:
@@ -235,15 +239,7 @@
 
     def entries(self):
         return [
-            {
-                "backend": each.name,
-                "zone": each.zone,
-                "kind": each.kind,
-                "cell": 0,
-                "phase": "ready",
-                "weight": 1.0,
-                "started": each.started,
-            }
+            Endpoint(each.name, each.zone, each.kind, 0, Phase.READY, 1.0, each.started)
             for each in self.backends.values()
         ]
 
@@ -262,30 +258,30 @@
     def settings(self):
         fleet, channel = self.setup.fleet, self.setup.channel
         lines = len(self.backends) * len(self.proxies) / channel.binding_s
-        return {
-            "zones": self.zones,
-            "probes": True,
-            "admission": "fraction",
-            "lines_per_s": lines,
-            "message_head": 1,
-            "backlog_limit": 2 * lines,
-            "standing_lines": len(self.backends),
-            "proxies_expected": len(self.proxies),
-            "drain_grace": 10 * SECOND,
-            "usual_retry": 0,
-            "cold_time": int(fleet.cold_s * SECOND),
-            "cold_share": fleet.cold_share,
-            "classes": [
-                {
-                    "name": name,
-                    "effect": "free" if each.again else "single_shot",
-                    "promised_time": int(each.promised_ms * MS),
-                    "time_limit": int(each.limit_ms * MS),
-                    "benefit": each.benefit,
-                }
+        return Settings(
+            zones=self.zones,
+            health_checks_allowed=True,
+            admission=Admission.FRACTION,
+            entries_per_s=lines,
+            message_header=1,
+            backlog_limit=2 * lines,
+            bootstrap_entries=len(self.backends),
+            proxies_expected=len(self.proxies),
+            drain_grace=10 * SECOND,
+            default_retries=0,
+            warm_up_time=int(fleet.cold_s * SECOND),
+            warm_up_start_share=fleet.cold_share,
+            classes=[
+                RequestClass(
+                    name=name,
+                    effect="free" if each.again else "single_shot",
+                    latency_objective=int(each.promised_ms * MILLISECOND),
+                    timeout=int(each.limit_ms * MILLISECOND),
+                    priority_weight=each.benefit,
+                )
                 for name, each in self.classes.items()
             ],
-        }
+        )
 
     def start(self, recall=None, rejoin=0.0):
         """A coordinator's life begins with the list, what `recall(coordinator)` makes it recall, and proxies
@@ -360,7 +356,7 @@
             + len(order["back"])
         )
         self.channel = max(self.channel, self.now) + int(SECOND * lines / self.settings_pace())
-        at = self.channel + int(self.setup.channel.delay_ms * MS)
+        at = self.channel + int(self.setup.channel.delay_ms * MILLISECOND)
         self.at(-(-at // BATCH) * BATCH, self._applied, self.lives, proxy, order, self.now)
 
     def settings_pace(self):
@@ -382,7 +378,7 @@
 
     def table(self, zone):
         """{backend: share} of the coordinator's table for a zone; empty where there is none."""
-        held = self.coordinator.planner.tables.get(zone, ()) if self.coordinator else ()
+        held = self.coordinator.planner.subsets.tables.get(zone, ()) if self.coordinator else ()
         lines = {
             name: weight for table in held for name, weight in self.coordinator.tables.get(table, {}).items()
         }
--- a/granitespool/gnmi/paths.py
+++ b/granitespool/gnmi/paths.py
@@ -4,8 +4,8 @@
 names."""
 
 from granitespool.gnmi import gnmi_pb2 as pb
-from granitespool.manage import model
-from granitespool.manage.refused import Refused
+from granitespool.management import model
+from granitespool.management.errors import Refused
 
 ANY, DEEP = "*", "..."
 ELEMENTS_MOST = 32  # elements of a path: the module is six deep
--- a/granitespool/gnmi/session.py
+++ b/granitespool/gnmi/session.py
@@ -4,11 +4,11 @@
 
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi import paths, values
-from granitespool.manage import model
-from granitespool.manage.datastores import RUNNING
-from granitespool.manage.edits import differing, edited
-from granitespool.manage.refused import Refused
-from granitespool.manage.rights import must_read, must_write
+from granitespool.management import model
+from granitespool.management.authorization import must_read, must_write
+from granitespool.management.datastores import RUNNING
+from granitespool.management.edits import differing, edited
+from granitespool.management.errors import Refused
 from granitespool.rpc import calls
 from granitespool.rpc.calls import Calls, Status
 from granitespool.rpc.http2 import Broken, Http2
--- a/granitespool/gnmi/values.py
+++ b/granitespool/gnmi/values.py
@@ -3,9 +3,9 @@
 import orjson
 
 from granitespool.gnmi import gnmi_pb2 as pb
-from granitespool.manage import model
-from granitespool.manage.edits import Change
-from granitespool.manage.refused import Refused
+from granitespool.management import model
+from granitespool.management.edits import Change
+from granitespool.management.errors import Refused
 
 SCALARS = "string_val", "int_val", "uint_val", "bool_val", "double_val", "float_val", "ascii_val"
 ENCODINGS = pb.JSON, pb.JSON_IETF, pb.PROTO
--- a/granitespool/ini.py
+++ b/granitespool/ini.py
@@ -1,7 +1,7 @@
 """INI files of sections, each checked against a schema (a msgspec Struct) to the last key.
 
 `load(path, schemas)` and `parse(path, text, schemas)` give {section: Struct} for the sections that are
-there, or end in BadInput with one sentence that names the file, the section, the key, what was found and
+there, or raise InvalidInputError: one sentence that names the file, the section, the key, what was found and
 what would do."""
 
 import configparser
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import inspect
 
-from granitespool.settings import BadInput
+from granitespool.errors import InvalidInputError
 
 LARGEST = 1 << 20  # bytes of a file that are read: an example with every key commented takes a hundredth
 FOUND = 60  # characters of a wrong value that a sentence repeats
@@ -26,12 +26,12 @@
         with open(path, "rb") as file:
             data = file.read(LARGEST + 1)
         if len(data) > LARGEST:
-            raise BadInput(f"{path}: it is over {LARGEST} bytes")
+            raise InvalidInputError(f"{path}: it is over {LARGEST} bytes")
         return parse(path, data.decode(), schemas, paths)
     except OSError as error:
-        raise BadInput(f"{path}: it cannot be read: {error.strerror}") from None
+        raise InvalidInputError(f"{path}: it cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise BadInput(f"{path}: byte {error.start} is not UTF-8") from None
+        raise InvalidInputError(f"{path}: byte {error.start} is not UTF-8") from None
 
 
 def parse(path, text, schemas, paths=()):
@@ -44,18 +44,22 @@
         parser.read_string(text)
     except (configparser.DuplicateSectionError, configparser.DuplicateOptionError) as error:
         what = f"[{error.section}]" + (f" {error.option}" if hasattr(error, "option") else "")
-        raise BadInput(f"{path}: {what} stands twice, the second time in line {error.lineno}") from None
+        raise InvalidInputError(
+            f"{path}: {what} stands twice, the second time in line {error.lineno}"
+        ) from None
     except configparser.MissingSectionHeaderError as error:
-        raise BadInput(f"{path}: line {error.lineno} stands before any [section]") from None
+        raise InvalidInputError(f"{path}: line {error.lineno} stands before any [section]") from None
     except configparser.ParsingError as error:
-        raise BadInput(f"{path}: line {error.errors[0][0]} is no 'key = value'") from None
+        raise InvalidInputError(f"{path}: line {error.errors[0][0]} is no 'key = value'") from None
     except configparser.Error as error:
-        raise BadInput(f"{path}: {' '.join(str(error).split())}") from None
+        raise InvalidInputError(f"{path}: {' '.join(str(error).split())}") from None
     sections = {}
     for name in parser.sections():
         schema = schemas.get(name) or schemas.get(name.partition(".")[0] + ".*" if "." in name else None)
         if schema is None:
-            raise BadInput(f"{path}: the section [{name:.{FOUND}}] is unknown{_nearest(name, schemas)}")
+            raise InvalidInputError(
+                f"{path}: the section [{name:.{FOUND}}] is unknown{_nearest(name, schemas)}"
+            )
         sections[name] = _section(path, name, schema, dict(parser[name]), paths)
     return sections
 
@@ -65,15 +69,15 @@
     values = {}
     for key, text in told.items():
         if key not in fields:
-            raise BadInput(f"{path}: [{name}] {key:.{FOUND}} is unknown{_nearest(key, fields)}")
+            raise InvalidInputError(f"{path}: [{name}] {key:.{FOUND}} is unknown{_nearest(key, fields)}")
         values[key] = _value(path, name, fields[key], text, paths)
     for key, field in fields.items():
         if field.required and key not in values:
-            raise BadInput(f"{path}: [{name}] lacks {key}, {_wanted(field.type)}")
+            raise InvalidInputError(f"{path}: [{name}] lacks {key}, {_wanted(field.type)}")
     try:
         return struct(**values)
     except ValueError as error:
-        raise BadInput(f"{path}: [{name}] {error}") from None
+        raise InvalidInputError(f"{path}: [{name}] {error}") from None
 
 
 def _value(path, name, field, text, paths):
@@ -82,7 +86,7 @@
         if isinstance(value, float) and not math.isfinite(value):
             raise msgspec.ValidationError
     except msgspec.ValidationError:
-        raise BadInput(
+        raise InvalidInputError(
             f"{path}: [{name}] {field.name} is {text!r:.{FOUND}}, where {_wanted(field.type)} would do"
         ) from None
     if (name, field.name) in paths:
--- a/granitespool/manage/rights.py
+++ b/granitespool/management/authorization.py
@@ -4,7 +4,7 @@
 dns:NAME, email:NAME or uri:NAME (a subject alternative name), or sha256:DIGEST (of the certificate itself).
 The certificate is trusted by then: its chain was checked when the connection was made."""
 
-from granitespool.manage.refused import Refused
+from granitespool.management.errors import Refused
 
 ALL = "*"
 
--- a/granitespool/manage/datastores.py
+++ b/granitespool/management/datastores.py
@@ -15,8 +15,8 @@
 import copy
 from typing import NamedTuple
 
-from granitespool.manage.edits import differing, edited
-from granitespool.manage.refused import Refused
+from granitespool.management.edits import differing, edited
+from granitespool.management.errors import Refused
 
 RUNNING, CANDIDATE, STARTUP = "running", "candidate", "startup"
 STORES = RUNNING, CANDIDATE, STARTUP
--- a/granitespool/manage/edits.py
+++ b/granitespool/management/edits.py
@@ -7,7 +7,7 @@
 import copy
 from typing import NamedTuple
 
-from granitespool.manage.refused import Refused
+from granitespool.management.errors import Refused
 
 OPERATIONS = "merge", "replace", "create", "delete", "remove", "none"
 
--- a/granitespool/manage/harm.py
+++ b/granitespool/management/impact_check.py
@@ -2,9 +2,9 @@
 
 The module's types and musts are checked before; here stands what depends on the coordinator as it is now."""
 
-from granitespool.manage.mapping import settings_path
-from granitespool.manage.refused import Refused
-from granitespool.settings import MS
+from granitespool.management.errors import Refused
+from granitespool.management.mapping import settings_path
+from granitespool.units import MILLISECOND
 
 SECOND = 1_000_000_000
 LINE = 2  # lines that one order to one proxy takes beside its head: the line and its mark
@@ -15,11 +15,11 @@
     joined; `zones_in_use`: of proxies that have; `waits`: names of settings that differ and wait for a
     restart."""
     settings = new["settings"]
-    if old["settings"].get("classes") and not settings.get("classes"):
+    if old["settings"].classes and not settings.classes:
         raise Refused(
             "operation-failed", "without a class there is nothing left to plan for", settings_path("class")
         )
-    lost = sorted(zones_in_use - set(settings.get("zones") or ()))
+    lost = sorted(zones_in_use - set(settings.zones or ()))
     if lost:
         raise Refused(
             "operation-failed",
@@ -46,16 +46,16 @@
 def _channel(settings, proxies):
     """A drain must be kept: its line has to reach every proxy within the grace, or drained backends get
     transactions. Harm: none, a slower channel breaks the rule at once."""
-    pace, grace = settings.get("lines_per_s"), settings.get("drain_grace")
-    lines = proxies * (LINE + settings.get("message_head", 0))
+    pace, grace = settings.entries_per_s, settings.drain_grace
+    lines = proxies * (LINE + settings.effective_message_header)
     if pace and grace and lines / pace > grace / SECOND:
         raise Refused(
             "operation-failed",
             f"one drain takes {lines / pace:.1f} s for {proxies} proxies at this pace, and "
-            f"the grace is {grace // MS} ms",
+            f"the grace is {grace // MILLISECOND} ms",
             settings_path("channel", "lines-per-second"),
         )
-    backlog = settings.get("backlog_limit")
+    backlog = settings.backlog_limit
     if backlog and backlog < lines:
         raise Refused(
             "operation-failed",
--- a/granitespool/manage/mapping.py
+++ b/granitespool/management/mapping.py
@@ -5,34 +5,36 @@
 
 import msgspec
 
-from granitespool.manage.model import SETTINGS
-from granitespool.settings import US
+from granitespool.management.model import SETTINGS
+from granitespool.settings import RequestClass, Settings
+from granitespool.units import MICROSECOND
 
 SPAN, FIGURE, WHOLE, PLAIN = "span", "figure", "whole", "plain"  # ns; a number; an int; as it stands
 
 # (container, leaf) -> (the settings' name, its form)
 LEAVES = {
-    ("channel", "lines-per-second"): ("lines_per_s", FIGURE),
-    ("channel", "message-head"): ("message_head", FIGURE),
+    ("channel", "lines-per-second"): ("entries_per_s", FIGURE),
+    ("channel", "message-head"): ("message_header", FIGURE),
     ("channel", "backlog-limit"): ("backlog_limit", FIGURE),
     ("channel", "messages-limit"): ("messages_limit", WHOLE),
     ("channel", "messages-span"): ("messages_span", SPAN),
     ("channel", "admission"): ("admission", PLAIN),
-    ("permissions", "probes"): ("probes", PLAIN),
+    ("permissions", "probes"): ("health_checks_allowed", PLAIN),
     ("permissions", "connect-timeout"): ("connect_timeout", SPAN),
     ("drain", "grace"): ("drain_grace", SPAN),
-    ("drain", "needs-entry"): ("drain_needs_entry", PLAIN),
-    ("cold", "time"): ("cold_time", SPAN),
-    ("cold", "share"): ("cold_share", FIGURE),
+    ("drain", "needs-entry"): ("removal_needs_drain", PLAIN),
+    ("cold", "time"): ("warm_up_time", SPAN),
+    ("cold", "share"): ("warm_up_start_share", FIGURE),
 }
 CLASS = {
     "name": ("name", PLAIN),
     "effect": ("effect", PLAIN),
-    "promised-time": ("promised_time", SPAN),
-    "time-limit": ("time_limit", SPAN),
-    "benefit": ("benefit", FIGURE),
+    "promised-time": ("latency_objective", SPAN),
+    "time-limit": ("timeout", SPAN),
+    "benefit": ("priority_weight", FIGURE),
     "late-share": ("late_share", FIGURE),
 }
+NO_SETTINGS = Settings()  # what stands where nothing is told
 LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf -> the configuration's name
 STATE_DECIMALS = "half-life-s", "oldest-s"
 
@@ -45,7 +47,7 @@
 
 def _out(value, form):
     return (
-        str(int(value) // US)
+        str(int(value) // MICROSECOND)
         if form == SPAN
         else decimal(value)
         if form == FIGURE
@@ -56,7 +58,7 @@
 
 
 def _in(value, form):
-    return int(value) * US if form == SPAN else number(value) if form == FIGURE else value
+    return int(value) * MICROSECOND if form == SPAN else number(value) if form == FIGURE else value
 
 
 def number(text):
@@ -69,17 +71,21 @@
     """The tree of a configuration as `net.config` reads it, with its operator's settings."""
     settings, tree = config["settings"], {}
     for (group, leaf), (name, form) in LEAVES.items():
-        value = settings.get(name)
-        if value is not None and not (name == "drain_needs_entry" and value is False):
+        value = getattr(settings, name)
+        if value is not None and not (name == "removal_needs_drain" and value is False):
             tree.setdefault(group, {})[leaf] = _out(value, form)
     classes = [
-        {leaf: _out(kind[name], form) for leaf, (name, form) in CLASS.items() if kind.get(name) is not None}
-        for kind in settings.get("classes") or ()
+        {
+            leaf: _out(getattr(kind, name), form)
+            for leaf, (name, form) in CLASS.items()
+            if getattr(kind, name) is not None
+        }
+        for kind in settings.classes
     ]
     if classes:
         tree["class"] = classes
-    if settings.get("zones"):
-        tree["zone"] = list(settings["zones"])
+    if settings.zones:
+        tree["zone"] = list(settings.zones)
     limits = config.get("limits") or {}
     if limits:
         tree["limits"] = {leaf: int(limits[name]) for leaf, name in LIMITS.items() if name in limits}
@@ -98,21 +104,20 @@
 
 def config_of(tree, config):
     """The configuration that this tree makes of a former one."""
-    before, settings = tree_of(config), dict(config["settings"])
+    before, settings = tree_of(config), config["settings"]
+    changes = {}
     for (group, leaf), (name, form) in LEAVES.items():
         new = tree.get(group, {}).get(leaf)
         if new != before.get(group, {}).get(leaf):
-            settings.pop(name, None)
-            if new is not None:
-                settings[name] = _in(new, form)
+            changes[name] = getattr(NO_SETTINGS, name) if new is None else _in(new, form)
     if tree.get("class") != before.get("class"):
-        former = {kind.get("name"): kind for kind in settings.get("classes") or ()}
-        settings["classes"] = [
-            _class(entry, former.get(entry["name"], {}), CLASS) for entry in tree.get("class", ())
+        former = {kind.name: kind for kind in settings.classes}
+        changes["classes"] = [
+            _class(entry, former.get(entry["name"], RequestClass())) for entry in tree.get("class", ())
         ]
     if tree.get("zone") != before.get("zone"):
-        settings["zones"] = list(tree.get("zone", ()))
-    result = {**config, "settings": settings}
+        changes["zones"] = list(tree.get("zone", ()))
+    result = {**config, "settings": msgspec.structs.replace(settings, **changes)}
     if tree.get("limits") != before.get("limits"):
         new = tree.get("limits", {})
         result["limits"] = {name: new[leaf] for leaf, name in LIMITS.items() if leaf in new} or dict(
@@ -123,19 +128,18 @@
     return result
 
 
-def _class(entry, former, leaves):
-    kind = dict(former)
-    for leaf, (name, form) in leaves.items():
-        old = None if former.get(name) is None else _out(former[name], form)
+def _class(entry, former):
+    changes = {}
+    for leaf, (name, form) in CLASS.items():
+        value = getattr(former, name)
+        old = None if value is None else _out(value, form)
         if entry.get(leaf) != old:
-            kind.pop(name, None)
-            if leaf in entry:
-                kind[name] = _in(entry[leaf], form)
-    return kind
+            changes[name] = _in(entry[leaf], form) if leaf in entry else None
+    return msgspec.structs.replace(former, **changes)
 
 
 def _operator(tree, former):
-    from granitespool.operator import Operator, State  # noqa: PLC0415 only where a manager sets it
+    from granitespool.operator_settings import Operator, State  # noqa: PLC0415 only where a manager sets it
 
     state = tree.get("state")
     values = state and {
--- a/granitespool/manage/model.py
+++ b/granitespool/management/model.py
@@ -9,7 +9,7 @@
 from yangson.exceptions import RawDataError, ValidationError, YangsonException, YangTypeError
 from yangson.schemanode import ContainerNode, LeafListNode, LeafNode, ListNode
 
-from granitespool.manage.refused import Refused
+from granitespool.management.errors import Refused
 
 MODULE, REVISION = "granitespool", "2026-12-01"
 NAMESPACE = "urn:granitespool:coordinator"
@@ -85,7 +85,7 @@
 
 def source():
     """The module's text."""
-    return (importlib.resources.files("granitespool.manage") / f"{MODULE}.yang").read_text()
+    return (importlib.resources.files("granitespool.management") / f"{MODULE}.yang").read_text()
 
 
 class Model:
@@ -103,7 +103,7 @@
                 ],
             }
         }
-        with importlib.resources.as_file(importlib.resources.files("granitespool.manage")) as folder:
+        with importlib.resources.as_file(importlib.resources.files("granitespool.management")) as folder:
             self.data = DataModel(json.dumps(library), (str(folder),))
         self.top = Node(self.data.get_data_node(f"/{MODULE}:{TOP}"), None)
         self.settings, self.state = self.top.children[SETTINGS], self.top.children[STATE]
--- a/granitespool/manage/picture.py
+++ b/granitespool/management/operational_state.py
@@ -6,8 +6,8 @@
 
 Each backend is as it is when its piece is taken; what changes meanwhile shows in the next picture."""
 
-from granitespool.manage.mapping import decimal
-from granitespool.settings import US
+from granitespool.management.mapping import decimal
+from granitespool.units import MICROSECOND
 
 PIECE = 40  # backend and zone pairs taken in one step: half a millisecond
 FIGURE_MOST = 1e9  # the module's largest figure
@@ -30,12 +30,12 @@
                 "discovery": {
                     "index": str(facts["index"]),
                     "named": facts["named"],
-                    "age": str(max(0, facts["age"]) // US),
+                    "age": str(max(0, facts["age"]) // MICROSECOND),
                 },
                 "proxies": {"joined": fleet["joined"], "waiting": fleet["unbound"]},
                 "channel": {
                     "waiting": str(max(0, int(fleet["waiting"]))),
-                    "lag": str(int(fleet["lag"]) // US),
+                    "lag": str(int(fleet["lag"]) // MICROSECOND),
                 },
                 "fleet": {
                     "strained": fleet["strained"],
@@ -87,7 +87,7 @@
             if why:
                 view["out"] = why
         if cost is not None:
-            view["cost"] = str(min(int(cost) // US, 10**15))
+            view["cost"] = str(min(int(cost) // MICROSECOND, 10**15))
         views.append(view)
     if views:
         backend["seen-from"] = views
--- a/granitespool/net/acceptor.py
+++ b/granitespool/net/acceptor.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from granitespool.net.admission import Admission
-from granitespool.net.bind import bind
 from granitespool.net.connection import Waits
+from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
 from granitespool.net.loop import IN, SECOND, Loop
 
--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -3,11 +3,11 @@
 Owns the two registries of open connections and the limit on them. It never accepts, reads or writes, and it
 never ends a proxy's stream: pending connections give way first, then collectors, which dial again."""
 
+from granitespool.errors import InvalidInputError
 from granitespool.net.connection import Connection, Role
 from granitespool.net.frames import LARGEST
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop
-from granitespool.settings import BadInput
 
 PENDING_GRACE = SECOND // 20  # ns for which a pending one does not give way: a joining may be on its way
 PENDING_RESERVE = 4  # places for pending ones beyond those who joined; from the descriptors kept for others
@@ -41,10 +41,10 @@
     def admit(self, connection: Connection, role: Role, replaces: bool = False) -> None:
         """Turns a pending connection into one that joined; `replaces` tells that another ends for it.
 
-        Raises BadInput where no place is free and no collector can give way."""
+        Raises InvalidInputError where no place is free and no collector can give way."""
         joined = len(self.connections) - len(self.pending) - replaces
         if joined >= self.connections_limit and not self.end_collector():
-            raise BadInput("no place is free here")
+            raise InvalidInputError("no place is free here")
         del self.pending[connection]
         connection.role = role
         connection.reader.largest = LARGEST
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -2,8 +2,10 @@
 
 import orjson
 
+from granitespool.errors import InvalidInputError
+from granitespool.fields import required_field, required_number
 from granitespool.net.buffers import SIZE
-from granitespool.settings import BadInput, figure, need, settings_map
+from granitespool.settings import settings_from_wire
 
 SOCKETS = 1024  # descriptors where no limit is told: the platform's largest
 MEMORY_MB = 192  # MB where no limit is told: the platform's largest
@@ -19,22 +21,24 @@
     """(host, port) of `host:port`."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or int(port) > 65535:
-        raise BadInput(f"{text!r:.60} is not an address host:port")
+        raise InvalidInputError(f"{text!r:.60} is not an address host:port")
     return host, int(port)
 
 
 def shares(limits):
     """What the limits leave to each part: connections, probes in the air, receive buffers."""
     limits = {"type": "limits", "sockets": SOCKETS, "memory_mb": MEMORY_MB, **limits}
-    sockets = figure(limits, "sockets", int)
-    if sockets < SOCKETS_LEAST or figure(limits, "memory_mb") < 1:
-        raise BadInput(f"the limits leave no room to serve: {SOCKETS_LEAST} sockets and 1 MB are the least")
+    sockets = required_number(limits, "sockets", int)
+    if sockets < SOCKETS_LEAST or required_number(limits, "memory_mb") < 1:
+        raise InvalidInputError(
+            f"the limits leave no room to serve: {SOCKETS_LEAST} sockets and 1 MB are the least"
+        )
     probes = min(PROBES_MOST, sockets // PROBES_PART)
     return {
         "sockets": sockets,
         "probes": max(1, probes),
         "connections": max(8, sockets - OTHERS - probes),
-        "buffers": int(figure(limits, "memory_mb")) * (1 << 20) // BUFFERS_PART // SIZE,
+        "buffers": int(required_number(limits, "memory_mb")) * (1 << 20) // BUFFERS_PART // SIZE,
     }
 
 
@@ -47,22 +51,22 @@
 
 
 def load(path):
-    """A plain map of what the service is told, or BadInput with one sentence."""
+    """A plain map of what the service is told, or InvalidInputError with one sentence."""
     if not path:
-        raise BadInput("no configuration: LB_CONFIG names no file")
+        raise InvalidInputError("no configuration: LB_CONFIG names no file")
     try:
         with open(path, "rb") as file:
             told = orjson.loads(file.read())
     except OSError as error:
-        raise BadInput(f"the configuration {path} cannot be read: {error.strerror}") from None
+        raise InvalidInputError(f"the configuration {path} cannot be read: {error.strerror}") from None
     except ValueError as error:
-        raise BadInput(f"the configuration {path} is not JSON: {error}") from None
+        raise InvalidInputError(f"the configuration {path} is not JSON: {error}") from None
     if not isinstance(told, dict):
-        raise BadInput(f"the configuration {path} is not an object")
+        raise InvalidInputError(f"the configuration {path} is not an object")
     try:
         return checked({"type": "configuration", **told})
     except (TypeError, AttributeError) as error:
-        raise BadInput(f"the configuration {path} has a field of another type: {error}") from None
+        raise InvalidInputError(f"the configuration {path} has a field of another type: {error}") from None
 
 
 def checked(told):
@@ -70,8 +74,8 @@
     try:
         seed = int(seed, 16)
     except ValueError:
-        raise BadInput(f"the seed {seed!r:.40} is not in hex digits") from None
-    limits, wire = told.get("limits") or {}, need(told, "settings", dict)
+        raise InvalidInputError(f"the seed {seed!r:.40} is not in hex digits") from None
+    limits, wire = told.get("limits") or {}, required_field(told, "settings", dict)
     for key, kind in (
         ("classes", list),
         ("zones", list),
@@ -80,15 +84,17 @@
         ("permissions", dict),
     ):
         if not isinstance(wire.get(key) or kind(), kind):
-            raise BadInput(f"the settings' {key!r} are not a JSON {'array' if kind is list else 'object'}")
+            raise InvalidInputError(
+                f"the settings' {key!r} are not a JSON {'array' if kind is list else 'object'}"
+            )
     if not all(isinstance(each, dict) for each in wire.get("classes") or ()):
-        raise BadInput("the settings' 'classes' hold what is not an object")
+        raise InvalidInputError("the settings' 'classes' hold what is not an object")
     if not isinstance(limits, dict):
-        raise BadInput("the limits are not a JSON object")
+        raise InvalidInputError("the limits are not a JSON object")
     return {
-        "name": need(told, "name", str),
-        "listen": address(need(told, "listen", str)),
-        "discovery": address(need(told, "discovery", str)),
+        "name": required_field(told, "name", str),
+        "listen": address(required_field(told, "listen", str)),
+        "discovery": address(required_field(told, "discovery", str)),
         "seed": seed,
         **shares({key: limit for key, limit in limits.items() if limit is not None}),
         "limits": told_limits(limits),
@@ -96,8 +102,8 @@
         "peer_listen": address(told["peer_listen"]) if told.get("peer_listen") else None,
         "peers": [address(peer) for peer in told.get("peers") or ()],
         "peers_all": address(told["peers_all"]) if told.get("peers_all") else None,
-        "known": need({"known": {"index": 0, "endpoints": []}, **told}, "known", dict),
-        "settings": settings_map(wire),
+        "known": required_field({"known": {"index": 0, "endpoints": []}, **told}, "known", dict),
+        "settings": settings_from_wire(wire),
     }
 
 
@@ -106,7 +112,7 @@
     settings = config["settings"]
     return (
         f"{config['name']} listens on {config['listen'][0]}:{config['listen'][1]}, "
-        f"{len(settings.get('zones') or ())} zones, {len(settings['classes'])} classes, "
+        f"{len(settings.zones or ())} zones, {len(settings.classes)} classes, "
         f"{len(config['known'].get('endpoints') or ())} backends known, {len(config['peers'])} peers, "
         f"{config['sockets']} sockets"
     )
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -7,10 +7,14 @@
 import h11
 import orjson
 
+from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
+from granitespool.errors import InvalidInputError
+from granitespool.fields import required_field, required_number
 from granitespool.net.client import ask, dial, receive
 from granitespool.net.config import address
 from granitespool.net.loop import SECOND
-from granitespool.settings import MS, SOCKETS, BadInput, figure, list_entry, need
+from granitespool.planner.events import EndpointListUpdate, ListForm
+from granitespool.units import MILLISECOND
 
 DIAL = SECOND  # ns for a connection to come up: the agent is on this machine
 BEAT = 9 * SECOND // 4  # ns without a byte after which a watch is dead: an empty line comes every 2 s
@@ -46,31 +50,31 @@
     def news(self, message):
         """Reports one message of the list; an entry that is wrong is left out."""
         message = {"type": "list", **message} if isinstance(message, dict) else {"type": "list"}
-        index, entries, unread = figure(message, "index", int), [], False
+        index, entries, unread = required_number(message, "index", int), [], False
         if index < self.after and not message.get("snapshot"):
             # Against changes that another copy of discovery is late with: what is held is newer. A whole list
             # stands for itself, whatever its version. Harm: none by the protocol, changes come in order.
             return self.log.often("list_older", index=index, held=self.index)
-        form, first = "whole" if message.get("snapshot") else "changes", not self.named
-        for row in need(message, "endpoints", list):
+        form, first = ListForm.COMPLETE if message.get("snapshot") else ListForm.CHANGES, not self.named
+        for row in required_field(message, "endpoints", list):
             try:
-                entry = list_entry(row, SOCKETS)
-            except BadInput as error:
+                entry = endpoint_from_wire(row, SOCKET_ENTRY)
+            except InvalidInputError as error:
                 self.log.often("entry_dropped", why=str(error))
-                form = "changes"  # what cannot be read is not gone: nobody leaves by being left out
+                form = ListForm.CHANGES  # what cannot be read is not gone: nobody leaves by being left out
                 unread = True
                 continue
             entries.append(entry)
-            self._address(entry["backend"], row.get("address"))
+            self._address(entry.name, row.get("address"))
         self.index, self.told_at = index, self.loop.now
         self._read_up_to(index, unread)
         self.named = self.named or bool(self.addresses)
         if not self.named:
             return  # the first list that names anyone is the one to start from
         if first:
-            form = "restored"
-        if entries or form != "changes":
-            self.coordinator.report(self.loop.now, "list_news", form=form, entries=entries)
+            form = ListForm.RESTORED
+        if entries or form != ListForm.CHANGES:
+            self.coordinator.report(self.loop.now, EndpointListUpdate(form, entries))
         self.log.event("list", form=form, index=index, entries=len(entries))
 
     def _read_up_to(self, index, unread):
@@ -94,7 +98,7 @@
         known = self.addresses.setdefault(backend)
         try:
             self.addresses[backend] = address(told) if told else known
-        except BadInput as error:  # the entry holds, it only cannot be probed at a new place
+        except InvalidInputError as error:  # the entry holds, it only cannot be probed at a new place
             self.log.often("entry_dropped", backend=backend, why=str(error))
 
     def _watch(self):
@@ -110,10 +114,10 @@
                     while (event := http.next_event()) is not None:
                         if event is h11.NEED_DATA:
                             if self.loop.now >= whole_by:
-                                raise BadInput("a line of the list did not end in time")
+                                raise InvalidInputError("a line of the list did not end in time")
                             http.receive_data((yield from receive(sock, min(self.loop.now + BEAT, whole_by))))
                         elif isinstance(event, h11.Response) and event.status_code != 200:
-                            raise BadInput(f"the list's watch was answered {event.status_code}")
+                            raise InvalidInputError(f"the list's watch was answered {event.status_code}")
                         elif isinstance(event, h11.Data):
                             wait = WAIT_FIRST
                             *lines, waiting = (waiting + event.data).split(b"\n")
@@ -122,17 +126,17 @@
                             for line in filter(bytes.strip, lines):
                                 self._line(line)
                             if len(waiting) > LINE_MOST:
-                                raise BadInput("a line of the list is over the limit")
+                                raise InvalidInputError("a line of the list is over the limit")
                             if self.unread and not self.fresh and self.loop.now >= self.reask_at:
-                                raise BadInput("what could not be read is asked for again")
+                                raise InvalidInputError("what could not be read is asked for again")
                         elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)):
-                            raise BadInput("the list's watch was ended")
+                            raise InvalidInputError("the list's watch was ended")
             except Exception as error:  # whatever it is: without a watch the list would stand for ever
                 self.log.event(
                     "watch_ended",
                     why=str(error) or type(error).__name__,
                     index=self.index,
-                    age_ms=(self.loop.now - self.heard_at) // MS,
+                    age_ms=(self.loop.now - self.heard_at) // MILLISECOND,
                 )
             yield None, 0, self.loop.now + int(wait * self.uniform(*JITTER))
             wait = min(WAIT_MOST, wait * GROWTH)
@@ -141,4 +145,4 @@
         try:
             self.news(orjson.loads(line))
         except ValueError:
-            raise BadInput("a line of the list is not JSON") from None
+            raise InvalidInputError("a line of the list is not JSON") from None
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -4,7 +4,8 @@
 answered, joins its sender, is reported to the coordinator, dropped or refused. It never reads a socket, and
 the fields are checked by `messages`. No decision of the planner's is taken here."""
 
-from granitespool.facade import Coordinator
+from granitespool.coordinator import Coordinator
+from granitespool.errors import InvalidInputError
 from granitespool.net import messages
 from granitespool.net.connection import Connection, Role
 from granitespool.net.frames import PONG
@@ -12,7 +13,6 @@
 from granitespool.net.loop import Loop
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames, Message
-from granitespool.settings import BadInput
 
 PENDING = Role.PENDING  # a module's own name costs less than an enum's member, and each message asks
 UNSENT_MAX = 64 * 1024  # bytes of answers that wait for one peer: who asks more and reads none is cut off
@@ -39,7 +39,7 @@
     def handle(self, connection: Connection, message: Message) -> None:
         """Does what one message asks for.
 
-        Raises BadInput where its sender must be refused or cut off, and OSError where the connection is
+        Raises InvalidInputError where its sender must be refused or cut off, and OSError where it is
         broken; any other wrong message is lost alone."""
         kind = message["type"]
         if kind == messages.PING:
@@ -57,15 +57,15 @@
         if len(connection.unsent) <= UNSENT_MAX:
             connection.write(PONG)
         elif connection.role is not Role.PROXY:
-            raise BadInput("it asks and does not read")
+            raise InvalidInputError("it asks and does not read")
 
     def _join(self, connection: Connection, kind: str, message: Message) -> None:
         if kind in self.joinings:
             self.joinings[kind](connection, message)
         elif kind:
-            raise BadInput(f"a {kind!r:.40} came before its sender said who it is")
+            raise InvalidInputError(f"a {kind!r:.40} came before its sender said who it is")
         else:
-            raise BadInput("a message is not an object with a type")
+            raise InvalidInputError("a message is not an object with a type")
 
     def _join_proxy(self, connection: Connection, message: Message) -> None:
         self.membership.join_proxy(connection, messages.proxy_joining(message, self.names))
@@ -76,7 +76,7 @@
     def _report(self, connection: Connection, kind: str, message: Message) -> None:
         try:
             self.reports[kind](connection, message)
-        except BadInput as error:
+        except InvalidInputError as error:
             self._drop(connection, str(error))
         except Exception as error:
             # Against a fault of ours that some message wakes: it must not cost its sender the connection,
@@ -88,10 +88,10 @@
 
     def _report_applied(self, connection: Connection, message: Message) -> None:
         if connection.role is not Role.PROXY:
-            raise BadInput("only a proxy's own stream brings its 'applied'")
+            raise InvalidInputError("only a proxy's own stream brings its 'applied'")
         try:
             applied = messages.mark_applied(message, self.names, connection.proxy)
-        except BadInput:
+        except InvalidInputError:
             # It has answered some mark, at least the oldest: else its lines stay in the planner's account
             # until that mark counts as lost. What else it holds for: answers of another version. Harm: who
             # answers what it never applied makes its own lines count as gone too soon.
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from granitespool.settings import BadInput
+from granitespool.errors import InvalidInputError
 
 LARGEST = 1 << 20  # bytes of a message at most: the protocol's
 PARTS = 64  # parts of a message at most: the protocol's
@@ -30,7 +30,7 @@
         try:
             return json.loads(body)
         except (ValueError, RecursionError):
-            raise BadInput(f"a message is not JSON: {error}") from None
+            raise InvalidInputError(f"a message is not JSON: {error}") from None
 
 
 class Reader:
@@ -55,11 +55,11 @@
         self.have += size
 
     def messages(self):
-        """The messages that are complete; a frame that is not the protocol's ends in BadInput."""
+        """The messages that are complete; a frame that is not the protocol's ends in InvalidInputError."""
         while self.have >= HEAD:
             size = int.from_bytes(self._bytes(HEAD), "little")
             if size > self.largest:
-                raise BadInput(f"a message of {size} bytes is over the limit")
+                raise InvalidInputError(f"a message of {size} bytes is over the limit")
             if self.have < HEAD + size:
                 return
             self._skip(HEAD)
--- a/granitespool/net/peers.py
+++ b/granitespool/net/gossip.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from granitespool.net.bind import bind
+from granitespool.net.listen_address import bind
 from granitespool.net.loop import IN
 
 LONGEST = 256  # bytes of a datagram at most: the protocol's
--- a/granitespool/net/probes.py
+++ b/granitespool/net/health_checks.py
@@ -4,10 +4,10 @@
 
 import h11
 
-from granitespool.facade import PROBES
+from granitespool.coordinator import PROBES
+from granitespool.endpoints import load_metrics
 from granitespool.net.client import ask, dial, receive
 from granitespool.net.loop import SECOND
-from granitespool.settings import load_map
 
 ANSWER = SECOND // 2  # ns from the start to the answer: half the planner's period
 DIAL = SECOND // 4  # ns for a connection to come up, where the settings name no time
@@ -21,7 +21,7 @@
         self.new_config(config)
 
     def new_config(self, config):
-        self.dial, self.most = config["settings"].get("connect_timeout") or DIAL, config["probes"]
+        self.dial, self.most = config["settings"].connect_timeout or DIAL, config["probes"]
 
     def start(self):
         """Starts what is asked for, as far as there is room."""
@@ -67,7 +67,7 @@
             else:
                 break
         pairs = (pair.partition("=")[::2] for pair in body.decode("ascii", "replace").split(","))
-        load = load_map([(key.strip(), number(value)) for key, value in pairs])
+        load = load_metrics([(key.strip(), number(value)) for key, value in pairs])
         return {200: "ok", 503: "full"}.get(code, "error"), load
 
 
--- a/granitespool/net/door.py
+++ b/granitespool/net/management_listener.py
@@ -16,7 +16,7 @@
 import socket
 import time
 
-from granitespool.net.bind import bind
+from granitespool.net.listen_address import bind
 from granitespool.net.loop import IN, OUT, SECOND
 from granitespool.net.tls import Broken, Secure
 
--- a/granitespool/net/managing.py
+++ b/granitespool/net/management_service.py
@@ -6,17 +6,17 @@
 import time
 from weakref import WeakValueDictionary
 
-from granitespool.manage import harm, mapping
-from granitespool.manage.datastores import STARTUP, Datastores
-from granitespool.manage.model import Model
-from granitespool.manage.picture import Picture
-from granitespool.manage.refused import Refused
-from granitespool.manage.rights import User, facts_of, user_of
+from granitespool.errors import InvalidInputError
+from granitespool.management import impact_check, mapping
+from granitespool.management.authorization import User, facts_of, user_of
+from granitespool.management.datastores import STARTUP, Datastores
+from granitespool.management.errors import Refused
+from granitespool.management.model import Model
+from granitespool.management.operational_state import Picture
 from granitespool.net.config import shares
-from granitespool.net.door import Door
 from granitespool.net.loop import SECOND
+from granitespool.net.management_listener import Door
 from granitespool.net.tls import context
-from granitespool.settings import BadInput
 
 KEEP_MOST = 5 * SECOND  # ns that a commit's answer waits for the state folder: a worse disk has failed
 LOOK = SECOND  # ns between looks at what is notified of: the planner's period
@@ -62,7 +62,7 @@
         try:
             self.model.check(tree)
         except Refused as refused:
-            raise BadInput(f"the settings do not fit the managers' model: {refused.why}") from None
+            raise InvalidInputError(f"the settings do not fit the managers' model: {refused.why}") from None
         self.datastores = Datastores(self.model, self, tree)
         self.base = service.file_tree  # the tree of the files as they were last read
         self.from_file = None  # the configuration that a reload brings, meanwhile
@@ -157,7 +157,7 @@
         config = self._config(tree)
         coordinator = self.service.coordinator
         waits = () if self.from_file else self.service.waits(config)
-        harm.check(
+        impact_check.check(
             config,
             self.service.config,
             coordinator.pictured_fleet()["joined"],
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -3,13 +3,13 @@
 Owns the map from a proxy to its current stream, and tells the coordinator and the log of every joining,
 leaving, silence and return. It never reads or writes a socket, and it checks no message."""
 
-from granitespool.facade import Coordinator
+from granitespool.coordinator import Coordinator
+from granitespool.errors import InvalidInputError
 from granitespool.net.admission import Admission
 from granitespool.net.connection import Connection, Role
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
 from granitespool.net.messages import ProxyJoining
-from granitespool.settings import BadInput
 
 
 class Membership:
@@ -20,19 +20,19 @@
         self.proxies: dict[int, Connection] = {}  # number -> its current stream
 
     def join_collector(self, connection: Connection, zone: str) -> None:
-        """Makes a pending connection a collector's, or raises BadInput where no place is free."""
+        """Makes a pending connection a collector's, or raises InvalidInputError where no place is free."""
         self.admission.admit(connection, Role.COLLECTOR)
         self.log.event("collector", peer=connection.peer, zone=zone)
 
     def join_proxy(self, connection: Connection, joining: ProxyJoining) -> None:
         """Makes a pending connection a proxy's current stream and ends the one before it.
 
-        Raises BadInput where no place is free, or where the proxy has joined on a later connection."""
+        Raises InvalidInputError where no place is free, or where the proxy has joined on a later one."""
         former = self.proxies.get(joining.proxy)
         if former and former.number > connection.number:
             # Against a joining that was held up until its proxy had dialled again: the stream that the proxy
             # gave up must not end the one it uses. Harm: a proxy that joins on the older of two is refused.
-            raise BadInput(f"the proxy {joining.proxy} has joined on a later connection")
+            raise InvalidInputError(f"the proxy {joining.proxy} has joined on a later connection")
         self.admission.admit(connection, Role.PROXY, replaces=former is not None)
         connection.proxy = joining.proxy
         connection.joining = joining
--- a/granitespool/net/messages.py
+++ b/granitespool/net/messages.py
@@ -2,14 +2,17 @@
 
 Owns the wire's names of the fields and the limits of what they may hold. It never touches a socket, keeps
 nothing between messages and reports to nobody: who calls it does. Times are whole nanoseconds in what it
-returns. Every check ends in `BadInput`, whose text says in one sentence what is wrong."""
+returns. Every check ends in `InvalidInputError`, whose text says in one sentence what is wrong."""
 
 from collections.abc import Container
 from dataclasses import dataclass
 
 import msgspec
 
-from granitespool.settings import COUNT_MOST, MS, MS_MOST, BadInput, figure, load_map, need
+from granitespool.endpoints import load_metrics
+from granitespool.errors import InvalidInputError
+from granitespool.fields import REPORTED_COUNT_MAX, REPORTED_TIME_MAX_MS, required_field, required_number
+from granitespool.units import MILLISECOND
 
 Message = dict[str, object]  # one object of the wire; its "type" is text, and empty where it had none
 
@@ -72,33 +75,33 @@
 
 
 def proxy_joining(message: Message, names: KnownNames) -> ProxyJoining:
-    """A joining with known names, or `BadInput`."""
+    """A joining with known names, or `InvalidInputError`."""
     proxy = _proxy_number(message, names)
     zone = _known_name(message, "locality", names.zones)
-    rate = figure(message, "w") if message.get("w") is not None else 0
-    return ProxyJoining(proxy=proxy, zone=zone, standing=need(message, "cold", bool), rate=rate)
+    rate = required_number(message, "w") if message.get("w") is not None else 0
+    return ProxyJoining(proxy=proxy, zone=zone, standing=required_field(message, "cold", bool), rate=rate)
 
 
 def collector_zone(message: Message, names: KnownNames) -> str:
-    """The zone whose reports a collector forwards, or `BadInput`."""
+    """The zone whose reports a collector forwards, or `InvalidInputError`."""
     return _known_name(message, "locality", names.zones)
 
 
 def mark_applied(message: Message, names: KnownNames, sender: int) -> MarkApplied:
-    """An answer to a mark on the stream of the proxy `sender`, or `BadInput`."""
-    mark = figure(message, "nonce", int, MARK_MAX)
+    """An answer to a mark on the stream of the proxy `sender`, or `InvalidInputError`."""
+    mark = required_number(message, "nonce", int, MARK_MAX)
     took = _time(message, "latency")
     _own_proxy(message, names, sender)
     return MarkApplied(mark=mark, took=took)
 
 
 def link_report(message: Message, names: KnownNames) -> LinkReport:
-    """A zone's report of a backend, or `BadInput`."""
+    """A zone's report of a backend, or `InvalidInputError`."""
     tries = _count(message, "total")
     failed = _count(message, "errors")
-    load = need(message, "metrics", dict) if message.get("metrics") is not None else None
+    load = required_field(message, "metrics", dict) if message.get("metrics") is not None else None
     if failed > tries:
-        raise BadInput(f"a 'heard' tells {failed!r:.20} errors of {tries!r:.20} tries")
+        raise InvalidInputError(f"a 'heard' tells {failed!r:.20} errors of {tries!r:.20} tries")
     return LinkReport(
         zone=_known_name(message, "locality", names.zones),
         backend=_known_name(message, "endpoint", names.backends),
@@ -106,12 +109,12 @@
         failed=failed,
         mean=_time(message, "rtt"),
         window=_time(message, "interval"),
-        load=load_map(load),
+        load=load_metrics(load),
     )
 
 
 def usage_report(message: Message, names: KnownNames, sender: int | None) -> UsageReport:
-    """A proxy's usage, or `BadInput`; `sender` is the proxy whose stream brings it, None for a collector."""
+    """A proxy's usage, or `InvalidInputError`; `sender` is its stream's proxy, None for a collector."""
     return UsageReport(
         proxy=_own_proxy(message, names, sender),
         request_class=_known_name(message, "route", names.request_classes),
@@ -123,24 +126,24 @@
 
 def _time(message: Message, key: str) -> int:
     """A time that must be there, in whole nanoseconds."""
-    return int(figure(message, key, most=MS_MOST) * MS)
+    return int(required_number(message, key, maximum=REPORTED_TIME_MAX_MS) * MILLISECOND)
 
 
 def _count(message: Message, key: str) -> int | float:
-    return figure(message, key, most=COUNT_MOST)
+    return required_number(message, key, maximum=REPORTED_COUNT_MAX)
 
 
 def _known_name(message: Message, key: str, known: Container[str]) -> str:
-    value = need(message, key, str)
+    value = required_field(message, key, str)
     if value not in known:
-        raise BadInput(f"the field {key!r} of a {message['type']!r} names the unknown {value!r:.60}")
+        raise InvalidInputError(f"the field {key!r} of a {message['type']!r} names the unknown {value!r:.60}")
     return value
 
 
 def _proxy_number(message: Message, names: KnownNames) -> int:
-    number = figure(message, "node", int)
+    number = required_number(message, "node", int)
     if number >= names.proxies_expected:
-        raise BadInput(f"a {message['type']!r} names the unknown proxy {number!r:.20}")
+        raise InvalidInputError(f"a {message['type']!r} names the unknown proxy {number!r:.20}")
     return number
 
 
@@ -150,5 +153,5 @@
         return sender  # also where a new configuration expects fewer proxies: who joined stays
     number = _proxy_number(message, names)
     if sender is not None and number != sender:
-        raise BadInput(f"a {message['type']!r} names the proxy {number} on another's stream")
+        raise InvalidInputError(f"a {message['type']!r} names the proxy {number} on another's stream")
     return number
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -4,22 +4,22 @@
 import traceback
 from random import Random
 
-from granitespool.facade import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.errors import InvalidInputError
 from granitespool.net.buffers import Pool
 from granitespool.net.discovery import Discovery
+from granitespool.net.gossip import Peers
+from granitespool.net.health_checks import Probes
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
-from granitespool.net.peers import Peers
-from granitespool.net.probes import Probes
 from granitespool.net.streams import LINGER, Streams
-from granitespool.settings import BadInput
 
 FIXED = "name", "listen", "peer_listen"  # what a new configuration cannot change while the service runs
 
 
 class Service:
     """`run` serves until `stop` is called, which a signal handler may do. So may it call `reload`: then what
-    `reread` returns replaces the configuration that serves, or changes nothing by ending in BadInput."""
+    `reread` returns replaces the configuration that serves; where it raises InvalidInputError, nothing does."""
 
     def __init__(self, config, log_fd, clock=None, reread=None, mono=time.monotonic_ns):
         self.reread, self.rereads, self.mono, self.stops = reread, False, mono, 0
@@ -36,7 +36,7 @@
         self.fixed, self.operator = {name: config[name] for name in FIXED}, config.get("operator")
         self.file_tree = None
         if self.operator and self.operator.state:
-            from granitespool.state.keeper import Keeper  # noqa: PLC0415 imported only where it is on
+            from granitespool.state.snapshotter import Keeper  # noqa: PLC0415 imported only where it is on
 
             self.keeper = Keeper(
                 self.loop, self.log, self.operator.state, config["name"], config["settings"], self.mono
@@ -59,12 +59,12 @@
         if self.keeper:
             self.keeper.start(self.coordinator, self.discovery)
         if self.operator and self.operator.managed:
-            from granitespool.net.managing import Managing  # noqa: PLC0415 imported only where it is on
+            from granitespool.net.management_service import Managing  # noqa: PLC0415 imported only where it is on
 
             self.managing = Managing(self, self.loop, self.log)
         self.figures = None
         if self.operator and self.operator.figures:
-            from granitespool.net.figures import Figures  # noqa: PLC0415 imported only where it is on
+            from granitespool.net.metrics import Figures  # noqa: PLC0415 imported only where it is on
 
             self.figures = Figures(
                 self.loop, self.coordinator, self.log, self.operator.figures, self.discovery
@@ -81,7 +81,7 @@
     def _as_managed(self, config):
         """The configuration with what managers had changed in a former life, as long as the files are those
         that they changed it from."""
-        from granitespool.manage import mapping  # noqa: PLC0415 imported only where it is on
+        from granitespool.management import mapping  # noqa: PLC0415 imported only where it is on
 
         self.file_tree = mapping.tree_of(config)
         managed = self.keeper.managed() if self.keeper else None
@@ -98,7 +98,7 @@
 
     @staticmethod
     def _has_peers(config):
-        return bool(config["settings"].get("peers") and config["peer_listen"])
+        return bool(config["settings"].gossip_allowed and config["peer_listen"])
 
     def _failed(self, error):
         self.log.event("failed", why="".join(traceback.format_exception(error)))
@@ -109,7 +109,7 @@
         try:
             config = self.with_room(self.reread())
             waits = self.managing.reread(config) if self.managing else self.take(config)
-        except BadInput as error:
+        except InvalidInputError as error:
             return self.log.event("reload_refused", why=str(error))
         except Exception as error:
             if not hasattr(error, "why"):
@@ -124,7 +124,7 @@
             waits.append("peers")
         operator = config.get("operator")
         if self.operator or operator:
-            from granitespool.operator import restart_names  # noqa: PLC0415
+            from granitespool.operator_settings import restart_names  # noqa: PLC0415
 
             waits += restart_names(self.operator, operator)
         return waits + self.coordinator.waits(config["settings"])
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -8,7 +8,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from granitespool.facade import Coordinator
+from granitespool.coordinator import Coordinator
+from granitespool.errors import InvalidInputError
 from granitespool.net.acceptor import Acceptor
 from granitespool.net.admission import Admission
 from granitespool.net.buffers import Pool
@@ -29,7 +30,6 @@
 from granitespool.net.loop import IN, OUT, SECOND, Loop
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames
-from granitespool.settings import BadInput
 
 __all__ = ["LINGER", "Streams"]
 
@@ -88,12 +88,12 @@
     def new_config(self, config: Mapping[str, Any]) -> None:
         """Who has joined stays, whatever the new figures are; they hold for who comes from now on."""
         settings = config["settings"]
-        self.names.zones = set(settings.get("zones") or ())
-        self.names.proxies_expected = settings.get("proxies_expected") or PROXIES_MAX
+        self.names.zones = set(settings.zones or ())
+        self.names.proxies_expected = settings.proxies_expected or PROXIES_MAX
         self.admission.connections_limit = config["connections"]
         # An order is answered once it has passed the channel, and reports may wait for others' as long
-        pace = settings.get("lines_per_s") or UNLIMITED_PACE
-        full = settings.get("backlog_limit") or 0
+        pace = settings.entries_per_s or UNLIMITED_PACE
+        full = settings.backlog_limit or 0
         self.silence_timeout = SILENCE_TIMEOUT + int(SECOND * full / pace)
 
     def send(self, proxy: int) -> None:
@@ -136,7 +136,7 @@
         except GeneratorExit:
             connection.end_reason = GIVEN_UP
             raise
-        except BadInput as error:
+        except InvalidInputError as error:
             connection.end_reason = str(error)
             self.membership.leave(connection)
             if connection.role is Role.PENDING:
@@ -152,7 +152,7 @@
     def _exchange(self, connection: Connection) -> Waits:
         """Reads and writes until one side ends.
 
-        Raises BadInput for what must end the connection, and OSError where it is broken."""
+        Raises InvalidInputError for what must end the connection, and OSError where it is broken."""
         while self._read(connection):  # at once: a joining that came with it must not wait
             if connection.unsent:  # after what it sent: a reset ends the one, and not the other
                 connection.write(b"")
@@ -204,7 +204,7 @@
             view = connection.reader.room()
         if view is None:
             connection.ended_by_us = True
-            raise BadInput("no buffer is free for its message")
+            raise InvalidInputError("no buffer is free for its message")
         return view
 
     def _deadline(self, connection: Connection) -> int | None:
@@ -217,7 +217,7 @@
 
     def _overdue(self, connection: Connection) -> None:
         if connection.role is Role.PENDING:
-            raise BadInput("it has not joined in time")
+            raise InvalidInputError("it has not joined in time")
         self.membership.mark_away(connection)
 
     def _refuse(self, connection: Connection) -> Waits:
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -7,7 +7,7 @@
 import hashlib
 import ssl
 
-from granitespool.settings import BadInput
+from granitespool.errors import InvalidInputError
 
 TAKEN = 64 * 1024  # plain bytes taken out in one read
 # Bytes of a record that is written. Against clients that wait on the socket after a read of 4 KiB while the
@@ -16,8 +16,9 @@
 
 
 def context(certificate, key, authorities, protocol=None):
-    """A server's context of three PEM files and the protocol that clients must agree to, if any, or BadInput
-    with one sentence."""
+    """A server's context of three PEM files and the protocol that clients must agree to, if any.
+
+    Raises InvalidInputError with one sentence."""
     made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     made.minimum_version = ssl.TLSVersion.TLSv1_3
     made.verify_mode = ssl.CERT_REQUIRED
@@ -32,7 +33,7 @@
             load()
         except (OSError, ssl.SSLError) as error:
             why = error.reason or "it is no PEM" if isinstance(error, ssl.SSLError) else error.strerror
-            raise BadInput(f"[tls] {what} cannot be used: {why}") from None
+            raise InvalidInputError(f"[tls] {what} cannot be used: {why}") from None
     return made
 
 
--- a/granitespool/netconf/session.py
+++ b/granitespool/netconf/session.py
@@ -2,11 +2,11 @@
 
 from lxml import etree
 
-from granitespool.manage import model
-from granitespool.manage.datastores import CANDIDATE, RUNNING, STARTUP, STORES
-from granitespool.manage.edits import differing, edited, with_defaults
-from granitespool.manage.refused import Refused
-from granitespool.manage.rights import must_read, must_write
+from granitespool.management import model
+from granitespool.management.authorization import must_read, must_write
+from granitespool.management.datastores import CANDIDATE, RUNNING, STARTUP, STORES
+from granitespool.management.edits import differing, edited, with_defaults
+from granitespool.management.errors import Refused
 from granitespool.netconf import xmltree
 from granitespool.netconf.framing import Reader, Wrong, framed
 from granitespool.netconf.xmltree import BASE, Malformed, name_of, space_of, text_of
--- a/granitespool/netconf/xmltree.py
+++ b/granitespool/netconf/xmltree.py
@@ -2,9 +2,9 @@
 
 from lxml import etree
 
-from granitespool.manage import model
-from granitespool.manage.edits import Change
-from granitespool.manage.refused import Refused
+from granitespool.management import model
+from granitespool.management.edits import Change
+from granitespool.management.errors import Refused
 
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
 YANG = "urn:ietf:params:xml:ns:yang:1"
--- a/granitespool/operator.py
+++ b/granitespool/operator_settings.py
@@ -1,8 +1,8 @@
 """The operator's settings: one INI file, a section for each subsystem, a subsystem off where its section is
 absent.
 
-`load(path)` gives an Operator, or ends in BadInput with one sentence that names the file, the section, the
-key, what was found and what would do. Each key has its unit in its name. Nothing here knows what a section
+`load(path)` gives an Operator, or raises InvalidInputError: one sentence that names the file, the section,
+the key, what was found and what would do. Each key has its unit in its name. Nothing here knows what a section
 is for."""
 
 from typing import Annotated
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from granitespool import ini
-from granitespool.settings import BadInput
+from granitespool.errors import InvalidInputError
 
 
 class State(msgspec.Struct, frozen=True, kw_only=True):
@@ -95,23 +95,25 @@
 
 
 def load(path):
-    """The Operator of an INI file, or BadInput with one sentence."""
+    """The Operator of an INI file, or InvalidInputError with one sentence."""
     read = ini.load(path, {**SECTIONS, USERS + "*": User}, PATHS)
     users = {name.removeprefix(USERS): read.pop(name) for name in list(read) if name.startswith(USERS)}
     operator = Operator(**read, users=users)
     if operator.managed and operator.tls is None:
-        raise BadInput(f"{path}: a door for managers needs the section [tls]")
+        raise InvalidInputError(f"{path}: a door for managers needs the section [tls]")
     if operator.managed and not users:
-        raise BadInput(f"{path}: a door for managers needs a section [user.NAME], or nobody could come in")
+        raise InvalidInputError(
+            f"{path}: a door for managers needs a section [user.NAME], or nobody could come in"
+        )
     for name, user in users.items():
         if user.certificate.partition(":")[0] not in CERTIFICATES or not user.certificate.partition(":")[2]:
-            raise BadInput(
+            raise InvalidInputError(
                 f"{path}: [{USERS}{name}] certificate is {user.certificate!r:.60}, where "
                 f"{', '.join(kind + ':...' for kind in CERTIFICATES)} would do"
             )
         for word in filter(None, map(str.strip, user.write.split(","))):
             if word not in WRITABLE:
-                raise BadInput(
+                raise InvalidInputError(
                     f"{path}: [{USERS}{name}] write names {word!r:.60}; known are {', '.join(WRITABLE)}"
                 )
     return operator
--- a/granitespool/planner/admission_levels.py
+++ b/granitespool/planner/admission_levels.py
@@ -50,13 +50,15 @@
 
     `demand`: recent requests by class; `admitted_share`: of all work.
     """
-    work = [demand.get(each.name, 0) * each.latency_objective for each in classes]
+    work = [demand.get(each.name, 0) * each.effective_latency_objective for each in classes]
     shares = [1.0] * len(work)
     left = (admitted_share - SHARE_FLOOR) * sum(work)
 
     def by_priority(position: int) -> tuple[float, int]:
         request_class = classes[position]
-        return -request_class.priority_weight / (request_class.latency_objective or 1), position
+        return -request_class.effective_priority_weight / (
+            request_class.effective_latency_objective or 1
+        ), position
 
     for position in sorted(range(len(classes)), key=by_priority):
         given = max(0.0, min(left, (1 - SHARE_FLOOR) * work[position]))
--- a/granitespool/planner/in_flight.py
+++ b/granitespool/planner/in_flight.py
@@ -62,7 +62,9 @@
         """Limits for what is reserved from now on."""
         self.rate = UNLIMITED if settings.entries_per_s is None else settings.entries_per_s
         self.limit = UNLIMITED if settings.backlog_limit is None else settings.backlog_limit
-        self.header = 1 + settings.message_header  # entries that a message costs beside its own: the barrier
+        self.header = (
+            1 + settings.effective_message_header
+        )  # entries that a message costs beside its own: the barrier
         most = settings.messages_limit
         span = UNKNOWN_MESSAGES_SPAN if settings.messages_span is None else settings.messages_span
         self.message_gap = span / most if most else 0  # ns between messages to a proxy, by their cap
--- a/granitespool/planner/overload.py
+++ b/granitespool/planner/overload.py
@@ -7,7 +7,7 @@
 
 from granitespool.planner.records import BY_SEQUENCE, Backend, Backends
 from granitespool.planner.status import FleetSnapshot
-from granitespool.settings import Settings
+from granitespool.settings import DEFAULT_LATENCY_OBJECTIVE, Settings
 from granitespool.units import SECOND
 
 DECAY = 0.1  # share of the fleet's sums that each evaluation carries on: reports are late as it is
@@ -19,7 +19,6 @@
 ADMITTED_SHARE_MIN = 0.2  # share of the work that is always admitted: load reports must not run dry
 UNKNOWN_SUCCESS_RATIO = 0.3  # of attempts, at a start among cold backends: an overload may be on
 RESTORED_FOR = 3 * SECOND  # ns that a restored overload holds unless it is observed: reports of two seconds
-DEFAULT_OBJECTIVE = SECOND  # ns, where no class has one
 
 
 class OverloadDetector:
@@ -95,8 +94,8 @@
             self.admitted_share = 1.0  # a recovery from a share of a former process would only shed
 
     def _shortest_objective(self) -> float:
-        objectives = (each.latency_objective for each in self.settings.classes)
-        return min(objectives, default=DEFAULT_OBJECTIVE)
+        objectives = (each.effective_latency_objective for each in self.settings.classes)
+        return min(objectives, default=DEFAULT_LATENCY_OBJECTIVE)
 
     def _decay(self) -> None:
         for backend in list(self._recent):
--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -83,7 +83,7 @@
 
     def _make_parts(self, actions: PlannerActions, settings: Settings) -> None:
         fleet, dirty, costs, tables, budget = self.fleet, self.dirty, self.costs, self.tables, self.budget
-        outbox = Outbox(actions, self.in_flight, tables)
+        outbox = self.outbox = Outbox(actions, self.in_flight, tables)
         self.slow_start = SlowStart(settings)
         self.overload = OverloadDetector(settings)
         self._health = HealthVerification(actions, settings)
--- a/granitespool/planner/slow_start.py
+++ b/granitespool/planner/slow_start.py
@@ -48,7 +48,7 @@
 
     def warm_up_share(self, now: int, backend: Backend) -> float:
         """The share of its work that a backend can do, by its age and the deployment's warm-up."""
-        share = self.settings.warm_up_start_share
+        share = self.settings.effective_warm_up_start_share
         if backend.slow_start_since is None:
             return share + (1 - share) * 1
         age = min(1, (now - backend.started_at) / max(1, self.warm_up_time))
@@ -61,7 +61,7 @@
     def weight_share(self, now: int, since: int) -> float:
         """The share of its weight that slow start allows (may pass 1), `since` in ns when it began."""
         doublings = min(STEPS_MAX, (now - since) // self.step)
-        return max(START_SHARE, self.settings.warm_up_start_share) * 2.0**doublings
+        return max(START_SHARE, self.settings.effective_warm_up_start_share) * 2.0**doublings
 
     def is_over(self, now: int, since: int | None) -> bool:
         """Whether slow start that began then (None: none did) takes nothing from a weight any more."""
--- a/granitespool/scale/hollow.py
+++ b/granitespool/scale/hollow.py
@@ -22,12 +22,14 @@
 import msgspec
 import orjson
 
+from granitespool.errors import InvalidInputError
+from granitespool.fields import required_number
 from granitespool.net.buffers import Pool
 from granitespool.net.discovery import Discovery
 from granitespool.net.frames import HEAD, LARGEST, PONG, UNTYPED, Reader
 from granitespool.net.loop import IN, OUT, SECOND, Loop, Task
+from granitespool.planner.events import EndpointListUpdate, ListForm
 from granitespool.scale.trace import BackendTold, Event, ProxyJoined, ProxyLeft
-from granitespool.settings import BadInput, figure
 
 LOOPBACK = "127.0.0.1"
 BACKLOG = 4096  # connections that the system holds for one coordinator
@@ -360,10 +362,10 @@
 
     # The list
 
-    def report(self, now: int, what: str, *, form: str, entries: list[dict]) -> None:
-        """Takes news of the list from the watch; the names are those of `Coordinator.report`."""
-        told = {entry["backend"]: (entry["phase"], entry["started"]) for entry in entries}
-        if form != "changes":
+    def report(self, now: int, update: EndpointListUpdate) -> None:
+        """Takes an endpoint list from the watch, as `Coordinator.report` does."""
+        told = {entry.name: (entry.phase, entry.started_at) for entry in update.entries}
+        if update.form != ListForm.CHANGES:
             absent = [backend for backend in self.states.states if backend not in told]
             told.update(dict.fromkeys(absent, ("gone", 0)))
         lines = []
@@ -466,7 +468,7 @@
                     self._write(connection, b"")
                 connection.reading = False
                 events = yield sock.fileno(), IN | (OUT if connection.unsent else 0), None
-        except BadInput:
+        except InvalidInputError:
             self.counts.add_received("unreadable", connection.reader.have)
         except OSError:
             pass  # reset by the other side
@@ -482,12 +484,12 @@
             self.waiting.pop(connection.proxy, None)
 
     def _read(self, connection: _Connection) -> bool:
-        """Reads what is there; False once the other side has ended. Raises BadInput and OSError."""
+        """Reads what is there; False once the other side has ended. Raises InvalidInputError and OSError."""
         reader, total, connection.reading = connection.reader, 0, True
         while total < READ_MOST:
             view = reader.room()
             if view is None:
-                raise BadInput("no buffer is free for its message")
+                raise InvalidInputError("no buffer is free for its message")
             try:
                 size = connection.sock.recv_into(view)
             except BlockingIOError:
@@ -507,7 +509,7 @@
         for message in reader.messages():
             kind = message["type"]
             if kind == UNTYPED:
-                raise BadInput("a message is not an object with a type")
+                raise InvalidInputError("a message is not an object with a type")
             if kind == "joined":
                 self._joined(connection, message)
             self.counts.add_received(kind if kind in READ_KINDS else "other", before - reader.have)
@@ -517,7 +519,7 @@
                 self._write(connection, PONG)
 
     def _joined(self, connection: _Connection, message: dict) -> None:
-        proxy = figure(message, "node", int)
+        proxy = required_number(message, "node", int)
         former = self.proxies.pop(proxy, None)
         connection.proxy = proxy
         self.proxies[proxy] = connection
--- a/granitespool/scale/hollow_fleet.py
+++ b/granitespool/scale/hollow_fleet.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from granitespool.lab.world import Proxy
+from granitespool.emulator.world import Proxy
 from granitespool.net.loop import SECOND
 from granitespool.scale.coordinators import RealCoordinator
 from granitespool.scale.fleet import MS, proxy_base
--- a/granitespool/scale/plot.py
+++ b/granitespool/scale/plot.py
@@ -2,20 +2,20 @@
 
 import importlib.util
 
+from granitespool.errors import InvalidInputError
 from granitespool.scale.report import Report
-from granitespool.settings import BadInput
 
 PHASES = (("idle", "idle_share"), ("reports", "reports_share"), ("worst second", "worst_second_share"))
 
 
 def require() -> None:
-    """Ends in BadInput where matplotlib is not there."""
+    """Ends in InvalidInputError where matplotlib is not there."""
     if importlib.util.find_spec("matplotlib") is None:
-        raise BadInput("a plot needs the extra `plot` (pip install granitespool[plot])")
+        raise InvalidInputError("a plot needs the extra `plot` (pip install granitespool[plot])")
 
 
 def plot(reports: list[Report], path: str) -> None:
-    """Writes a plot (PNG, SVG or PDF); ends in BadInput where matplotlib is not there.
+    """Writes a plot (PNG, SVG or PDF); ends in InvalidInputError where matplotlib is not there.
 
     Each point is one real coordinator of one run, at the run's number of backends."""
     require()
--- a/granitespool/scale/proxies.py
+++ b/granitespool/scale/proxies.py
@@ -10,7 +10,8 @@
 
 import orjson
 
-from granitespool.lab.world import Proxy
+from granitespool.emulator.world import Proxy
+from granitespool.errors import InvalidInputError
 from granitespool.net.buffers import Pool
 from granitespool.net.client import dial, send
 from granitespool.net.frames import HEAD, LARGEST, Reader, frame
@@ -19,7 +20,6 @@
 from granitespool.scale.hollow import UpdateSeen
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.trace import ChannelWaiting, MessageWritten, ProxyJoined, ProxyLeft, TableHeld
-from granitespool.settings import BadInput
 
 DIAL = SECOND  # ns for a connection to come up
 AGAIN = SECOND // 5  # ns between a stream's end and the next dialling
@@ -59,11 +59,11 @@
         self.ticket: int | None = None
 
     def add(self, part: dict, size: int) -> None:
-        """Takes one part of so many bytes, its length with them; a field that is wrong ends in BadInput."""
+        """Takes one part of so many bytes, its length with them; a wrong field raises InvalidInputError."""
         try:
             self._add(part)
         except (TypeError, ValueError, KeyError) as error:
-            raise BadInput(f"a part of a message cannot be used: {error!r:.80}") from None
+            raise InvalidInputError(f"a part of a message cannot be used: {error!r:.80}") from None
         self.sizes.append(size)
 
     def _add(self, part: dict) -> None:
@@ -147,7 +147,7 @@
             try:
                 yield from self._stream(place)
                 by_coordinator = True  # its end came from the other side
-            except BadInput:
+            except InvalidInputError:
                 self.resets += 1
                 by_coordinator = True
             except OSError:
@@ -234,7 +234,7 @@
             return message
         for name in message.backends():
             if name not in self.known:
-                raise BadInput(f"a message names the unknown backend {name!r:.40}")
+                raise InvalidInputError(f"a message names the unknown backend {name!r:.40}")
         now = self.loop.clock()
         self.recorder.add(
             MessageWritten(
@@ -339,8 +339,8 @@
 
 
 def number_allowed(answer: bytes) -> bool:
-    """Whether the refusal shows that the number was allowed; BadInput where it is no refusal."""
+    """Whether the refusal shows that the number was allowed; InvalidInputError where it is no refusal."""
     message = orjson.loads(answer[HEAD:])
     if message.get("type") != "refused":
-        raise BadInput(f"the answer to a settings question is {message!r:.60}")
+        raise InvalidInputError(f"the answer to a settings question is {message!r:.60}")
     return "unknown proxy" not in message["why"]
--- a/granitespool/scale/runner.py
+++ b/granitespool/scale/runner.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from granitespool.errors import InvalidInputError
 from granitespool.net.loop import SECOND, Loop
 from granitespool.scale import checker, fleet, report
 from granitespool.scale.coordinators import RealCoordinator
@@ -23,7 +24,6 @@
 from granitespool.scale.processes import MEGABYTE, Sample, close_all
 from granitespool.scale.schema import Scenario
 from granitespool.scale.world import World
-from granitespool.settings import BadInput
 
 NETWORKS = 64, 254  # numbers of loopback networks that a run draws its own from
 PROCESSES_MOST = 200
@@ -139,7 +139,7 @@
     def _timeline(self) -> Wait:
         try:
             yield from self._phases()
-        except BadInput as error:
+        except InvalidInputError as error:
             self.failures.append(str(error))
         finally:
             self.done = True
@@ -191,7 +191,7 @@
         for coordinator in self.world.coordinators:
             entries = list(self.world.list.entries.values())
             if not (yield from coordinator.start(entries)):
-                raise BadInput(f"{coordinator.name} was not ready in time")
+                raise InvalidInputError(f"{coordinator.name} was not ready in time")
             self.told(f"{coordinator.name} is ready")
         for coordinator in self.world.coordinators:
             self.world.join_proxies(coordinator)
@@ -507,15 +507,17 @@
 
 
 def check_size(scenario: Scenario) -> None:
-    """Ends in BadInput where the scenario would take more of the machine than it may."""
+    """Ends in InvalidInputError where the scenario would take more of the machine than it may."""
     coordinators = scenario.coordinators
     processes = coordinators.real + coordinators.hollow_processes + 1
     if processes > PROCESSES_MOST:
-        raise BadInput(f"the scenario asks for {processes} processes, of {PROCESSES_MOST} at most")
+        raise InvalidInputError(f"the scenario asks for {processes} processes, of {PROCESSES_MOST} at most")
     wanted = coordinators.real * coordinators.memory_mb + RUNNER_MB
     most = MEMORY_PART * os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / MEGABYTE
     if wanted > most:
-        raise BadInput(f"the scenario may take {wanted} MB, of {most:.0f} MB: half of the machine's memory")
+        raise InvalidInputError(
+            f"the scenario may take {wanted} MB, of {most:.0f} MB: half of the machine's memory"
+        )
 
 
 @contextmanager
--- a/granitespool/scale/schema.py
+++ b/granitespool/scale/schema.py
@@ -9,8 +9,8 @@
 from msgspec import Meta
 
 from granitespool import ini
-from granitespool.lab.schema import changed
-from granitespool.settings import BadInput
+from granitespool.emulator.schema import changed
+from granitespool.errors import InvalidInputError
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -172,7 +172,9 @@
 def load(told: str, changes: Iterable[str] = ()) -> Scenario:
     """The scenario of a file or of a name that `names` has, with other values for some keys.
 
-    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key. Ends in BadInput."""
+    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key.
+
+    Raises InvalidInputError."""
     known = names()
     if told in known and not os.path.exists(told):
         path = f"{told}.ini"
@@ -183,7 +185,7 @@
             with open(path, encoding="utf-8") as file:
                 text = file.read()
         except (OSError, UnicodeDecodeError) as error:
-            raise BadInput(
+            raise InvalidInputError(
                 f"{told}: no such scenario ({', '.join(known)} come with the program), and as a file it "
                 f"cannot be read: {getattr(error, 'strerror', error)}"
             ) from None
@@ -191,7 +193,7 @@
         text = changed(text, _with_section(change))
     read = ini.parse(path, text, {**SECTIONS, EVENT + "*": Event})
     if "scale" not in read:
-        raise BadInput(f"{path}: it lacks the section [scale]")
+        raise InvalidInputError(f"{path}: it lacks the section [scale]")
     events = {name.removeprefix(EVENT): read.pop(name) for name in list(read) if name.startswith(EVENT)}
     name = os.path.basename(told).removesuffix(".ini")
     return Scenario(name=name, **read, events=events)
@@ -201,7 +203,7 @@
     """The change with the section that alone has its key."""
     key, equals, value = change.partition("=")
     if not equals:
-        raise BadInput(f"--set {change!r:.60} is no KEY=VALUE")
+        raise InvalidInputError(f"--set {change!r:.60} is no KEY=VALUE")
     if "." in key:
         return change
     having = [
@@ -211,5 +213,5 @@
     ]
     if len(having) != 1:
         what = "no section has this key" if not having else f"sections {', '.join(having)} have it"
-        raise BadInput(f"--set {key!r:.60}: {what}; name one as SECTION.KEY")
+        raise InvalidInputError(f"--set {key!r:.60}: {what}; name one as SECTION.KEY")
     return f"{having[0]}.{key.strip()}={value}"
--- a/granitespool/scale/world.py
+++ b/granitespool/scale/world.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from granitespool.lab.world import Proxy
+from granitespool.emulator.world import Proxy
 from granitespool.net.loop import Loop
 from granitespool.scale.backends import Backends
 from granitespool.scale.coordinators import RealCoordinator
--- a/granitespool/settings.py
+++ b/granitespool/settings.py
@@ -15,6 +15,9 @@
 from granitespool.fields import required_number
 from granitespool.units import MICROSECOND, SECOND
 
+DEFAULT_LATENCY_OBJECTIVE = SECOND  # ns
+DEFAULT_PRIORITY_WEIGHT = 1
+
 
 class Admission(StrEnum):
     """How proxies admit a share of a class."""
@@ -31,13 +34,23 @@
     effect: str | None = None  # free, guarded or single_shot: what an attempt that is repeated may do
     idempotency_scope: str | None = None  # all, zone or cell: where a repeated key is recognized
     idempotency_window: int | None = None  # ns
-    latency_objective: int = SECOND  # ns
+    latency_objective: int | None = None  # ns
     timeout: int | None = None  # ns
-    priority_weight: float = 1
+    priority_weight: float | None = None
     late_share: float | None = None  # share of the priority weight that a late answer still has
     writes: bool | None = None
     zone_local: bool | None = None
 
+    @property
+    def effective_latency_objective(self) -> int:
+        """ns; a second where the deployment tells none."""
+        return DEFAULT_LATENCY_OBJECTIVE if self.latency_objective is None else self.latency_objective
+
+    @property
+    def effective_priority_weight(self) -> float:
+        """All classes weigh the same where the deployment tells nothing."""
+        return DEFAULT_PRIORITY_WEIGHT if self.priority_weight is None else self.priority_weight
+
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
     """All settings of a deployment."""
@@ -47,13 +60,13 @@
     zone: str | None = None  # this coordinator's
     coordinator_index: int | None = None
     coordinators: int | None = None
-    health_checks_allowed: bool = False
+    health_checks_allowed: bool | None = None
     gossip_allowed: bool = False
     subscribe: bool = False  # endpoint list changes are sent without being asked for
     connect_timeout: int | None = None  # ns
     admission: str | None = None  # an `Admission`
     entries_per_s: float | None = None  # rate of the channel to all proxies
-    message_header: float = 0  # entries that each message costs beside its own
+    message_header: float | None = None  # entries that each message costs beside its own
     backlog_limit: float | None = None  # entries that may wait in the channel
     messages_limit: int | None = None  # to one proxy within `messages_span`
     messages_span: int | None = None  # ns
@@ -75,11 +88,21 @@
     drain_grace: int | None = None  # ns that a draining backend may still be sent requests
     poll_within: int | None = None  # ns
     warm_up_time: int | None = None  # ns until a new backend can do its whole work
-    warm_up_start_share: float = 0  # of its work that it can do at once
+    warm_up_start_share: float | None = None  # of its work that it can do at once
     overload_multiple: float = 0  # of its work at which a warming backend fails
     overload_time: int | None = None  # ns
     removal_needs_drain: bool = False  # the list alone removes no backend that did not drain
 
+    @property
+    def effective_message_header(self) -> float:
+        """Entries; none where the deployment tells nothing."""
+        return self.message_header or 0
+
+    @property
+    def effective_warm_up_start_share(self) -> float:
+        """Nothing where the deployment does not tell."""
+        return self.warm_up_start_share or 0
+
     @property
     def class_names(self) -> list[str | None]:
         """The names of the request classes, in their order."""
--- a/granitespool/simulator_adapter.py
+++ b/granitespool/simulator_adapter.py
@@ -81,7 +81,7 @@
     def exclusion_cost(
         self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
     ) -> dict[int, float]:
-        """As likely as a proxy without a table holds the backend: the channel leaves out those that do not."""
+        """As likely as a proxy holds the backend: the channel leaves out those that do not."""
         return {proxy: min(each.known_entries, known) / known for proxy, each in unassigned.items()}
 
     def readmission_cost(
--- a/granitespool/state/memory.py
+++ b/granitespool/state/recovery.py
@@ -9,8 +9,8 @@
 5. `changes(coordinator, addresses, index, now, names, last)`, again and again.
 """
 
-from granitespool.state import record, trust
-from granitespool.state.ledger import Ledger
+from granitespool.state import record, restore_policy
+from granitespool.state.change_filter import Ledger
 
 SECOND = 1_000_000_000  # ns
 NONE = "the folder holds no record"  # a first start: no line is worth it
@@ -35,8 +35,8 @@
         self.why = why or (NONE if kept is None else None)
         if self.why:
             return {}
-        self.then = trust.Clocks(*found.clocks)
-        self.why = trust.doubt(found.header, self.then, clocks, self.identity, self.oldest)
+        self.then = restore_policy.Clocks(*found.clocks)
+        self.why = restore_policy.doubt(found.header, self.then, clocks, self.identity, self.oldest)
         if self.why:
             return {}
         self.kept, self.ledger.written = kept, record.values_of(kept)
@@ -50,7 +50,7 @@
         """The list to start from: the record's, where it is believed and newer, else the one that was
         told."""
         index = known.get("index")
-        newer = self.kept and trust.newer_list(self.kept, index if isinstance(index, int) else 0)
+        newer = self.kept and restore_policy.newer_list(self.kept, index if isinstance(index, int) else 0)
         self.own_list = newer is not None
         return newer or known
 
@@ -60,7 +60,7 @@
         kept, self.kept = self.kept, None  # it is not needed any more
         if kept is None:
             return None
-        belief = trust.believed(
+        belief = restore_policy.believed(
             kept,
             self.then,
             clocks,
--- a/granitespool/state/keeper.py
+++ b/granitespool/state/snapshotter.py
@@ -4,10 +4,10 @@
 is on the disk within `every_ms` where the disk takes no longer than the other half."""
 
 from granitespool import __version__
-from granitespool.settings import BadInput
-from granitespool.state import record, trust
+from granitespool.errors import InvalidInputError
+from granitespool.state import record, restore_policy
 from granitespool.state.disk import Folder
-from granitespool.state.memory import NONE, Memory
+from granitespool.state.recovery import NONE, Memory
 from granitespool.state.writer import Writer
 
 SECOND = 1_000_000_000  # ns
@@ -24,10 +24,10 @@
 
     def __init__(self, loop, log, options, name, settings, mono, folder=None):
         self.loop, self.log, self.options, self.mono = loop, log, options, mono
-        self.identity = trust.Identity(
+        self.identity = restore_policy.Identity(
             name,
-            [kind.get("name") for kind in settings.get("classes") or ()],
-            list(settings.get("zones") or ()),
+            settings.class_names,
+            list(settings.zones or ()),
         )
         self.memory = Memory(options, self.identity)
         self.coordinator = self.discovery = self.task = self._managed = None
@@ -36,7 +36,7 @@
         )
         opened = self.writer.wait_opened(OPEN_MOST)
         if opened and opened.owned:
-            raise BadInput(opened.owned)
+            raise InvalidInputError(opened.owned)
         for problem in opened.problems if opened else ():
             log.event("state_torn", why=problem)
         if opened:
@@ -76,7 +76,7 @@
         return record.Header(record.FORMAT, *self.identity, *self._clocks(), start, __version__)
 
     def _clocks(self):
-        return trust.Clocks(self.loop.clock(), self.mono())
+        return restore_policy.Clocks(self.loop.clock(), self.mono())
 
     def first_list(self, known):
         return self.memory.first_list(known)
--- a/granitespool/state/store.py
+++ b/granitespool/state/store.py
@@ -9,8 +9,8 @@
 import errno
 import re
 
-from granitespool.state import frames, record
-from granitespool.state.frames import CHANGED, HEADER, HELD, WHOLE, Torn
+from granitespool.state import framing, record
+from granitespool.state.framing import CHANGED, HEADER, HELD, WHOLE, Torn
 from granitespool.state.record import Spoilt
 
 NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")  # a generation's file; `.new` until it is whole
@@ -56,10 +56,10 @@
     found = None
     snapshot = False  # whether its snapshot is whole
     try:
-        generation = frames.generation_of(data)
+        generation = framing.generation_of(data)
         if file_name(generation) != name:
             raise Torn(0, f"it is of the generation {generation}, which its name is not")
-        for offset, kind, body in frames.frames(data):
+        for offset, kind, body in framing.frames(data):
             try:
                 if found is None:
                     found = _begun(name, generation, offset, kind, body)
@@ -76,7 +76,7 @@
                     raise Torn(offset, f"a frame of the kind {kind!r} is out of place")
             except Spoilt as error:
                 raise Torn(offset, str(error)) from None
-            found.frames, found.size = found.frames + 1, offset + frames.HEAD.size + 1 + len(body)
+            found.frames, found.size = found.frames + 1, offset + framing.HEAD.size + 1 + len(body)
         if not snapshot:
             raise Torn(len(data), "it ends before its snapshot is whole")
     except Torn as error:
@@ -136,11 +136,11 @@
         self.take(changes)
         if self.name is not None:
             body = record.batch_bytes(wall, mono, changes)
-            data = frames.frame(self.generation, self.size, CHANGED, body)
+            data = framing.frame(self.generation, self.size, CHANGED, body)
             changed = self.size + len(data) - self.base
             room = self.size + len(data) + self.live <= self.most  # the next snapshot must fit beside it
             if (
-                len(body) < frames.BODY_MOST
+                len(body) < framing.BODY_MOST
                 and room
                 and changed <= max(COMPACT_LEAST, COMPACT_GROWTH * self.base)
             ):
@@ -192,12 +192,12 @@
         self._drop(list(whole.values()))
 
     def _write_aside(self, name, generation, wall, mono):
-        size = len(frames.begin(generation))
-        self.folder.append(name, frames.begin(generation))
+        size = len(framing.begin(generation))
+        self.folder.append(name, framing.begin(generation))
 
         def add(kind, body):
             nonlocal size
-            data = frames.frame(generation, size, kind, body)
+            data = framing.frame(generation, size, kind, body)
             self.folder.append(name, data)
             size += len(data)
 
--- a/tests/house.py
+++ b/tests/house.py
@@ -8,11 +8,13 @@
 import time
 from contextlib import suppress
 
+from support.records import told_settings
+
 from granitespool.cli.keys import make
-from granitespool.lab.managers import Manager
+from granitespool.emulator.managers import Manager
 from granitespool.net import config
 from granitespool.net.service import Service
-from granitespool.operator import Netconf, Operator, State, Tls, User
+from granitespool.operator_settings import Netconf, Operator, State, Tls, User
 
 SETTINGS = {
     "zones": ["n", "s"],
@@ -147,7 +149,7 @@
 
     def settings(self):
         """The planner's settings, as they act."""
-        return dict(self.service.coordinator.planner.settings)
+        return told_settings(self.service.coordinator.planner.settings)
 
     def proxy(self, number=1, zone="n"):
         """A joined proxy's plain socket, after its first table."""
--- a/granitespool/channel.py
+++ b/tests/reference/channel.py
@@ -1,4 +1,4 @@
-"""The channel's account: what was ordered of each proxy and may still wait on its way. Counting alone.
+"""The former account of the channel, for the reference planner. Counting alone.
 
 A turn's orders to one proxy are one message: a head, a mark and its lines. They are taken off once the proxy
 answers that mark or a later one, or has left; what is neither is taken off when it has become too old."""
--- a/tests/reference/planner.py
+++ b/tests/reference/planner.py
@@ -13,7 +13,7 @@
 from collections import Counter, defaultdict, deque
 from random import Random
 
-from granitespool.channel import Channel
+from reference.channel import Channel
 from reference.subsets import Subsets
 
 SECOND = 1_000_000_000  # ns
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -8,14 +8,18 @@
 import socket
 from collections import defaultdict
 from contextlib import suppress
-from inspect import signature
 from types import SimpleNamespace
 
-from granitespool.facade import REMARKS, Coordinator
+from support.records import endpoint, settings_of
+
+from granitespool.coordinator import REMARKS, Coordinator
+from granitespool.errors import InvalidInputError
 from granitespool.net.config import shares
 from granitespool.net.service import Service
-from granitespool.rules import Planner
-from granitespool.settings import BadInput
+from granitespool.planner import events
+from granitespool.planner.planner import Planner
+from granitespool.planner.records import MinimumRtt
+from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
 
 
 def framed(words):
@@ -45,6 +49,35 @@
 
 
 EPOCH = 10**18  # ns: the clock of a service's scenario begins here
+NOTATION = {  # the planner's actions -> the scenarios' words for them
+    "set_entry": "weigh",
+    "assign": "bind",
+    "exclude": "withdraw",
+    "set_admission": "level",
+    "request_acknowledgement": "mark",
+    "check_health": "probe",
+    "subscribe": "observe",
+    "send_gossip": "post",
+    "log": "remark",
+    "reset_table": "reset_table",
+    "forget": "forget",
+}
+ACTIONS = {word: action for action, word in NOTATION.items()}
+FORMS = {"whole": events.ListForm.COMPLETE}
+EVENTS = {  # the scenarios' words for events -> how one is made of the words that follow
+    "heard": lambda *words: events.LoadReport(*words, load={}),
+    "arrivals": events.UsageReport,
+    "joined": events.ProxyJoined,
+    "left": events.ProxyLeft,
+    "applied": events.Acknowledged,
+    "probed": lambda backend, outcome, latency: events.HealthCheckResult(
+        backend, events.HealthCheckOutcome(outcome), latency, {}
+    ),
+    "peer_said": events.GossipReceived,
+    "slice_given": events.SliceAssigned,
+    "slice_line": events.SliceEntry,
+    "slice_load": events.SliceLoad,
+}
 UNITS = {"ms": 1_000_000, "us": 1_000, "s": 1_000_000_000}
 
 
@@ -68,31 +101,35 @@
         self.now, self.calls, self.timers, self.order = 0, [], [], iter(range(10**9))
         self.settings, self.planner = {"zones": ["n", "s"], "classes": []}, None
 
-    def __getattr__(self, name):  # any call of the host's interface
+    def __getattr__(self, name):  # any action
+        word = NOTATION[name]
         return lambda *args: self.calls.append(
-            " ".join([name, *(f"{a:g}" if isinstance(a, float) else str(a) for a in args)])
+            " ".join([word, *(f"{a:g}" if isinstance(a, float) else str(a) for a in args)])
         )
 
-    def level(self, table, classes, share, retries):
+    def set_admission(self, table, classes, share, retries):
         """Noted once for each class that it names: what each is let in, however classes are grouped."""
         for position in range(classes.bit_length()):
             if classes >> position & 1:
                 self.calls.append(f"level {table} {1 << position} {share:g} {retries}")
 
-    def reach(self, backend, out, unbound, known):  # as the simulator's channel has it
-        return {proxy: min(held, known) / known for proxy, (held, _) in unbound.items()}
+    def exclusion_cost(self, backend, excluded, unassigned, known):  # as the simulator's channel has it
+        return {proxy: min(held, known) / known for proxy, (held, _) in unassigned.items()}
 
-    def returns(self, proxies, table, backend=None):
+    def readmission_cost(self, proxies, table, backend=None):
         return {}
 
-    def wake(self, delay, cookie):
+    def set_timer(self, delay, cookie):
         assert delay >= 0
         self.timers.append((self.now + delay, next(self.order), cookie))
 
     def begin(self):
-        self.planner = self.planner or Planner(self, self.now, 1, self.settings)
+        self.planner = self.planner or Planner(self, self.now, 1, settings_of(self.settings))
         return self.planner
 
+    def report(self, event):
+        self.begin().handle(self.now, event)
+
     def play(self, line):
         verb, *words = line.split()
         getattr(self, "do_" + verb)(*words)
@@ -108,9 +145,9 @@
             {
                 "name": name,
                 "effect": effect,
-                "promised_time": value(promised),
-                "time_limit": 3 * value(promised),
-                "benefit": value(benefit),
+                "latency_objective": value(promised),
+                "timeout": 3 * value(promised),
+                "priority_weight": value(benefit),
             }
         )
 
@@ -121,7 +158,7 @@
         while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.planner.timer(self.now, due[0][2])
+            self.planner.on_timer(self.now, due[0][2])
         self.now = end
 
     def do_list(self, form, *entries):
@@ -129,62 +166,69 @@
         for entry in entries:  # id:zone[:weight[:phase[:started]]]
             usual = ["1", "ready", "0"][entry.count(":") - 1 :]
             name, zone, weight, phase, started = (entry.split(":") + usual)[:5]
-            rows.append(
-                {
-                    "backend": name,
-                    "zone": zone,
-                    "kind": None,
-                    "cell": 0,
-                    "phase": phase,
-                    "weight": value(weight),
-                    "started": value(started),
-                }
-            )
-        self.begin().list_news(self.now, form, rows)
+            rows.append(endpoint(name, zone, phase=phase, weight=value(weight), started_at=value(started)))
+        form = FORMS.get(form) or events.ListForm(form)
+        self.report(events.EndpointListUpdate(form, rows))
 
     def do_join(self, proxy, zone):
-        self.begin().joined(self.now, int(proxy), zone, True, 5.0)
+        self.report(events.ProxyJoined(int(proxy), zone, True, 5.0))
 
     def do_recalls(self, *words):  # ZONE/ID/TRIES/FAILED/MEAN[/cut], unproven/ID, strained/ROOM/CLASS=N
-        fleet, backends = {"strained": False, "room": 1.0, "through": 1.0, "asked": {}}, {}
-
-        def of(backend):
-            return backends.setdefault(backend, ({"ramp_from": None, "proven": True, "missing": False}, {}))
-
+        fleet = FleetSnapshot(is_overloaded=False, admitted_share=1.0, success_ratio=1.0, demand={})
+        links, unverified = {}, set()
         for word in words:
             kind, *rest = word.split("/")
             if kind == "strained":
-                fleet.update(
-                    strained=True,
-                    room=float(rest[0]),
-                    asked={name: value(number) for name, number in (pair.split("=") for pair in rest[1:])},
+                demand = {name: value(number) for name, number in (pair.split("=") for pair in rest[1:])}
+                fleet = FleetSnapshot(
+                    is_overloaded=True, admitted_share=float(rest[0]), success_ratio=1.0, demand=demand
                 )
             elif kind == "unproven":
-                of(rest[0])[0]["proven"] = False
+                links.setdefault(rest[0], {})
+                unverified.add(rest[0])
             else:
-                tries, failed, mean = map(value, rest[1:4])
-                of(rest[0])[1][kind] = {
-                    "tries": float(tries),
-                    "failed": float(failed),
-                    "answered": float(tries - failed),
-                    "time": float((tries - failed) * mean),
-                    "low": (self.now, mean) if mean else None,
-                    "over": 0,
-                    "streak": 0,
-                    "cut_at": self.now - 10**9 if "cut" in rest else None,
-                    "ramp_from": None,
-                }
-        self.begin().recalled(self.now, fleet, backends)
+                links.setdefault(rest[0], {})[kind] = self.link_snapshot(*rest[1:])
+        backends = {name: self.backend_snapshot(name not in unverified, links[name]) for name in links}
+        self.report(events.Restored(fleet, backends))
+
+    def link_snapshot(self, tries, failed, mean, *more):
+        attempts, failures, rtt = value(tries), value(failed), value(mean)
+        return LinkSnapshot(
+            attempts=float(attempts),
+            failures=float(failures),
+            successes=float(attempts - failures),
+            response_time=float((attempts - failures) * rtt),
+            minimum_rtt=MinimumRtt(self.now, rtt) if rtt else None,
+            overloaded_reports=0,
+            consecutive_failures=0,
+            ejected_at=self.now - 10**9 if "cut" in more else None,
+            slow_start_since=None,
+        )
+
+    @staticmethod
+    def backend_snapshot(verified, links):
+        return BackendSnapshot(
+            phase="ready",
+            zone=None,
+            machine_type=None,
+            configured_weight=1.0,
+            started_at=0,
+            left_ready_at=0,
+            slow_start_since=None,
+            verified=verified,
+            removal_unconfirmed=False,
+            links=links,
+        )
 
     def do_crowd(self, number, zone):
         for proxy in range(int(number)):
             self.do_join(proxy, zone)
 
     def do_left(self, proxy):
-        self.begin().left(self.now, int(proxy))
+        self.report(events.ProxyLeft(int(proxy)))
 
     def do_heard(self, zone, backend, tries, failed, mean):
-        self.begin().heard(self.now, zone, backend, int(tries), int(failed), value(mean), 10**9, {})
+        self.report(events.LoadReport(zone, backend, int(tries), int(failed), value(mean), 10**9, {}))
 
     def do_steady(self, until, *reports):  # the same reports each second: zone/backend/tries/failed/mean
         while self.now + 10**9 <= value(until):
@@ -195,12 +239,11 @@
                 self.do_heard(*report.split("/"))
 
     def do_call(self, method, *words):  # reports and probes end with a load, here always empty
-        load = [{}] if method in ("heard", "probed") else []
-        getattr(self.begin(), method)(self.now, *map(value, words), *load)
+        self.report(EVENTS[method](*map(value, words)))
 
     def do_answer(self, proxy):  # the proxy answers the last mark it was sent
         marks = [call.split()[1] for call in self.calls if call.startswith("mark")]
-        self.begin().applied(self.now, int(proxy), int(marks[-1]), 10**8)
+        self.report(events.Acknowledged(int(proxy), int(marks[-1]), 10**8))
 
     def made(self, words):
         text = " ".join(words)
@@ -222,13 +265,12 @@
 
     def begin(self):
         if not self.planner:
-            self.facade = Coordinator(self.settings, 1, self.now)
-            self.planner = self
+            self.facade = Coordinator(settings_of(self.settings), 1, self.now)
+            self.planner = self.facade.planner
         return self
 
-    def __getattr__(self, name):  # the planner's methods, as reports
-        words = signature(getattr(Planner, name)).parameters
-        return lambda now, *args: self.facade.report(now, name, **dict(zip([*words][2:], args)))
+    def report(self, event):
+        self.begin().facade.report(self.now, event)
 
     def do_at(self, when):
         self.begin()
@@ -241,7 +283,7 @@
         assert not self.facade.queues[REMARKS], self.facade.queues[REMARKS]
 
     def do_host(self, call, *words):
-        getattr(self.begin().facade, call)(*map(value, words))
+        getattr(self.begin().facade, ACTIONS[call])(*map(value, words))
 
     def do_gets(self, proxy, *words):
         self.facade.tick(self.now)
@@ -294,7 +336,7 @@
         super().__init__()
         self.now, self.known, self.service, self.parties, self.got = EPOCH, [], None, {}, defaultdict(str)
         self.answers, self.addresses, self.watches, self.asked = {}, {}, [], ""
-        self.settings.update(proxies_expected=600, probes=False)
+        self.settings.update(proxies_expected=600, health_checks_allowed=False)
         self.limits, self.discovery, self.pipe = {}, socket.create_server(("127.0.0.1", 0)), os.pipe()
         self.peer, self.stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
         for sock in (self.peer, self.stranger):
@@ -320,12 +362,12 @@
             "peers": [self.peer.getsockname()],
             "peers_all": self.peer.getsockname(),
             "known": {"index": 7, "endpoints": self.known},
-            "settings": copy.deepcopy(self.settings),
+            "settings": settings_of(copy.deepcopy(self.settings)),
         }
 
     def reread(self):
         if self.unreadable:
-            raise BadInput(self.unreadable)
+            raise InvalidInputError(self.unreadable)
         return self.config()
 
     def do_reload(self, *changes):  # SIGHUP; changes as with `set`; `wrong` if it can't be read
@@ -602,11 +644,13 @@
         self.until(lambda: self.log.count('"dropped"') == int(number), number)
 
     def do_unheard(self, backend):  # nothing was counted of it
-        rec = self.service.coordinator.planner.backends[backend]
-        assert (rec.tried, [link.tries for link in rec.links.values() if link.tries]) == (0, []), rec.tried
+        rec = self.service.coordinator.planner.fleet.backends[backend]
+        attempts = [link.attempts for link in rec.links.values() if link.attempts]
+        assert (rec.recent_attempts, attempts) == (0, []), rec.recent_attempts
 
     def do_heard_of(self, backend, tries):  # so many tries were counted of it
-        self.until(lambda: self.service.coordinator.planner.backends[backend].tried == int(tries), tries)
+        backends = self.service.coordinator.planner.fleet.backends
+        self.until(lambda: backends[backend].recent_attempts == int(tries), tries)
 
     def do_unlogged(self, *words):
         assert " ".join(words) not in self.log, self.log
@@ -615,13 +659,13 @@
         self.reads = False
 
     def do_host(self, call, *words):  # a host call as the planner would make it
-        getattr(self.begin().coordinator, call)(*map(value, words))
+        getattr(self.begin().coordinator, ACTIONS[call])(*map(value, words))
         self.turn()
 
     def do_flood(self, times):  # so many turns, each with new weights of two hundred lines
         for k in range(int(times)):
             for backend in range(200):
-                self.service.coordinator.weigh(0, f"backend-{backend}", float(k + 1))
+                self.service.coordinator.set_entry(0, f"backend-{backend}", float(k + 1))
             self.turn()
         kept = [len(each.unsent) for each in self.service.streams.connections]
         assert 0 < max(kept) < 100_000, kept
@@ -726,7 +770,7 @@
         service, facade = self.service, self.service.coordinator
         sizes = {
             "addresses": service.discovery.addresses,
-            "backends": facade.planner.backends,
+            "backends": facade.planner.fleet.backends,
             "suspects": facade.suspects,
             "loose": facade.loose,
             "withdrawn": facade.withdrawn,
@@ -736,8 +780,8 @@
             "wakes": facade.timers,
             "connections": service.streams.connections,
             "pending": service.streams.pending,
-            "marks": facade.planner.channel.turns,
-            "booked": facade.planner.channel.held,
+            "marks": facade.planner.in_flight._batches,
+            "booked": facade.planner.in_flight._batches_of,
             **facade.queues,
             **facade.tables,
             **{f"shut at {proxy}": held.told for proxy, held in facade.proxies.items()},
--- a/tests/storm.py
+++ b/tests/storm.py
@@ -7,8 +7,9 @@
 from collections import deque
 
 import orjson
+from support.records import endpoint, settings_of
 
-from granitespool.facade import REMARKS, Coordinator
+from granitespool.coordinator import REMARKS, Coordinator
 from granitespool.net.frames import HEAD, updates
 
 SECOND = 10**9  # ns
@@ -32,23 +33,23 @@
         self.now, self.slowed, self.due = 100 * SECOND, slowed, None
         self.settings = {
             "zones": [f"z{k}" for k in range(zones)],
-            "probes": False,
-            "lines_per_s": 1000.0,
+            "health_checks_allowed": False,
+            "entries_per_s": 1000.0,
             "backlog_limit": 5000.0,
-            "message_head": 3.0,
-            "standing_lines": 5,
+            "message_header": 3.0,
+            "bootstrap_entries": 5,
             "drain_grace": 7 * SECOND,
-            "cold_time": 10 * SECOND,
-            "cold_share": 0.2,
-            "planners": planners,
+            "warm_up_time": 10 * SECOND,
+            "warm_up_start_share": 0.2,
+            "coordinators": planners,
             "admission": "fraction",
             "classes": [
-                {"name": "a", "promised_time": SECOND, "benefit": 1.0},
-                {"name": "b", "promised_time": SECOND, "benefit": 5.0},
+                {"name": "a", "latency_objective": SECOND, "priority_weight": 1.0},
+                {"name": "b", "latency_objective": SECOND, "priority_weight": 5.0},
             ],
             **settings,
         }
-        self.coordinator = Coordinator(self.settings, 7, self.now)
+        self.coordinator = Coordinator(settings_of(self.settings), 7, self.now)
         self.queue, self.free_at, self.waits = deque(), 0.0, 0  # (leaves at, lines, proxy, mark, written at)
         self.joined, self.holds, self.most, self.answers = {}, {}, 0.0, True
         self.names, self.zones, self.means = 0, zones, {}
@@ -68,15 +69,7 @@
             "list_news",
             form=form,
             entries=[
-                {
-                    "backend": name,
-                    "zone": self.zone(name),
-                    "kind": "k",
-                    "cell": 0,
-                    "phase": phase,
-                    "weight": 1.0,
-                    "started": started,
-                }
+                endpoint(name, self.zone(name), "k", phase, started_at=started)
                 for name, phase, started in entries
             ],
         )
@@ -143,13 +136,13 @@
             order = self.coordinator.pick(proxy)
             lines, parts = lines_of(updates(order))
             assert parts <= 64
-            lines += self.settings["message_head"]
-            pace = self.settings["lines_per_s"] / self.slowed / SECOND
+            lines += self.settings["message_header"]
+            pace = self.settings["entries_per_s"] / self.slowed / SECOND
             self.free_at = max(self.free_at, self.now) + lines / pace
             self.queue.append((self.free_at, lines, proxy, order["mark"], self.now))
             self.waits += lines
             self._held(proxy, order)
-        booked = self.coordinator.planner.channel.waiting
+        booked = self.coordinator.planner.in_flight.in_flight
         assert not self.coordinator.queues[REMARKS], self.coordinator.queues[REMARKS][0]
         assert self.waits <= booked + 1e-6, f"{self.waits} lines wait and {booked} are booked"
         assert self.waits <= self.settings["backlog_limit"], f"{self.waits} lines wait"
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Harness and fixtures of the tests."""
--- /dev/null
+++ b/tests/support/records.py
@@ -0,0 +1,40 @@
+"""Builds the typed records that the code under test takes, from plain values."""
+
+import msgspec
+
+from granitespool.endpoints import Endpoint, Phase
+from granitespool.settings import RequestClass, Settings
+
+
+def settings_of(values):
+    """Settings from a map of their fields; classes may be maps too."""
+    classes = [
+        each if isinstance(each, RequestClass) else RequestClass(**each) for each in values.get("classes", ())
+    ]
+    return Settings(**{**values, "classes": classes})
+
+
+def endpoint(name, zone="n", machine_type=None, phase="ready", weight=1.0, started_at=0):
+    """An entry of the endpoint list."""
+    return Endpoint(
+        name=name,
+        zone=zone,
+        machine_type=machine_type,
+        cell=0,
+        phase=Phase(phase),
+        weight=weight,
+        started_at=started_at,
+    )
+
+
+def told_settings(settings):
+    """The settings that a deployment tells, as a map of their fields; classes are maps too."""
+    result = {name: value for name, value in msgspec.structs.asdict(settings).items() if value is not None}
+    result["classes"] = [told_settings_of_class(each) for each in settings.classes]
+    return result
+
+
+def told_settings_of_class(request_class):
+    """The fields that a deployment tells of a class."""
+    values = msgspec.structs.asdict(request_class)
+    return {name: value for name, value in values.items() if value is not None}
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -5,14 +5,13 @@
 from hypothesis import strategies as st
 from storm import SECOND, Storm
 
-from granitespool.channel import MARK_LOST, SERIALS, Channel
-from granitespool.rules import AHEAD
+from granitespool.planner.budget import PUBLICATION_LAG_MAX
+from granitespool.planner.in_flight import BARRIER_SEQUENCES, LOST_BARRIER_FACTOR, InFlightAccount
+from granitespool.settings import Settings
 
 
 def account(limit=1000.0, pace=1000.0, head=3.0):
-    channel = Channel()
-    channel.new_settings({"lines_per_s": pace, "backlog_limit": limit, "message_head": head})
-    return channel
+    return InFlightAccount(Settings(entries_per_s=pace, backlog_limit=limit, message_header=head))
 
 
 @pytest.mark.parametrize("proxies, backends, replaced", [(300, 60, 30), (800, 200, 100), (1600, 24, 24)])
@@ -46,7 +45,7 @@
 
 
 def test_a_list_told_again_lets_nobody_back():
-    storm = Storm(40, 2, backlog_limit=50000.0, lines_per_s=50000.0)
+    storm = Storm(40, 2, backlog_limit=50000.0, entries_per_s=50000.0)
     started = storm.now - SECOND
     storm.lists("whole", [(name, "ready", started) for name in storm.ready])
     storm.lists("whole", [(name, "ready", started) for name in storm.ready])
@@ -59,7 +58,7 @@
 @pytest.mark.parametrize("slowed", [1.0, 4.0, 10.0])
 def test_marks_of_a_full_slow_channel_stay_booked(slowed):
     # A full queue of 28 s: after 16 s marks that waited counted as lost, others took their room
-    storm = Storm(100, 3, slowed=slowed, lines_per_s=180.0, backlog_limit=5000.0, drain_grace=30 * SECOND)
+    storm = Storm(100, 3, slowed=slowed, entries_per_s=180.0, backlog_limit=5000.0, drain_grace=30 * SECOND)
     for proxy in range(200):
         storm.join(proxy)
     storm.run(60)
@@ -74,19 +73,19 @@
     for proxy in range(30):
         storm.join(proxy)
     storm.turn(0)
-    channel = storm.coordinator.planner.channel
-    booked = channel.waiting
+    channel = storm.coordinator.planner.in_flight
+    booked = channel.in_flight
     for proxy in range(30):
         storm.coordinator.report(storm.now, "left", proxy=proxy, silent=True)
-    assert channel.waiting == booked > 0
+    assert channel.in_flight == booked > 0
     for proxy in range(10):  # it speaks: the same stream, on which the old orders still are
         storm.coordinator.report(
             storm.now, "joined", proxy=proxy, zone="z0", standing=False, rate=1.0, again=True
         )
-    assert channel.waiting >= booked
+    assert channel.in_flight >= booked
     for proxy in range(30):
         storm.coordinator.report(storm.now, "left", proxy=proxy)
-    assert channel.waiting == 0 and not channel.turns and not channel.held
+    assert channel.in_flight == 0 and not channel._batches and not channel._batches_of
 
 
 STEPS = st.lists(
@@ -122,7 +121,7 @@
         zones,
         planners=3,
         slowed=slowed,
-        lines_per_s=pace,
+        entries_per_s=pace,
         backlog_limit=limit,
         drain_grace=int((limit / pace + 2) * SECOND),
         proxies_expected=601,
@@ -152,27 +151,27 @@
     channel = account(limit=10000.0)
     for turn in range(40):  # 40 messages of 44 lines at a time, the channel four times slower than told
         for proxy in range(40):
-            channel.book(turn, proxy, 40)
-        serial, now = channel.serial, turn + 10 * SECOND
+            channel.reserve(turn, proxy, 40)
+        serial, now = channel.sequence, turn + 10 * SECOND
         for proxy in range(40):
-            channel.answered(now, proxy, serial, SECOND // 4 + int(44 * (proxy + 1) * SECOND / 250))
-    assert 0.2 < channel.met / channel.pace < 0.5
-    channel.book(99, 1, 10)
-    assert channel.room(0.5, 2 * SECOND) < 0.1 * channel.limit < channel.room(0.5)
+            channel.acknowledge(now, proxy, serial, SECOND // 4 + int(44 * (proxy + 1) * SECOND / 250))
+    assert 0.2 < channel.observed_rate / channel.rate < 0.5
+    channel.reserve(99, 1, 10)
+    assert channel.capacity_left(0.5, 2 * SECOND) < 0.1 * channel.limit < channel.capacity_left(0.5)
     channel = account(limit=10000.0)
     for turn in range(40):
         for proxy in range(40):
-            channel.book(turn, proxy, 10)
-        serial, now = channel.serial, turn + 60 * SECOND
+            channel.reserve(turn, proxy, 10)
+        serial, now = channel.sequence, turn + 60 * SECOND
         for proxy in range(40):  # one of forty stands still for eight seconds, and one tells a wrong figure
             took = {7: 8 * SECOND, 9: 0}.get(proxy, int(14 * (proxy + 1) * SECOND / 1000))
-            channel.answered(now, proxy, serial, took)
-    assert channel.met > 0.8 * channel.pace
+            channel.acknowledge(now, proxy, serial, took)
+    assert channel.observed_rate > 0.8 * channel.rate
 
 
 def test_on_a_slow_channel_ordinary_changes_leave_the_way_free_for_a_drain():
     # join+vast 992765718771: 2,800 lines of ordinary changes were before a release's, 10 s of that channel
-    storm = Storm(40, 2, slowed=4.0, standing_lines=40, backlog_limit=12000.0)
+    storm = Storm(40, 2, slowed=4.0, bootstrap_entries=40, backlog_limit=12000.0)
     for proxy in range(40):
         storm.join(proxy)
     storm.run(30)
@@ -183,38 +182,39 @@
         storm.hear(None)
         storm.run(1)
         waits.append(storm.waits / 250)
-    assert max(waits[10:]) < 2 * AHEAD / SECOND
+    assert max(waits[10:]) < 2 * PUBLICATION_LAG_MAX / SECOND
 
 
 def test_marks_lost_doubled_late_and_come_round():
     channel = account()
-    assert channel.book(1, 1, 10) and not channel.book(1, 2, 10)
-    assert channel.book(2, 1, 5)
-    assert channel.waiting == 10 + 10 + 5 + 3 * 4
-    first, second = channel.turns
-    assert channel.answered(0, 1, second) and channel.waiting == 14  # the later mark stands for the earlier
-    assert not channel.answered(0, 1, second) and not channel.answered(0, 1, first)
-    assert not channel.answered(0, 2, second) and not channel.answered(0, 3, None)
-    assert channel.answered(0, 2, None) and channel.waiting == 0 and not channel.turns
-    channel.serial = SERIALS - 1
-    channel.book(3, 1, 1)
-    for turn in range(SERIALS - 2):
-        channel.book(4 + turn, 2, 1)
-        channel.left(2)
-    assert channel.book(10**6, 2, 1) and len(channel.turns) == 2  # it jumps the mark that still waits
+    assert channel.reserve(1, 1, 10) and not channel.reserve(1, 2, 10)
+    assert channel.reserve(2, 1, 5)
+    assert channel.in_flight == 10 + 10 + 5 + 3 * 4
+    first, second = channel._batches
+    assert (
+        channel.acknowledge(0, 1, second) and channel.in_flight == 14
+    )  # the later mark stands for the earlier
+    assert not channel.acknowledge(0, 1, second) and not channel.acknowledge(0, 1, first)
+    assert not channel.acknowledge(0, 2, second) and not channel.acknowledge(0, 3, None)
+    assert channel.acknowledge(0, 2, None) and channel.in_flight == 0 and not channel._batches
+    channel.sequence = BARRIER_SEQUENCES - 1
+    channel.reserve(3, 1, 1)
+    for turn in range(BARRIER_SEQUENCES - 2):
+        channel.reserve(4 + turn, 2, 1)
+        channel.release(2)
+    assert channel.reserve(10**6, 2, 1) and len(channel._batches) == 2  # it jumps the mark that still waits
     channel.expire(16 * SECOND + 10)  # sixteen full queues of a second
-    assert list(channel.held) == [2] and channel.waiting == 5
+    assert list(channel._batches_of) == [2] and channel.in_flight == 5
 
 
 def test_an_answer_that_crosses_the_loss_of_its_mark_takes_nothing_off_twice():
-    channel = Channel()
-    channel.new_settings({"lines_per_s": 100.0, "backlog_limit": 100.0, "message_head": 3.0})
-    channel.book(0, 1, 10)
-    lost = channel.serial
-    channel.book(SECOND, 2, 10)
-    channel.expire((MARK_LOST * channel.full) + 1)
-    left = channel.waiting
-    assert left == 14 and channel.answered(20 * SECOND, 1, lost) is False and channel.waiting == left
-    channel.book(20 * SECOND, 1, 5)
-    assert channel.answered(21 * SECOND, 1, lost) is False and channel.waiting == left + 9
-    assert channel.answered(21 * SECOND, 1, channel.serial) and channel.waiting == left
+    channel = account(limit=100.0, pace=100.0)
+    channel.reserve(0, 1, 10)
+    lost = channel.sequence
+    channel.reserve(SECOND, 2, 10)
+    channel.expire((LOST_BARRIER_FACTOR * channel._drain_time) + 1)
+    left = channel.in_flight
+    assert left == 14 and channel.acknowledge(20 * SECOND, 1, lost) is False and channel.in_flight == left
+    channel.reserve(20 * SECOND, 1, 5)
+    assert channel.acknowledge(21 * SECOND, 1, lost) is False and channel.in_flight == left + 9
+    assert channel.acknowledge(21 * SECOND, 1, channel.sequence) and channel.in_flight == left
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 from stage import Sockets
 
 from bench import fleet
-from granitespool import operator
+from granitespool import operator_settings
 
 
 class Told(Sockets):
@@ -12,10 +12,14 @@
 
     def __init__(self, name):
         super().__init__()
-        self.name, self.figures = name, operator.Figures(backends=2)
+        self.name, self.figures = name, operator_settings.Figures(backends=2)
 
     def config(self):
-        return {**super().config(), "name": self.name, "operator": operator.Operator(figures=self.figures)}
+        return {
+            **super().config(),
+            "name": self.name,
+            "operator": operator_settings.Operator(figures=self.figures),
+        }
 
 
 def played(stage, lines):
@@ -28,7 +32,7 @@
         stage.end()
 
 
-DAY = """set proxies_expected=9 lines_per_s=100 backlog_limit=500 drain_grace=5s
+DAY = """set proxies_expected=9 entries_per_s=100 backlog_limit=500 drain_grace=5s
 known a:n b:n c:n d:n e:n
 joins p 1 n
 grants
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -119,9 +119,9 @@
                             [json.dumps({"type": "applied", "node": number, "nonce": mark, "latency": 1.0})]
                         )
                     )
-            if len(planner.proxies) == streams and not planner.unbound:
+            if len(planner.assignment.proxies) == streams and not planner.assignment.unassigned:
                 break
-        assert (len(planner.proxies), len(planner.unbound)) == (streams, 0)
+        assert (len(planner.assignment.proxies), len(planner.assignment.unassigned)) == (streams, 0)
         assert now[0] - 10**18 < 30 * SECOND  # the settings' grace
 
 
@@ -171,7 +171,7 @@
     storm = Storm(
         200,
         3,
-        lines_per_s=800.0,
+        entries_per_s=800.0,
         backlog_limit=28000.0,
         drain_grace=36 * SECOND,
         proxies_expected=proxies,
@@ -180,12 +180,14 @@
     for proxy in range(proxies):
         storm.join(proxy)
     storm.turn(0)
-    channel = storm.coordinator.planner.channel
-    channel.limit = channel.waiting
-    turn = next(iter(channel.turns.values()))
-    proxy = next(iter(turn.lines))
+    channel = storm.coordinator.planner.in_flight
+    channel.limit = channel.in_flight
+    batch = next(iter(channel._batches.values()))
+    proxy = next(iter(batch.entries))
     return steps(
-        lambda: storm.coordinator.report(storm.now, "applied", proxy=proxy, serial=turn.serial, took=SECOND)
+        lambda: storm.coordinator.report(
+            storm.now, "applied", proxy=proxy, serial=batch.sequence, took=SECOND
+        )
     )
 
 
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -14,10 +14,10 @@
 from h2.events import ConnectionTerminated, DataReceived, ResponseReceived, StreamReset
 from house import House, alive, free_port, keys
 
+from granitespool.emulator.managers import client_context, tag_of
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi import paths
-from granitespool.lab.managers import client_context, tag_of
-from granitespool.operator import Gnmi
+from granitespool.operator_settings import Gnmi
 from granitespool.rpc import calls
 from granitespool.rpc.http2 import FLOOD_MOST
 
@@ -214,17 +214,21 @@
         == "ok"
     )
     settings = house.settings()
-    assert (settings["lines_per_s"], settings["backlog_limit"], settings["classes"][0]["benefit"]) == (
+    assert (
+        settings["entries_per_s"],
+        settings["backlog_limit"],
+        settings["classes"][0]["priority_weight"],
+    ) == (
         450,
         900,
         7,
     )
-    assert "drain_grace" not in settings and "message_head" not in settings
+    assert "drain_grace" not in settings and "message_header" not in settings
     assert (
         client.set(delete=["/coordinator/settings/drain", "/coordinator/settings/channel/admission"]) == "ok"
     )
     assert client.set(update={"/": {"granitespool:coordinator": {"settings": {"cold": {"time": 5}}}}}) == "ok"
-    assert house.settings()["cold_time"] == 5000
+    assert house.settings()["warm_up_time"] == 5000
     assert client.set(replace={"/coordinator/settings/zone": ["n", "s", "t"]}) == "ok"
     assert house.settings()["zones"] == ["n", "s", "t"]
     house.logged("settings_changed", by="operations", version=2)
@@ -261,12 +265,12 @@
     assert house.client("pacer").set(update={"/coordinator/settings/drain/grace": 5}) == "PERMISSION_DENIED"
     assert tag_of(netconf.edit("<channel><lines-per-second>800</lines-per-second></channel>")) == "ok"
     assert client.set(update={BASE: "700"}) == "ok"
-    assert "begun from version 2" in netconf.commit() and house.settings()["lines_per_s"] == 700
+    assert "begun from version 2" in netconf.commit() and house.settings()["entries_per_s"] == 700
     assert tag_of(netconf.lock("running")) == "ok"
     assert client.set(update={BASE: "600"}) == "ABORTED"
     netconf.reset()
     house.logged("manager_ended")
-    assert client.set(update={BASE: "600"}) == "ok" and house.settings()["lines_per_s"] == 600
+    assert client.set(update={BASE: "600"}) == "ok" and house.settings()["entries_per_s"] == 600
     with pytest.raises(grpc.RpcError):
         house.client("stranger").capabilities(pb.CapabilityRequest(), timeout=2)
 
@@ -290,7 +294,9 @@
         del future
         time.sleep(0.1)
         settings = house.settings()
-        assert settings["lines_per_s"] == 1000.0 or settings["drain_grace"] == settings["lines_per_s"] * 1000
+        assert (
+            settings["entries_per_s"] == 1000.0 or settings["drain_grace"] == settings["entries_per_s"] * 1000
+        )
     assert house.client().set(update={BASE: "300"}) == "ok"
 
 
@@ -599,7 +605,7 @@
 )
 def test_paths_find_what_they_match(text, found):
     from granitespool.gnmi.session import Root  # noqa: PLC0415
-    from granitespool.manage.model import Model  # noqa: PLC0415
+    from granitespool.management.model import Model  # noqa: PLC0415
 
     whole = {
         "coordinator": {
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -18,6 +18,7 @@
 from granitespool.net.service import Service
 from granitespool.scale.hollow import HollowCoordinator, Profile, Traffic, UpdateSeen, update_of
 from granitespool.scale.trace import BackendTold, ProxyJoined, ProxyLeft
+from granitespool.settings import RequestClass, Settings
 
 EPOCH = 10**18  # ns: the clock begins here
 STEP = SECOND // 20
@@ -54,16 +55,16 @@
             "peers": [],
             "peers_all": None,
             "known": {"index": 0, "endpoints": []},
-            "settings": {
-                "zones": [ZONE],
-                "probes": False,
-                "proxies_expected": 64,
-                "lines_per_s": 5000.0,
-                "backlog_limit": 9000.0,
-                "message_head": 3.0,
-                "drain_grace": 7 * SECOND,
-                "classes": [{"name": "pay", "promised_time": SECOND, "benefit": 1.0}],
-            },
+            "settings": Settings(
+                zones=[ZONE],
+                health_checks_allowed=False,
+                proxies_expected=64,
+                entries_per_s=5000.0,
+                backlog_limit=9000.0,
+                message_header=3.0,
+                drain_grace=7 * SECOND,
+                classes=[RequestClass(name="pay", latency_objective=SECOND, priority_weight=1.0)],
+            ),
         }
         self.service = Service(config, self.log, clock)
         self.address = self.service.streams.listener.getsockname()
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -8,8 +8,10 @@
 from storm import SECOND
 from traced_fleet import SETTINGS, Channel, Fleet, TracedStorm
 
-from granitespool.facade import Coordinator
-from granitespool.rules import Planner
+from granitespool.coordinator import Coordinator
+from granitespool.planner.candidates import CandidateSelection
+from granitespool.planner.exclusion import ExclusionControl
+from granitespool.planner.weights import EntryWeights
 from granitespool.scale.checker import check
 from granitespool.scale.trace import (
     BackendLoad,
@@ -146,13 +148,13 @@
 
 
 def test_one_that_keeps_what_drains_is_found(monkeypatch):
-    moves = Planner._moves
+    select = CandidateSelection.select
 
-    def keeps(self, now, lines, only):
-        return (move for move in moves(self, now, lines, only) if move[4])  # no line is taken out of a table
+    def keeps(self, now, only):
+        return [each for each in select(self, now, only) if each.weight]  # no entry is taken out of a table
 
-    monkeypatch.setattr(Planner, "_moves", keeps)
-    monkeypatch.setattr(Planner, "_shut_out", lambda self, now: None)
+    monkeypatch.setattr(CandidateSelection, "select", keeps)
+    monkeypatch.setattr(ExclusionControl, "publish", lambda self, now, entries: None)
     assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
 
 
@@ -162,23 +164,23 @@
 
 
 def test_one_that_has_uncertain_tries_repeated_is_found(monkeypatch):
-    level = Coordinator.level
+    level = Coordinator.set_admission
 
     def repeats(self, table, classes, share, retries):
         level(self, table, classes, share, 2)
 
-    monkeypatch.setattr(Coordinator, "level", repeats)
+    monkeypatch.setattr(Coordinator, "set_admission", repeats)
     assert rules_broken(played([("wait", 8)], fitting(2, 4, 12))) == {"double_effect"}
 
 
 def test_one_that_gives_a_cold_backend_the_work_of_many_is_found(monkeypatch):
-    want = Planner._want
+    wanted = EntryWeights.wanted
 
     def pushes(self, now, rec, zone):
-        weight = want(self, now, rec, zone)
-        return 1000.0 if weight and rec.started else weight
+        weight = wanted(self, now, rec, zone)
+        return 1000.0 if weight and rec.started_at else weight
 
-    monkeypatch.setattr(Planner, "_want", pushes)
+    monkeypatch.setattr(EntryWeights, "wanted", pushes)
     assert rules_broken(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
 
 
@@ -187,9 +189,9 @@
     fleet.run(3)
     coordinator = fleet.storms[1].coordinator
     for proxy in fleet.storms[1].joined:
-        coordinator.planner._count(fleet.now, proxy, len(fleet.backends))
+        coordinator.planner.outbox.reserve(fleet.now, proxy, len(fleet.backends))
     for name in fleet.backends:
-        coordinator.withdraw(name, True)
+        coordinator.exclude(name, True)
     fleet.run(8)
     found = check(fleet.events(), fleet.limits())
     assert {each.rule for each in found} == {"no_backend"}
@@ -203,7 +205,7 @@
     for _ in range(SETTINGS["messages_limit"] + 1):
         planner = storm.coordinator.planner
         for proxy in storm.joined:
-            planner.channel.book(fleet.now, proxy, 0)
-        storm.coordinator.mark(planner.channel.serial, True)
+            planner.in_flight.reserve(fleet.now, proxy, 0)
+        storm.coordinator.request_acknowledgement(planner.in_flight.sequence, True)
         fleet.turn()
     assert rules_broken(fleet) == {"channel"}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -7,8 +7,9 @@
 import pytest
 
 from granitespool.cli import main
-from granitespool.lab import play, schema
-from granitespool.lab.world import BEGAN, ERROR, MS, SECOND, Backend, World
+from granitespool.emulator import play, schema
+from granitespool.emulator.world import BEGAN, ERROR, SECOND, Backend, World
+from granitespool.units import MILLISECOND
 
 SMALL = [
     "sizes=8x20",
@@ -74,21 +75,21 @@
 
 def test_a_cold_backend_takes_longer_a_dead_one_answers_nothing_and_a_full_one_refuses():
     fleet = schema.load("restart", [*SMALL, "cold_s=10", "cold_share=0.25"]).fleet
-    backend, took = Backend("a", "z0", "m", 1, 60 * MS), {}
+    backend, took = Backend("a", "z0", "m", 1, 60 * MILLISECOND), {}
     for started in (0, BEGAN + 1):
         backend.started, random, took[started] = started, Random(1), 0
         for _ in range(100):
             backend.free = [0]
             took[started] += backend.answer(BEGAN + SECOND, random, fleet)[0]
     assert took[BEGAN + 1] == pytest.approx(4 * took[0], rel=0.01)
-    backend.free = [BEGAN + SECOND + (fleet.queue_ms + 1) * MS]
+    backend.free = [BEGAN + SECOND + (fleet.queue_ms + 1) * MILLISECOND]
     assert backend.answer(BEGAN + SECOND, random, fleet) == (ERROR, False)
     backend.dead = True
     assert backend.answer(BEGAN + SECOND, random, fleet) == (None, False)
 
 
 def test_the_command_prints_a_table_json_or_a_sentence(capsys, tmp_path):
-    words = ["lab", "run", "restart"] + [
+    words = ["emulate", "run", "restart"] + [
         word
         for change in [*SMALL, "variants=state", "learn_s=10", "settle_s=3"]
         for word in ("--set", change)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -8,18 +8,24 @@
 from hypothesis import strategies as st
 from storm import SECOND, Storm
 
-from granitespool.routing.levels import LEVELS, OrderedLevels, lines_of, shares
-
-FLOOR, STEP = 0.1, 0.03
+from granitespool.planner.admission_levels import (
+    LEVELS_MAX,
+    SHARE_STEP,
+    Admitted,
+    OrderedLevels,
+    admission_entries_max,
+    admitted_shares,
+)
+from granitespool.settings import RequestClass
 
 
 def classes_of(number, random):
     return [
-        {
-            "name": f"r{position}",
-            "promised_time": random.choice((SECOND // 10, SECOND, 3 * SECOND)),
-            "benefit": random.uniform(0, 9),
-        }
+        RequestClass(
+            name=f"r{position}",
+            latency_objective=random.choice((SECOND // 10, SECOND, 3 * SECOND)),
+            priority_weight=random.uniform(0, 9),
+        )
         for position in range(number)
     ]
 
@@ -29,51 +35,56 @@
 def test_shares_come_to_a_few_levels_and_least_benefit_goes_first(seed, number, room):
     random = Random(seed)
     classes = classes_of(number, random)
-    asked = {kind["name"]: random.choice((0, 1, 50)) for kind in classes if random.random() < 0.8}
-    found = shares(classes, asked, room, FLOOR, STEP)
-    assert len(set(found)) <= lines_of(number) <= LEVELS
+    asked = {kind.name: random.choice((0, 1, 50)) for kind in classes if random.random() < 0.8}
+    found = admitted_shares(classes, asked, room)
+    assert len(set(found)) <= admission_entries_max(number) <= LEVELS_MAX
     assert all(0.09 <= share <= 1 for share in found)
-    worth = [(kind["benefit"] / kind["promised_time"], share) for kind, share in zip(classes, found)]
-    held = sorted(each for each, kind in zip(worth, classes) if asked.get(kind["name"]))
-    assert all(low <= high + STEP for (_, low), (_, high) in zip(held, held[1:]))
+    worth = [(kind.priority_weight / kind.latency_objective, share) for kind, share in zip(classes, found)]
+    held = sorted(each for each, kind in zip(worth, classes) if asked.get(kind.name))
+    assert all(low <= high + SHARE_STEP for (_, low), (_, high) in zip(held, held[1:]))
 
 
 def test_classes_of_one_level_are_one_order_and_come_again_only_where_they_differ():
     levels = OrderedLevels()
     wanted = [1.0, 0.5, 0.5, 1.0, 0.09]
-    assert list(levels.order(7, wanted, 1, 1)) == [(0b110, (0.5, 1)), (0b10000, (0.09, 1))]  # 1.0 is usual
-    assert list(levels.order(7, wanted, 1, 1)) == [] and levels.lines(7) == 2
-    assert list(levels.order(7, wanted, 0, 1)) == [
+    assert list(levels.order(7, Admitted(wanted, 1), 1)) == [
+        (0b110, (0.5, 1)),
+        (0b10000, (0.09, 1)),
+    ]  # 1.0 is usual
+    assert list(levels.order(7, Admitted(wanted, 1), 1)) == [] and levels.entries(7) == 2
+    assert list(levels.order(7, Admitted(wanted, 0), 1)) == [
         (0b1001, (1.0, 0)),
         (0b110, (0.5, 0)),
         (0b10000, (0.09, 0)),
     ]
-    assert list(levels.order(7, [1.0] * 5, 0, 1)) == [(0b10110, (1.0, 0))] and levels.lines(7) == 1
-    assert levels.lines(8) == 0 and list(levels.order(8, [1.0] * 5, 1, 1)) == []
+    assert (
+        list(levels.order(7, Admitted([1.0] * 5, 0), 1)) == [(0b10110, (1.0, 0))] and levels.entries(7) == 1
+    )
+    assert levels.entries(8) == 0 and list(levels.order(8, Admitted([1.0] * 5, 1), 1)) == []
 
 
 def told(classes, usual_retry):
-    return {"classes": classes_of(classes, Random(1)), "usual_retry": usual_retry, "standing_lines": 5}
+    return {"classes": classes_of(classes, Random(1)), "default_retries": usual_retry, "bootstrap_entries": 5}
 
 
 @pytest.mark.parametrize("usual_retry", [0, 1])
 @pytest.mark.parametrize("classes", [3, 300, 3100])
 def test_joiners_are_bound_in_one_turn_whatever_the_number_of_classes(classes, usual_retry):
     # 70 joiners before 60 backends: with a line a class and proxy one turn bound 21, 8 and one of them
-    storm = Storm(60, 3, lines_per_s=4000.0, backlog_limit=16000.0, **told(classes, usual_retry))
+    storm = Storm(60, 3, entries_per_s=4000.0, backlog_limit=16000.0, **told(classes, usual_retry))
     for proxy in range(70):
         storm.join(proxy)
     storm.turn()
-    assert not storm.coordinator.planner.unbound
-    assert storm.coordinator.planner.channel.ordered <= 70 * (60 + 1 + LEVELS + 4)
+    assert not storm.coordinator.planner.assignment.unassigned
+    assert storm.coordinator.planner.in_flight.total_entries <= 70 * (60 + 1 + LEVELS_MAX + 4)
 
 
 def test_a_strain_of_three_thousand_classes_costs_a_few_lines_a_proxy():
-    storm = Storm(60, 3, lines_per_s=4000.0, backlog_limit=16000.0, **told(3100, 1))
+    storm = Storm(60, 3, entries_per_s=4000.0, backlog_limit=16000.0, **told(3100, 1))
     for proxy in range(70):
         storm.join(proxy)
     storm.run(5)
-    before = storm.coordinator.planner.channel.ordered
+    before = storm.coordinator.planner.in_flight.total_entries
     for _ in range(6):  # all is slow, and much is asked for
         storm.hear(mean=9 * SECOND // 10, failed=0.3)
         for name in ("r1", "r2", "r3"):
@@ -82,9 +93,9 @@
             )
         storm.run(1)
     planner = storm.coordinator.planner
-    assert planner.strained and planner.room < 1
-    assert planner.levels.lines(planner.proxies[0][0]) <= LEVELS
-    assert planner.channel.ordered - before <= 6 * 70 * (60 + LEVELS + 8)
+    assert planner.overload.is_overloaded and planner.overload.admitted_share < 1
+    assert planner.admission.ordered.entries(planner.assignment.proxies[0].table) <= LEVELS_MAX
+    assert planner.in_flight.total_entries - before <= 6 * 70 * (60 + LEVELS_MAX + 8)
 
 
 def test_three_thousand_classes_are_started_with_in_seconds():
@@ -93,7 +104,7 @@
     storm = Storm(
         600,
         10,
-        lines_per_s=4000.0,
+        entries_per_s=4000.0,
         backlog_limit=20000.0,
         proxies_expected=47600,
         planners=680,
@@ -102,5 +113,5 @@
     for proxy in range(70):
         storm.join(proxy)
     storm.run(1)
-    assert not storm.coordinator.planner.unbound
+    assert not storm.coordinator.planner.assignment.unassigned
     assert time.process_time() - began < 10
