--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -6,15 +6,17 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-
-from granitespool.manage import harm, mapping, rights
-from granitespool.manage.datastores import CANDIDATE, RUNNING, STARTUP, Datastores
-from granitespool.manage.edits import Change, edited, with_defaults
-from granitespool.manage.model import Model
-from granitespool.manage.picture import Picture
-from granitespool.manage.refused import Refused
+from support.records import settings_of
+
+from granitespool.management import authorization, impact_check, mapping
+from granitespool.management.datastores import CANDIDATE, RUNNING, STARTUP, Datastores
+from granitespool.management.edits import Change, edited, with_defaults
+from granitespool.management.errors import Refused
+from granitespool.management.model import Model
+from granitespool.management.operational_state import Picture
 from granitespool.net import config
-from granitespool.operator import Operator, State
+from granitespool.operator_settings import Operator, State
+from granitespool.settings import RequestClass
 
 MODEL = Model()
 NODE = MODEL.settings
@@ -131,21 +133,23 @@
 
 def told(**settings):
     return {
-        "settings": {
-            "zones": ["n", "s"],
-            "classes": [{"name": "pay", "promised_time": 100_000, "odd": 1}],
-            "lines_per_s": 100.123456789,
-            "message_head": 3,
-            "drain_grace": 3 * 10**9,
-            "index": 4,
-            **settings,
-        },
+        "settings": settings_of(
+            {
+                "zones": ["n", "s"],
+                "classes": [{"name": "pay", "latency_objective": 100_000, "writes": True}],
+                "entries_per_s": 100.123456789,
+                "message_header": 3,
+                "drain_grace": 3 * 10**9,
+                "coordinator_index": 4,
+                **settings,
+            }
+        ),
         "operator": Operator(state=State(folder="x", half_life_s=12.5)),
     }
 
 
 def test_a_configuration_and_its_tree_map_to_each_other_and_what_is_not_changed_keeps_its_value():
-    for each in (told(), config.load("examples/config.json"), {"settings": {"zones": ["n"], "classes": []}}):
+    for each in (told(), config.load("examples/config.json"), {"settings": settings_of({"zones": ["n"]})}):
         tree = mapping.tree_of(each)
         MODEL.check(tree)
         assert mapping.config_of(tree, each) == each
@@ -159,11 +163,13 @@
         ],
     )
     new = mapping.config_of(tree, told())
-    assert new["settings"]["drain_grace"] == 5 * 10**9 and new["settings"]["lines_per_s"] == 100.123456789
-    assert new["settings"]["classes"] == [{"name": "pay", "promised_time": 100_000, "odd": 1, "benefit": 2}]
+    assert new["settings"].drain_grace == 5 * 10**9 and new["settings"].entries_per_s == 100.123456789
+    assert new["settings"].classes == [
+        RequestClass(name="pay", latency_objective=100_000, writes=True, priority_weight=2)
+    ]
     assert new["operator"].state == State(folder="x", half_life_s=12.5, every_ms=250)
     gone = mapping.config_of(edited(NODE, tree, [C("drain", op="delete"), C("operator", op="delete")]), new)
-    assert "drain_grace" not in gone["settings"] and gone["operator"].state is None
+    assert gone["settings"].drain_grace is None and gone["operator"].state is None
 
 
 @pytest.mark.parametrize(
@@ -171,12 +177,12 @@
     [
         ({"classes": []}, 0, (), "without a class"),
         ({"zones": ["n"]}, 0, (), "zone s have joined"),
-        ({"lines_per_s": 1}, 10, (), "one drain takes 50.0 s for 10 proxies"),
+        ({"entries_per_s": 1}, 10, (), "one drain takes 50.0 s for 10 proxies"),
         ({"backlog_limit": 30}, 10, (), "more than the backlog"),
         ({}, 0, ("classes",), "put it into startup"),
         ({"limits": 2048}, 0, (), "sockets is over the 1024"),
         ({"limits": 512}, 0, (), None),
-        ({"lines_per_s": 1}, 0, (), None),
+        ({"entries_per_s": 1}, 0, (), None),
         ({"backlog_limit": 60}, 10, (), None),
     ],
 )
@@ -184,8 +190,8 @@
     limits = {"sockets": change.pop("limits", 1024)}
     new = {**told(**change), "limits": limits, "limits_told": {"sockets": 1024}}
     if words is None:
-        return harm.check(new, told(), proxies, {"n"}, waits)
-    assert words in refused(harm.check, new, told(), proxies, {"n", "s"}, waits)[1]
+        return impact_check.check(new, told(), proxies, {"n"}, waits)
+    assert words in refused(impact_check.check, new, told(), proxies, {"n", "s"}, waits)[1]
     return None
 
 
@@ -210,12 +216,18 @@
     ],
 )
 def test_a_user_is_known_by_one_thing_of_its_certificate(certificate, found):
-    user = rights.User("u", certificate, True, "class, zone")
-    assert (rights.user_of([user], rights.facts_of(CERTIFICATE, "abcd")) is user) == found
-    rights.must_write(user, ["class"])
-    assert refused(rights.must_write, user, ["class", "cold"]) == ("access-denied", "u may not write cold")
-    assert refused(rights.must_read, rights.User("u", certificate, False, ""))[0] == "access-denied"
-    rights.must_write(rights.User("u", certificate, False, "*"), ["cold"])
+    user = authorization.User("u", certificate, True, "class, zone")
+    assert (authorization.user_of([user], authorization.facts_of(CERTIFICATE, "abcd")) is user) == found
+    authorization.must_write(user, ["class"])
+    assert refused(authorization.must_write, user, ["class", "cold"]) == (
+        "access-denied",
+        "u may not write cold",
+    )
+    assert (
+        refused(authorization.must_read, authorization.User("u", certificate, False, ""))[0]
+        == "access-denied"
+    )
+    authorization.must_write(authorization.User("u", certificate, False, "*"), ["cold"])
 
 
 class Host:
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -14,8 +14,9 @@
 from lxml import etree
 from ncclient import manager as ncclient_manager
 from ncclient.operations import RPCError
+from support.records import told_settings
 
-from granitespool.lab.managers import HELLO, Ended, Manager, tag_of, top
+from granitespool.emulator.managers import HELLO, Ended, Manager, tag_of, top
 from granitespool.netconf import framing
 from granitespool.netconf.framing import Reader, Wrong, framed
 from granitespool.netconf.xmltree import Malformed, parsed
@@ -107,10 +108,10 @@
     state = one.ask("<get/>")
     assert state.count("<backend>") == 6 and "<phase>ready</phase>" in state
     assert "<weight>1.0</weight>" in state
-    assert tag_of(one.edit(PACE.format("500.0"))) == "ok" and house.settings()["lines_per_s"] == 1000.0
+    assert tag_of(one.edit(PACE.format("500.0"))) == "ok" and house.settings()["entries_per_s"] == 1000.0
     assert "<lines-per-second>500.0<" in one.config("candidate")
     assert "<lines-per-second>1000.0<" in one.config()
-    assert tag_of(one.commit()) == "ok" and house.settings()["lines_per_s"] == 500
+    assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
     assert "<version>2</version>" in one.ask("<get/>")
     ages = []
     for index in (1, 1, 2):
@@ -308,7 +309,7 @@
     assert "<backend>" in reader.ask("<get/>") and tag_of(reader.edit(PACE.format("500"))) == "access-denied"
     assert tag_of(pacer.edit("<drain><grace>5</grace></drain>")) == "access-denied"
     assert tag_of(pacer.edit(PACE.format("500"))) == "ok" and tag_of(reader.commit()) == "access-denied"
-    assert tag_of(pacer.commit()) == "ok" and house.settings()["lines_per_s"] == 500
+    assert tag_of(pacer.commit()) == "ok" and house.settings()["entries_per_s"] == 500
     assert tag_of(reader.ask("<kill-session><session-id>2</session-id></kill-session>")) == "access-denied"
 
 
@@ -323,19 +324,21 @@
     assert tag_of(two.edit(PACE.format("400"))) == "in-use" and tag_of(two.commit()) == "in-use"
     assert tag_of(one.edit(PACE.format("500"))) == "ok"
     info = {**house.reading["family_info"], "egress_per_s": 700.0}
-    assert house.reload(family_info=info)["event"] == "reloaded" and house.settings()["lines_per_s"] == 700.0
+    assert (
+        house.reload(family_info=info)["event"] == "reloaded" and house.settings()["entries_per_s"] == 700.0
+    )
     answer = one.commit()
     assert tag_of(answer) == "operation-failed" and "begun from version 1" in answer
-    assert house.settings()["lines_per_s"] == 700.0
+    assert house.settings()["entries_per_s"] == 700.0
     assert tag_of(one.ask("<discard-changes/>")) == "ok" and tag_of(one.edit(PACE.format("500"))) == "ok"
-    assert tag_of(one.commit()) == "ok" and house.settings()["lines_per_s"] == 500
-    assert house.reload()["event"] == "reloaded" and house.settings()["lines_per_s"] == 500
+    assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
+    assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 500
     assert tag_of(one.lock("running")) == "ok"
     refused = house.reload(family_info={**info, "egress_per_s": 800.0})
     assert refused["event"] == "reload_refused" and "locked by a manager" in refused["why"]
     one.reset()
     house.logged("manager_ended")
-    assert house.reload()["event"] == "reloaded" and house.settings()["lines_per_s"] == 800.0
+    assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 800.0
     assert tag_of(two.lock("running")) == "ok" and tag_of(two.lock()) == "ok"
 
 
@@ -362,7 +365,7 @@
         elif step == "commit unread":
             one.send("<commit><confirmed/></commit>")
         elif step.startswith("confirmed"):
-            assert tag_of(one.commit("<confirmed/>")) == "ok" and house.settings()["lines_per_s"] == 500
+            assert tag_of(one.commit("<confirmed/>")) == "ok" and house.settings()["entries_per_s"] == 500
             if step != "confirmed":
                 one.edit(PACE.format("600"))
     getattr(one, how)()
@@ -375,17 +378,17 @@
     one, two = house.manager(), house.manager()
     one.edit(PACE.format("500"))
     assert tag_of(one.commit("<confirmed/><confirm-timeout>1</confirm-timeout>")) == "ok"
-    assert house.settings()["lines_per_s"] == 500
+    assert house.settings()["entries_per_s"] == 500
     house.logged("settings_changed", by="timeout")
-    assert house.settings()["lines_per_s"] == 1000
+    assert house.settings()["entries_per_s"] == 1000
     one.edit(PACE.format("600"))
     assert tag_of(one.commit("<confirmed/><persist>q7</persist>")) == "ok"
     one.close()
     house.logged("manager_ended")
-    assert house.settings()["lines_per_s"] == 600 and tag_of(two.commit()) == "in-use"
+    assert house.settings()["entries_per_s"] == 600 and tag_of(two.commit()) == "in-use"
     assert tag_of(two.commit("<persist-id>q8</persist-id>")) == "invalid-value"
     assert tag_of(two.commit("<persist-id>q7</persist-id>")) == "ok"
-    assert house.settings()["lines_per_s"] == 600
+    assert house.settings()["entries_per_s"] == 600
 
 
 def test_a_fault_half_way_puts_back_what_was(house):
@@ -401,9 +404,9 @@
     one.edit(PACE.format("500"))
     answer = one.commit()
     assert tag_of(answer) == "operation-failed" and "former" in answer and house.settings() == before
-    assert len(calls) == 2 and calls[1]["settings"] == before
+    assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
     probes.new_config = real
-    assert tag_of(one.commit()) == "ok" and house.settings()["lines_per_s"] == 500
+    assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
     house.logged("failed")  # read by then: the log has a thread of its own
     house.lines[:] = [line for line in house.lines if line["event"] != "failed"]
 
@@ -432,7 +435,7 @@
     proxy = house.proxy()
     assert tag_of(one.commit()) == "operation-failed" and "one drain takes" in two.note("change-refused")
     one.ask("<discard-changes/>")
-    house.service.coordinator.level(0, 1, 0.5, 0)
+    house.service.coordinator.set_admission(0, 1, 0.5, 0)
     assert "<share>0.5</share>" in two.note("levels-changed") and alive(proxy)
     proxy.close()
     number = re.search(r"<session-id>(\d+)<", two.hello)[1]
@@ -482,7 +485,7 @@
             process.communicate()
     house.write(family_info={**house.reading["family_info"], "egress_per_s": 900.0})
     with house:  # the file has changed since: it holds
-        assert house.settings()["lines_per_s"] == 900.0
+        assert house.settings()["entries_per_s"] == 900.0
         house.logged("settings_dropped")
 
 
@@ -506,13 +509,13 @@
 
 
 def test_a_disk_that_does_not_take_it_refuses_the_commit(tmp_path, folder, monkeypatch):
-    monkeypatch.setattr("granitespool.net.managing.KEEP_MOST", 300_000_000)
+    monkeypatch.setattr("granitespool.net.management_service.KEEP_MOST", 300_000_000)
     with House(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit(PACE.format("500"))) == "ok"
         house.service.keeper.writer.folder.sync = lambda name: time.sleep(0.6)
         answer = one.commit()
-        assert tag_of(answer) == "resource-denied" and house.settings()["lines_per_s"] == 1000
+        assert tag_of(answer) == "resource-denied" and house.settings()["entries_per_s"] == 1000
         two = house.manager()  # two that wait for the disk are both answered
         one.send("<commit/>")
         assert tag_of(two.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
@@ -520,7 +523,7 @@
         writer = house.service.keeper.writer
     writer.thread.join(10)  # this process held the folder for as long as its disk hung
     with House(tmp_path, folder, state=True) as house:  # what was refused does not come back with a restart
-        assert house.settings()["lines_per_s"] == 1000 and len(house.settings()["classes"]) == 1
+        assert house.settings()["entries_per_s"] == 1000 and len(house.settings()["classes"]) == 1
 
 
 # Bad peers
@@ -714,7 +717,7 @@
             edit("<class><name>pay</name><benefit>7.5</benefit></class>")
             client.validate("candidate")
             client.commit()
-        assert house.settings()["classes"][0]["benefit"] == 7.5
+        assert house.settings()["classes"][0]["priority_weight"] == 7.5
         before = client.get_config("running").xml
         for settings, tag in (
             (PACE.format("0"), "invalid-value"),
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from granitespool import ini, operator
+from granitespool import ini, operator_settings
 from granitespool.cli import main
-from granitespool.lab import schema
-from granitespool.settings import BadInput
+from granitespool.emulator import schema
+from granitespool.errors import InvalidInputError
 
 EXAMPLE = os.path.join(os.path.dirname(__file__), "..", "deploy", "granitespool.ini")
 STATE = "[state]\nfolder = /var/x\n"
@@ -44,8 +44,8 @@
 def test_a_wrong_file_is_one_sentence_with_file_section_and_key(tmp_path, capsys, monkeypatch, text, words):
     path = tmp_path / "operator.ini"
     path.write_text(text)
-    with pytest.raises(BadInput) as raised:
-        operator.load(str(path))
+    with pytest.raises(InvalidInputError) as raised:
+        operator_settings.load(str(path))
     assert words in str(raised.value) and str(path) in str(raised.value) and "\n" not in str(raised.value)
     monkeypatch.delenv("LB_CONFIG", raising=False)
     assert main(["check", "--operator", str(path)]) == 1
@@ -58,43 +58,54 @@
 def test_a_file_that_is_no_text_is_one_sentence(tmp_path, data, words):
     path = tmp_path / "operator.ini"
     path.write_bytes(data)
-    with pytest.raises(BadInput, match=words):
-        operator.load(str(path))
-    with pytest.raises(BadInput, match="cannot be read: Is a directory"):
-        operator.load(str(tmp_path))
+    with pytest.raises(InvalidInputError, match=words):
+        operator_settings.load(str(path))
+    with pytest.raises(InvalidInputError, match="cannot be read: Is a directory"):
+        operator_settings.load(str(tmp_path))
 
 
 def test_an_empty_file_has_everything_off_and_relative_folders_stand_beside_it(tmp_path):
     path = tmp_path / "operator.ini"
     path.write_text("; nothing\n")
-    assert operator.load(str(path)) == operator.Operator() and "off" in operator.summary(operator.Operator())
+    assert operator_settings.load(
+        str(path)
+    ) == operator_settings.Operator() and "off" in operator_settings.summary(operator_settings.Operator())
     path.write_text("[state]\nfolder = memory\nevery_ms = 250\n")
-    state = operator.load(str(path)).state
+    state = operator_settings.load(str(path)).state
     assert (state.folder, state.every_ms, state.half_life_s) == (str(tmp_path / "memory"), 250, 30.0)
 
 
 def test_the_example_names_every_key_and_is_off_as_it_comes(tmp_path):
     with open(EXAMPLE) as file:
         lines = file.read().splitlines()
-    assert operator.load(EXAMPLE) == operator.Operator()
+    assert operator_settings.load(EXAMPLE) == operator_settings.Operator()
     on = "\n".join(
         line[1:] if line[:2] in ("#[",) or line[:1] == "#" and "=" in line and line[1:2] != " " else line
         for line in lines
     )
     path = tmp_path / "on.ini"
     path.write_text(on)
-    read = operator.load(str(path))
-    for name, struct in [*operator.SECTIONS.items(), ("users", operator.User)]:
+    read = operator_settings.load(str(path))
+    for name, struct in [*operator_settings.SECTIONS.items(), ("users", operator_settings.User)]:
         assert getattr(read, name), name
         for field in struct.__struct_fields__:
             assert any(line.startswith(f"#{field} =") for line in lines), field
 
 
 def test_what_waits_for_a_restart_is_named():
-    one, other = (operator.Operator(state=operator.State(folder=name, every_ms=500)) for name in "ab")
-    same = operator.Operator(state=operator.State(folder="a"))
-    assert operator.restart_names(one, other) == operator.restart_names(one, None) == ["state.folder"]
-    assert operator.restart_names(None, one) == ["state.folder"] and operator.restart_names(one, same) == []
+    one, other = (
+        operator_settings.Operator(state=operator_settings.State(folder=name, every_ms=500)) for name in "ab"
+    )
+    same = operator_settings.Operator(state=operator_settings.State(folder="a"))
+    assert (
+        operator_settings.restart_names(one, other)
+        == operator_settings.restart_names(one, None)
+        == ["state.folder"]
+    )
+    assert (
+        operator_settings.restart_names(None, one) == ["state.folder"]
+        and operator_settings.restart_names(one, same) == []
+    )
 
 
 @pytest.mark.parametrize(
@@ -105,7 +116,7 @@
         (["check", "--config"], "fits no line of the usage"),
         (["state", "show"], "fits no line"),
         (["state", "shred", "x"], "fits no line"),
-        (["lab", "run"], "fits no line"),
+        (["emulate", "run"], "fits no line"),
         (["version", "twice"], "fits no line"),
     ],
 )
@@ -136,7 +147,7 @@
     ],
 )
 def test_a_wrong_key_of_an_experiment_is_one_sentence(change, words):
-    with pytest.raises(BadInput) as raised:
+    with pytest.raises(InvalidInputError) as raised:
         schema.load("restart", [change])
     assert words in str(raised.value) and "\n" not in str(raised.value)
 
@@ -151,13 +162,16 @@
         9,
         [(4, 6)],
     )
-    assert main(["lab", "run", "nothing"]) == 1 and "restart come with the program" in capsys.readouterr().err
-    assert main(["lab", "list"]) == 0 and "restart" in capsys.readouterr().out
-    with pytest.raises(BadInput, match="lacks the section"):
+    assert (
+        main(["emulate", "run", "nothing"]) == 1
+        and "restart come with the program" in capsys.readouterr().err
+    )
+    assert main(["emulate", "list"]) == 0 and "restart" in capsys.readouterr().out
+    with pytest.raises(InvalidInputError, match="lacks the section"):
         path.write_text("[fleet]\nload = 0.5\n")
         schema.load(str(path))
 
 
 def test_booleans_and_words_are_told_as_such():
-    with pytest.raises(BadInput, match="again is 'perhaps', where true or false would do"):
+    with pytest.raises(InvalidInputError, match="again is 'perhaps', where true or false would do"):
         ini.parse("x.ini", "[c]\nagain = perhaps\n", {"c": schema.Class})
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -18,13 +18,13 @@
 from test_full_size import told
 
 from bench.ready import restarts
-from granitespool.net import bind as binding
+from granitespool.errors import InvalidInputError
 from granitespool.net import config
+from granitespool.net import listen_address as binding
 from granitespool.net import log as logging
 from granitespool.net.loop import IN, SECOND, Loop
 from granitespool.net.service import Service
 from granitespool.net.streams import LINGER
-from granitespool.settings import BadInput
 
 SERVE = [sys.executable, "-m", "granitespool", "serve", "--config"]
 LONG = 60  # s: a bound for a machine that is busy, never a time that is waited
@@ -263,7 +263,7 @@
 
         def tick(now):
             service.stop()  # as a handler does, in the middle of it
-            service.coordinator.weigh(0, "s1", 7.5)
+            service.coordinator.set_entry(0, "s1", 7.5)
             return real(now)
 
         service.coordinator.tick = tick
@@ -491,7 +491,7 @@
             service.turn(SECOND // 100)
             with suppress(BlockingIOError):
                 data += sock.recv(1 << 16)
-        assert b'"whole"' in data and service.coordinator.planner.asked.get(name)
+        assert b'"whole"' in data and service.coordinator.planner.overload.demand.get(name)
         text = service.text()
     assert not any(word in text for word in ("failed", "remark", "dropped"))
 
@@ -512,7 +512,7 @@
     ],
 )
 def test_what_cannot_be_served_is_refused_in_one_sentence(change, words):
-    with pytest.raises(BadInput, match=words):
+    with pytest.raises(InvalidInputError, match=words):
         config.checked({**told(1, 3), **change})
 
 
@@ -535,7 +535,7 @@
         planner, other = service.coordinator.planner, beside.coordinator.planner
         assert service.last_waits == ["classes"] and service.coordinator.classes == ["a"]
         names, others_names = service.streams.names, beside.streams.names
-        assert (planner.channel.pace, planner.channel.limit, names.zones) == (50, 100, {"x", "y"})
+        assert (planner.in_flight.rate, planner.in_flight.limit, names.zones) == (50, 100, {"x", "y"})
         # What the other service in this process holds is its own
-        assert (other.channel.pace, other.channel.limit) == (20000, 400000)
+        assert (other.in_flight.rate, other.in_flight.limit) == (20000, 400000)
         assert others_names.zones == {"z0", "z1", "z2"} and others_names.proxies_expected == 8192
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,6 +13,7 @@
 import pytest
 
 from granitespool.cli import main
+from granitespool.errors import InvalidInputError
 from granitespool.net.config import checked
 from granitespool.net.discovery import Discovery
 from granitespool.net.loop import SECOND, Loop
@@ -24,7 +25,6 @@
 from granitespool.scale.proxies import ChannelQueue, Message, number_allowed
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.trace import BackendTold, ChannelWaiting, TableHeld
-from granitespool.settings import BadInput
 
 NETWORK = Network(77)
 
@@ -84,14 +84,14 @@
     ],
 )
 def test_a_wrong_scenario_ends_in_a_sentence(change, words):
-    with pytest.raises(BadInput, match=words):
+    with pytest.raises(InvalidInputError, match=words):
         schema.load("ci", [change])
 
 
 def test_a_scenario_over_half_of_the_memory_or_too_many_processes_is_refused():
-    with pytest.raises(BadInput, match="half of the machine's memory"):
+    with pytest.raises(InvalidInputError, match="half of the machine's memory"):
         runner.check_size(schema.load("ci", ["memory_mb=65536", "real=64"]))
-    with pytest.raises(BadInput, match="no such scenario"):
+    with pytest.raises(InvalidInputError, match="no such scenario"):
         schema.load("no-such")
 
 
@@ -102,9 +102,9 @@
         checked({**told, "settings": fleet.settings(scenario, "r0-z0", 0, version)})["settings"]
         for version in (0, 1)
     ]
-    assert read[1]["proxies_expected"] == read[0]["proxies_expected"] + 1 == fleet.proxy_base(scenario) + 1
-    assert read[0]["drain_grace"] == fleet.limits(scenario).drain_grace == 4 * SECOND
-    assert read[0]["backlog_limit"] == fleet.limits(scenario).backlog_limit
+    assert read[1].proxies_expected == read[0].proxies_expected + 1 == fleet.proxy_base(scenario) + 1
+    assert read[0].drain_grace == fleet.limits(scenario).drain_grace == 4 * SECOND
+    assert read[0].backlog_limit == fleet.limits(scenario).backlog_limit
 
 
 # Stand-ins
@@ -116,9 +116,9 @@
     message.add({"type": "update", "level": 0.5, "retry": 1, "out": ["c"], "back": ["d"], "ticket": 7}, 70)
     assert message.lines == 1 + 2 + 1 + 1 + 1 + 1 and message.sizes == [90, 70] and message.ticket == 7
     assert message.backends() == ["a", "b", "c", "d"]
-    with pytest.raises(BadInput):
+    with pytest.raises(InvalidInputError):
         message.add({"type": "update", "lines": [["a"]]}, 30)
-    with pytest.raises(BadInput):
+    with pytest.raises(InvalidInputError):
         message.add({"type": "update", "level": 1.0}, 30)
 
 
@@ -137,7 +137,7 @@
 
     assert not number_allowed(answer("a 'joined' names the unknown proxy 7"))
     assert number_allowed(answer("the field 'locality' of a 'joined' names the unknown '-'"))
-    with pytest.raises(BadInput):
+    with pytest.raises(InvalidInputError):
         number_allowed(answer("", "pong"))
 
 
@@ -159,8 +159,8 @@
             self.loop, self, self, {"discovery": address, "known": known}, Random(1).uniform
         )
 
-    def report(self, now, what, form, entries):
-        self.news.append({entry["backend"]: entry["phase"] for entry in entries})
+    def report(self, now, update):
+        self.news.append({entry.name: entry.phase for entry in update.entries})
 
     def event(self, name, **fields):
         self.log.append(name)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -12,7 +12,7 @@
 import pytest
 from stage import Desk, Sockets, Stage
 
-from granitespool import wirehost
+from granitespool import simulator_adapter
 from granitespool.cli import main
 
 SCENARIOS = [
@@ -118,7 +118,7 @@
 
 def run(monkeypatch, capsys, *lines):
     monkeypatch.setattr(sys, "stdin", io.StringIO("".join(line + "\n" for line in lines)))
-    code = wirehost.main()
+    code = simulator_adapter.main()
     return code, *capsys.readouterr()
 
 
@@ -162,7 +162,7 @@
 
 
 def test_a_failure_is_told_for_its_instance(monkeypatch, capsys):
-    monkeypatch.setattr(wirehost.Planner, "left", lambda *_: 1 / 0)
+    monkeypatch.setattr(simulator_adapter.Planner, "_remove_proxy", lambda *_: 1 / 0)
     other = {**START, "coordinator": 1}
     code, out, err = run(monkeypatch, capsys, batch(START, other, LIST, LEFT))
     faults = [a for a in json.loads(out)["do"] if a["type"] == "fatal"]
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -16,13 +16,14 @@
 
 import pytest
 from disks import Forgetful
+from support.records import settings_of
 from test_state_store import V1
 
 from granitespool.cli import main
+from granitespool.errors import InvalidInputError
 from granitespool.net.service import Service
-from granitespool.operator import Operator, State
-from granitespool.settings import BadInput
-from granitespool.state import frames, record
+from granitespool.operator_settings import Operator, State
+from granitespool.state import framing, record
 from granitespool.state.disk import Folder
 from granitespool.state.store import file_name, recover
 from granitespool.state.writer import Writer
@@ -140,9 +141,9 @@
 
 def newer_file(generation):
     """A file as the next version of the format might begin it."""
-    begin = frames.begin(generation)
+    begin = framing.begin(generation)
     body = record.value_bytes([record.FORMAT + 1, {"name": "t"}, "more"])
-    return begin + frames.frame(generation, len(begin), frames.HEADER, body)
+    return begin + framing.frame(generation, len(begin), framing.HEADER, body)
 
 
 # A service on a clock of ours
@@ -169,7 +170,7 @@
             "peers": [],
             "peers_all": None,
             "known": {"index": 1, "endpoints": self.known},
-            "settings": self.settings,
+            "settings": settings_of(self.settings),
             "operator": Operator(state=State(folder=str(self.path), **state)),
         }
 
@@ -391,7 +392,7 @@
 
 def test_two_services_on_one_folder_are_refused_and_the_first_goes_on(tmp_path):
     with Bench(tmp_path / "state") as first:
-        with pytest.raises(BadInput, match="in use by another process"), Bench(tmp_path / "state"):
+        with pytest.raises(InvalidInputError, match="in use by another process"), Bench(tmp_path / "state"):
             pass
         first.learn(**SICK)
     assert recover(Folder(str(tmp_path / "state")), MOST)[0].held
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from granitespool.state import frames, record
+from granitespool.state import framing, record
 from granitespool.state.store import Newer, Store, file_name, ours, read_file, recover
 
 MOST = 1 << 20
@@ -110,7 +110,7 @@
 
 def test_any_truncation_reads_as_a_state_that_was_and_is_told_unless_it_falls_between_two_frames():
     name, data, states = small_file()
-    ends = [offset for offset, _, _ in frames.frames(data)]
+    ends = [offset for offset, _, _ in framing.frames(data)]
     for size in range(len(data)):
         found, problem = read_file(name, data[:size])
         assert found is None or found.held in states[1:], size
@@ -121,27 +121,27 @@
 @given(st.binary(max_size=300), st.booleans())
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_random_bytes_are_no_state_and_no_exception(data, ours_first):
-    begun = frames.begin(7) if ours_first else b""
+    begun = framing.begin(7) if ours_first else b""
     found, problem = read_file(file_name(7), begun + data)
     assert found is None and problem
 
 
-@given(st.sampled_from(sorted(frames.KINDS)), st.binary(max_size=80))
+@given(st.sampled_from(sorted(framing.KINDS)), st.binary(max_size=80))
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_a_whole_frame_with_a_wrong_body_is_told_and_no_exception(kind, body):
     name, data, _ = small_file()
-    spoilt = data + frames.frame(1, len(data), kind, body)
+    spoilt = data + framing.frame(1, len(data), kind, body)
     try:
         found, problem = read_file(name, spoilt)
     except Newer:
         pytest.fail("a frame after the header is no header")
-    assert found and (problem or kind == frames.CHANGED)
+    assert found and (problem or kind == framing.CHANGED)
 
 
 def begun(kind, body):
     """A file of a header and one more frame."""
-    data = frames.begin(7) + frames.frame(7, frames.BEGIN, frames.HEADER, record.value_bytes(header()()))
-    return data + frames.frame(7, len(data), kind, body)
+    data = framing.begin(7) + framing.frame(7, framing.BEGIN, framing.HEADER, record.value_bytes(header()()))
+    return data + framing.frame(7, len(data), kind, body)
 
 
 @pytest.mark.parametrize(
@@ -149,17 +149,17 @@
     [
         (b"", "no state file"),
         (b"SQLite format 3\x00" + bytes(90), "no state file"),
-        (frames.MAGIC, "ends before"),
-        (frames.begin(9), "its name is not"),
-        (frames.begin(7) + bytes(64), "tells the length 0"),
-        (frames.begin(7), "before its snapshot"),
-        (frames.begin(7) + frames.frame(7, frames.BEGIN, b"w", b""), "no header"),
-        (frames.begin(7) + frames.frame(8, frames.BEGIN, b"h", b""), "checksum"),
-        (frames.begin(7) + frames.frame(7, frames.BEGIN, b"?", b""), "unknown kind"),
-        (begun(frames.WHOLE, record.end_bytes(1, 1, 5)), "its snapshot holds 0 of 5 values"),
-        (begun(frames.CHANGED, record.batch_bytes(1, 1, {})), "out of place"),
-        (begun(frames.HEADER, b"\x90"), "out of place"),
-        (begun(frames.HELD, b"\xc1"), "cannot be read"),
+        (framing.MAGIC, "ends before"),
+        (framing.begin(9), "its name is not"),
+        (framing.begin(7) + bytes(64), "tells the length 0"),
+        (framing.begin(7), "before its snapshot"),
+        (framing.begin(7) + framing.frame(7, framing.BEGIN, b"w", b""), "no header"),
+        (framing.begin(7) + framing.frame(8, framing.BEGIN, b"h", b""), "checksum"),
+        (framing.begin(7) + framing.frame(7, framing.BEGIN, b"?", b""), "unknown kind"),
+        (begun(framing.WHOLE, record.end_bytes(1, 1, 5)), "its snapshot holds 0 of 5 values"),
+        (begun(framing.CHANGED, record.batch_bytes(1, 1, {})), "out of place"),
+        (begun(framing.HEADER, b"\x90"), "out of place"),
+        (begun(framing.HELD, b"\xc1"), "cannot be read"),
     ],
 )
 def test_what_is_wrong_with_a_file_is_said_in_one_sentence(data, words):
--- a/tests/test_state_trust.py
+++ b/tests/test_state_trust.py
@@ -6,13 +6,15 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from support.records import endpoint
 
-from granitespool.facade import Coordinator
-from granitespool.operator import State
-from granitespool.state import record, trust
-from granitespool.state.ledger import Ledger
-from granitespool.state.memory import Memory
-from granitespool.state.trust import Clocks, Identity
+from granitespool.coordinator import Coordinator
+from granitespool.operator_settings import State
+from granitespool.settings import RequestClass, Settings
+from granitespool.state import record, restore_policy
+from granitespool.state.change_filter import Ledger
+from granitespool.state.recovery import Memory
+from granitespool.state.restore_policy import Clocks, Identity
 
 S = 10**9
 W = 10**18  # ns: the wall clock when the record was last written
@@ -79,7 +81,7 @@
 def believed(record_, age=2 * S, listed=None, own_list=False):
     now = Clocks(W + age, 5 * S + age)
     listed = listed or {name: (facts.phase, facts.started) for name, (facts, _) in record_.backends.items()}
-    return trust.believed(
+    return restore_policy.believed(
         record_, Clocks(W, 5 * S), now, listed, frozenset(WHO.zones), own_list, HALF, OLDEST
     )
 
@@ -98,7 +100,7 @@
 )  # slewed
 def test_the_age_of_a_record_is_unknown_once_a_clock_went_backward(wall, mono, age):
     then = Clocks(W, 200 * S)
-    assert trust.age_of(then, Clocks(W + wall, 200 * S + mono)) == age
+    assert restore_policy.age_of(then, Clocks(W + wall, 200 * S + mono)) == age
 
 
 @pytest.mark.parametrize(
@@ -114,7 +116,7 @@
     ],
 )
 def test_a_record_that_is_not_to_be_believed_says_so_in_one_sentence(header, who, age, words):
-    why = trust.doubt(header, Clocks(W, 5 * S), Clocks(W + age, 5 * S + abs(age)), who, OLDEST)
+    why = restore_policy.doubt(header, Clocks(W, 5 * S), Clocks(W + age, 5 * S + abs(age)), who, OLDEST)
     assert why is None if words is None else words in why and "\n" not in why
 
 
@@ -175,7 +177,7 @@
 
 @pytest.mark.parametrize("index, newer", [(40, True), (41, False), (42, False)])
 def test_the_list_to_start_from_is_the_newer_one(index, newer):
-    found = trust.newer_list(kept(fleet(), a=link()), index)
+    found = restore_policy.newer_list(kept(fleet(), a=link()), index)
     assert (found is not None) == newer
     if newer:
         [entry] = found["endpoints"]
@@ -216,23 +218,14 @@
         cut_at=cut,
         ramp_from=ramp,
     )
-    coordinator = Coordinator({"zones": ["n", "s"], "classes": [{"name": "pay"}], "probes": True}, 1, W)
+    coordinator = Coordinator(
+        Settings(zones=["n", "s"], classes=[RequestClass(name="pay")], health_checks_allowed=True), 1, W
+    )
     coordinator.report(
         W,
         "list_news",
         form="restored",
-        entries=[
-            {
-                "backend": name,
-                "zone": "n",
-                "kind": "m",
-                "cell": 0,
-                "phase": "ready",
-                "weight": 1.0,
-                "started": 0,
-            }
-            for name in "abcd"
-        ],
+        entries=[endpoint(name, machine_type="m") for name in "abcd"],
     )
     record_ = kept(
         fleet(room=room, through=through), a=odd, b=odd, c=odd, d=(backend(ramp_from=ramp), {"s": odd})
@@ -287,23 +280,12 @@
 def test_a_memory_round_trip_gives_back_the_tables_that_were():
     def life(now):
         coordinator = Coordinator(
-            {"zones": ["n", "s"], "classes": [{"name": "pay"}], "drain_grace": 10 * S}, 1, now
+            Settings(zones=["n", "s"], classes=[RequestClass(name="pay")], drain_grace=10 * S), 1, now
         )
         return coordinator
 
     def entries():
-        return [
-            {
-                "backend": name,
-                "zone": "n",
-                "kind": "m",
-                "cell": 0,
-                "phase": "ready",
-                "weight": 1.0,
-                "started": 0,
-            }
-            for name in "abcdef"
-        ]
+        return [endpoint(name, machine_type="m") for name in "abcdef"]
 
     first = life(W)
     first.report(W, "list_news", form="restored", entries=entries())
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -8,36 +8,37 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from storm import SECOND, Storm
+from support.records import settings_of
 
-from granitespool.channel import Channel
-from granitespool.routing.subsets import LEAST, RESPLIT, UNEVEN, Subsets
+from granitespool.planner.in_flight import InFlightAccount
+from granitespool.planner.subsets import RESPLIT_FACTOR, SUBSET_SIZE_MIN, UNEVEN_FACTOR, Subsets
 
 SLOW = {
-    "lines_per_s": 800.0,
+    "entries_per_s": 800.0,
     "backlog_limit": 28000.0,
-    "message_head": 3.0,
+    "message_header": 3.0,
     "drain_grace": 36 * SECOND,
     "proxies_expected": 1500,
-    "planners": 5,
+    "coordinators": 5,
     "classes": [{"name": "a"}],
 }
 
 
 def channel_of(settings):
-    channel = Channel()
-    channel.new_settings(settings)
-    return channel
+    return InFlightAccount(settings_of(settings))
 
 
 def server(number, phase="ready", zones=3):
     return SimpleNamespace(
-        id=number,
+        name=number,
+        sequence=number,
         zone=f"z{number % zones}",
-        kind=f"k{number % 2}",
+        machine_type=f"k{number % 2}",
         phase=phase,
         subset=None,
-        sent={},
-        proven=True,
+        subset_key=None,
+        published={},
+        verified=True,
     )
 
 
@@ -48,17 +49,25 @@
         ({}, 2000, 125),
         ({}, 30, 1),
         ({}, 48, 3),
-        ({"lines_per_s": 1e6}, 200, 1),  # the channel carries whole tables
-        ({"lines_per_s": 16000.0}, 200, 1),
-        ({"lines_per_s": 5300.0}, 200, 1),
-        ({"lines_per_s": 4000.0}, 200, 3),
+        ({"entries_per_s": 1e6}, 200, 1),  # the channel carries whole tables
+        ({"entries_per_s": 16000.0}, 200, 1),
+        ({"entries_per_s": 5300.0}, 200, 1),
+        ({"entries_per_s": 4000.0}, 200, 3),
         # 10,100 lines for a coordinator's own proxies: whole tables where that is within the drain's grace
-        ({"lines_per_s": 1000.0, "drain_grace": 12 * SECOND, "proxies_expected": 200, "planners": 2}, 96, 1),
-        ({"lines_per_s": 1000.0, "drain_grace": 4 * SECOND, "proxies_expected": 200, "planners": 2}, 96, 6),
-        ({"planners": 230}, 200, 1),  # few proxies a coordinator, whichever of them die
-        ({"planners": 1, "proxies_expected": 20}, 200, 1),
+        (
+            {"entries_per_s": 1000.0, "drain_grace": 12 * SECOND, "proxies_expected": 200, "coordinators": 2},
+            96,
+            1,
+        ),
+        (
+            {"entries_per_s": 1000.0, "drain_grace": 4 * SECOND, "proxies_expected": 200, "coordinators": 2},
+            96,
+            6,
+        ),
+        ({"coordinators": 230}, 200, 1),  # few proxies a coordinator, whichever of them die
+        ({"coordinators": 1, "proxies_expected": 20}, 200, 1),
         ({"drain_grace": None}, 200, 1),
-        ({"lines_per_s": None}, 200, 1),
+        ({"entries_per_s": None}, 200, 1),
         ({"slices": 4}, 200, 1),
     ],
 )
@@ -66,7 +75,9 @@
     told = {name: value for name, value in {**SLOW, **change}.items() if value is not None}
     servers = [server(number) for number in range(fleet)]
     split = Subsets([])
-    split.assign(told, channel_of(told), servers)  # figures such as a head of 3.0 give no broken subsets
+    split.assign(
+        settings_of(told), channel_of(told), servers
+    )  # figures such as a head of 3.0 give no broken subsets
     assert split.count == subsets and {rec.subset for rec in servers} == set(range(subsets))
 
 
@@ -77,49 +88,51 @@
     for ready in fleets:
         for number, rec in servers.items():
             rec.phase = "ready" if number in ready else "gone"
-        same = subsets.split_for / RESPLIT <= len(ready) <= subsets.split_for * RESPLIT
+        same = subsets.split_for / RESPLIT_FACTOR <= len(ready) <= subsets.split_for * RESPLIT_FACTOR
         count = subsets.count if same else None
-        subsets.assign(SLOW, channel_of(SLOW), servers.values())
+        subsets.assign(settings_of(SLOW), channel_of(SLOW), servers.values())
         assert count in (None, subsets.count)
         held = [[rec for rec in servers.values() if rec.subset == subset] for subset in range(subsets.count)]
         assert sum(map(len, held)) == len(ready)
-        assert max(map(len, held)) <= UNEVEN * min(map(len, held)) + 1
-        assert subsets.count == 1 or min(map(len, held)) >= LEAST / RESPLIT / UNEVEN - 1
+        assert max(map(len, held)) <= UNEVEN_FACTOR * min(map(len, held)) + 1
+        assert (
+            subsets.count == 1 or min(map(len, held)) >= SUBSET_SIZE_MIN / RESPLIT_FACTOR / UNEVEN_FACTOR - 1
+        )
 
 
 def test_a_list_that_names_what_is_not_there_deals_nothing_anew():
     # 66 names beside 96 servers: all were split anew in the middle of a release, and half refused after
     subsets, servers = Subsets(["z0"]), [server(number) for number in range(96)]
-    subsets.assign(SLOW, channel_of(SLOW), servers)
+    subsets.assign(settings_of(SLOW), channel_of(SLOW), servers)
     held, named = [rec.subset for rec in servers], [server(number) for number in range(96, 162)]
     for rec in named:
-        rec.proven = False
-    subsets.assign(SLOW, channel_of(SLOW), servers + named)
+        rec.verified = False
+    subsets.assign(settings_of(SLOW), channel_of(SLOW), servers + named)
     assert [rec.subset for rec in servers] == held and not any(rec.subset is not None for rec in named)
-    named[0].proven = True
-    subsets.assign(SLOW, channel_of(SLOW), servers + named)
+    named[0].verified = True
+    subsets.assign(settings_of(SLOW), channel_of(SLOW), servers + named)
     assert named[0].subset is not None and named[1].subset is None
 
 
 def test_neither_a_lost_zone_nor_its_return_deals_anew():
     subsets, servers = Subsets(["z0"]), [server(number, zones=2) for number in range(200)]
-    subsets.assign(SLOW, channel_of(SLOW), servers)
+    subsets.assign(settings_of(SLOW), channel_of(SLOW), servers)
     held = [rec.subset for rec in servers]
     for phase in ("gone", "ready"):
         for rec in servers[::2]:
             rec.phase = phase
-        subsets.assign(SLOW, channel_of(SLOW), servers)
+        subsets.assign(settings_of(SLOW), channel_of(SLOW), servers)
         assert [rec.subset for rec in servers[1::2]] == held[1::2]
 
 
 def test_subsets_hold_like_servers():
     subsets, servers = Subsets(["z0"]), [server(number) for number in range(192)]
-    subsets.assign(SLOW, channel_of(SLOW), servers)
+    subsets.assign(settings_of(SLOW), channel_of(SLOW), servers)
     for subset in range(subsets.count):
         held = [rec for rec in servers if rec.subset == subset]
         assert {
-            (zone, kind): sum(1 for rec in held if (rec.zone, rec.kind) == (zone, kind))
-            for zone, kind in {(rec.zone, rec.kind) for rec in held}
+            (zone, kind): sum(1 for rec in held if (rec.zone, rec.machine_type) == (zone, kind))
+            for zone, kind in {(rec.zone, rec.machine_type) for rec in held}
         } == {(f"z{z}", f"k{k}"): pytest.approx(16 / 6, abs=1) for z in range(3) for k in range(2)}
 
 
@@ -128,8 +141,8 @@
     tables = [subsets.join("z0", 1.0, channel) for _ in range(25)]
     assert tables == [0] * 10 + [1] * 10 + [2] * 5  # ten users are half of the queue
     for table in tables:
-        subsets.left(table, 1.0)
-    assert not any(subsets.loads.values()) and not any(subsets.proxies.values())
+        subsets.leave(table, 1.0)
+    assert not any(subsets._loads.values()) and not any(subsets.proxies.values())
 
 
 def named_by(coordinators, proxies, zones, **told):
@@ -138,12 +151,12 @@
     servers = [server(number, zones=zones) for number in range(600)]
     for index in range(coordinators):
         subsets = Subsets([f"z{zone}" for zone in range(zones)])
-        settings = {**SLOW, **told, "index": index, "planners": coordinators}
+        settings = {**SLOW, **told, "coordinator_index": index, "coordinators": coordinators}
         settings["proxies_expected"] = coordinators * proxies
-        subsets.assign(settings, channel, servers)
+        subsets.assign(settings_of(settings), channel, servers)
         for number in range(proxies):
             table = subsets.join(f"z{(index + number) % zones}", 1.0, channel)
-            named[subsets.places[table][1] % subsets.count] += 1
+            named[subsets._positions[table].position % subsets.count] += 1
     return [named[subset] for subset in range(subsets.count)]
 
 
@@ -152,14 +165,14 @@
 )
 def test_coordinators_with_few_proxies_give_each_subset_as_often(coordinators, proxies, zones):
     # Each gave the lowest numbers first: with 3 proxies a zone, 4 of 37 subsets had all the fleet's requests
-    named = named_by(coordinators, proxies, zones, lines_per_s=100.0)
+    named = named_by(coordinators, proxies, zones, entries_per_s=100.0)
     mean = sum(named) / len(named)
     assert len(named) >= 10 and sum(named) == coordinators * proxies
     assert 0.85 * mean <= min(named) <= max(named) <= 1.15 * mean
 
 
 def slow_fleet(proxies, backends=200):
-    kinds = [{"name": "a", "promised_time": SECOND, "benefit": 1.0}]
+    kinds = [{"name": "a", "latency_objective": SECOND, "priority_weight": 1.0}]
     storm = Storm(backends, 3, **{**SLOW, "classes": kinds})
     for proxy in range(proxies):
         storm.join(proxy)
@@ -170,7 +183,7 @@
     # With whole tables 300 proxies take 78 s of this channel
     storm = slow_fleet(300)
     storm.run(13)
-    assert not storm.coordinator.planner.unbound
+    assert not storm.coordinator.planner.assignment.unassigned
     held = [set(table) for table, _ in storm.holds.values()]
     assert set().union(*held) == set(storm.ready) and max(map(len, held)) <= 200 // 12 + 1
 
@@ -179,18 +192,20 @@
     # What was on its way to them is lost with the process, and they hold what had drained meanwhile. Whole
     # tables for 48 proxies took 10.7 s of this channel, and drains were broken 12 to 745 times on three days.
     told = {
-        "lines_per_s": 900.0,
+        "entries_per_s": 900.0,
         "backlog_limit": 4400.0,
-        "message_head": 3.0,
+        "message_header": 3.0,
         "proxies_expected": 240,
-        "planners": 5,
+        "coordinators": 5,
         "drain_grace": 62 * SECOND // 10,
     }
-    storm = Storm(200, 3, **told, classes=[{"name": "a", "promised_time": SECOND, "benefit": 1.0}])
+    storm = Storm(
+        200, 3, **told, classes=[{"name": "a", "latency_objective": SECOND, "priority_weight": 1.0}]
+    )
     for proxy in range(48):
         storm.join(proxy, standing=False)
     storm.run(6)
-    assert not storm.coordinator.planner.unbound
+    assert not storm.coordinator.planner.assignment.unassigned
 
 
 def test_a_release_of_half_the_fleet_leaves_no_table_without_its_part():
@@ -213,9 +228,9 @@
     for proxy in range(300, 1500):
         storm.join(proxy, standing=False)
     storm.run(36)
-    assert len(storm.coordinator.planner.unbound) < 150
+    assert len(storm.coordinator.planner.assignment.unassigned) < 150
     storm.run(8)
-    assert not storm.coordinator.planner.unbound
+    assert not storm.coordinator.planner.assignment.unassigned
 
 
 def written(storm, proxy):
@@ -227,7 +242,7 @@
     # Four of five coordinators die during a release. Each batch of drains went ahead of joiners that had
     # waited since before it: the last had their tables 8.5 s after joining, past the grace.
     grace = 59 * SECOND // 10
-    told = {"lines_per_s": 900.0, "backlog_limit": 4400.0, "proxies_expected": 240, "planners": 5}
+    told = {"entries_per_s": 900.0, "backlog_limit": 4400.0, "proxies_expected": 240, "coordinators": 5}
     storm = Storm(200, 3, **told, drain_grace=grace)
     for proxy in range(57):
         storm.join(proxy)
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -15,13 +15,13 @@
 class Fleet:
     def __init__(self, slowed=1.0):
         settings = {
-            "lines_per_s": 900.0,
+            "entries_per_s": 900.0,
             "backlog_limit": 11600.0,
             "drain_grace": 14 * SECOND,
-            "cold_time": WARM,
-            "cold_share": SHARE,
-            "fall_multiple": MULTIPLE,
-            "standing_lines": 5,
+            "warm_up_time": WARM,
+            "warm_up_start_share": SHARE,
+            "overload_multiple": MULTIPLE,
+            "bootstrap_entries": 5,
             "proxies_expected": COORDINATORS * PROXIES,
         }
         self.storms = [
@@ -135,9 +135,9 @@
             backends,
             3,
             planners=coordinators,
-            lines_per_s=900.0,
+            entries_per_s=900.0,
             backlog_limit=6000.0,
-            probes=True,
+            health_checks_allowed=True,
             proxies_expected=coordinators * proxies,
             drain_grace=6 * SECOND,
         )
@@ -196,7 +196,7 @@
         storm.lists("whole", [(name, "ready", 0) for name in storm.ready])
         answered(storm, storm.ready)
         storm.run(30)
-        assert not storm.coordinator.planner.unbound
+        assert not storm.coordinator.planner.assignment.unassigned
         for proxy in storm.joined:
             table, out = storm.holds[proxy]
             assert set(table) - out, "a proxy without a backend"
@@ -206,7 +206,7 @@
 def test_reports_past_the_intake_add_up_and_decide_as_all_of_them_would():
     # A third of the reports comes each second, the rest with what adds up meanwhile: nobody is judged by who
     # came first, and three seconds late is no change of weights
-    whole, part = (Storm(30, 1, lines_per_s=1e6, backlog_limit=1e6) for _ in range(2))
+    whole, part = (Storm(30, 1, entries_per_s=1e6, backlog_limit=1e6) for _ in range(2))
     for storm in (whole, part):
         storm.join(0)
     for second in range(45):
--- a/tests/test_worklist.py
+++ b/tests/test_worklist.py
@@ -8,12 +8,14 @@
 from hypothesis import strategies as st
 from twins import SECOND, Twins
 
-from granitespool.channel import Channel
-from granitespool.routing.costs import Costs
-from granitespool.routing.records import EXACT_PERIODS, Backend, Link
-from granitespool.routing.resting import RestingLines
-from granitespool.routing.subsets import Subsets
-from granitespool.rules import KEEP, Planner
+from granitespool.planner.cost import CostTable, ObservedCost
+from granitespool.planner.in_flight import InFlightAccount
+from granitespool.planner.load_reports import DECAY_FACTOR
+from granitespool.planner.records import EXACT_PERIODS_MAX, Backend, Link
+from granitespool.planner.settled_entries import SettledEntries
+from granitespool.planner.subsets import Subsets
+from granitespool.planner.weights import EntryWeights
+from granitespool.settings import Settings
 
 PACES = 200.0, 2000.0, 100_000.0  # lines a second: from a channel that is always behind to one never
 SEEDS = st.integers(0, 10**6)
@@ -47,8 +49,8 @@
     for _ in range(8):
         twins.event()
         subset = twins.random.randrange(twins.changed.planner.subsets.count)
-        fleet = twins.changed.planner.backends.values()
-        held = [rec.id for rec in fleet if rec.subset == subset and rec.id in twins.entries]
+        fleet = twins.changed.planner.fleet.backends.values()
+        held = [rec.name for rec in fleet if rec.subset == subset and rec.name in twins.entries]
         if len(held) < len(twins.entries) - 10:  # a subset is lost, and the others make it up
             twins.lose(held[: twins.random.randrange(len(held) + 1)])
         twins.run(60)
@@ -57,7 +59,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_backend_past_its_ramp_and_not_yet_warm_is_decided_on_as_by_the_reference(seed):
-    twins = Twins(seed, 10, 2, 6, 1e6, cold_time=25 * SECOND)
+    twins = Twins(seed, 10, 2, 6, 1e6, warm_up_time=25 * SECOND)
     twins.run(20)
     twins.restart("s3")
     for _ in range(30):
@@ -68,7 +70,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_backend_without_a_ramp_that_starts_anew_is_decided_on_as_by_the_reference(seed):
-    twins = Twins(seed, 10, 2, 6, 1e6, cold_time=0)
+    twins = Twins(seed, 10, 2, 6, 1e6, warm_up_time=0)
     for _ in range(6):
         twins.hear(1.0)
         twins.run(5)
@@ -83,7 +85,7 @@
 def test_what_was_heard_long_ago_counts_as_by_the_reference(seed):
     # Links are not faded while nobody reports of them: half of the periods here are past those multiplied out
     twins = played(Twins(seed, 12, 3, 6, 2000.0), 10)
-    for quiet in (EXACT_PERIODS - 5, EXACT_PERIODS + 30, 5):
+    for quiet in (EXACT_PERIODS_MAX - 5, EXACT_PERIODS_MAX + 30, 5):
         twins.run(10 * quiet)
         twins.hear(0.7)
         twins.run(15)
@@ -116,23 +118,25 @@
 
 def quiet_fleet(backends, zones, proxies=5):
     """A fleet whose lines are all at rest."""
-    twins = Twins(4, backends, zones, proxies, 1e9, planners=1, proxies_expected=proxies, cold_time=SECOND)
+    twins = Twins(
+        4, backends, zones, proxies, 1e9, coordinators=1, proxies_expected=proxies, warm_up_time=SECOND
+    )
     twins.run(80)
     return twins
 
 
 def looked_at(twins, monkeypatch, act):
     """How many weights the planner works out while this is done."""
-    counted, want = Counter(), Planner._want
+    counted, wanted = Counter(), EntryWeights.wanted
 
-    def counting(planner, *words):
-        counted[planner] += 1
-        return want(planner, *words)
+    def counting(weights, *words):
+        counted[weights] += 1
+        return wanted(weights, *words)
 
     with monkeypatch.context() as patched:
-        patched.setattr(Planner, "_want", counting)
+        patched.setattr(EntryWeights, "wanted", counting)
         act()
-    return counted[twins.changed.planner]
+    return counted[twins.changed.planner.weights]
 
 
 @pytest.mark.parametrize("backends, zones", [(50, 4), (300, 4), (300, 16)])
@@ -149,7 +153,7 @@
 
         def change(twins=twins, name=name):
             entry = {**twins.entries[name], "weight": 5.0}
-            twins.report("list_news", form="changes", entries=[entry])
+            twins.list("changes", [entry])
             twins.run(3)
 
         work.append(looked_at(twins, monkeypatch, change))
@@ -169,11 +173,11 @@
 def test_a_zones_first_joiner_has_that_zones_lines_looked_at_alone(monkeypatch):
     # Its tables are new. All lines of all zones were looked at: 3.4 s for joiners of 20 zones, 0.5 s now
     told = {
-        "planners": 3,
+        "coordinators": 3,
         "proxies_expected": 240,
         "drain_grace": SECOND,
-        "cold_time": SECOND,
-        "probes": False,
+        "warm_up_time": SECOND,
+        "health_checks_allowed": False,
     }
     twins = Twins(4, 60, 12, 3, 2000.0, **told)
     twins.run(60)
@@ -190,32 +194,32 @@
 def test_links_are_made_where_something_is_met():
     twins = quiet_fleet(100, 8)
     twins.hear(0.02)
-    links = sum(len(rec.links) for rec in twins.changed.planner.backends.values())
+    links = sum(len(rec.links) for rec in twins.changed.planner.fleet.backends.values())
     assert 1 <= links <= 50
 
 
 def test_fading_at_once_is_fading_each_period_to_the_last_digit():
     one, other = Link(), Link()
     for link in (one, other):
-        link.meet(7, 2, 5, 5 * 41_234_567.0)
-    for period in range(1, EXACT_PERIODS + 1):
-        other.fade_to(period, KEEP)
-    one.fade_to(EXACT_PERIODS, KEEP)
-    assert [getattr(one, name) for name in ("tries", "failed", "answered", "time")] == [
-        getattr(other, name) for name in ("tries", "failed", "answered", "time")
+        link.observe(7, 2, 5, 5 * 41_234_567.0)
+    for period in range(1, EXACT_PERIODS_MAX + 1):
+        other.decay_to(period, DECAY_FACTOR)
+    one.decay_to(EXACT_PERIODS_MAX, DECAY_FACTOR)
+    assert [getattr(one, name) for name in ("attempts", "failures", "successes", "response_time")] == [
+        getattr(other, name) for name in ("attempts", "failures", "successes", "response_time")
     ]
-    one.fade_to(10**9, KEEP)  # a link that was unheard for years costs one step
-    assert one.tries == 0
+    one.decay_to(10**9, DECAY_FACTOR)  # a link that was unheard for years costs one step
+    assert one.attempts == 0
 
 
 def record(order, zone="z0", kind="m"):
     rec = Backend(f"s{order}", 0, order, 0)
-    rec.zone, rec.kind, rec.phase = zone, kind, "ready"
+    rec.zone, rec.machine_type, rec.phase = zone, kind, "ready"
     return rec
 
 
 def test_a_group_is_judged_once_for_all_and_again_only_with_a_cause():
-    lines, records, judged = RestingLines(), [record(number) for number in range(9)], []
+    lines, records, judged = SettledEntries(), [record(number) for number in range(9)], []
 
     def weight_of(backend, zone):
         judged.append(backend)
@@ -225,53 +229,46 @@
         return want != sent
 
     for rec in records:
-        lines.rest(rec, "z0", (1.0,))
-    assert list(lines.unsettled(weight_of, differs)) == [] and len(judged) == 1
-    assert list(lines.unsettled(weight_of, differs)) == [] and len(judged) == 1
-    lines.means_moved("z1")
-    assert list(lines.unsettled(weight_of, differs)) == [] and len(judged) == 1
-    lines.means_moved("z0")
-    assert list(lines.unsettled(weight_of, differs)) == [] and len(judged) == 2
-    lines.wake(records[3], "z0")
-    lines.rest(records[3], "z0", (2.0,))
+        lines.settle(rec, "z0", (1.0,))
+    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 1
+    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 1
+    lines.invalidate_zone("z1")
+    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 1
+    lines.invalidate_zone("z0")
+    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 2
+    lines.remove(records[3], "z0")
+    lines.settle(records[3], "z0", (2.0,))
     for _ in range(2):  # as long as it differs
-        assert list(lines.unsettled(weight_of, differs)) == [(records[3], "z0")]
-    lines.wake_all(records[3])
-    assert list(lines.unsettled(weight_of, differs)) == []
+        assert list(lines.moving(weight_of, differs)) == [(records[3], "z0")]
+    lines.remove_all(records[3])
+    assert list(lines.moving(weight_of, differs)) == []
 
 
 def test_costs_of_what_began_after_the_last_look_are_unknown_until_the_next():
-    costs, rec, other = Costs(), record(1), record(2)
+    costs, rec, other = CostTable(), record(1), record(2)
     for each in (rec, other):
-        costs.began(each)
-    costs.look()
-    heard = [(rec, rec.link("z0", 0), 50.0)]
-    assert costs.share("z0", heard, 8.0) and costs.of(other, "z0") == 50.0
+        costs.restart(each)
+    costs.begin_evaluation()
+    observed = [ObservedCost(rec, rec.link("z0", 0), 50.0)]
+    assert costs.evaluate_zone("z0", observed) and costs.of(other, "z0") == 50.0
     later = record(3)
-    costs.began(later)
+    costs.restart(later)
     assert costs.of(later, "z0") is None
-    costs.keep(other, [("z0", other.link("z0", 0))])
-    other.kind = "else"
+    costs.freeze(other, ["z0"], 0)
+    other.machine_type = "else"
     assert costs.of(other, "z0") == 50.0  # as of the last look, whatever it is by now
-    costs.look()
-    assert not costs.share("z0", heard, 8.0)
+    costs.begin_evaluation()
+    assert not costs.evaluate_zone("z0", observed)
     assert costs.of(later, "z0") == 50.0 and costs.of(other, "z0") is None
 
 
-SLOW = {
-    "lines_per_s": 800.0,
-    "drain_grace": 36 * SECOND,
-    "proxies_expected": 1500,
-    "planners": 5,
-    "classes": [],
-}
+SLOW = Settings(entries_per_s=800.0, drain_grace=36 * SECOND, proxies_expected=1500, coordinators=5)
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(SEEDS)
 def test_subsets_of_what_changed_are_those_of_the_whole_fleet(seed):
-    random, channel, pairs = Random(seed), Channel(), []
-    channel.new_settings(SLOW)
+    random, channel, pairs = Random(seed), InFlightAccount(SLOW), []
     texts = Subsets(["z0"]), Subsets(["z0"])
     for order in range(random.randint(20, 300)):
         pairs.append((record(order), record(order)))
@@ -288,9 +285,9 @@
             what, value = random.choice(
                 (
                     ("phase", random.choice(("ready", "draining", "gone"))),
-                    ("proven", random.random() < 0.8),
+                    ("verified", random.random() < 0.8),
                     ("zone", f"z{random.randrange(3)}"),
-                    ("kind", f"m{random.randrange(3)}"),
+                    ("machine_type", f"m{random.randrange(3)}"),
                 )
             )
             changed[number] = None
@@ -304,5 +301,5 @@
         assert [rec.subset for rec in mine] == [rec.subset for rec in theirs]
         others = [rec for rec, subset in zip(theirs, before) if rec.subset != subset]
         anew = theirs if texts[1].split_for != split_for else others  # another count gives other tables
-        assert {rec.order for rec in moved} == {rec.order for rec in anew}
+        assert {rec.sequence for rec in moved} == {rec.sequence for rec in anew}
         changed.clear()
--- a/tests/traced_fleet.py
+++ b/tests/traced_fleet.py
@@ -11,8 +11,9 @@
 
 import msgspec
 from storm import SECOND, TURN, Storm, lines_of
+from support.records import settings_of
 
-from granitespool.facade import PROBES, Coordinator
+from granitespool.coordinator import PROBES, Coordinator
 from granitespool.net.frames import HEAD, updates
 from granitespool.scale.trace import (
     BackendLoad,
@@ -32,17 +33,17 @@
 ZONES = 3
 COLD_TIME, COLD_SHARE = 17 * SECOND, 0.2
 SETTINGS = {
-    "message_head": 3.0,
+    "message_header": 3.0,
     "messages_limit": 30,
     "messages_span": 10 * SECOND,
-    "empty_limit": 5 * SECOND,
-    "cold_time": COLD_TIME,
-    "cold_share": COLD_SHARE,
-    "fall_multiple": 4.0,
-    "fall_time": 2 * SECOND,
-    "standing_lines": 5,
-    "usual_retry": 0,
-    "probes": True,
+    "empty_table_limit": 5 * SECOND,
+    "warm_up_time": COLD_TIME,
+    "warm_up_start_share": COLD_SHARE,
+    "overload_multiple": 4.0,
+    "overload_time": 2 * SECOND,
+    "bootstrap_entries": 5,
+    "default_retries": 0,
+    "health_checks_allowed": True,
 }
 TABLE_REST = 7  # lines of a message beside those of backends: its head, mark, `whole` and levels
 DRAIN_REST = 4  # the same of a message that takes backends out: its head and mark
@@ -178,7 +179,7 @@
         self.told, self.starts_told, self.intake = {}, {}, {}
         self.queue.clear()
         self.waits, self.free_at, self.holds = 0, 0.0, {}
-        self.coordinator = Coordinator(self.settings, 7 + self.life, self.now)
+        self.coordinator = Coordinator(settings_of(self.settings), 7 + self.life, self.now)
         self.lists("restored", self.fleet.whole_list(self.list_position))
         self.fleet.saw(CoordinatorStarted(at=self.now, coordinator=self.name))
 
@@ -286,11 +287,11 @@
         first_list = self.whole_list()
         settings = {
             **SETTINGS,
-            "lines_per_s": channel.pace,
+            "entries_per_s": channel.pace,
             "backlog_limit": channel.backlog_limit,
             "drain_grace": channel.drain_grace,
             "proxies_expected": coordinators * proxies,
-            "planners": coordinators,
+            "coordinators": coordinators,
         }
         self.storms = [
             TracedStorm(self, f"c{number}", slowed=slowed, **settings) for number in range(coordinators)
@@ -319,9 +320,9 @@
         """The rules' figures; the times grow by the factor that the channels are slower than told."""
         return Limits(
             drain_grace=self.slowed * self.channel.drain_grace,
-            empty_limit=self.slowed * SETTINGS["empty_limit"],
-            fall_multiple=SETTINGS["fall_multiple"],
-            fall_time=self.slowed * SETTINGS["fall_time"],
+            empty_limit=self.slowed * SETTINGS["empty_table_limit"],
+            fall_multiple=SETTINGS["overload_multiple"],
+            fall_time=self.slowed * SETTINGS["overload_time"],
             backlog_limit=self.channel.backlog_limit,
             messages_limit=SETTINGS["messages_limit"],
             messages_span=SETTINGS["messages_span"],
@@ -527,7 +528,7 @@
         for proxy in self.proxies.values():
             for _ in range(REQUESTS if proxy.coordinator else 0):
                 self.request += 1
-                self._request(proxy, proxy.open(), proxy.retries.get("b", SETTINGS["usual_retry"]))
+                self._request(proxy, proxy.open(), proxy.retries.get("b", SETTINGS["default_retries"]))
 
     def _request(self, proxy, lines, retries):
         tries = {0: 1, 1: 2, 2: 2, 3: 3}[retries]
--- a/tests/twins.py
+++ b/tests/twins.py
@@ -6,25 +6,36 @@
 from random import Random
 from unittest.mock import patch
 
-from reference.planner import Planner as ReferencePlanner
+from reference.adapter import ReferencePlanner
+from support.records import endpoint, settings_of
 
-from granitespool.facade import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
 
 SECOND = 10**9  # ns
 TURN = SECOND // 10
-HOST_CALLS = "weigh", "bind", "withdraw", "level", "mark", "probe", "forget", "wake", "observe"
-FIGURES = (
-    "credit",
-    "strained",
-    "room",
-    "through",
-    "short",
-    "later",
-    "lag",
-    "next_flush",
-    "next_alarm",
-    "shut_at",
+ACTIONS = (
+    "set_entry",
+    "assign",
+    "exclude",
+    "set_admission",
+    "request_acknowledgement",
+    "check_health",
+    "forget",
+    "set_timer",
+    "subscribe",
 )
+COMPARED = {  # of the reference -> (part of the planner, attribute)
+    "credit": ("budget", "tokens"),
+    "strained": ("overload", "is_overloaded"),
+    "room": ("overload", "admitted_share"),
+    "through": ("overload", "success_ratio"),
+    "short": ("budget", "is_rule_waiting"),
+    "later": ("publisher", "holds_back"),
+    "lag": ("inspection", "acknowledgement_latency"),
+    "next_flush": ("publisher", "next_message"),
+    "next_alarm": ("publisher", "next_complete_pass"),
+    "shut_at": ("exclusion", "told_at"),
+}
 
 
 class Recorder(Coordinator):
@@ -43,7 +54,7 @@
     return call
 
 
-for _name in HOST_CALLS:
+for _name in ACTIONS:
     setattr(Recorder, _name, _recorded(_name))
 
 
@@ -55,37 +66,37 @@
         self.zones = [f"z{k}" for k in range(zones)]
         self.settings = {
             "zones": self.zones,
-            "probes": bool(seed % 2),
-            "lines_per_s": pace,
+            "health_checks_allowed": bool(seed % 2),
+            "entries_per_s": pace,
             "backlog_limit": 4 * pace,
-            "message_head": 3.0,
-            "standing_lines": 5,
+            "message_header": 3.0,
+            "bootstrap_entries": 5,
             "drain_grace": 7 * SECOND,
-            "cold_time": 5 * SECOND,
-            "cold_share": 0.2,
-            "fall_multiple": 4.0,
-            "planners": 3,
+            "warm_up_time": 5 * SECOND,
+            "warm_up_start_share": 0.2,
+            "overload_multiple": 4.0,
+            "coordinators": 3,
             "proxies_expected": 3 * proxies,
             "messages_limit": 40,
             "messages_span": 10 * SECOND,
             "admission": "fraction",
-            "drain_needs_entry": seed % 3 == 0,
-            "usual_retry": seed % 2,
+            "removal_needs_drain": seed % 3 == 0,
+            "default_retries": seed % 2,
             "classes": [
-                {"name": "a", "promised_time": SECOND // 4, "benefit": 1.0},
-                {"name": "b", "promised_time": SECOND, "benefit": 5.0},
+                {"name": "a", "latency_objective": SECOND // 4, "priority_weight": 1.0},
+                {"name": "b", "latency_objective": SECOND, "priority_weight": 5.0},
             ],
             **more,
         }
-        self.changed = Recorder(self.settings, seed, self.now)
-        with patch("granitespool.facade.Planner", ReferencePlanner):
-            self.reference = Recorder(self.settings, seed, self.now)
+        self.changed = Recorder(settings_of(self.settings), seed, self.now)
+        with patch("granitespool.coordinator.Planner", ReferencePlanner):
+            self.reference = Recorder(settings_of(self.settings), seed, self.now)
         self.both = self.changed, self.reference
         self.names, self.proxies, self.answers, self.ordered = 0, {}, [], 0
         self.entries, self.mean, self.failing = {}, 40_000_000, {}
         for _ in range(backends):
             self.new_backend()
-        self.report("list_news", form="restored", entries=list(self.entries.values()))
+        self.list("restored", list(self.entries.values()))
         for proxy in range(proxies):
             self.join(proxy)
 
@@ -93,17 +104,19 @@
         for each in self.both:
             each.report(self.now, what, **met)
 
+    def list(self, form, entries):
+        self.report("list_news", form=form, entries=[endpoint(**each) for each in entries])
+
     def new_backend(self, started=0):
         self.names += 1
         name = f"s{self.names}"
         self.entries[name] = {
-            "backend": name,
+            "name": name,
             "zone": self.random.choice(self.zones),
-            "kind": f"m{self.names % 3}",
-            "cell": 0,
+            "machine_type": f"m{self.names % 3}",
             "phase": "ready",
             "weight": self.random.choice((1.0, 1.0, 2.0)),
-            "started": started,
+            "started_at": started,
         }
         return self.entries[name]
 
@@ -155,10 +168,11 @@
         assert not reference.queues[REMARKS], reference.queues[REMARKS][0]
         assert changed.calls == reference.calls, first_difference(changed.calls, reference.calls)
         self.ordered += len(changed.calls)
-        for name in FIGURES:
-            assert getattr(changed.planner, name) == getattr(reference.planner, name), name
-        assert changed.planner.channel.waiting == reference.planner.channel.waiting
-        assert list(changed.planner.backends) == list(reference.planner.backends)
+        for name, (part, attribute) in COMPARED.items():
+            value = getattr(getattr(changed.planner, part), attribute)
+            assert value == getattr(reference.planner.former, name), name
+        assert changed.planner.in_flight.in_flight == reference.planner.former.channel.waiting
+        assert list(changed.planner.fleet.backends) == list(reference.planner.former.backends)
         for each in self.both:
             each.calls.clear()
 
@@ -198,44 +212,44 @@
             elif what == 1:
                 entry["phase"] = "gone"
             elif what == 2:
-                entry.update(phase="ready", started=self.now)
+                entry.update(phase="ready", started_at=self.now)
             elif what == 3:
                 entry = self.new_backend(self.now)
             elif what == 4:
                 entry["weight"] = self.random.choice((0.5, 1.0, 3.0))
             elif what == 5:
-                entry["kind"] = f"m{self.random.randrange(4)}"
+                entry["machine_type"] = f"m{self.random.randrange(4)}"
             elif what == 6:
                 entry["zone"] = self.random.choice(self.zones)
             else:
                 entry["phase"] = "ready"
-            self.entries[entry["backend"]] = entry
+            self.entries[entry["name"]] = entry
             entries.append(entry)
             if entry["phase"] == "gone" and len(self.entries) > 3 and self.random.random() < 0.7:
-                del self.entries[entry["backend"]]
-        self.report("list_news", form="changes", entries=entries)
+                del self.entries[entry["name"]]
+        self.list("changes", entries)
 
     def lose(self, names):
         """These are gone by the list."""
         gone = [{**self.entries.pop(name), "phase": "gone"} for name in names]
-        self.report("list_news", form="changes", entries=gone)
+        self.list("changes", gone)
 
     def restart(self, name):
         """A backend starts anew, cold."""
-        entry = self.entries[name] = {**self.entries[name], "phase": "ready", "started": self.now}
-        self.report("list_news", form="changes", entries=[entry])
+        entry = self.entries[name] = {**self.entries[name], "phase": "ready", "started_at": self.now}
+        self.list("changes", [entry])
 
     def whole_list(self):
         """A whole list, which may leave some out."""
         left_out = self.random.random() < 0.3 and self.random.choice(list(self.entries))
         if left_out and len(self.entries) > 3:
             del self.entries[left_out]
-        self.report("list_news", form="whole", entries=list(self.entries.values()))
+        self.list("whole", list(self.entries.values()))
 
     def new_settings(self, **changes):
         self.settings = {**self.settings, **changes}
         for each in self.both:
-            each.new_settings(self.now, self.settings)
+            each.new_settings(self.now, settings_of(self.settings))
 
     def event(self):
         """Something drawn happens."""
@@ -262,9 +276,9 @@
             self.leave(self.random.choice(list(self.proxies)))
         elif what == 12:
             self.new_settings(
-                cold_time=self.random.choice((0, 1, 5, 20)) * SECOND,
-                usual_retry=self.random.randrange(2),
-                lines_per_s=self.settings["lines_per_s"] * self.random.choice((0.5, 1.0, 2.0)),
+                warm_up_time=self.random.choice((0, 1, 5, 20)) * SECOND,
+                default_retries=self.random.randrange(2),
+                entries_per_s=self.settings["entries_per_s"] * self.random.choice((0.5, 1.0, 2.0)),
             )
 
     def run(self, turns):
