--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -7,7 +7,7 @@
     ["report", now, event, fields]      one report
     ["action", name, arguments...]      a planner action called directly
     ["tick", now, due, parties]         the end of a turn: when the next is due, who has something waiting
-    ["pick", party, message]            the frames written to a proxy (bytes as Latin-1), or what a queue holds
+    ["pick", party, message]            frames written to a proxy (bytes as Latin-1), or the next of a queue
     ["status", values]                  everything that may be asked of a coordinator
 
 Times are in ns. The recordings hold plain values only; the functions of this module turn them into calls, so
