--- a/tests/test_emulator_recordings.py
+++ b/tests/test_emulator_recordings.py
@@ -3,11 +3,15 @@
 The emulator runs in virtual time from a seed, so no value of a report depends on real time. One value is left
 out: `program`, the program's version, which changes with each release."""
 
+import hashlib
+import json
+
 import msgspec
 import pytest
 import recordings
 
 from granitespool.lab import play, schema
+from granitespool.lab.world import BEGAN, SECOND, World
 
 SMALL = ["sizes=8x20", "seeds=1", "learn_s=12", "settle_s=6", "look_s=5", "workers=2", "service_ms=60"]
 EXPERIMENTS = {
@@ -35,6 +39,36 @@
     return recordings.as_recorded({"report": made, "table": play.table(made)})
 
 
+def digest(value):
+    return hashlib.sha256(json.dumps(value).encode()).hexdigest()
+
+
+def days():
+    """A world whose coordinator is killed and started anew, second by second."""
+    setup = schema.load("restart", [*SMALL, "class.purchase.again=true", "failing_share=0.3", "load=1.2"])
+    world, seconds = World(setup, 9, 21, 11), []
+    world.start()
+    for second in range(1, 16):
+        world.run(BEGAN + second * SECOND)
+        if second == 6:
+            world.change_places()
+            world.kill()
+        if second == 8:
+            world.start(None, 1.5)
+        seconds.append(
+            {
+                "table": world.table("z0"),
+                "service": world.service(second - 1, second),
+                "proxies": digest(
+                    [[proxy.table, sorted(proxy.shut), proxy.level("purchase")] for proxy in world.proxies]
+                ),
+            }
+        )
+    return recordings.as_recorded(
+        {"seconds": seconds, "chance": digest(world.random.getstate()), "events": world.serial}
+    )
+
+
 def keys():
     sections = {**schema.SECTIONS, "class.*": schema.Class}
     return recordings.as_recorded(
@@ -53,6 +87,10 @@
     assert report(name) == recordings.read(f"emulator/{name}")
 
 
+def test_a_world_goes_through_the_recorded_seconds():
+    assert days() == recordings.read("emulator/days")
+
+
 def test_experiments_have_the_recorded_keys_and_defaults():
     assert keys() == recordings.read("emulator/keys")
 
@@ -60,4 +98,5 @@
 if __name__ == "__main__":
     for each in EXPERIMENTS:
         recordings.write(f"emulator/{each}", report(each))
+    recordings.write("emulator/days", days())
     recordings.write("emulator/keys", keys())
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -20,7 +20,7 @@
 from granitespool.scale.fleet import MadeFleet, Network
 from granitespool.scale.plan import Plan, coordinator_name, coordinator_zones
 from granitespool.scale.recorder import Recorder
-from granitespool.scale.trace import TableHeld
+from granitespool.scale.trace import BackendLoad, TableHeld
 from granitespool.scale.traffic import Collector, Traffic
 
 NETWORK = Network(77)
@@ -171,7 +171,8 @@
 def verdicts_of():
     """The verdicts on the trace of a busy day, under the limits as told and under stricter ones.
 
-    Two further traces are the same day with some requests executed twice, and with some tables empty."""
+    Further traces are the same day with some requests executed twice, with some tables empty, and with the work
+    of cold backends coming from proxies that know little of their starts."""
     day = played(BUSY, fitting(3, 6, 18))
     trace = day.events()
     doubled = sorted([*trace, *(each for each in trace[::97] if hasattr(each, "effect"))], key=lambda e: e.at)
@@ -180,6 +181,13 @@
         for number, each in enumerate(trace)
     ]
     short = msgspec.structs.replace(day.limits(), empty_limit=SECOND)
+    known_late = [
+        msgspec.structs.replace(each, knowing=(each.at // 10**8 // 7 % 10) / 10)
+        if isinstance(each, BackendLoad)
+        else each
+        for each in trace
+    ]
+    pressed = msgspec.structs.replace(day.limits(), fall_multiple=0.1, fall_time=SECOND // 2, slack=0)
     found = {
         name: [
             msgspec.to_builtins(each)
@@ -189,6 +197,7 @@
     }
     found["doubled"] = [msgspec.to_builtins(each) for each in check(doubled, day.limits())]
     found["emptied"] = [msgspec.to_builtins(each) for each in check(emptied, short)]
+    found["known late"] = [msgspec.to_builtins(each) for each in check(known_late, pressed)]
     found["trace"] = [
         len(trace),
         hashlib.sha256(json.dumps([values(each) for each in trace]).encode()).hexdigest(),
