--- a/tests/test_emulator_recordings.py
+++ b/tests/test_emulator_recordings.py
@@ -46,10 +46,12 @@
 def days():
     """A world whose coordinator is killed and started anew, second by second."""
     setup = schema.load("restart", [*SMALL, "class.purchase.again=true", "failing_share=0.3", "load=1.2"])
-    world, seconds = World(setup, 9, 21, 11), []
+    world, seconds, waiting = World(setup, 9, 21, 11), [], set()
     world.start()
     for second in range(1, 16):
-        world.run(BEGAN + second * SECOND)
+        for step in range(1, 201):
+            world.run(BEGAN + (second - 1) * SECOND + step * SECOND // 200)
+            waiting.update(each[0] for each in world.events)
         if second == 6:
             world.change_places()
             world.kill()
@@ -65,7 +67,12 @@
             }
         )
     return recordings.as_recorded(
-        {"seconds": seconds, "chance": digest(world.random.getstate()), "events": world.serial}
+        {
+            "seconds": seconds,
+            "chance": digest(world.random.getstate()),
+            "events": world.serial,
+            "times": digest(sorted(waiting)),
+        }
     )
 
 
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -171,8 +171,8 @@
 def verdicts_of():
     """The verdicts on the trace of a busy day, under the limits as told and under stricter ones.
 
-    Further traces are the same day with some requests executed twice, with some tables empty, and with the work
-    of cold backends coming from proxies that know little of their starts."""
+    Further traces are the same day with some requests executed twice, with some tables empty, and with the
+    work of cold backends coming from proxies that know little of their starts."""
     day = played(BUSY, fitting(3, 6, 18))
     trace = day.events()
     doubled = sorted([*trace, *(each for each in trace[::97] if hasattr(each, "effect"))], key=lambda e: e.at)
