--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -78,7 +78,15 @@
 
 def _event_of(what, met):
     """The event of a former report: its name and words."""
-    return EVENTS[what](**met)
+    if what == "list_news":
+        return _list_news(**met)
+    if what == "recalled":
+        return _recalled(**met)
+    if what == "probed":
+        outcome = HealthCheckOutcome(met["status"])
+        return HealthCheckResult(met["backend"], outcome, met["took"], met["load"])
+    event, words = EVENTS[what]
+    return event(*(met[word] for word in words if word in met))
 
 
 def _list_news(form, entries):
@@ -110,29 +118,16 @@
     )
 
 
-EVENTS = {
-    "list_news": _list_news,
-    "heard": lambda zone, backend, tries, failed, mean, window, load: LoadReport(
-        zone, backend, tries, failed, mean, window, load
-    ),
-    "arrivals": lambda proxy, grade, number, unanswered, window: UsageReport(
-        proxy, grade, number, unanswered, window
-    ),
-    "joined": lambda proxy, zone, standing, rate, again=False: ProxyJoined(
-        proxy, zone, standing, rate, again
-    ),
-    "left": lambda proxy, silent=False: ProxyLeft(proxy, silent),
-    "applied": lambda proxy, serial, took: Acknowledged(proxy, serial, took),
-    "probed": lambda backend, status, took, load: HealthCheckResult(
-        backend, HealthCheckOutcome(status), took, load
-    ),
-    "peer_said": lambda sender, contents: GossipReceived(sender, contents),
-    "slice_given": lambda table, ours: SliceAssigned(table, ours),
-    "slice_line": lambda table, backend, weight: SliceEntry(table, backend, weight),
-    "slice_load": lambda table, grade, number, unanswered, window: SliceLoad(
-        table, grade, number, unanswered, window
-    ),
-    "recalled": _recalled,
+EVENTS = {  # former name -> its event, and the former words of its fields
+    "heard": (LoadReport, ("zone", "backend", "tries", "failed", "mean", "window", "load")),
+    "arrivals": (UsageReport, ("proxy", "grade", "number", "unanswered", "window")),
+    "joined": (ProxyJoined, ("proxy", "zone", "standing", "rate", "again")),
+    "left": (ProxyLeft, ("proxy", "silent")),
+    "applied": (Acknowledged, ("proxy", "serial", "took")),
+    "peer_said": (GossipReceived, ("sender", "contents")),
+    "slice_given": (SliceAssigned, ("table", "ours")),
+    "slice_line": (SliceEntry, ("table", "backend", "weight")),
+    "slice_load": (SliceLoad, ("table", "grade", "number", "unanswered", "window")),
 }
 
 
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -19,7 +19,7 @@
 
 class Service:
     """`run` serves until `stop` is called, which a signal handler may do. So may it call `reload`: then what
-    `reread` returns replaces the configuration that serves; where it raises InvalidInputError, nothing does."""
+    `reread` returns replaces the configuration that serves, unless it raises InvalidInputError."""
 
     def __init__(self, config, log_fd, clock=None, reread=None, mono=time.monotonic_ns):
         self.reread, self.rereads, self.mono, self.stops = reread, False, mono, 0
--- a/granitespool/operator_settings.py
+++ b/granitespool/operator_settings.py
@@ -2,8 +2,8 @@
 absent.
 
 `load(path)` gives an Operator, or raises InvalidInputError: one sentence that names the file, the section,
-the key, what was found and what would do. Each key has its unit in its name. Nothing here knows what a section
-is for."""
+the key, what was found and what would do. Each key has its unit in its name. Nothing here knows what a
+section is for."""
 
 from typing import Annotated
 
--- a/granitespool/planner/dirty_set.py
+++ b/granitespool/planner/dirty_set.py
@@ -201,7 +201,9 @@
     def _settle_watched(self, backend: Backend, is_slow_start_over: IsSlowStartOver) -> None:
         for zone in list(backend.watched):
             link = backend.links.get(zone)
-            if link is None or self._is_idle(link, is_slow_start_over) and backend not in self.observed[zone]:
+            if link is None or (
+                self._is_idle(link, is_slow_start_over) and backend not in self.observed[zone]
+            ):
                 del backend.watched[zone]
                 if backend.phase == READY:
                     self._settle(backend, zone)
--- a/granitespool/planner/in_flight.py
+++ b/granitespool/planner/in_flight.py
@@ -148,7 +148,7 @@
         """A proxy has applied all up to this barrier, or at least its oldest (None); True if any was open."""
         batches = self._batches_of.get(proxy, ())
         batch = next((batch for batch in batches if batch.sequence == sequence), None)
-        if not batches or sequence is not None and batch is None:
+        if not batches or (sequence is not None and batch is None):
             return False
         if batch and latency is not None:
             self._observe_latency(batch, proxy, min(latency, now - batch.at))
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -9,10 +9,11 @@
 import msgspec
 import orjson
 
-from granitespool import operator
+from granitespool import operator_settings
 from granitespool.cli.keys import make
 from granitespool.net import config
 from granitespool.net.service import Service
+from support.records import endpoint
 
 SECOND = 1_000_000_000  # ns
 START = 1_800_000_000 * SECOND  # ns since 1970: the pinned clock
@@ -148,9 +149,9 @@
 
     def __init__(self, folder):
         make(str(folder / "keys"), ["127.0.0.1"], ["operations"], "5")
-        path = folder / "keys" / "operator.ini"
+        path = folder / "keys" / "operator_settings.ini"
         path.write_text(OPERATOR)
-        read = operator.load(str(path))
+        read = operator_settings.load(str(path))
         # The folder's name is part of the tree: one that is relative is the same in each run.
         read = msgspec.structs.replace(read, state=msgspec.structs.replace(read.state, folder="state"))
         self.file = folder / "config.json"
@@ -225,15 +226,8 @@
                 self.list_change(backend, phase)
 
     def list_change(self, backend, phase):
-        entry = {
-            "backend": backend,
-            "zone": "n",
-            "kind": "big",
-            "cell": 0,
-            "phase": phase,
-            "weight": 1.0,
-            "started": self.loop.now - SECOND if backend == "s-8" else 0,
-        }
+        started_at = self.loop.now - SECOND if backend == "s-8" else 0
+        entry = endpoint(backend, machine_type="big", phase=phase, started_at=started_at)
         self.report("list_news", form="changes", entries=[entry])
 
     def user(self, name):
--- a/tests/recordings.py
+++ b/tests/support/recordings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parent.parent / "data"
 
 
 def as_recorded(value: Any) -> Any:
--- a/tests/test_emulator_recordings.py
+++ b/tests/test_emulator_recordings.py
@@ -8,10 +8,10 @@
 
 import msgspec
 import pytest
-import recordings
+from support import recordings
 
-from granitespool.lab import play, schema
-from granitespool.lab.world import BEGAN, SECOND, World
+from granitespool.emulator import play, schema
+from granitespool.emulator.world import BEGAN, SECOND, World
 
 SMALL = ["sizes=8x20", "seeds=1", "learn_s=12", "settle_s=6", "look_s=5", "workers=2", "service_ms=60"]
 EXPERIMENTS = {
--- a/tests/test_operator_files.py
+++ b/tests/test_operator_files.py
@@ -8,9 +8,9 @@
 from msgspec import inspect
 from support.management import compare_with_record
 
-from granitespool import operator
+from granitespool import operator_settings
 from granitespool.cli import main
-from granitespool.manage import mapping
+from granitespool.management import mapping
 from granitespool.net import config
 
 ROOT = Path(__file__).parent.parent
@@ -71,23 +71,25 @@
 
 
 def test_each_key_of_the_operators_file(tmp_path):
-    sections = {name: keys_of(struct) for name, struct in operator.SECTIONS.items()}
+    sections = {name: keys_of(struct) for name, struct in operator_settings.SECTIONS.items()}
     compare_with_record(
-        "management/operator_keys.json", json_of({**sections, "user.NAME": keys_of(operator.User)}), tmp_path
+        "management/operator_keys.json",
+        json_of({**sections, "user.NAME": keys_of(operator_settings.User)}),
+        tmp_path,
     )
 
 
 def test_what_each_key_becomes(tmp_path):
-    path = tmp_path / "operator.ini"
+    path = tmp_path / "operator_settings.ini"
     path.write_text(EVERY_KEY)
-    read = operator.load(str(path))
-    text = json_of({"read": msgspec.to_builtins(read), "summary": operator.summary(read)})
+    read = operator_settings.load(str(path))
+    text = json_of({"read": msgspec.to_builtins(read), "summary": operator_settings.summary(read)})
     compare_with_record("management/operator_values.json", text.replace(str(tmp_path), "FOLDER"), tmp_path)
 
 
 def test_check_of_the_examples(tmp_path, capsys, monkeypatch):
     monkeypatch.delenv("LB_CONFIG", raising=False)
-    path = tmp_path / "operator.ini"
+    path = tmp_path / "operator_settings.ini"
     path.write_text(EVERY_KEY)
     example = str(ROOT / "examples" / "config.json")
     codes = [
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -19,10 +19,11 @@
 import pathlib
 
 import pytest
+from support.records import endpoint
 
-from granitespool.facade import Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.net.frames import updates
-from granitespool.settings import settings_map
+from granitespool.settings import settings_from_wire
 
 RECORDINGS = sorted((pathlib.Path(__file__).parent / "data" / "coordinator").glob("*.jsonl.gz"))
 
@@ -32,12 +33,40 @@
     return json.loads(json.dumps(value))
 
 
+ACTIONS = {  # the recordings' words -> the planner's actions
+    "weigh": "set_entry",
+    "bind": "assign",
+    "withdraw": "exclude",
+    "level": "set_admission",
+    "mark": "request_acknowledgement",
+    "probe": "check_health",
+    "observe": "subscribe",
+    "lookup": "fetch_endpoints",
+    "wake": "set_timer",
+    "post": "send_gossip",
+    "remark": "log",
+}
+
+
+def entry_of(recorded):
+    return endpoint(
+        name=recorded["backend"],
+        zone=recorded["zone"],
+        machine_type=recorded["kind"],
+        phase=recorded["phase"],
+        weight=recorded["weight"],
+        started_at=recorded["started"],
+    )
+
+
 def report(coordinator, now, event, fields):
+    if event == "list_news":
+        fields = {**fields, "entries": [entry_of(each) for each in fields["entries"]]}
     coordinator.report(now, event, **fields)
 
 
 def call_action(coordinator, name, arguments):
-    getattr(coordinator, name)(*arguments)
+    getattr(coordinator, ACTIONS.get(name, name))(*arguments)
 
 
 def picked(coordinator, party):
@@ -67,10 +96,10 @@
         self.coordinator = None
 
     def start(self, settings, seed, now):
-        self.coordinator = Coordinator(settings_map(settings), seed, now)
+        self.coordinator = Coordinator(settings_from_wire(settings), seed, now)
 
     def settings(self, now, settings, waits):
-        assert self.coordinator.new_settings(now, settings_map(settings)) == waits
+        assert self.coordinator.new_settings(now, settings_from_wire(settings)) == waits
 
     def report(self, now, event, fields):
         report(self.coordinator, now, event, fields)
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -10,10 +10,10 @@
 
 import msgspec
 import pytest
-import recordings
+from support import recordings
 from test_interleavings import BUSY, fitting, played
 
-from granitespool.lab.world import Proxy
+from granitespool.emulator.world import Proxy
 from granitespool.net.loop import SECOND
 from granitespool.scale import fleet, report, runner, schema
 from granitespool.scale.checker import check
--- a/tests/test_state_format.py
+++ b/tests/test_state_format.py
@@ -24,7 +24,7 @@
 READ = json.loads((DATA / "state-v2.json").read_text())
 S = 10**9
 WROTE = 10**18, 540 * S  # wall and monotonic clock, ns: half a second after the last batch
-KINDS = [{"name": "pay", "promised_time": S // 10}, {"name": "look", "promised_time": S}]
+KINDS = [{"name": "pay", "latency_objective": S // 10}, {"name": "look", "latency_objective": S}]
 
 
 def read_file(path):
@@ -109,9 +109,9 @@
 
     def __init__(self, folder):
         zones = ["n", "s"]
-        settings = {"zones": zones, "classes": KINDS, "admission": "fraction", "cold_time": 10 * S}
+        settings = {"zones": zones, "classes": KINDS, "admission": "fraction", "warm_up_time": 10 * S}
         wall, mono = WROTE[0] + S, WROTE[1] + S
-        super().__init__(folder, wall, mono, probes=False, proxies_expected=4, **settings)
+        super().__init__(folder, wall, mono, health_checks_allowed=False, proxies_expected=4, **settings)
         self.port = free_port()
 
     def config(self, **state):
