--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -12,7 +12,7 @@
 from granitespool.planner.assignment import ProxyAssignment
 from granitespool.planner.budget import ChannelBudget
 from granitespool.planner.candidates import CandidateSelection
-from granitespool.planner.cost import CostTable, link_cost
+from granitespool.planner.cost import CostTable
 from granitespool.planner.dirty_set import DirtySet
 from granitespool.planner.ejection import OutlierEjection, Verdict, effective_outcome
 from granitespool.planner.events import (
@@ -42,7 +42,8 @@
 from granitespool.planner.outbox import Outbox
 from granitespool.planner.overload import OverloadDetector
 from granitespool.planner.publication import Publisher
-from granitespool.planner.records import GONE, READY, Backend, Exclusion
+from granitespool.planner.recomputation import Recomputation
+from granitespool.planner.records import GONE, Backend
 from granitespool.planner.restoration import Restoration
 from granitespool.planner.slices import SliceTables
 from granitespool.planner.slow_start import SlowStart
@@ -51,10 +52,7 @@
 from granitespool.planner.timers import Timer
 from granitespool.planner.weights import EntryWeights
 from granitespool.settings import Settings
-from granitespool.units import SECOND
 
-REMOVED_KEPT = 20 * SECOND  # ns that a removed backend is known: joiners with old tables are assigned within
-#                             a few seconds
 POLL_RETRY_JITTER = 0.5, 1.5  # factors of a period between which a failed list call is retried
 
 
@@ -67,6 +65,7 @@
         self.settings = settings
         self._make_state(settings)
         self._make_parts(actions, settings)
+        self._make_publication(actions, settings)
         self.new_settings(now, settings)
         if settings.subscribe:
             actions.subscribe(True)
@@ -82,8 +81,7 @@
         self.budget = ChannelBudget(self.in_flight, settings)
 
     def _make_parts(self, actions: PlannerActions, settings: Settings) -> None:
-        fleet, dirty, costs, tables, budget = self.fleet, self.dirty, self.costs, self.tables, self.budget
-        outbox = self.outbox = Outbox(actions, self.in_flight, tables)
+        fleet, dirty, costs = self.fleet, self.dirty, self.costs
         self.slow_start = SlowStart(settings)
         self.overload = OverloadDetector(settings)
         self._health = HealthVerification(actions, settings)
@@ -93,21 +91,35 @@
             settings, fleet, dirty, costs, self.subsets, self.slow_start, self._health, self.overload
         )
         self._restoration = Restoration(settings, fleet, dirty, self._ejection, self._health, self.overload)
+        self._recomputation = Recomputation(
+            actions,
+            fleet,
+            dirty,
+            costs,
+            self.subsets,
+            self.budget,
+            self._health,
+            self._ejection,
+            self.overload,
+        )
         self.weights = EntryWeights(settings, fleet, costs, self.slow_start, self.overload)
+
+    def _make_publication(self, actions: PlannerActions, settings: Settings) -> None:
+        fleet, dirty, tables, budget = self.fleet, self.dirty, self.tables, self.budget
+        outbox = self.outbox = Outbox(actions, self.in_flight, tables)
         self.admission = AdmissionControl(settings, self.overload, tables, budget, outbox)
         self.assignment = ProxyAssignment(settings, actions, tables, self.admission.ordered, budget, outbox)
         self.exclusion = ExclusionControl(
             settings, actions, fleet, dirty, tables, self.assignment, budget, outbox
         )
         self._slices = SliceTables(settings, actions, fleet, self.slow_start, self.assignment, outbox)
-        selection = CandidateSelection(fleet, dirty, tables, self.weights, self.slow_start)
         self.publisher = Publisher(
             actions,
             budget,
-            selection,
+            CandidateSelection(fleet, dirty, tables, self.weights, self.slow_start),
             tables,
             dirty,
-            costs,
+            self.costs,
             self.slow_start,
             self.assignment,
             self.exclusion,
@@ -115,7 +127,7 @@
             outbox,
         )
         self.inspection = PlannerInspection(
-            fleet, costs, self.subsets, self.in_flight, self.assignment, self.overload, self.slow_start
+            fleet, self.costs, self.subsets, self.in_flight, self.assignment, self.overload, self.slow_start
         )
 
     def new_settings(self, now: int, settings: Settings) -> None:
@@ -171,7 +183,8 @@
         """A timer has fired that `set_timer` was asked for."""
         if cookie == Timer.RECOMPUTE:
             self._actions.set_timer(PERIOD, Timer.RECOMPUTE)
-            self._recompute(now)
+            self._recomputation.run(now)
+            self._publish(now)
         elif cookie == Timer.PUBLISH:
             if self.publisher.is_due(now):
                 self._publish(now)
@@ -249,47 +262,11 @@
 
     def _on_restored(self, now: int, restored: Restored) -> None:
         self._restoration.apply(now, restored)
-        self._evaluate_costs(now)
+        self._recomputation.evaluate_costs(now)
         self._publish(now)
 
     # Steps
 
-    def _recompute(self, now: int) -> None:
-        self._evaluate_costs(now)
-        self.budget.refill()
-        self.overload.evaluate(now)
-        self.fleet.period += 1
-        self.dirty.decay_observed(self.fleet.period, DECAY_FACTOR)
-        for backend in self.dirty.due_for_recompute():
-            self._review(now, backend)
-        self.in_flight.expire(now)
-        self._publish(now)
-
-    def _review(self, now: int, backend: Backend) -> None:
-        """Check the health of a backend that needs it, readmit its links, and forget it once it is over."""
-        if backend.phase == READY and not backend.verified:
-            self._health.check(now, backend)
-        if backend.ejected_links:
-            self._health.check(now, backend)
-        self._ejection.readmit_unobserved(now, backend)
-        is_used = backend.is_in_tables or backend.exclusion == Exclusion.EXCLUDED
-        if backend.phase == GONE and not is_used and now - backend.left_ready_at > REMOVED_KEPT:
-            self._forget(backend)
-
-    def _forget(self, backend: Backend) -> None:
-        self.dirty.forget(backend)
-        self.overload.forget(backend)
-        self.fleet.remove(backend.name)
-        self._actions.forget(backend.name)
-
-    def _evaluate_costs(self, now: int) -> None:
-        self.costs.begin_evaluation()
-        is_overloaded = not self.overload.is_at_ease
-        for zone in self.subsets.tables:
-            observed = self.dirty.observed_costs(zone, lambda link: link_cost(now, link, is_overloaded))
-            if self.costs.evaluate_zone(zone, observed):
-                self.dirty.invalidate_zone(zone)
-
     def _verify(self, now: int, backend: Backend) -> None:
         if backend.verified:
             return
