--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 lint: build
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
+	$(BIN)/mypy
 	$(BIN)/pyang --strict --lint granitespool/management/granitespool.yang
 
 run: build
