--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -64,7 +64,10 @@
         self._weights.update_fallback()
         candidates = []
         for entry in entries:
-            candidate = self._candidate(now, entry, is_single=only is not None)
+            weight = self._weights.wanted(now, entry.backend, entry.zone) if entry.is_held else 0.0
+            if weight == entry.backend.published.get(entry.table, 0.0):
+                continue
+            candidate = self._candidate(now, entry, weight, is_single=only is not None)
             if candidate is not None:
                 candidates.append(candidate)
         gains: defaultdict[int, float] = defaultdict(int)
@@ -82,12 +85,10 @@
             has_moved,
         )
 
-    def _candidate(self, now: int, entry: TableEntry, is_single: bool) -> Candidate | None:
-        backend, zone, table, is_held = entry
-        weight = self._weights.wanted(now, backend, zone) if is_held else 0.0
+    def _candidate(self, now: int, entry: TableEntry, weight: float, is_single: bool) -> Candidate | None:
+        """The candidate of an entry whose weight wanted differs, or None where it is not worth an update."""
+        backend, zone, table, _ = entry
         published = backend.published.get(table, 0.0)
-        if weight == published:
-            return None
         if backend.phase != READY or not self._tables.entry_counts[table]:
             return Candidate(backend, table, weight, True, False, 0, backend.left_ready_at)
         moved = abs(weight - published)
--- a/granitespool/planner/cost.py
+++ b/granitespool/planner/cost.py
@@ -35,9 +35,7 @@
 
 def utilization(link: Link, rtt: float) -> float:
     """Percent of a link's round trip (ns) that stands above the minimum of the window."""
-    lowest = link.lowest_rtt
-    if lowest is None:
-        lowest = rtt
+    lowest = link.minimum_rtts[0].mean if link.minimum_rtts else rtt
     return 100 * max(0.0, rtt - lowest) / rtt
 
 
--- a/granitespool/planner/events.py
+++ b/granitespool/planner/events.py
@@ -45,7 +45,7 @@
     entries: list[Endpoint]
 
 
-class LoadReport(Event, frozen=True):
+class LoadReport(Event, frozen=True, gc=False):
     """What the proxies of a zone saw at a backend."""
 
     zone: str
@@ -57,7 +57,7 @@
     load: LoadMetrics  # empty where the backend reported none
 
 
-class UsageReport(Event, frozen=True):
+class UsageReport(Event, frozen=True, gc=False):
     """The requests of one class that reached a proxy."""
 
     proxy: int
@@ -84,7 +84,7 @@
     unreachable: bool = False  # what waits for it may still be on its way
 
 
-class Acknowledged(Event, frozen=True):
+class Acknowledged(Event, frozen=True, gc=False):
     """A proxy has applied everything up to an acknowledgement barrier."""
 
     proxy: int
--- a/granitespool/planner/load_reports.py
+++ b/granitespool/planner/load_reports.py
@@ -28,10 +28,9 @@
         self._ejection = ejection
         self._overload = overload
 
-    def add(self, report: LoadReport, backend: Backend, link: Link) -> Verdict:
-        """Add a report to the records of its backend; returns what it makes of the link."""
+    def add(self, report: LoadReport, successes: float, backend: Backend, link: Link) -> Verdict:
+        """Add a report, with so many successes, to its backend's records; returns what it makes of the link."""
         attempts = report.attempts
-        successes = successes_of(report)
         if link.restored and attempts >= SUCCESSES_MIN:
             drop_contradicted(link, attempts, report.failures, report.mean, bool(successes))
         failures = min(report.failures, attempts)
--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -208,9 +208,10 @@
         link = backend.link(zone, self.fleet.period)
         link.decay_to(self.fleet.period, DECAY_FACTOR)
         self.overload.observe(backend)
-        if successes_of(report):
+        successes = successes_of(report)
+        if successes and not backend.verified:
             self._verify(now, backend)
-        verdict = self._load_reports.add(report, backend, link)
+        verdict = self._load_reports.add(report, successes, backend, link)
         if verdict == Verdict.READMIT:
             self._ejection.readmit(now, link)
             self._publish(now, backend)
@@ -226,7 +227,8 @@
             return
         outcome = effective_outcome(result.outcome, result.latency)
         if outcome in (HealthCheckOutcome.OK, HealthCheckOutcome.REJECTED):
-            self._verify(now, backend)
+            if not backend.verified:
+                self._verify(now, backend)
         elif outcome != HealthCheckOutcome.ERROR and not self.overload.is_overloaded:
             if backend.removal_unconfirmed:
                 self._confirm_removal(now, backend)
@@ -268,8 +270,6 @@
     # Steps
 
     def _verify(self, now: int, backend: Backend) -> None:
-        if backend.verified:
-            return
         backend.verified = True
         backend.slow_start_since = now
         self.dirty.mark_changed(backend)
--- a/granitespool/planner/records.py
+++ b/granitespool/planner/records.py
@@ -21,15 +21,14 @@
 class Exclusion(Enum):
     """Whether proxies without a table of ours are told not to use a backend."""
 
-    NEVER = "never"  # nobody was told anything yet
-    READMITTED = "readmitted"
-    EXCLUDED = "excluded"
-    PARTIAL = "partial"  # excluded, but some joined since and were not told
+    NEVER = ("never", False)  # nobody was told anything yet
+    READMITTED = ("readmitted", False)
+    EXCLUDED = ("excluded", True)
+    PARTIAL = ("partial", True)  # excluded, but some joined since and were not told
 
-    @property
-    def is_in_force(self) -> bool:
-        """Whether some proxies may hold the backend excluded."""
-        return self in (Exclusion.EXCLUDED, Exclusion.PARTIAL)
+    def __init__(self, label: str, is_in_force: bool) -> None:
+        self.label = label
+        self.is_in_force = is_in_force  # some proxies may hold the backend excluded
 
 
 class UnassignedProxy(NamedTuple):
@@ -85,11 +84,6 @@
         """Whether it is out of the tables, or in them as a last resort alone."""
         return self.ejected_at is not None
 
-    @property
-    def lowest_rtt(self) -> float | None:
-        """The lowest mean round trip of the window (ns); None where nothing was observed."""
-        return self.minimum_rtts[0].mean if self.minimum_rtts else None
-
     def observe(self, attempts: float, failures: float, successes: float, response_time: float) -> None:
         """Add what was observed; `response_time` in ns of all successes."""
         self.attempts += attempts
--- a/granitespool/planner/slow_start.py
+++ b/granitespool/planner/slow_start.py
@@ -50,7 +50,7 @@
         """The share of its work that a backend can do, by its age and the deployment's warm-up."""
         share = self.settings.effective_warm_up_start_share
         if backend.slow_start_since is None:
-            return share + (1 - share) * 1
+            return share + (1 - share)
         age = min(1, (now - backend.started_at) / max(1, self.warm_up_time))
         return share + (1 - share) * age
 
--- a/granitespool/planner/weights.py
+++ b/granitespool/planner/weights.py
@@ -39,10 +39,15 @@
     def wanted(self, now: int, backend: Backend, zone: str) -> float:
         """The weight that a backend should have in the tables of a zone; 0: no entry."""
         link = backend.links.get(zone)
-        if not self._is_eligible(backend, link):
+        is_ejected = link is not None and link.ejected_at is not None
+        if is_ejected and not (link and link.last_resort):
+            return 0.0
+        if backend.phase != READY or backend.exclusion.is_in_force:
+            return 0.0
+        if not backend.verified and not self._uses_unverified:
             return 0.0
         share = self._slow_start_share(now, backend, link)
-        if link is not None and link.is_ejected:
+        if is_ejected:
             share = min(share, LAST_RESORT_SHARE)
         zone_mean = self._costs.zone_means.get(zone)
         cost = self._costs.of(backend, zone)
@@ -53,13 +58,6 @@
         cost_ratio = zone_mean / cost if zone_mean and cost else 1.0
         return max(WEIGHT_MIN, round(backend.configured_weight * cost_ratio * share, 4))
 
-    def _is_eligible(self, backend: Backend, link: Link | None) -> bool:
-        if link is not None and link.is_ejected and not link.last_resort:
-            return False
-        if backend.exclusion.is_in_force or backend.phase != READY:
-            return False
-        return backend.verified or self._uses_unverified
-
     def _slow_start_share(self, now: int, backend: Backend, link: Link | None) -> float:
         share = 1.0
         if backend.slow_start_since is not None:
