--- a/granitespool/planner/load_reports.py
+++ b/granitespool/planner/load_reports.py
@@ -29,7 +29,7 @@
         self._overload = overload
 
     def add(self, report: LoadReport, successes: float, backend: Backend, link: Link) -> Verdict:
-        """Add a report, with so many successes, to its backend's records; returns what it makes of the link."""
+        """Add a report, with so many successes, to the records; returns what it makes of the link."""
         attempts = report.attempts
         if link.restored and attempts >= SUCCESSES_MIN:
             drop_contradicted(link, attempts, report.failures, report.mean, bool(successes))
