--- a/granitespool/emulator/managers.py
+++ b/granitespool/emulator/managers.py
@@ -7,7 +7,7 @@
 import socket
 import ssl
 
-from granitespool.netconf.framing import Reader, framed
+from granitespool.netconf.framing import MessageReader, frame
 
 MESSAGE_MOST = 256 << 20  # bytes of an answer that are taken: the whole state of a large fleet
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -40,11 +40,11 @@
         except BaseException:
             self.sock.close()
             raise
-        self.reader, self.number, self.waiting = Reader(MESSAGE_MOST), 0, []
+        self.reader, self.number, self.waiting = MessageReader(MESSAGE_MOST), 0, []
         self.hello = ""
         if greet:
             self.hello = self.receive()
-            self.raw(framed(HELLO.format(minor).encode(), False))
+            self.raw(frame(HELLO.format(minor).encode(), False))
             self.reader.chunked = bool(minor)
 
     def raw(self, data):
@@ -71,7 +71,7 @@
         """An rpc without waiting for its answer."""
         self.number += 1
         attributes = f'message-id="{self.number}"' if attributes is None else attributes
-        self.raw(framed(f'<rpc {attributes} xmlns="{BASE}">{body}</rpc>'.encode(), self.reader.chunked))
+        self.raw(frame(f'<rpc {attributes} xmlns="{BASE}">{body}</rpc>'.encode(), self.reader.chunked))
 
     def ask(self, body, attributes=None):
         """An rpc's answer; notifications before it stay in `notes`."""
--- /dev/null
+++ b/granitespool/gnmi/connection.py
@@ -0,0 +1,97 @@
+"""One gNMI connection: calls over HTTP/2, the datastores behind them; no socket and no clock of its own."""
+
+from collections.abc import Mapping
+from functools import partial
+
+from granitespool.gnmi.capabilities import capabilities
+from granitespool.gnmi.context import CallContext
+from granitespool.gnmi.get import get
+from granitespool.gnmi.set import set_
+from granitespool.gnmi.subscribe import subscribe
+from granitespool.management.authorization import User
+from granitespool.management.interfaces import ManagementService, Transport
+from granitespool.rpc.calls import Calls
+from granitespool.rpc.errors import Http2Error
+from granitespool.rpc.http2 import MAX_STREAMS, Http2Connection
+
+METHODS = {
+    "gnmi.gNMI/Capabilities": capabilities,
+    "gnmi.gNMI/Get": get,
+    "gnmi.gNMI/Set": set_,
+    "gnmi.gNMI/Subscribe": subscribe,
+}
+
+
+class GnmiConnection:
+    """The protocol of one connection, as the management listener drives it (management.interfaces)."""
+
+    subscribed = None  # NETCONF's notifications are not for it
+
+    def __init__(self, service: ManagementService, user: User, transport: Transport, number: int) -> None:
+        self.service = service
+        self.user = user
+        self.transport = transport
+        self.number = number
+        context = CallContext(service, user, transport, self)
+        methods = {name: partial(method, context) for name, method in METHODS.items()}
+        self.calls = Calls(methods, transport.now, service.failed, transport.wake)
+        self.http2 = Http2Connection(self.calls, transport.door.streams or MAX_STREAMS)
+        self.calls.http2 = self.http2
+
+    @property
+    def busy(self) -> bool:
+        """Whether `work` has something to do."""
+        return self.http2.ready or self.calls.busy
+
+    @property
+    def keeps(self) -> bool:
+        """Whether silence is no reason to end the connection: a call is open."""
+        return bool(self.calls.open)
+
+    def begin(self) -> None:
+        """Sends the server's preface; the connection is up."""
+        self.http2.begin()
+        self._flush()
+
+    def received(self, data: bytes) -> None:
+        """Takes plain bytes of the client."""
+        try:
+            self.http2.received(data, self.transport.now())
+        except Http2Error as error:
+            self.transport.end(str(error))
+        self._flush()
+
+    def work(self) -> None:
+        """One step: of what waits to be sent, or else of a call."""
+        if self.http2.ready:
+            self.http2.step()
+        else:
+            self.calls.work()
+        self._flush()
+
+    def due(self) -> int | None:
+        """When `tick` is to be called at the latest, None for never."""
+        return self.calls.due()
+
+    def tick(self, now: int) -> None:
+        """Ends and resumes calls whose time it is."""
+        self.calls.tick(now)
+        self._flush()
+
+    def leave(self) -> None:
+        """Tells the client that the server goes."""
+        self.http2.leave()
+        self._flush()
+
+    def closed(self, _why: str) -> None:
+        """The connection has ended."""
+        self.calls.close()
+        self.service.left(self)
+
+    def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
+        """Nothing: gNMI's clients subscribe to paths instead."""
+
+    def _flush(self) -> None:
+        data = self.http2.outgoing()
+        if data:
+            self.transport.send(data)
--- a/granitespool/gnmi/paths.py
+++ b/granitespool/gnmi/paths.py
@@ -1,96 +1,145 @@
 """gNMI paths over a tree of the module: names, keys, wildcards; no I/O.
 
-A path here is a list of (name, {key: text}). "*" stands for any one name or key, "..." for any number of
-names."""
+"*" stands for any one name or key, "..." for any number of names. Keys in paths are text."""
+
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from typing import NamedTuple, TypeAlias
 
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.management import model
-from granitespool.management.errors import Refused
+from granitespool.management.data_tree import NodePath, PathElement, Value
+from granitespool.management.errors import ErrorTag, ManagementError
+from granitespool.management.model import SchemaNode
+
+ANY = "*"
+ANY_DEPTH = "..."
+MAX_ELEMENTS = 32  # of a path: the module is six deep
+MODULE_PREFIX = f"{model.MODULE}:"
+
+
+class RootNode:
+    """Stands above the top node, so that the empty path is everything."""
+
+    kind = "container"
+    is_leaf = False
+    keys = ()
+    type = None
+
+    def __init__(self, top: SchemaNode) -> None:
+        self.top = top
+        self.children = {top.name: top}
 
-ANY, DEEP = "*", "..."
-ELEMENTS_MOST = 32  # elements of a path: the module is six deep
 
+Node: TypeAlias = SchemaNode | RootNode
 
-def path_of(prefix, path):
-    """A path of a prefix and a path message, from the root."""
-    for each in (prefix, path):
-        if each.origin not in ("", model.MODULE) or each.element:
-            raise Refused("invalid-value", "paths have elem, and the origin is empty or " + model.MODULE)
-    elements = [
-        (each.name.removeprefix(model.MODULE + ":"), dict(each.key)) for each in (*prefix.elem, *path.elem)
-    ]
-    if len(elements) > ELEMENTS_MOST:
-        raise Refused("invalid-value", f"a path is over {ELEMENTS_MOST} elements")
-    return elements
 
+class Match(NamedTuple):
+    """A value that a path names: where it stands, its node and itself."""
+
+    path: NodePath
+    node: Node
+    value: Value
+
+
+def parse_path(prefix: pb.Path, path: pb.Path) -> NodePath:
+    """The path of a prefix and a path message, from the root.
+
+    Raises:
+        ManagementError: the messages are not of a form or size that is taken.
+    """
+    for message in (prefix, path):
+        if message.origin not in ("", model.MODULE) or message.element:
+            reason = f"paths have elem, and the origin is empty or {model.MODULE}"
+            raise ManagementError(ErrorTag.INVALID_VALUE, reason)
+    elements = (*prefix.elem, *path.elem)
+    if len(elements) > MAX_ELEMENTS:
+        raise ManagementError(ErrorTag.INVALID_VALUE, f"a path is over {MAX_ELEMENTS} elements")
+    return tuple(
+        PathElement(element.name.removeprefix(MODULE_PREFIX), dict(element.key)) for element in elements
+    )
 
-def message_of(path):
-    return pb.Path(elem=[pb.PathElem(name=name, key=keys) for name, keys in path])
 
+def path_message(path: Iterable[PathElement]) -> pb.Path:
+    """A path as a message."""
+    return pb.Path(elem=[pb.PathElem(name=name, key=dict(keys)) for name, keys in path])
 
-def check(top, path):
-    """Refused where no node of the module can match."""
-    if not any(True for _ in _nodes([top], path)):
-        raise Refused("unknown-element", "there is no " + text(path), tuple(path))
 
+def path_text(path: Iterable[PathElement]) -> str:
+    """A path for a person."""
+    return "/" + "/".join([name + _keys_text(keys) if keys else name for name, keys in path])
 
-def _nodes(candidates, path):
+
+def _keys_text(keys: Mapping[str, Value]) -> str:
+    return "".join([f"[{key}={value}]" for key, value in keys.items()])
+
+
+def check_path(top: SchemaNode, path: NodePath) -> None:
+    """Raises ManagementError where no node of the module can match a path; the empty path is everything."""
+    if path and not any(True for _ in _matching_nodes([top], path)):
+        raise ManagementError(ErrorTag.UNKNOWN_ELEMENT, f"there is no {path_text(path)}", path)
+
+
+def _matching_nodes(candidates: Sequence[SchemaNode], path: NodePath) -> Iterator[SchemaNode]:
     if not path:
         yield from candidates
         return
     (name, keys), rest = path[0], path[1:]
-    if name == DEEP:
-        yield from _nodes(candidates, rest)
+    if name == ANY_DEPTH:
+        yield from _matching_nodes(candidates, rest)
         for node in candidates:
-            yield from _nodes(list(node.children.values()), path)
+            yield from _matching_nodes(list(node.children.values()), path)
         return
     for node in candidates:
-        if name in (ANY, node.name) and set(keys) <= set(node.keys):
-            yield from _nodes(list(node.children.values()), rest) if rest else (node,)
-
-
-def text(path):
-    return "/" + "/".join(
-        name + "".join(f"[{key}={value}]" for key, value in keys.items()) for name, keys in path
-    )
+        if name not in (ANY, node.name) or not set(keys) <= set(node.keys):
+            continue
+        if rest:
+            yield from _matching_nodes(list(node.children.values()), rest)
+        else:
+            yield node
 
 
-def found(node, value, path, at=()):
-    """Yields (path, node, value) of all that a path matches in the value of a node; entries of lists each."""
+def matches(node: Node, value: Value, path: NodePath, at: NodePath = ()) -> Iterator[Match]:
+    """Everything that a path matches in the value of a node, each entry of a list on its own."""
     if not path:
-        yield at, node, value
+        yield Match(at, node, value)
         return
     (name, keys), rest = path[0], path[1:]
-    if name == DEEP:
-        yield from found(node, value, rest, at)
-        for child, below, here in _children(node, value, at) if rest else ():
-            yield from found(child, below, path, here)
+    if name == ANY_DEPTH:
+        yield from matches(node, value, rest, at)
+        if rest:
+            for child in _children(node, value, at):
+                yield from matches(child.node, child.value, path, child.path)
         return
-    for child, below, here in _children(node, value, at):
-        if name in (ANY, child.name) and _keys_match(keys, here[-1][1]):
-            yield from found(child, below, rest, here)
+    for child in _children(node, value, at):
+        element = child.path[-1]
+        if name in (ANY, element.name) and _keys_match(keys.items(), element):
+            yield from matches(child.node, child.value, rest, child.path)
 
 
-def _keys_match(wanted, keys):
-    return all(value == ANY or str(keys.get(key)) == value for key, value in wanted.items())
+def _keys_match(wanted: Iterable[tuple[str, str]], element: PathElement) -> bool:
+    return all(value == ANY or str(element.keys.get(key)) == value for key, value in wanted)
 
 
-def _children(node, value, at):
-    if node.kind.startswith("leaf"):
+def _children(node: Node, value: Value, at: NodePath) -> Iterator[Match]:
+    if node.is_leaf:
         return
     for name, below in value.items():
         child = node.children[name]
         if child.kind == "list":
             for entry in below:
-                yield child, entry, (*at, (name, {key: str(entry[key]) for key in child.keys}))
+                keys = {key: str(entry[key]) for key in child.keys}
+                yield Match((*at, PathElement(name, keys)), child, entry)
         else:
-            yield child, below, (*at, (name, {}))
+            yield Match((*at, PathElement(name)), child, below)
 
 
-def leaves(node, value, at=()):
-    """Yields (path, node, value) of all leaves and leaf-lists within a value."""
-    if node.kind.startswith("leaf"):
-        yield at, node, value
+def leaves(match: Match) -> Iterator[Match]:
+    """All leaves and leaf-lists within a match."""
+    if match.node.is_leaf:
+        yield match
         return
-    for child, below, here in _children(node, value, at):
-        yield from leaves(child, below, here)
+    for child in _children(match.node, match.value, match.path):
+        if child.node.is_leaf:
+            yield child
+        else:
+            yield from leaves(child)
--- /dev/null
+++ b/granitespool/gnmi/set.py
@@ -0,0 +1,63 @@
+"""The method Set: one transaction of deletes, replaces and updates, in this order."""
+
+from granitespool.gnmi import gnmi_pb2 as pb
+from granitespool.gnmi.context import CallContext, first_message
+from granitespool.gnmi.edits import deleted, updated
+from granitespool.gnmi.paths import parse_path
+from granitespool.gnmi.statuses import status_error
+from granitespool.gnmi.values import plain_value
+from granitespool.management.authorization import require_write
+from granitespool.management.data_tree import Tree
+from granitespool.management.edits import differing
+from granitespool.management.errors import ManagementError
+from granitespool.management.model import SchemaNode
+from granitespool.rpc.calls import Call, Steps
+from granitespool.rpc.errors import StatusCode, StatusError
+
+
+def set_(context: CallContext, call: Call) -> Steps:
+    """Changes the running settings, and answers once that is sure."""
+    request = yield from first_message(call, pb.SetRequest)
+    if request.union_replace:
+        raise StatusError(StatusCode.UNIMPLEMENTED, "union_replace is not taken")
+    settings = context.service.model.settings
+
+    def changed(tree: Tree) -> Tree:
+        new_tree = _changed(settings, tree, request)
+        require_write(context.user, differing(tree, new_tree))
+        return new_tree
+
+    answers: list[ManagementError | None] = []
+
+    def on_answer(error: ManagementError | None) -> None:
+        answers.append(error)
+        call.wake()
+
+    context.service.datastores.transact(context.owner, context.user.name, changed, on_answer)
+    while not answers:
+        call.waiting = True
+        yield
+    if answers[0] is not None:
+        raise status_error(answers[0])
+    response = pb.SetResponse(
+        prefix=request.prefix, response=_results(request), timestamp=context.transport.now()
+    )
+    call.send(response.SerializeToString())
+
+
+def _changed(settings: SchemaNode, tree: Tree, request: pb.SetRequest) -> Tree:
+    """The settings after all operations of a request."""
+    for path in request.delete:
+        tree = deleted(settings, tree, parse_path(request.prefix, path))
+    for operation, updates in (("replace", request.replace), ("merge", request.update)):
+        for update in updates:
+            path = parse_path(request.prefix, update.path)
+            tree = updated(settings, tree, path, operation, plain_value(update.val))
+    return tree
+
+
+def _results(request: pb.SetRequest) -> list[pb.UpdateResult]:
+    deletes = [pb.UpdateResult(path=path, op=pb.UpdateResult.DELETE) for path in request.delete]
+    replaces = [pb.UpdateResult(path=each.path, op=pb.UpdateResult.REPLACE) for each in request.replace]
+    updates = [pb.UpdateResult(path=each.path, op=pb.UpdateResult.UPDATE) for each in request.update]
+    return deletes + replaces + updates
--- a/granitespool/management/authorization.py
+++ b/granitespool/management/authorization.py
@@ -4,55 +4,80 @@
 dns:NAME, email:NAME or uri:NAME (a subject alternative name), or sha256:DIGEST (of the certificate itself).
 The certificate is trusted by then: its chain was checked when the connection was made."""
 
-from granitespool.management.errors import Refused
+from collections.abc import Collection, Iterable, Mapping
+from typing import Any, NamedTuple
+
+from granitespool.management.errors import ErrorTag, ManagementError
 
 ALL = "*"
+SHA256 = "sha256"
+ALTERNATIVE_NAME_KINDS = {"DNS": "dns", "email": "email", "URI": "uri"}  # of ssl's getpeercert
+
+
+class Identity(NamedTuple):
+    """One thing that a certificate tells of whom it stands for: cn, dns, email, uri or sha256, and a text."""
+
+    kind: str
+    value: str
 
 
 class User:
-    """`write`: names at the top of the settings, or ALL; `read`: whether anything may be read."""
+    """Who may manage the coordinator.
+
+    Args:
+        name: for the log.
+        certificate: the identity that a certificate must have, as kind:value.
+        read: whether anything may be read.
+        write: names at the top of the settings, separated by commas, or ALL.
+    """
 
-    def __init__(self, name, certificate, read, write):
-        self.name, self.read = name, read
-        self.kind, _, self.value = certificate.partition(":")
+    def __init__(self, name: str, certificate: str, read: bool, write: str) -> None:
+        kind, _, value = certificate.partition(":")
+        self.name = name
+        self.identity = Identity(kind, value)
+        self.read = read
         self.write = frozenset(word.strip() for word in write.split(",") if word.strip())
 
-    def may_write(self, sections):
+    def may_write(self, sections: Iterable[str]) -> bool:
+        """Whether the user may change all of these names at the top of the settings."""
         return ALL in self.write or self.write.issuperset(sections)
 
+    def is_meant_by(self, identities: Collection[Identity]) -> bool:
+        """Whether a certificate with these identities stands for the user."""
+        if self.identity in identities:
+            return True
+        if self.identity.kind != SHA256:
+            return False
+        digest = self.identity.value.lower().replace(":", "")
+        return Identity(SHA256, digest) in identities
+
 
-def facts_of(certificate, digest):
-    """{(kind, value)} of what ssl's getpeercert tells of a certificate, and of its SHA-256 in hex."""
-    facts = {("sha256", digest.lower())}
-    for pairs in certificate.get("subject", ()):
-        facts |= {("cn", value) for key, value in pairs if key == "commonName"}
+def certificate_identities(certificate: Mapping[str, Any], digest: str) -> set[Identity]:
+    """What a certificate tells: `certificate` as ssl's getpeercert gives it, and its SHA-256 in hex."""
+    identities = {Identity(SHA256, digest.lower())}
+    for names in certificate.get("subject", ()):
+        identities.update(Identity("cn", value) for key, value in names if key == "commonName")
     for key, value in certificate.get("subjectAltName", ()):
-        kind = {"DNS": "dns", "email": "email", "URI": "uri"}.get(key)
+        kind = ALTERNATIVE_NAME_KINDS.get(key)
         if kind:
-            facts.add((kind, value))
-    return facts
+            identities.add(Identity(kind, value))
+    return identities
 
 
-def user_of(users, facts):
-    """The first user that these facts stand for, or None."""
-    return next(
-        (
-            user
-            for user in users
-            if (user.kind, user.value) in facts
-            or user.kind == "sha256"
-            and (user.kind, user.value.lower().replace(":", "")) in facts
-        ),
-        None,
-    )
+def find_user(users: Iterable[User], identities: Collection[Identity]) -> User | None:
+    """The first user that these identities stand for."""
+    return next((user for user in users if user.is_meant_by(identities)), None)
 
 
-def must_read(user):
+def require_read(user: User) -> None:
+    """Raises ManagementError unless a user may read."""
     if not user.read:
-        raise Refused("access-denied", f"{user.name} may not read")
+        raise ManagementError(ErrorTag.ACCESS_DENIED, f"{user.name} may not read")
 
 
-def must_write(user, sections):
+def require_write(user: User, sections: Collection[str]) -> None:
+    """Raises ManagementError unless a user may change these names at the top of the settings."""
     if not user.may_write(sections):
         beyond = ", ".join(sorted(set(sections) - user.write))
-        raise Refused("access-denied", f"{user.name} may not write {beyond or 'anything'}")
+        reason = f"{user.name} may not write {beyond or 'anything'}"
+        raise ManagementError(ErrorTag.ACCESS_DENIED, reason)
--- a/granitespool/management/impact_check.py
+++ b/granitespool/management/impact_check.py
@@ -2,63 +2,92 @@
 
 The module's types and musts are checked before; here stands what depends on the coordinator as it is now."""
 
-from granitespool.management.errors import Refused
-from granitespool.management.mapping import settings_path
-from granitespool.units import MILLISECOND
-
-SECOND = 1_000_000_000
-LINE = 2  # lines that one order to one proxy takes beside its head: the line and its mark
-
-
-def check(new, old, proxies, zones_in_use, waits):
-    """Refused where the configuration `new` must not take the place of `old`. `proxies`: how many have
-    joined; `zones_in_use`: of proxies that have; `waits`: names of settings that differ and wait for a
-    restart."""
-    settings = new["settings"]
-    if old["settings"].classes and not settings.classes:
-        raise Refused(
-            "operation-failed", "without a class there is nothing left to plan for", settings_path("class")
-        )
-    lost = sorted(zones_in_use - set(settings.zones or ()))
-    if lost:
-        raise Refused(
-            "operation-failed",
-            f"proxies of the zone {lost[0]} have joined, and they would be left without a backend",
-            settings_path("zone"),
-        )
-    told = new.get("limits_told") or {}
-    over = sorted(name for name, limit in (new.get("limits") or {}).items() if limit > told.get(name, limit))
-    if over:
-        raise Refused(
-            "operation-failed",
-            f"{over[0]} is over the {told[over[0]]} that this process was told",
-            settings_path("limits"),
-        )
-    _channel(settings, proxies)
+from collections.abc import Collection, Mapping
+from typing import Any, TypeAlias
+
+from granitespool.management.data_tree import NodePath
+from granitespool.management.errors import ErrorTag, ManagementError
+from granitespool.management.model import settings_path
+from granitespool.settings import Settings
+from granitespool.units import MILLISECOND, SECOND
+
+Configuration: TypeAlias = Mapping[str, Any]
+"""As net.config reads it."""
+
+ENTRIES_PER_ORDER = 2  # that one order to one proxy takes beside its envelope: the entry and its mark
+
+
+def check(
+    new: Configuration,
+    old: Configuration,
+    proxies: int,
+    zones_in_use: Collection[str],
+    waits: Collection[str],
+) -> None:
+    """Checks whether a configuration may take the place of the present one.
+
+    Args:
+        new: the configuration that is to act.
+        old: the one that acts.
+        proxies: how many have joined.
+        zones_in_use: zones that proxies have joined from.
+        waits: names of settings that differ and wait for a restart.
+
+    Raises:
+        ManagementError: it must not.
+    """
+    settings: Settings = new["settings"]
+    _check_classes(settings, old["settings"])
+    _check_zones(settings, zones_in_use)
+    _check_limits(new)
+    _check_channel(settings, proxies)
     if waits:
-        raise Refused(
-            "operation-failed",
-            f"{', '.join(waits)} cannot change while the coordinator runs: put it into startup, and restart",
-            settings_path(),
+        reason = (
+            f"{', '.join(waits)} cannot change while the coordinator runs: put it into startup, and restart"
         )
+        raise _failed(reason, settings_path())
 
 
-def _channel(settings, proxies):
-    """A drain must be kept: its line has to reach every proxy within the grace, or drained backends get
-    transactions. Harm: none, a slower channel breaks the rule at once."""
-    pace, grace = settings.entries_per_s, settings.drain_grace
-    lines = proxies * (LINE + settings.effective_message_header)
-    if pace and grace and lines / pace > grace / SECOND:
-        raise Refused(
-            "operation-failed",
-            f"one drain takes {lines / pace:.1f} s for {proxies} proxies at this pace, and "
-            f"the grace is {grace // MILLISECOND} ms",
-            settings_path("channel", "lines-per-second"),
+def _failed(reason: str, path: NodePath) -> ManagementError:
+    return ManagementError(ErrorTag.OPERATION_FAILED, reason, path)
+
+
+def _check_classes(settings: Settings, former: Settings) -> None:
+    if former.classes and not settings.classes:
+        reason = "without a class there is nothing left to plan for"
+        raise _failed(reason, settings_path("class"))
+
+
+def _check_zones(settings: Settings, zones_in_use: Collection[str]) -> None:
+    lost = sorted(set(zones_in_use) - set(settings.zones or ()))
+    if lost:
+        reason = f"proxies of the zone {lost[0]} have joined, and they would be left without a backend"
+        raise _failed(reason, settings_path("zone"))
+
+
+def _check_limits(configuration: Configuration) -> None:
+    """The process may be given less than it was started with, not more."""
+    limits = configuration.get("limits") or {}
+    told = configuration.get("limits_told") or {}
+    exceeded = sorted(name for name, limit in limits.items() if limit > told.get(name, limit))
+    if exceeded:
+        name = exceeded[0]
+        reason = f"{name} is over the {told[name]} that this process was told"
+        raise _failed(reason, settings_path("limits"))
+
+
+def _check_channel(settings: Settings, proxies: int) -> None:
+    """A drain's entry has to reach every proxy within the grace, or drained backends get transactions."""
+    pace = settings.entries_per_s
+    grace = settings.drain_grace
+    entries = proxies * (ENTRIES_PER_ORDER + settings.effective_message_header)
+    if pace and grace and entries / pace > grace / SECOND:
+        reason = (
+            f"one drain takes {entries / pace:.1f} s for {proxies} proxies at this pace, and "
+            f"the grace is {grace // MILLISECOND} ms"
         )
+        raise _failed(reason, settings_path("channel", "lines-per-second"))
     backlog = settings.backlog_limit
-    if backlog and backlog < lines:
-        raise Refused(
-            "operation-failed",
-            f"one drain takes {lines:.0f} lines for {proxies} proxies, more than the backlog may hold",
-            settings_path("channel", "backlog-limit"),
-        )
+    if backlog and backlog < entries:
+        reason = f"one drain takes {entries:.0f} lines for {proxies} proxies, more than the backlog may hold"
+        raise _failed(reason, settings_path("channel", "backlog-limit"))
--- /dev/null
+++ b/granitespool/management/interfaces.py
@@ -0,0 +1,89 @@
+"""What datastores and protocols need of the service around them: net.management_service and its listener."""
+
+from collections.abc import Iterator, MutableMapping
+from typing import Any, Protocol
+
+from granitespool.management.changes import Answer
+from granitespool.management.data_tree import Tree
+from granitespool.management.datastores import Datastores
+from granitespool.management.model import Model
+
+
+class Listener(Protocol):
+    """What a protocol reads of the listener that accepted its connection."""
+
+    streams: int | None  # calls at once on one connection, where the protocol has any
+
+
+class Transport(Protocol):
+    """One connection of a management client."""
+
+    door: Listener
+    ending: str | None  # why it is about to end
+
+    @property
+    def unsent(self) -> int:
+        """Bytes that wait to be written."""
+
+    def now(self) -> int:
+        """The turn's time, ns."""
+
+    def send(self, data: bytes) -> None:
+        """Writes bytes as the client takes them."""
+
+    def end(self, why: str) -> None:
+        """Ends the connection once what waits is written, as far as it can be at once."""
+
+    def wake(self) -> None:
+        """Has the listener look at the connection again in the next turn."""
+
+
+class Session(Protocol):
+    """A protocol's session, as other sessions know it."""
+
+    transport: Transport
+
+
+class StateReader(Protocol):
+    """The operational state, read in steps."""
+
+    tree: Tree
+
+    def steps(self) -> Iterator[None]:
+        """Reads a part; the tree is whole at the end."""
+
+
+class SharedState(Protocol):
+    """One reading of the operational state for all who ask within a short time."""
+
+    flat: dict[tuple[str, int], Any]  # what protocols derived of the newest tree
+    leaves: MutableMapping[str, Any]  # by the text of a path, as long as any subscriber holds it
+
+    def look(self, now: int) -> Tree | None:
+        """A recent tree, or None after a step towards it."""
+
+
+class ManagementService(Protocol):
+    """What the sessions of all protocols share."""
+
+    datastores: Datastores
+    model: Model
+    shared: SharedState
+
+    def picture(self) -> StateReader:
+        """A new reading of the operational state."""
+
+    def session(self, number: str) -> Session | None:
+        """The session of a number."""
+
+    def number_of(self, session: object) -> int:
+        """A session's number, 0 for the coordinator itself."""
+
+    def keep_startup(self, answer: Answer) -> object:
+        """Has startup outlast the process, and answers once that is safe."""
+
+    def failed(self, error: Exception) -> None:
+        """Logs a fault of this program."""
+
+    def left(self, session: object) -> None:
+        """A session has ended, however."""
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -1,154 +1,182 @@
 """Between a tree of settings, as the module has it, and the configuration that the service runs on; no I/O.
 
-What a tree does not change keeps its exact value: a commit writes only the keys whose part of the tree
-differs."""
+This is the one place that knows both names of a setting. What a tree does not change keeps its exact value: a
+commit writes only the settings whose part of the tree differs."""
+
+from collections.abc import Mapping
+from enum import Enum, auto
+from typing import Any, NamedTuple, TypeAlias
 
 import msgspec
 
-from granitespool.management.model import SETTINGS
+from granitespool.management.data_tree import Tree, Value
+from granitespool.operator_settings import Operator, State
 from granitespool.settings import RequestClass, Settings
 from granitespool.units import MICROSECOND
 
-SPAN, FIGURE, WHOLE, PLAIN = "span", "figure", "whole", "plain"  # ns; a number; an int; as it stands
-
-# (container, leaf) -> (the settings' name, its form)
-LEAVES = {
-    ("channel", "lines-per-second"): ("entries_per_s", FIGURE),
-    ("channel", "message-head"): ("message_header", FIGURE),
-    ("channel", "backlog-limit"): ("backlog_limit", FIGURE),
-    ("channel", "messages-limit"): ("messages_limit", WHOLE),
-    ("channel", "messages-span"): ("messages_span", SPAN),
-    ("channel", "admission"): ("admission", PLAIN),
-    ("permissions", "probes"): ("health_checks_allowed", PLAIN),
-    ("permissions", "connect-timeout"): ("connect_timeout", SPAN),
-    ("drain", "grace"): ("drain_grace", SPAN),
-    ("drain", "needs-entry"): ("removal_needs_drain", PLAIN),
-    ("cold", "time"): ("warm_up_time", SPAN),
-    ("cold", "share"): ("warm_up_start_share", FIGURE),
-}
-CLASS = {
-    "name": ("name", PLAIN),
-    "effect": ("effect", PLAIN),
-    "promised-time": ("latency_objective", SPAN),
-    "time-limit": ("timeout", SPAN),
-    "benefit": ("priority_weight", FIGURE),
-    "late-share": ("late_share", FIGURE),
-}
+Configuration: TypeAlias = Mapping[str, Any]
+"""As net.config reads it, with the operator's settings."""
+
+
+class Form(Enum):
+    """How a setting's value stands in a tree."""
+
+    SPAN = auto()  # microseconds as text; nanoseconds in the configuration
+    DECIMAL = auto()  # text
+    INTEGER = auto()
+    UNCHANGED = auto()
+
+
+class Setting(NamedTuple):
+    """A setting of the configuration by its name there."""
+
+    name: str
+    form: Form
+
+
+SETTINGS = {
+    ("channel", "lines-per-second"): Setting("entries_per_s", Form.DECIMAL),
+    ("channel", "message-head"): Setting("message_header", Form.DECIMAL),
+    ("channel", "backlog-limit"): Setting("backlog_limit", Form.DECIMAL),
+    ("channel", "messages-limit"): Setting("messages_limit", Form.INTEGER),
+    ("channel", "messages-span"): Setting("messages_span", Form.SPAN),
+    ("channel", "admission"): Setting("admission", Form.UNCHANGED),
+    ("permissions", "probes"): Setting("health_checks_allowed", Form.UNCHANGED),
+    ("permissions", "connect-timeout"): Setting("connect_timeout", Form.SPAN),
+    ("drain", "grace"): Setting("drain_grace", Form.SPAN),
+    ("drain", "needs-entry"): Setting("removal_needs_drain", Form.UNCHANGED),
+    ("cold", "time"): Setting("warm_up_time", Form.SPAN),
+    ("cold", "share"): Setting("warm_up_start_share", Form.DECIMAL),
+}  # by (container, leaf)
+CLASS_SETTINGS = {
+    "name": Setting("name", Form.UNCHANGED),
+    "effect": Setting("effect", Form.UNCHANGED),
+    "promised-time": Setting("latency_objective", Form.SPAN),
+    "time-limit": Setting("timeout", Form.SPAN),
+    "benefit": Setting("priority_weight", Form.DECIMAL),
+    "late-share": Setting("late_share", Form.DECIMAL),
+}  # of a class, by leaf
+LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf: the configuration's name
+DECIMAL_DIGITS = 6  # of the module's decimals, but for those of the operator's file
+OPERATOR_DIGITS = 3
 NO_SETTINGS = Settings()  # what stands where nothing is told
-LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf -> the configuration's name
-STATE_DECIMALS = "half-life-s", "oldest-s"
+OPERATOR_DECIMALS = ("half-life-s", "oldest-s")
 
 
-def decimal(value, digits=6):
+def decimal_text(value: float, digits: int = DECIMAL_DIGITS) -> str:
     """A decimal64's canonical text."""
     text = f"{value:.{digits}f}".rstrip("0")
     return text + "0" if text.endswith(".") else text
 
 
-def _out(value, form):
-    return (
-        str(int(value) // MICROSECOND)
-        if form == SPAN
-        else decimal(value)
-        if form == FIGURE
-        else int(value)
-        if form == WHOLE
-        else value
-    )
+def _decimal_value(text: str) -> float:
+    """A decimal64's value; whole ones as int, as the settings have them."""
+    value = float(text)
+    return int(value) if value == int(value) else value
 
 
-def _in(value, form):
-    return int(value) * MICROSECOND if form == SPAN else number(value) if form == FIGURE else value
+def _to_tree(value: Value, form: Form) -> Value:
+    if form is Form.SPAN:
+        return str(int(value) // MICROSECOND)
+    if form is Form.DECIMAL:
+        return decimal_text(value)
+    if form is Form.INTEGER:
+        return int(value)
+    return value
 
 
-def number(text):
-    """A decimal64's value; whole ones as int, as the settings have them."""
-    value = float(text)
-    return int(value) if value == int(value) else value
+def _from_tree(value: Value, form: Form) -> Value:
+    if form is Form.SPAN:
+        return int(value) * MICROSECOND
+    if form is Form.DECIMAL:
+        return _decimal_value(value)
+    return value
 
 
-def tree_of(config):
-    """The tree of a configuration as `net.config` reads it, with its operator's settings."""
-    settings, tree = config["settings"], {}
-    for (group, leaf), (name, form) in LEAVES.items():
+def tree_of(config: Configuration) -> Tree:
+    """The tree of a configuration."""
+    settings: Settings = config["settings"]
+    tree: Tree = {}
+    for (container, leaf), (name, form) in SETTINGS.items():
         value = getattr(settings, name)
-        if value is not None and not (name == "removal_needs_drain" and value is False):
-            tree.setdefault(group, {})[leaf] = _out(value, form)
-    classes = [
-        {
-            leaf: _out(getattr(kind, name), form)
-            for leaf, (name, form) in CLASS.items()
-            if getattr(kind, name) is not None
-        }
-        for kind in settings.classes
-    ]
+        is_default = name == "removal_needs_drain" and value is False
+        if value is not None and not is_default:
+            tree.setdefault(container, {})[leaf] = _to_tree(value, form)
+    classes = [_class_tree(each) for each in settings.classes]
     if classes:
         tree["class"] = classes
     if settings.zones:
         tree["zone"] = list(settings.zones)
-    limits = config.get("limits") or {}
+    limits = config.get("limits")
     if limits:
         tree["limits"] = {leaf: int(limits[name]) for leaf, name in LIMITS.items() if name in limits}
     operator = config.get("operator")
     if operator and operator.state:
-        state = {
-            key.replace("_", "-"): value for key, value in msgspec.structs.asdict(operator.state).items()
-        }
-        tree["operator"] = {
-            "state": {
-                key: decimal(value, 3) if key in STATE_DECIMALS else value for key, value in state.items()
-            }
-        }
+        tree["operator"] = {"state": _state_tree(operator.state)}
     return tree
 
 
-def config_of(tree, config):
-    """The configuration that this tree makes of a former one."""
-    before, settings = tree_of(config), config["settings"]
-    changes = {}
-    for (group, leaf), (name, form) in LEAVES.items():
-        new = tree.get(group, {}).get(leaf)
-        if new != before.get(group, {}).get(leaf):
-            changes[name] = getattr(NO_SETTINGS, name) if new is None else _in(new, form)
-    if tree.get("class") != before.get("class"):
-        former = {kind.name: kind for kind in settings.classes}
-        changes["classes"] = [
-            _class(entry, former.get(entry["name"], RequestClass())) for entry in tree.get("class", ())
-        ]
-    if tree.get("zone") != before.get("zone"):
-        changes["zones"] = list(tree.get("zone", ()))
-    result = {**config, "settings": msgspec.structs.replace(settings, **changes)}
+def _class_tree(request_class: RequestClass) -> Tree:
+    return {
+        leaf: _to_tree(getattr(request_class, name), form)
+        for leaf, (name, form) in CLASS_SETTINGS.items()
+        if getattr(request_class, name) is not None
+    }
+
+
+def _state_tree(state: State) -> Tree:
+    values = {key.replace("_", "-"): value for key, value in msgspec.structs.asdict(state).items()}
+    for leaf in OPERATOR_DECIMALS:
+        values[leaf] = decimal_text(values[leaf], OPERATOR_DIGITS)
+    return values
+
+
+def config_of(tree: Tree, config: Configuration) -> dict[str, Any]:
+    """The configuration that a tree makes of a former one."""
+    before = tree_of(config)
+    result = {**config, "settings": _settings_of(tree, before, config["settings"])}
     if tree.get("limits") != before.get("limits"):
-        new = tree.get("limits", {})
-        result["limits"] = {name: new[leaf] for leaf, name in LIMITS.items() if leaf in new} or dict(
-            config["limits_told"]
-        )
+        limits = tree.get("limits", {})
+        result["limits"] = {name: limits[leaf] for leaf, name in LIMITS.items() if leaf in limits}
+        if not result["limits"]:
+            result["limits"] = dict(config["limits_told"])
     if tree.get("operator") != before.get("operator"):
-        result["operator"] = _operator(tree.get("operator", {}), config.get("operator"))
+        result["operator"] = _operator_of(tree.get("operator", {}), config.get("operator"))
     return result
 
 
-def _class(entry, former):
-    changes = {}
-    for leaf, (name, form) in CLASS.items():
-        value = getattr(former, name)
-        old = None if value is None else _out(value, form)
-        if entry.get(leaf) != old:
-            changes[name] = _in(entry[leaf], form) if leaf in entry else None
+def _settings_of(tree: Tree, before: Tree, former: Settings) -> Settings:
+    changes: dict[str, Any] = {}
+    for (container, leaf), (name, form) in SETTINGS.items():
+        value = tree.get(container, {}).get(leaf)
+        if value != before.get(container, {}).get(leaf):
+            changes[name] = getattr(NO_SETTINGS, name) if value is None else _from_tree(value, form)
+    if tree.get("class") != before.get("class"):
+        by_name = {each.name: each for each in former.classes}
+        changes["classes"] = [
+            _class_of(entry, by_name.get(entry["name"], RequestClass())) for entry in tree.get("class", ())
+        ]
+    if tree.get("zone") != before.get("zone"):
+        changes["zones"] = list(tree.get("zone", ()))
     return msgspec.structs.replace(former, **changes)
 
 
-def _operator(tree, former):
-    from granitespool.operator_settings import Operator, State  # noqa: PLC0415 only where a manager sets it
-
-    state = tree.get("state")
-    values = state and {
-        key.replace("-", "_"): float(value) if key in STATE_DECIMALS else value
-        for key, value in state.items()
-    }
-    return msgspec.structs.replace(former or Operator(), state=State(**values) if values else None)
+def _class_of(entry: Tree, former: RequestClass) -> RequestClass:
+    before = _class_tree(former)
+    changes: dict[str, Any] = {}
+    for leaf, (name, form) in CLASS_SETTINGS.items():
+        if entry.get(leaf) != before.get(leaf):
+            changes[name] = _from_tree(entry[leaf], form) if leaf in entry else None
+    return msgspec.structs.replace(former, **changes)
 
 
-def settings_path(*names):
-    """A path below the settings, for a refusal."""
-    return (("coordinator", {}), (SETTINGS, {}), *((name, {}) for name in names))
+def _operator_of(tree: Tree, former: Operator | None) -> Operator:
+    state = None
+    if tree.get("state"):
+        values = {leaf.replace("-", "_"): value for leaf, value in tree["state"].items()}
+        for leaf in OPERATOR_DECIMALS:
+            key = leaf.replace("-", "_")
+            if key in values:
+                values[key] = float(values[key])
+        state = State(**values)
+    return msgspec.structs.replace(former or Operator(), state=state)
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -8,11 +8,12 @@
 
 from granitespool.errors import InvalidInputError
 from granitespool.management import impact_check, mapping
-from granitespool.management.authorization import User, facts_of, user_of
-from granitespool.management.datastores import STARTUP, Datastores
-from granitespool.management.errors import Refused
+from granitespool.management.authorization import User, certificate_identities, find_user
+from granitespool.management.datastores import Datastores
+from granitespool.management.errors import ManagementError
 from granitespool.management.model import Model
-from granitespool.management.operational_state import Picture
+from granitespool.management.operational_state import OperationalState, ServiceFacts
+from granitespool.management.settings_trees import STARTUP
 from granitespool.net.config import shares
 from granitespool.net.loop import SECOND
 from granitespool.net.management_listener import Door
@@ -61,8 +62,10 @@
         tree = mapping.tree_of(service.config)
         try:
             self.model.check(tree)
-        except Refused as refused:
-            raise InvalidInputError(f"the settings do not fit the managers' model: {refused.why}") from None
+        except ManagementError as refused:
+            raise InvalidInputError(
+                f"the settings do not fit the managers' model: {refused.reason}"
+            ) from None
         self.datastores = Datastores(self.model, self, tree)
         self.base = service.file_tree  # the tree of the files as they were last read
         self.from_file = None  # the configuration that a reload brings, meanwhile
@@ -87,9 +90,9 @@
 
     def _open(self, name, settings, made):
         if name == "netconf":
-            from granitespool.netconf.session import Netconf as protocol  # noqa: PLC0415 only where it is on
+            from granitespool.netconf.session import NetconfSession as protocol  # noqa: PLC0415 only where it is on
         else:
-            from granitespool.gnmi.session import Gnmi as protocol  # noqa: PLC0415
+            from granitespool.gnmi.connection import GnmiConnection as protocol  # noqa: PLC0415
         self.doors.append(
             Door(
                 self.loop,
@@ -103,7 +106,7 @@
         )
 
     def _user(self, certificate, digest):
-        return user_of(self.users, facts_of(certificate, digest))
+        return find_user(self.users, certificate_identities(certificate, digest))
 
     # Sessions
 
@@ -136,7 +139,7 @@
 
     def _undone(self, error):
         if error:
-            self.log.event("commit_not_undone", why=error.why)
+            self.log.event("commit_not_undone", why=error.reason)
 
     # The datastores' host
 
@@ -171,7 +174,7 @@
             waits = self.service.take(config)
         except Exception as error:
             self.loop.failed(error)
-            raise Refused(
+            raise ManagementError(
                 "operation-failed", "a part could not take its settings, and all have their former ones again"
             ) from None
         version = self.datastores.version + 1
@@ -195,9 +198,9 @@
         """The same of startup, as it is now."""
         stores = self.datastores
         if self.service.keeper is None:
-            stores.trees[STARTUP] = None
+            stores.reset_startup()
             return answer(
-                Refused(
+                ManagementError(
                     "operation-failed",
                     "without a state folder nothing outlasts a restart, so "
                     "startup cannot differ from running",
@@ -206,9 +209,9 @@
 
         def kept(why):
             if why:  # it may come there yet: a restart begins with what runs
-                stores.trees[STARTUP] = None
+                stores.reset_startup()
                 self.unkeep(stores.tree(STARTUP), stores.version)
-            answer(Refused("resource-denied", why) if why else None)
+            answer(ManagementError("resource-denied", why) if why else None)
 
         return self.keep(stores.tree(STARTUP), stores.version, kept)
 
@@ -234,8 +237,8 @@
     # The files
 
     def reread(self, config):
-        """The files were read anew, as this configuration; Refused changes nothing. Where they hold what
-        they held before, what managers have changed since stands."""
+        """The files were read anew, as this configuration; ManagementError changes nothing. Where they hold
+        what they held before, what managers have changed since stands."""
         tree = mapping.tree_of(config)
         made = {door.name: self._context(config["operator"], door.name) for door in self.doors}
         if tree == self.base:
@@ -259,18 +262,18 @@
 
     def picture(self):
         service, stores = self.service, self.datastores
-        return Picture(
+        return OperationalState(
             service.coordinator,
-            {
-                "name": service.config["name"],
-                "version": stores.version,
-                "commits": stores.commits,
-                "refused": stores.refused,
-                "index": service.discovery.index,
-                "named": service.discovery.named,
-                "age": self.loop.now - self.list_seen[1],
-                "folder": service.keeper and service.keeper.figures(),
-            },
+            ServiceFacts(
+                name=service.config["name"],
+                version=stores.version,
+                commits=stores.commits,
+                rejected=stores.refused,
+                list_index=service.discovery.index,
+                list_age=self.loop.now - self.list_seen[1],
+                list_named=service.discovery.named,
+                folder=service.keeper and service.keeper.figures(),
+            ),
         )
 
     def notify(self, name, **fields):
@@ -296,7 +299,9 @@
             for (zone, name), share in levels.items():
                 # What nothing was ordered of is let in whole
                 if self.levels.get((zone, name), max(share, 1.0)) != share:
-                    self.notify("levels-changed", zone=zone, **{"class": name}, share=mapping.decimal(share))
+                    self.notify(
+                        "levels-changed", zone=zone, **{"class": name}, share=mapping.decimal_text(share)
+                    )
             self.levels = levels
             seen = {}
             for number, name in enumerate(list(coordinator.listed()), 1):
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -112,9 +112,9 @@
         except InvalidInputError as error:
             return self.log.event("reload_refused", why=str(error))
         except Exception as error:
-            if not hasattr(error, "why"):
+            if not hasattr(error, "reason"):
                 raise
-            return self.log.event("reload_refused", why=error.why)
+            return self.log.event("reload_refused", why=error.reason)
         self.log.event("reloaded", discovery="{}:{}".format(*config["discovery"]), waits_for_restart=waits)
 
     def waits(self, config):
--- /dev/null
+++ b/granitespool/netconf/content.py
@@ -0,0 +1,130 @@
+"""Between XML and data trees: edit-config content to changes, and trees to XML; no I/O."""
+
+from collections.abc import Iterator
+
+from lxml import etree
+
+from granitespool.management import model
+from granitespool.management.data_tree import Tree, Value
+from granitespool.management.edits import REMOVALS, Change, Placement
+from granitespool.management.errors import ErrorTag, ManagementError
+from granitespool.management.model import SchemaNode
+from granitespool.netconf.namespaces import YANG, base, own
+from granitespool.netconf.xmltree import Element, is_own, local_name, namespace_of, text_of
+
+EDIT_OPERATIONS = ("merge", "replace", "create", "delete", "remove")
+
+
+def value_text(value: Value) -> str:
+    """A leaf's value as XML has it."""
+    if isinstance(value, bool):
+        return "true" if value else "false"
+    return str(value)
+
+
+def changes_of(node: SchemaNode, element: Element) -> tuple[Change, ...]:
+    """The changes that the child elements of one make to a container of the module.
+
+    Raises:
+        ManagementError: an element, attribute or value that the module does not allow.
+    """
+    return tuple(_change(node.child(_data_name(node, child)), child) for child in element)
+
+
+def _data_name(node: SchemaNode, element: Element) -> str:
+    if not is_own(element):
+        raise ManagementError(
+            ErrorTag.UNKNOWN_NAMESPACE,
+            f"{local_name(element)} is of the namespace {namespace_of(element)!r:.80}",
+            node.path(),
+            element=local_name(element),
+            namespace=namespace_of(element),
+        )
+    return local_name(element)
+
+
+def _change(node: SchemaNode, element: Element) -> Change:
+    operation = _edit_operation(node, element)
+    placement = _placement(node, element)
+    if node.kind in ("container", "list"):
+        return Change(node.name, operation, None, changes_of(node, element), placement)
+    if len(element):
+        reason = f"{node.name} is a leaf and holds elements"
+        raise ManagementError(ErrorTag.BAD_ELEMENT, reason, node.path(), element=node.name)
+    is_removed_leaf = operation in REMOVALS and node.kind == "leaf"
+    value = None if is_removed_leaf else node.parse(text_of(element))
+    return Change(node.name, operation, value, (), placement)
+
+
+def _edit_operation(node: SchemaNode, element: Element) -> str | None:
+    operation: str | None = element.get(base("operation"))
+    if operation is not None and operation not in EDIT_OPERATIONS:
+        raise _bad_attribute(node, f"there is no operation {operation!r:.40}", "operation")
+    return operation
+
+
+def _bad_attribute(node: SchemaNode, reason: str, attribute: str) -> ManagementError:
+    return ManagementError(
+        ErrorTag.BAD_ATTRIBUTE, reason, node.path(), attribute=attribute, element=node.name
+    )
+
+
+def _placement(node: SchemaNode, element: Element) -> Placement | None:
+    """Where an entry of a list ordered by the user is to stand (RFC 7950, 7.8.6)."""
+    where = element.get(f"{{{YANG}}}insert")
+    if where is None:
+        return None
+    if where not in ("first", "last", "before", "after"):
+        raise _bad_attribute(node, f"there is no place {where!r:.40}", "insert")
+    if where in ("first", "last"):
+        return Placement(where, None)
+    reference = element.get(f"{{{YANG}}}{'key' if node.kind == 'list' else 'value'}")
+    if reference is None:
+        raise ManagementError(
+            ErrorTag.MISSING_ATTRIBUTE,
+            f"{where} whom is not said",
+            node.path(),
+            attribute="key",
+            element=node.name,
+        )
+    if node.kind == "list":
+        return Placement(where, _key_values(node, reference))
+    return Placement(where, node.parse(reference))
+
+
+def _key_values(node: SchemaNode, predicate: str) -> dict[str, Value]:
+    """{key: value} of a list's predicate such as [gs:name='pay']."""
+    values = {}
+    for part in predicate.strip().strip("[]").split("]["):
+        name, _, value = part.partition("=")
+        values[name.strip().rpartition(":")[2]] = value.strip().strip("'\"")
+    if set(values) != set(node.keys):
+        raise _bad_attribute(node, f"{predicate!r:.60} names no entry of {node.name}", "key")
+    return values
+
+
+def append_tree(parent: Element, node: SchemaNode, tree: Tree) -> Iterator[None]:
+    """Appends what a tree has of a container's children to its element; yields after each list entry."""
+    for name, child in node.children.items():
+        value = tree.get(name)
+        if value is None:
+            continue
+        if child.is_leaf:
+            _append_leaf(parent, child, value)
+        elif child.kind == "container":
+            yield from append_tree(etree.SubElement(parent, own(name)), child, value)
+        else:
+            for entry in value:
+                yield from append_tree(etree.SubElement(parent, own(name)), child, entry)
+                yield
+
+
+def _append_leaf(parent: Element, node: SchemaNode, value: Value) -> None:
+    tag = own(node.name)
+    for each in value if node.kind == "leaf-list" else (value,):
+        etree.SubElement(parent, tag).text = value_text(each)
+
+
+def top_element(parent: Element, name: str) -> Element:
+    """A new child that declares the module's namespace as the default one."""
+    return etree.SubElement(parent, own(name), nsmap={None: model.NAMESPACE})
--- /dev/null
+++ b/granitespool/netconf/filters.py
@@ -0,0 +1,167 @@
+"""Filters of get and get-config: subtree (RFC 6241, 6) and XPath (RFC 6241, 8.9); no I/O."""
+
+from lxml import etree
+
+from granitespool.management.data_tree import Tree, Value
+from granitespool.management.errors import ErrorTag, ManagementError
+from granitespool.management.model import SchemaNode
+from granitespool.netconf.content import value_text
+from granitespool.netconf.namespaces import base
+from granitespool.netconf.xmltree import Element, is_own, local_name, text_of
+
+SUBTREE = "subtree"
+XPATH = "xpath"
+
+
+class Filter:
+    """The filter of a request; without one, everything is selected."""
+
+    def __init__(self, request: Element) -> None:
+        self.element = request.find(base("filter"))
+        self.kind = SUBTREE
+        if self.element is not None:
+            self.kind = self.element.get("type") or SUBTREE
+        if self.kind not in (SUBTREE, XPATH):
+            raise ManagementError(
+                ErrorTag.BAD_ATTRIBUTE,
+                f"there is no filter of the type {self.kind!r:.40}",
+                attribute="type",
+                element="filter",
+            )
+
+    def select_tree(self, top: SchemaNode, tree: Tree) -> Tree | None:
+        """What a subtree filter leaves of the whole tree, None for nothing; an XPath filter leaves it all."""
+        if self.element is None or self.kind == XPATH:
+            return tree
+        selected: Tree | None = None
+        for child in self.element:
+            if local_name(child) == top.name and is_own(child):
+                part = select_subtree(top, tree, child)
+                selected = part if selected is None else {**selected, **(part or {})}
+        return selected
+
+    def select_elements(self, data: Element) -> None:
+        """Keeps what an XPath filter selects of the reply's data element, with the elements above it."""
+        if self.element is None or self.kind != XPATH:
+            return
+        root = etree.Element("root")
+        root.extend(list(data))
+        selected = self._evaluate(root)
+        keep: set[Element] = set()
+        for element in selected:
+            keep.update(element.iterancestors())
+        _remove_others(root, keep, selected)
+        data.extend(list(root))
+
+    def _evaluate(self, root: Element) -> set[Element]:
+        """The elements below the root that the expression selects."""
+        select = self.element.get("select")
+        if select is None:
+            raise ManagementError(
+                ErrorTag.MISSING_ATTRIBUTE,
+                "an xpath filter needs select",
+                attribute="select",
+                element="filter",
+            )
+        prefixes = {prefix: uri for prefix, uri in self.element.nsmap.items() if prefix}
+        expression = f"/root{select}" if select.startswith("/") and not select.startswith("//") else select
+        try:
+            found = etree.ElementTree(root).xpath(expression, namespaces=prefixes, smart_strings=False)
+        except etree.XPathError as error:
+            reason = f"select cannot be used: {error}"
+            raise _invalid_select(reason) from None
+        if not isinstance(found, list):
+            reason = "select chooses no nodes"
+            raise _invalid_select(reason)
+        return {node for node in found if etree.iselement(node)}
+
+
+def _invalid_select(reason: str) -> ManagementError:
+    return ManagementError(ErrorTag.INVALID_VALUE, reason, element="filter")
+
+
+def _remove_others(element: Element, keep: set[Element], keep_whole: set[Element]) -> None:
+    for child in list(element):
+        if child in keep_whole:
+            continue
+        if child in keep:
+            _remove_others(child, keep, keep_whole)
+        else:
+            element.remove(child)
+
+
+def select_subtree(node: SchemaNode, tree: Tree, wanted: Element) -> Tree | None:
+    """What the filter's element for this container leaves of its tree, None for nothing."""
+    children = list(wanted)
+    if not children:
+        return tree  # a selection node
+    content_matches = [child for child in children if _is_content_match(child)]
+    if not all(_content_matches(node, tree, child) for child in content_matches):
+        return None
+    others = [child for child in children if not _is_content_match(child)]
+    if not others:
+        return tree
+    result = {name: tree[name] for name in map(local_name, content_matches)}
+    result.update({name: tree[name] for name in node.keys})  # an entry is of no use without its keys
+    found = bool(content_matches)
+    for child in others:
+        found |= _select_child(node, tree, child, result)
+    return {name: result[name] for name in tree if name in result} if found else None
+
+
+def _is_content_match(element: Element) -> bool:
+    return not len(element) and bool(text_of(element))
+
+
+def _child_node(node: SchemaNode, element: Element) -> SchemaNode | None:
+    return node.children.get(local_name(element)) if is_own(element) else None
+
+
+def _content_matches(node: SchemaNode, tree: Tree, element: Element) -> bool:
+    child = _child_node(node, element)
+    if child is None or child.kind not in ("leaf", "leaf-list"):
+        return False
+    value = tree.get(child.name)
+    values = value if child.kind == "leaf-list" else [value]
+    return text_of(element) in [value_text(each) for each in values or () if each is not None]
+
+
+def _select_child(node: SchemaNode, tree: Tree, element: Element, result: Tree) -> bool:
+    """Adds what one element selects to the result; whether it selects anything."""
+    child = _child_node(node, element)
+    if child is None or child.name not in tree:
+        return False
+    part = _select_value(child, tree[child.name], element)
+    if part is None:
+        return False
+    result[child.name] = _merged(child, result.get(child.name), part)
+    return True
+
+
+def _select_value(node: SchemaNode, value: Value, wanted: Element) -> Value:
+    if node.kind == "container":
+        return select_subtree(node, value, wanted)
+    if node.kind == "list":
+        parts = (select_subtree(node, entry, wanted) for entry in value)
+        return [part for part in parts if part is not None] or None
+    return None if len(wanted) else value
+
+
+def _merged(node: SchemaNode, one: Value, other: Value) -> Value:
+    """The union of two parts of the same node that two elements of a filter selected."""
+    if one is None or node.kind in ("leaf", "leaf-list"):
+        return other
+    if node.kind == "container":
+        return {
+            name: _merged(node.children[name], one.get(name), other.get(name, one.get(name)))
+            for name in {**one, **other}
+        }
+    entries = {_key_of(node, entry): entry for entry in one}
+    for entry in other:
+        key = _key_of(node, entry)
+        entries[key] = {**entries.get(key, {}), **entry}
+    return list(entries.values())
+
+
+def _key_of(node: SchemaNode, entry: Tree) -> tuple[Value, ...]:
+    return tuple(entry.get(key) for key in node.keys)
--- a/granitespool/netconf/framing.py
+++ b/granitespool/netconf/framing.py
@@ -1,69 +1,109 @@
-"""The two framings of RFC 6242: an end mark for base:1.0, chunks for base:1.1; no I/O."""
+"""Message framing of RFC 6242: the end-of-message mark of base:1.0 and the chunks of base:1.1; no I/O."""
 
-END = b"]]>]]>"
-CHUNK_MOST = 4_294_967_295  # bytes of a chunk by the RFC; a message's bound is the reader's own
-HEAD_MOST = 13  # bytes of a chunk's head at most: "\n#", ten digits, "\n"
+from collections.abc import Iterator
 
+from granitespool.netconf.errors import FramingError
 
-class Wrong(Exception):
-    """Bytes that are no frame, or a message over the bound."""
+END_OF_MESSAGE = b"]]>]]>"
+END_OF_CHUNKS = b"\n##\n"
+CHUNK_START = b"\n#"
+MAX_CHUNK_BYTES = 4_294_967_295  # RFC 6242, 4.2; a message's own limit is the reader's
+MAX_CHUNK_HEADER_BYTES = 13  # "\n#", ten digits, "\n"
 
 
-def framed(data, chunked):
-    """A message's bytes for the wire."""
-    return b"\n#%d\n%s\n##\n" % (len(data), data) if chunked else data + END
+def frame(message: bytes, chunked: bool) -> bytes:
+    """A message's bytes as they go on the wire."""
+    if chunked:
+        return b"\n#%d\n%s\n##\n" % (len(message), message)
+    return message + END_OF_MESSAGE
 
 
-class Reader:
-    """What one peer has sent and is not a whole message yet."""
+class MessageReader:
+    """Splits the bytes of one peer into messages; `chunked` is the framing, and may change between two."""
 
-    def __init__(self, most):
-        self.most, self.chunked, self.data = most, False, bytearray()
-        self.message, self.left = bytearray(), 0  # of the chunks so far; bytes that the current one lacks
+    def __init__(self, max_message_bytes: int) -> None:
+        self.max_message_bytes = max_message_bytes
+        self.chunked = False
+        self._received = bytearray()
+        self._message = bytearray()  # the chunks of the current message so far
+        self._chunk_bytes_left = 0  # of the current chunk
 
-    def feed(self, data):
-        self.data += data
+    def feed(self, data: bytes) -> None:
+        """Takes bytes as they were received."""
+        self._received += data
 
-    def messages(self):
-        """Yields whole messages; `chunked` may be set between two of them. Ends in Wrong."""
-        while (message := self._chunks() if self.chunked else self._marked()) is not None:
+    def messages(self) -> Iterator[bytes]:
+        """Yields the complete messages.
+
+        Raises:
+            FramingError: the bytes are no frame, or a message is over the limit.
+        """
+        while (message := self._next_message()) is not None:
             yield message
 
-    def _marked(self):
-        at = self.data.find(END)
-        if (at if at >= 0 else len(self.data) - len(END)) > self.most:
-            raise Wrong(f"a message is over {self.most} bytes")
-        if at < 0:
+    def _next_message(self) -> bytes | None:
+        return self._read_chunked() if self.chunked else self._read_marked()
+
+    def _read_marked(self) -> bytes | None:
+        end = self._received.find(END_OF_MESSAGE)
+        size = end if end >= 0 else len(self._received) - len(END_OF_MESSAGE)
+        self._check_size(size)
+        if end < 0:
             return None
-        message = bytes(self.data[:at])
-        del self.data[: at + len(END)]
+        message = bytes(self._received[:end])
+        del self._received[: end + len(END_OF_MESSAGE)]
         return message
 
-    def _chunks(self):
+    def _check_size(self, size: int) -> None:
+        if size > self.max_message_bytes:
+            reason = f"a message is over {self.max_message_bytes} bytes"
+            raise FramingError(reason)
+
+    def _read_chunked(self) -> bytes | None:
         while True:
-            if self.left:
-                piece = self.data[: self.left]
-                self.message += piece
-                del self.data[: len(piece)]
-                self.left -= len(piece)
-                if self.left:
-                    return None
-            head = bytes(self.data[:HEAD_MOST])
-            if not b"\n##\n".startswith(head[:4]) and not head.startswith(b"\n#"[: len(head)]):
-                raise Wrong("a chunk does not begin with its head")
-            if head.startswith(b"\n##\n"):
-                del self.data[:4]
-                message, self.message = bytes(self.message), bytearray()
-                return message
-            end = head.find(b"\n", 1)
-            if end < 0:
-                if len(head) >= HEAD_MOST:
-                    raise Wrong("a chunk's head has no end")
+            self._take_chunk_data()
+            if self._chunk_bytes_left:
                 return None
-            digits = head[2:end]
-            if not digits.isdigit() or digits.startswith(b"0") or int(digits) > CHUNK_MOST:
-                raise Wrong(f"a chunk has the length {digits[:20]!r}")
-            if len(self.message) + int(digits) > self.most:
-                raise Wrong(f"a message is over {self.most} bytes")
-            self.left = int(digits)
-            del self.data[: end + 1]
+            header = bytes(self._received[:MAX_CHUNK_HEADER_BYTES])
+            self._check_header_start(header)
+            if header.startswith(END_OF_CHUNKS):
+                return self._finish_message()
+            header_end = header.find(b"\n", 1)
+            if header_end < 0:
+                self._check_header_incomplete(header)
+                return None
+            self._chunk_bytes_left = self._chunk_size(header[len(CHUNK_START) : header_end])
+            del self._received[: header_end + 1]
+
+    def _take_chunk_data(self) -> None:
+        data = self._received[: self._chunk_bytes_left]
+        self._message += data
+        del self._received[: len(data)]
+        self._chunk_bytes_left -= len(data)
+
+    @staticmethod
+    def _check_header_start(header: bytes) -> None:
+        may_be_end = END_OF_CHUNKS.startswith(header[: len(END_OF_CHUNKS)])
+        may_be_chunk = header.startswith(CHUNK_START[: len(header)])
+        if not may_be_end and not may_be_chunk:
+            reason = "a chunk does not begin with its head"
+            raise FramingError(reason)
+
+    @staticmethod
+    def _check_header_incomplete(header: bytes) -> None:
+        if len(header) >= MAX_CHUNK_HEADER_BYTES:
+            reason = "a chunk's head has no end"
+            raise FramingError(reason)
+
+    def _finish_message(self) -> bytes:
+        del self._received[: len(END_OF_CHUNKS)]
+        message = bytes(self._message)
+        self._message.clear()
+        return message
+
+    def _chunk_size(self, digits: bytes) -> int:
+        if not digits.isdigit() or digits.startswith(b"0") or int(digits) > MAX_CHUNK_BYTES:
+            reason = f"a chunk has the length {digits[:20]!r}"
+            raise FramingError(reason)
+        self._check_size(len(self._message) + int(digits))
+        return int(digits)
--- /dev/null
+++ b/granitespool/netconf/operations/editing.py
@@ -0,0 +1,96 @@
+"""edit-config, copy-config, delete-config and validate (RFC 6241, 7.2 to 7.4 and 8.6)."""
+
+from granitespool.management.authorization import require_write
+from granitespool.management.data_tree import Tree
+from granitespool.management.edits import REMOVALS, Change, differing, edited
+from granitespool.management.errors import ErrorTag, ManagementError
+from granitespool.management.settings_trees import STARTUP
+from granitespool.netconf.content import changes_of
+from granitespool.netconf.context import OperationContext, Steps
+from granitespool.netconf.namespaces import base
+from granitespool.netconf.parameters import (
+    choice_parameter,
+    config_content,
+    config_tree,
+    datastore_name,
+    datastore_parameter,
+    only_child,
+)
+from granitespool.netconf.xmltree import Element, local_name
+
+DEFAULT_OPERATIONS = ("merge", "replace", "none")
+TEST_OPTIONS = ("test-then-set", "set", "test-only")
+ERROR_OPTIONS = ("stop-on-error", "continue-on-error", "rollback-on-error")
+
+
+def edit_config(context: OperationContext, operation: Element, _reply: Element) -> Steps:
+    """Changes the settings of candidate or startup."""
+    target = datastore_parameter(operation, "target")
+    default = choice_parameter(operation, "default-operation", DEFAULT_OPERATIONS)
+    test = choice_parameter(operation, "test-option", TEST_OPTIONS)
+    # An edit is one change of one tree, so each error option means all or nothing.
+    choice_parameter(operation, "error-option", ERROR_OPTIONS)
+    config = operation.find(base("config"))
+    if config is None:
+        raise ManagementError(ErrorTag.MISSING_ELEMENT, "edit-config lacks a config", element="config")
+    content = config_content(config)
+    node = context.service.model.settings
+    changes = () if content.settings is None else changes_of(node, content.settings)
+    if content.operation in (*REMOVALS, "replace") or default == "replace":
+        _replace_settings(context, target, content.operation, changes, test)
+    else:
+        require_write(context.user, sorted({change.name for change in changes}))
+        stores = context.service.datastores
+        stores.edit(context.owner, target, changes, content.operation or default, test)
+    if target == STARTUP and test != "test-only":
+        yield from context.wait_for(context.service.keep_startup)
+
+
+def _replace_settings(
+    context: OperationContext,
+    target: str,
+    operation: str | None,
+    changes: tuple[Change, ...],
+    test: str,
+) -> None:
+    """Replaces or removes the settings as a whole."""
+    stores = context.service.datastores
+    node = context.service.model.settings
+    tree = {} if operation in REMOVALS else edited(node, {}, changes)
+    require_write(context.user, differing(stores.tree(target), tree))
+    if test == "test-only":
+        stores.validate(tree)
+    else:
+        stores.copy(context.owner, target, tree)
+
+
+def copy_config(context: OperationContext, operation: Element, _reply: Element) -> Steps:
+    """Replaces candidate or startup by another datastore or by a config that was sent."""
+    target = datastore_parameter(operation, "target")
+    tree = _source_tree(context, operation)
+    stores = context.service.datastores
+    require_write(context.user, differing(stores.tree(target), tree))
+    stores.copy(context.owner, target, tree)
+    if target == STARTUP:
+        yield from context.wait_for(context.service.keep_startup)
+
+
+def delete_config(context: OperationContext, operation: Element, _reply: Element) -> Steps:
+    """Deletes what startup holds beside running."""
+    target = datastore_parameter(operation, "target")
+    require_write(context.user, [*context.service.model.settings.children])
+    context.service.datastores.delete(context.owner, target)
+    if target == STARTUP:
+        yield from context.wait_for(context.service.keep_startup)
+
+
+def validate(context: OperationContext, operation: Element, _reply: Element) -> None:
+    """Checks the settings of a datastore or of a config that was sent."""
+    context.service.datastores.validate(_source_tree(context, operation))
+
+
+def _source_tree(context: OperationContext, operation: Element) -> Tree:
+    source = only_child(operation, "source")
+    if local_name(source) == "config":
+        return config_tree(source, context.service.model.settings)
+    return context.service.datastores.tree(datastore_name(source))
--- a/granitespool/netconf/xmltree.py
+++ b/granitespool/netconf/xmltree.py
@@ -1,27 +1,43 @@
-"""XML of NETCONF: parsing within bounds, edits to changes, trees to XML, subtree filters; no I/O."""
+"""XML of NETCONF messages: parsing within bounds, names and texts of elements; no I/O."""
+
+from typing import TypeAlias
 
 from lxml import etree
 
 from granitespool.management import model
-from granitespool.management.edits import Change
-from granitespool.management.errors import Refused
+from granitespool.netconf.errors import MalformedMessageError
+
+Element: TypeAlias = etree._Element
 
-BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
-YANG = "urn:ietf:params:xml:ns:yang:1"
-DEPTH_MOST = 64  # elements within one another: a tree of ours takes nine
-NODES_MOST = 50_000  # elements of a message: a class takes seven
+MAX_DEPTH = 64  # elements within one another: a tree of the module takes nine
+MAX_ELEMENTS = 50_000  # elements of a message: a class takes seven
+MAX_REASON_CHARS = 200  # of the parser's own message
 
 
-class Malformed(Exception):
-    """A message that is no XML we take; the text says why."""
+def parse_message(data: bytes) -> Element:
+    """The root element of a message.
 
+    A DTD is rejected, so a message declares no entities; nothing is fetched; depth and number of elements are
+    limited.
 
-def parsed(data):
-    """The root of a message. No DTD, so no entities of its own; nothing is fetched; depth and number are
-    bounded."""
+    Raises:
+        MalformedMessageError: the message is not XML within these limits.
+    """
     if b"<!DOCTYPE" in data or b"<!ENTITY" in data:
-        raise Malformed("a message has a DTD")
-    parser = etree.XMLParser(
+        raise _dtd_error()
+    try:
+        root = etree.fromstring(data, _parser())
+    except (etree.XMLSyntaxError, ValueError) as error:
+        reason = f"a message is not XML: {str(error).splitlines()[0][:MAX_REASON_CHARS]}"
+        raise MalformedMessageError(reason) from None
+    if root.getroottree().docinfo.internalDTD is not None:
+        raise _dtd_error()
+    _check_size(root)
+    return root
+
+
+def _parser() -> etree.XMLParser:
+    return etree.XMLParser(
         resolve_entities=False,
         no_network=True,
         load_dtd=False,
@@ -30,210 +46,40 @@
         remove_comments=True,
         remove_pis=True,
     )
-    try:
-        root = etree.fromstring(data, parser)
-    except (etree.XMLSyntaxError, ValueError) as error:
-        raise Malformed(f"a message is not XML: {str(error).splitlines()[0][:200]}") from None
-    if root.getroottree().docinfo.internalDTD is not None:
-        raise Malformed("a message has a DTD")
-    count, stack = 0, [(root, 1)]
-    while stack:
-        element, depth = stack.pop()
+
+
+def _dtd_error() -> MalformedMessageError:
+    return MalformedMessageError("a message has a DTD")
+
+
+def _check_size(root: Element) -> None:
+    count = 0
+    pending = [(root, 1)]
+    while pending:
+        element, depth = pending.pop()
         count += 1
-        if depth > DEPTH_MOST or count > NODES_MOST:
-            raise Malformed(f"a message is over {DEPTH_MOST} deep or {NODES_MOST} elements")
-        stack.extend((child, depth + 1) for child in element)
-    return root
+        if depth > MAX_DEPTH or count > MAX_ELEMENTS:
+            reason = f"a message is over {MAX_DEPTH} deep or {MAX_ELEMENTS} elements"
+            raise MalformedMessageError(reason)
+        pending.extend((child, depth + 1) for child in element)
 
 
-def name_of(element):
-    return etree.QName(element).localname
+def local_name(element: Element) -> str:
+    """An element's name without its namespace."""
+    return str(etree.QName(element).localname)
 
 
-def space_of(element):
-    return etree.QName(element).namespace
+def namespace_of(element: Element) -> str | None:
+    """An element's namespace, None where it has none."""
+    namespace: str | None = etree.QName(element).namespace
+    return namespace
 
 
-def text_of(element):
+def text_of(element: Element) -> str:
+    """An element's text without surrounding whitespace."""
     return (element.text or "").strip()
 
 
-# Edits
-
-
-def changes(node, element):
-    """The Changes that the elements within one make to a container of the module."""
-    return tuple(_change(node.child(_own(node, each)), each) for each in element)
-
-
-def _own(node, element):
-    if space_of(element) not in (model.NAMESPACE, None):
-        raise Refused(
-            "unknown-namespace",
-            f"{name_of(element)} is of the namespace {space_of(element)!r:.80}",
-            node.path(),
-            element=name_of(element),
-            namespace=space_of(element),
-        )
-    return name_of(element)
-
-
-def _change(node, element):
-    operation = element.get(f"{{{BASE}}}operation")
-    if operation is not None and operation not in ("merge", "replace", "create", "delete", "remove"):
-        raise Refused(
-            "bad-attribute",
-            f"there is no operation {operation!r:.40}",
-            node.path(),
-            attribute="operation",
-            element=node.name,
-        )
-    place = _place(node, element)
-    if node.kind in ("container", "list"):
-        return Change(node.name, operation, None, changes(node, element), place)
-    if len(element):
-        raise Refused(
-            "bad-element", f"{node.name} is a leaf and holds elements", node.path(), element=node.name
-        )
-    gone = operation in ("delete", "remove") and node.kind == "leaf"
-    return Change(node.name, operation, None if gone else node.parsed(text_of(element)), (), place)
-
-
-def _place(node, element):
-    how = element.get(f"{{{YANG}}}insert")
-    if how is None:
-        return None
-    if how not in ("first", "last", "before", "after"):
-        raise Refused(
-            "bad-attribute",
-            f"there is no place {how!r:.40}",
-            node.path(),
-            attribute="insert",
-            element=node.name,
-        )
-    if how in ("first", "last"):
-        return how, None
-    key = element.get(f"{{{YANG}}}{'key' if node.kind == 'list' else 'value'}")
-    if key is None:
-        raise Refused(
-            "missing-attribute", f"{how} whom is not said", node.path(), attribute="key", element=node.name
-        )
-    return how, key_values(node, key) if node.kind == "list" else node.parsed(key)
-
-
-def key_values(node, text):
-    """{key: value} of a list's predicate such as [gs:name='pay']."""
-    found = {}
-    for part in text.strip().strip("[]").split("]["):
-        name, _, value = part.partition("=")
-        found[name.strip().rpartition(":")[2]] = value.strip().strip("'\"")
-    if set(found) != set(node.keys):
-        raise Refused(
-            "bad-attribute",
-            f"{text!r:.60} names no entry of {node.name}",
-            node.path(),
-            attribute="key",
-            element=node.name,
-        )
-    return found
-
-
-# Trees
-
-
-def element_of(node, tree, top=False):
-    """The element of a container and of what is in it."""
-    element = etree.Element(
-        f"{{{model.NAMESPACE}}}{node.name}", nsmap={None: model.NAMESPACE} if top else None
-    )
-    for step in filled(element, node, tree):
-        pass
-    return element
-
-
-def filled(element, node, tree):
-    """Puts a tree into an element, and yields now and then; for trees that take long."""
-    for name, child in node.children.items():
-        value = tree.get(name)
-        if value is None:
-            continue
-        tag = f"{{{model.NAMESPACE}}}{name}"
-        if child.kind == "container":
-            yield from filled(etree.SubElement(element, tag), child, value)
-        elif child.kind == "list":
-            for entry in value:
-                yield from filled(etree.SubElement(element, tag), child, entry)
-                yield
-        else:
-            for each in value if child.kind == "leaf-list" else (value,):
-                etree.SubElement(element, tag).text = (
-                    ("true" if each else "false") if isinstance(each, bool) else str(each)
-                )
-
-
-# Subtree filters (RFC 6241, 6)
-
-
-def selected(node, tree, wanted):
-    """What the filter's element for this container leaves of its tree, or None for nothing."""
-    children = list(wanted)
-    if not children:
-        return tree  # a selection node: all of it
-    matches = [each for each in children if not len(each) and text_of(each)]
-    others = [each for each in children if len(each) or not text_of(each)]
-    for each in matches:
-        child = node.children.get(name_of(each)) if _ours(each) else None
-        if child is None or child.kind not in ("leaf", "leaf-list"):
-            return None
-        value, text = tree.get(child.name), text_of(each)
-        values = value if child.kind == "leaf-list" else [value]
-        if text not in [
-            ("true" if v else "false") if isinstance(v, bool) else str(v)
-            for v in values or ()
-            if v is not None
-        ]:
-            return None
-    if not others:
-        return tree
-    result = {name: tree[name] for name in (name_of(each) for each in matches)}
-    for name in node.keys:  # an entry without its key would be nobody's
-        result[name] = tree[name]
-    found = bool(matches)
-    for each in others:
-        child = node.children.get(name_of(each)) if _ours(each) else None
-        if child is None or child.name not in tree:
-            continue
-        part = _selected_in(child, tree[child.name], each)
-        if part is not None:
-            found = True
-            result[child.name] = _united(child, result.get(child.name), part)
-    return {name: result[name] for name in tree if name in result} if found else None
-
-
-def _ours(element):
-    return space_of(element) in (model.NAMESPACE, None)
-
-
-def _selected_in(child, value, wanted):
-    if child.kind == "container":
-        return selected(child, value, wanted)
-    if child.kind == "list":
-        entries = [part for entry in value if (part := selected(child, entry, wanted)) is not None]
-        return entries or None
-    return value if not len(wanted) else None
-
-
-def _united(node, one, other):
-    """Of two parts of the same node, which two filters chose."""
-    if one is None or node.kind in ("leaf", "leaf-list"):
-        return other
-    if node.kind == "container":
-        return {
-            name: _united(node.children[name], one.get(name), other.get(name, one.get(name)))
-            for name in {**one, **other}
-        }
-    by_key = {tuple(entry.get(key) for key in node.keys): entry for entry in one}
-    for entry in other:
-        key = tuple(entry.get(name) for name in node.keys)
-        by_key[key] = {**by_key.get(key, {}), **entry}
-    return list(by_key.values())
+def is_own(element: Element) -> bool:
+    """Whether an element may name a data node of the module: clients may leave the namespace out."""
+    return namespace_of(element) in (model.NAMESPACE, None)
--- a/granitespool/rpc/__init__.py
+++ b/granitespool/rpc/__init__.py
@@ -1,6 +1,5 @@
-"""gRPC on the own loop: HTTP/2 by h2, calls and their messages; no socket and no clock of its own.
+"""gRPC over HTTP/2, the server's side, without a socket.
 
-    http2     one connection: streams, flow control, limits, a notice to go away
-    calls     one call: messages, deadline, status; what a method is given
-
-Used by the managers' gNMI; load reports will use it too."""
+errors   how a connection or a call ends when not well
+http2    one HTTP/2 connection: h2 does the protocol, this its limits     no I/O
+calls    the calls of a connection: messages, deadlines, statuses         no I/O"""
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -18,8 +18,8 @@
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi import paths
 from granitespool.operator_settings import Gnmi
-from granitespool.rpc import calls
-from granitespool.rpc.http2 import FLOOD_MOST
+from granitespool.rpc.errors import StatusCode
+from granitespool.rpc.http2 import MAX_COSTLY_FRAMES
 
 BASE = "/coordinator/settings/channel/lines-per-second"
 
@@ -484,13 +484,13 @@
 def flood_of(raw, how):
     """Plays one kind of abuse; the server is to end the connection."""
     if how == "rapid resets":
-        for _ in range(FLOOD_MOST + 20):
+        for _ in range(MAX_COSTLY_FRAMES + 20):
             raw.h2.reset_stream(raw.call())
     elif how == "settings":
         raw.flush()
-        raw.sock.sendall(b"\0\0\0\4\0\0\0\0\0" * (FLOOD_MOST + 20))
+        raw.sock.sendall(b"\0\0\0\4\0\0\0\0\0" * (MAX_COSTLY_FRAMES + 20))
     elif how == "pings":
-        for number in range(FLOOD_MOST + 20):
+        for number in range(MAX_COSTLY_FRAMES + 20):
             raw.h2.ping(number.to_bytes(8, "big"))
     elif how == "headers":
         raw.call(headers=[("x-large", "y" * 20_000)])
@@ -515,9 +515,9 @@
 @pytest.mark.parametrize(
     "data, code",
     [
-        (b"\1\0\0\0\1x", calls.UNIMPLEMENTED),
-        (b"\0\x7f\xff\xff\xff", calls.RESOURCE_EXHAUSTED),
-        (framed(pb.Poll()) * 100, calls.RESOURCE_EXHAUSTED),
+        (b"\1\0\0\0\1x", StatusCode.UNIMPLEMENTED),
+        (b"\0\x7f\xff\xff\xff", StatusCode.RESOURCE_EXHAUSTED),
+        (framed(pb.Poll()) * 100, StatusCode.RESOURCE_EXHAUSTED),
     ],
 )
 def test_bodies_out_of_bounds_are_answered_by_a_status(house, folder, data, code):
@@ -540,7 +540,7 @@
         key.decode() if isinstance(key, bytes) else key: value
         for key, value in raw.until(ResponseReceived).headers
     }
-    assert int(headers["grpc-status"]) == calls.DEADLINE_EXCEEDED
+    assert int(headers["grpc-status"]) == StatusCode.DEADLINE_EXCEEDED
     stalled = Raw(house, folder)
     for _ in range(8):  # all of the state, sampled, on windows that nobody opens
         one = stalled.call()
@@ -604,7 +604,6 @@
     ],
 )
 def test_paths_find_what_they_match(text, found):
-    from granitespool.gnmi.session import Root  # noqa: PLC0415
     from granitespool.management.model import Model  # noqa: PLC0415
 
     whole = {
@@ -612,5 +611,5 @@
             "state": {"backend": [{"name": "a", "phase": "ready"}, {"name": "b", "phase": "gone"}]}
         }
     }
-    matches = paths.found(Root(Model().top), whole, paths.path_of(pb.Path(), path(text)))
-    assert [value for _, _, value in matches] == found
+    found_matches = paths.matches(paths.RootNode(Model().top), whole, paths.parse_path(pb.Path(), path(text)))
+    assert [match.value for match in found_matches] == found
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -9,11 +9,13 @@
 from support.records import settings_of
 
 from granitespool.management import authorization, impact_check, mapping
-from granitespool.management.datastores import CANDIDATE, RUNNING, STARTUP, Datastores
+from granitespool.management.confirmation import CommitOptions
+from granitespool.management.datastores import Datastores
 from granitespool.management.edits import Change, edited, with_defaults
-from granitespool.management.errors import Refused
+from granitespool.management.errors import ManagementError
 from granitespool.management.model import Model
-from granitespool.management.operational_state import Picture
+from granitespool.management.operational_state import FolderFigures, OperationalState, ServiceFacts
+from granitespool.management.settings_trees import CANDIDATE, RUNNING, STARTUP
 from granitespool.net import config
 from granitespool.operator_settings import Operator, State
 from granitespool.settings import RequestClass
@@ -40,9 +42,9 @@
 
 
 def refused(call, *words):
-    with pytest.raises(Refused) as raised:
+    with pytest.raises(ManagementError) as raised:
         call(*words)
-    return raised.value.tag, raised.value.why
+    return raised.value.tag, raised.value.reason
 
 
 @pytest.mark.parametrize(
@@ -217,17 +219,19 @@
 )
 def test_a_user_is_known_by_one_thing_of_its_certificate(certificate, found):
     user = authorization.User("u", certificate, True, "class, zone")
-    assert (authorization.user_of([user], authorization.facts_of(CERTIFICATE, "abcd")) is user) == found
-    authorization.must_write(user, ["class"])
-    assert refused(authorization.must_write, user, ["class", "cold"]) == (
+    assert (
+        authorization.find_user([user], authorization.certificate_identities(CERTIFICATE, "abcd")) is user
+    ) == found
+    authorization.require_write(user, ["class"])
+    assert refused(authorization.require_write, user, ["class", "cold"]) == (
         "access-denied",
         "u may not write cold",
     )
     assert (
-        refused(authorization.must_read, authorization.User("u", certificate, False, ""))[0]
+        refused(authorization.require_read, authorization.User("u", certificate, False, ""))[0]
         == "access-denied"
     )
-    authorization.must_write(authorization.User("u", certificate, False, "*"), ["cold"])
+    authorization.require_write(authorization.User("u", certificate, False, "*"), ["cold"])
 
 
 class Host:
@@ -239,7 +243,7 @@
 
     def check(self, tree, running):
         if self.harm:
-            raise Refused("operation-failed", self.harm)
+            raise ManagementError("operation-failed", self.harm)
 
     def keep(self, tree, version, answer):
         self.asked.append(answer)
@@ -257,7 +261,7 @@
 
     def apply(self, tree, by):
         if self.fault:
-            raise Refused("operation-failed", self.fault)
+            raise ManagementError("operation-failed", self.fault)
         self.applied.append(tree)
 
 
@@ -273,7 +277,7 @@
 
     def commit(self, who, **more):
         answers = []
-        self.stores.commit(who, who, self.now, answers.append, **more)
+        self.stores.commit(who, who, self.now, answers.append, CommitOptions(**more))
         return answers[0].tag if answers and answers[0] else "ok" if answers else "waits"
 
     def pace(self, store=RUNNING):
@@ -303,7 +307,7 @@
         setattr(s.host, trouble, "no")
         assert s.commit("a") == "operation-failed"
     assert s.pace() == "100.0" and s.stores.version == 1 and not s.host.applied and s.pace(CANDIDATE) == "5.0"
-    assert s.stores.busy is None and s.stores.refused == 1 == len(s.host.told)
+    assert s.stores.changes.busy is None and s.stores.refused == 1 == len(s.host.told)
     assert s.host.unkept == ([] if trouble == "harm" else [s.stores.tree(RUNNING)])
 
 
@@ -327,7 +331,7 @@
     assert refused(s.stores.file, TREE)[0] == "in-use"
     s.edit("a", "5.0")
     s.stores.closed("a", None)
-    assert not s.stores.locks and s.pace(CANDIDATE) == "100.0"
+    assert not s.stores.locks.holders() and s.pace(CANDIDATE) == "100.0"
     s.edit("b", "5.0")
     assert refused(s.stores.lock, "a", CANDIDATE)[0] == "lock-denied"
     assert s.commit("b") == "ok"
@@ -384,7 +388,7 @@
         assert answers == [None]
     s.now = 30 * 10**9
     s.stores.tick(s.now, lambda error: None)
-    assert s.pace() == pace and s.stores.confirm is None
+    assert s.pace() == pace and s.stores.confirmation is None
     s.edit("c", "8.0")
     assert s.commit("c") in ("ok", "waits")
 
@@ -425,23 +429,21 @@
             seen = {"n": (0.0, 1e20, name == "a", False), "s": (2.0, None, False, 0)}
             return None if name == "gone" else (facts, seen)
 
-    picture = Picture(
-        Some(),
-        {
-            "name": "c",
-            "version": 1,
-            "commits": 0,
-            "refused": 0,
-            "index": 3,
-            "named": True,
-            "folder": (7, 2, False),
-            "age": 5000,
-        },
+    facts = ServiceFacts(
+        name="c",
+        version=1,
+        commits=0,
+        rejected=0,
+        list_index=3,
+        list_age=5000,
+        list_named=True,
+        folder=FolderFigures(7, 2, False),
     )
-    assert len(list(picture.steps())) >= 1
-    outs = [view.get("out") for each in picture.tree["backend"] for view in each["seen-from"]]
+    state = OperationalState(Some(), facts)
+    assert len(list(state.steps())) >= 1
+    outs = [view.get("out") for each in state.tree["backend"] for view in each["seen-from"]]
     assert outs == ["cut", None, "unproven", None]
-    instance = MODEL.data.from_raw({"granitespool:coordinator": {"state": picture.tree}})
+    instance = MODEL.data.from_raw({"granitespool:coordinator": {"state": state.tree}})
     from yangson.enumerations import ContentType  # noqa: PLC0415
 
     instance.validate(ctype=ContentType.all)
@@ -461,8 +463,8 @@
     def _try(self, call, *words):
         try:
             call(*words)
-        except Refused as error:
-            assert error.why and "\n" not in error.why
+        except ManagementError as error:
+            assert error.reason and "\n" not in error.reason
 
     @rule(who=WHO, pace=PACES, test=st.sampled_from(["set", "test-then-set", "test-only"]))
     def edit(self, who, pace, test):
@@ -480,10 +482,10 @@
 
     @rule(who=WHO, timeout=st.none() | st.integers(1, 5), persist=st.none() | st.just("p"))
     def commit(self, who, timeout, persist):
-        before = copy.deepcopy(self.s.stores.trees[RUNNING])
+        before = copy.deepcopy(self.s.stores.tree(RUNNING))
         result = self.s.commit(who, timeout=timeout, persist=persist if timeout else None)
         if result not in ("ok", "waits"):
-            assert self.s.stores.trees[RUNNING] == before
+            assert self.s.stores.tree(RUNNING) == before
 
     @rule(who=WHO)
     def confirm(self, who):
@@ -492,7 +494,7 @@
     @rule(who=WHO)
     def drop(self, who):
         self.s.stores.closed(who, lambda error: None)
-        assert who not in self.s.stores.locks.values() and self.s.stores.edited_by != who
+        assert who not in self.s.stores.locks.holders() and self.s.stores.trees.candidate_editor != who
 
     @rule(who=WHO)
     def discard(self, who):
@@ -523,12 +525,12 @@
         if not hasattr(self, "s"):
             return
         stores = self.s.stores
-        MODEL.check(stores.trees[RUNNING])
+        MODEL.check(stores.tree(RUNNING))
         applied = self.s.host.applied
-        assert stores.trees[RUNNING] == (applied[-1] if applied else TREE)
+        assert stores.tree(RUNNING) == (applied[-1] if applied else TREE)
         assert stores.version >= self.version and stores.version - 1 == len(applied) == stores.commits
         self.version = stores.version
-        assert (stores.busy is not None) == bool(self.s.host.asked)
+        assert (stores.changes.busy is not None) == bool(self.s.host.asked)
 
 
 Several.TestCase.settings = hypothesis_settings(
--- a/tests/test_management_replies.py
+++ b/tests/test_management_replies.py
@@ -10,8 +10,8 @@
 from support.management import SECOND, ManagedCoordinator, compare_with_record
 
 from granitespool.gnmi import gnmi_pb2 as pb
-from granitespool.gnmi.session import Gnmi
-from granitespool.netconf.session import Netconf
+from granitespool.gnmi.connection import GnmiConnection
+from granitespool.netconf.session import NetconfSession
 
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
 OURS = 'xmlns="urn:granitespool:coordinator"'
@@ -39,7 +39,7 @@
 
     def __init__(self, managed, user="operations", minor=1):
         self.managed, self.number = managed, 0
-        self.protocol, self.session = managed.session(Netconf, user)
+        self.protocol, self.session = managed.session(NetconfSession, user)
         self.text = [f"## session of {user}", lines_of(self.session.taken())]
         hello = f'<hello xmlns="{BASE}"><capabilities><capability>urn:ietf:params:netconf:base:1.{minor}'
         self.chunked = bool(minor)
@@ -226,7 +226,7 @@
 
     def __init__(self, managed, user="operations"):
         self.managed, self.text = managed, [f"## connection of {user}"]
-        self.protocol, self.session = managed.session(Gnmi, user)
+        self.protocol, self.session = managed.session(GnmiConnection, user)
         self.h2 = H2Connection(H2Configuration(client_side=True, header_encoding="utf-8"))
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(1 << 30)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -17,9 +17,9 @@
 from support.records import told_settings
 
 from granitespool.emulator.managers import HELLO, Ended, Manager, tag_of, top
-from granitespool.netconf import framing
-from granitespool.netconf.framing import Reader, Wrong, framed
-from granitespool.netconf.xmltree import Malformed, parsed
+from granitespool.netconf.errors import FramingError, MalformedMessageError
+from granitespool.netconf.framing import END_OF_MESSAGE, MessageReader, frame
+from granitespool.netconf.xmltree import parse_message
 
 PACE = "<channel><lines-per-second>{}</lines-per-second></channel>"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -42,9 +42,9 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 100_000])
 @pytest.mark.parametrize("chunked", [False, True])
 def test_messages_come_out_whole_however_their_bytes_arrive(chunked, size):
-    reader, got = Reader(1000), []
+    reader, got = MessageReader(1000), []
     reader.chunked = chunked
-    data = b"".join(framed(message, chunked) for message in (b"<a/>", b"<b>]] ></b>", b"<c/>"))
+    data = b"".join(frame(message, chunked) for message in (b"<a/>", b"<b>]] ></b>", b"<c/>"))
     for at in range(0, len(data), size):
         reader.feed(data[at : at + size])
         got += reader.messages()
@@ -52,7 +52,7 @@
 
 
 def test_a_message_may_come_in_many_chunks():
-    reader = Reader(1000)
+    reader = MessageReader(1000)
     reader.chunked = True
     reader.feed(b"\n#4\n<a/>\n#3\n<b/\n#1\n>\n##\n\n#4\n<c/>\n##\n")
     assert list(reader.messages()) == [b"<a/><b/>", b"<c/>"]
@@ -72,10 +72,10 @@
     ],
 )
 def test_bytes_that_are_no_frame_are_told(chunked, data, words):
-    reader = Reader(1000)
+    reader = MessageReader(1000)
     reader.chunked = chunked
     reader.feed(data)
-    with pytest.raises(Wrong, match=words):
+    with pytest.raises(FramingError, match=words):
         list(reader.messages())
 
 
@@ -94,8 +94,8 @@
     ],
 )
 def test_xml_out_of_bounds_is_refused(data, words):
-    with pytest.raises(Malformed, match=words):
-        parsed(data)
+    with pytest.raises(MalformedMessageError, match=words):
+        parse_message(data)
 
 
 # Usual sessions
@@ -355,13 +355,13 @@
     )
     one = house.manager(greet=step != "hello")
     if step == "hello":
-        one.raw(framed(HELLO.format(1).encode(), False)[:-3])
+        one.raw(frame(HELLO.format(1).encode(), False)[:-3])
     else:
         one.lock(), one.lock("running")
         if step != "lock":
             one.edit(PACE.format("500"))
         if step == "half an rpc":
-            one.raw(framed(b'<rpc message-id="9" xmlns="' + BASE.encode() + b'"><commit/></rpc>', True)[:-6])
+            one.raw(frame(b'<rpc message-id="9" xmlns="' + BASE.encode() + b'"><commit/></rpc>', True)[:-6])
         elif step == "commit unread":
             one.send("<commit><confirmed/></commit>")
         elif step.startswith("confirmed"):
@@ -552,19 +552,19 @@
     one = Manager(where, folder, greet=how not in ("hello", "no hello"))
     with pytest.raises(Ended):
         if how == "hello":
-            one.raw(framed(f'<hello xmlns="{BASE}"/>'.encode(), False))
+            one.raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
         elif how == "no hello":
-            one.raw(framed(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), False))
+            one.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), False))
         elif how == "endless":
             one.raw(b"\n#4000000\n")
         elif how == "laughs":
-            one.raw(framed(b'<!DOCTYPE l [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;&a;">]><rpc>&b;</rpc>', True))
+            one.raw(frame(b'<!DOCTYPE l [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;&a;">]><rpc>&b;</rpc>', True))
         elif how == "deep":
-            one.raw(framed(b"<a>" * 200 + b"</a>" * 200, True))
+            one.raw(frame(b"<a>" * 200 + b"</a>" * 200, True))
         elif how == "disorder":
             one.raw(b"\n##\n#5\nhello")
         elif how == "flood":
-            one.raw(framed(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), True) * 400)
+            one.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), True) * 400)
         while True:
             one.receive()
     one.close()
@@ -671,7 +671,7 @@
             one.send("<get/>")
         time.sleep(1.0)
         [stuck] = [each for each in house.service.managing.doors[0].sessions if each.unsent > 200_000]
-        assert stuck.unsent < 2_000_000 and len(stuck.protocol.requests) > 5
+        assert stuck.unsent < 2_000_000 and len(stuck.protocol.pending) > 5
         begun = time.monotonic()
         assert tag_of(two.ask("<get-config><source><running/></source></get-config>")) == "ok"
         assert alive(proxy)
@@ -737,4 +737,4 @@
 
 
 def test_the_framing_knows_the_rfcs_end_mark():
-    assert framing.END == b"]]>]]>" and framed(b"x", True) == b"\n#1\nx\n##\n"
+    assert END_OF_MESSAGE == b"]]>]]>" and frame(b"x", True) == b"\n#1\nx\n##\n"
