--- a/granitespool/cli/check.py
+++ b/granitespool/cli/check.py
@@ -1,15 +1,19 @@
 """`check`: reads what a call names and says what it holds."""
 
-from granitespool.cli.files import operator_of, paths
+from collections.abc import Mapping
+from typing import Any
+
+from granitespool.cli.files import paths
 from granitespool.net import config
 
 
-def run(told):
+def run(told: Mapping[str, Any]) -> int:
+    """Prints a line for each file that `told`, docopt's arguments, names; the exit code."""
     path, operator_path = paths(told)
     if path or not operator_path:
         print(config.summary(config.load(path)))
     if operator_path:
-        from granitespool import operator_settings  # noqa: PLC0415
+        from granitespool import operator_settings  # noqa: PLC0415 imported only where a file is named
 
-        print(operator_settings.summary(operator_of(operator_path)))
+        print(operator_settings.summary(operator_settings.load(operator_path)))
     return 0
--- a/granitespool/cli/files.py
+++ b/granitespool/cli/files.py
@@ -1,20 +1,25 @@
 """The two files that a call names: the configuration and the operator's settings."""
 
 import os
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any
 
 from granitespool.net import config
 
+if TYPE_CHECKING:
+    from granitespool.operator_settings import Operator
 
-def paths(told):
-    """(configuration, operator's settings), None for one that is not named."""
+
+def paths(told: Mapping[str, Any]) -> tuple[str | None, str | None]:
+    """(configuration, operator's settings) of docopt's arguments, None for one that is not named."""
     return (
         told["--config"] or os.environ.get("LB_CONFIG"),
         told["--operator"] or os.environ.get("GRANITESPOOL_OPERATOR"),
     )
 
 
-def operator_of(path):
-    """The operator's settings, or None where no file is named: then nothing of them is imported."""
+def operator_of(path: str | None) -> "Operator | None":
+    """The operator's settings; None where no file is named, and then nothing of them is imported."""
     if not path:
         return None
     from granitespool import operator_settings  # noqa: PLC0415
@@ -22,8 +27,7 @@
     return operator_settings.load(path)
 
 
-def read(told):
-    """The whole of what the service is told; both files are read and checked before anyone hears of
-    either."""
-    path, operator = paths(told)
-    return {**config.load(path), "operator": operator_of(operator)}
+def read(told: Mapping[str, Any]) -> dict[str, Any]:
+    """The whole configuration; both files are read and checked before any part hears of either."""
+    path, operator_path = paths(told)
+    return {**config.load(path), "operator": operator_of(operator_path)}
--- a/granitespool/cli/keys.py
+++ b/granitespool/cli/keys.py
@@ -6,6 +6,9 @@
 import datetime
 import ipaddress
 import os
+from collections.abc import Iterable, Mapping, Sequence
+from pathlib import Path
+from typing import Any, NamedTuple
 
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
@@ -14,118 +17,184 @@
 
 from granitespool.errors import InvalidInputError
 
-DAYS = 90  # that certificates hold: for trying out
-SOON_DAYS = 14  # before the end a certificate is called so
+AUTHORITY_NAME = "granitespool trial authority"
+MAX_DAYS = 3650  # that certificates may hold
+EXPIRES_SOON_DAYS = 14  # before the end a certificate is called so
+CLOCK_SKEW = datetime.timedelta(minutes=5)  # that certificates hold already: clocks differ
+SECONDS_PER_DAY = 86_400
 
 
-def run(told):
-    return (
-        show(told["FILE"])
-        if told["show"]
-        else make(told["DIR"], told["--name"], told["--user"], told["--days"])
-    )
+class Subject(NamedTuple):
+    """Who a certificate is for, and what for."""
+
+    name: str
+    usage: x509.ObjectIdentifier | None = None  # None: an authority
+    alternative_names: Sequence[str] = ()
+
+
+class Validity(NamedTuple):
+    """From when, and for how many days, a certificate holds."""
+
+    begins: datetime.datetime
+    days: int
+
 
+class Issuer(NamedTuple):
+    """An authority's certificate and key."""
 
-def make(folder, names, users, days):
-    """ca, server and one client certificate a user in a folder that must be new or empty."""
-    if not days.isdecimal() or not 1 <= int(days) <= 3650:
-        raise InvalidInputError(f"--days is {days!r:.20}, where a whole number from 1 to 3650 would do")
-    os.makedirs(folder, mode=0o700, exist_ok=True)
-    if os.listdir(folder):
-        raise InvalidInputError(f"the folder {folder} is not empty, and keys are never overwritten")
-    days = int(days)
-    authority_key = ec.generate_private_key(ec.SECP256R1())
-    authority = _certificate("granitespool trial authority", authority_key, days, None, None, None, [])
-    _write(folder, "ca.pem", authority.public_bytes(serialization.Encoding.PEM))
-    _write(folder, "ca.key", _key_bytes(authority_key))
-    for file, name, usage, alternatives in (
-        ("server", names[0], ExtendedKeyUsageOID.SERVER_AUTH, names),
-        *((user, user, ExtendedKeyUsageOID.CLIENT_AUTH, []) for user in users),
-    ):
-        key = ec.generate_private_key(ec.SECP256R1())
-        made = _certificate(name, key, days, authority, authority_key, usage, alternatives)
-        _write(folder, f"{file}.pem", made.public_bytes(serialization.Encoding.PEM))
-        _write(folder, f"{file}.key", _key_bytes(key))
-    print(f"{folder}: ca, server ({', '.join(names)}), clients {', '.join(users)}; they hold for {days} days")
+    certificate: x509.Certificate
+    key: ec.EllipticCurvePrivateKey
+
+
+def run(told: Mapping[str, Any]) -> int:
+    """Does what `told`, docopt's arguments, asks for; the exit code."""
+    if told["show"]:
+        return show(told["FILE"])
+    return make(told["DIR"], told["--name"], told["--user"], told["--days"])
+
+
+def make(folder: str, names: Sequence[str], users: Sequence[str], days: str) -> int:
+    """Makes ca, server and one client certificate a user in a folder that must be new or empty.
+
+    Raises:
+        InvalidInputError: the folder holds anything, or `days` is no number of days.
+    """
+    if not days.isdecimal() or not 1 <= int(days) <= MAX_DAYS:
+        reason = f"--days is {days!r:.20}, where a whole number from 1 to {MAX_DAYS} would do"
+        raise InvalidInputError(reason)
+    path = Path(folder)
+    path.mkdir(mode=0o700, parents=True, exist_ok=True)
+    if any(path.iterdir()):
+        reason = f"the folder {folder} is not empty, and keys are never overwritten"
+        raise InvalidInputError(reason)
+    validity = Validity(datetime.datetime.now(datetime.UTC), int(days))
+    authority_key = new_key()
+    authority = Issuer(issue(Subject(AUTHORITY_NAME), validity, authority_key, None), authority_key)
+    _write_pair(path, "ca", authority.certificate, authority.key)
+    server = ("server", Subject(names[0], ExtendedKeyUsageOID.SERVER_AUTH, names))
+    clients = [(user, Subject(user, ExtendedKeyUsageOID.CLIENT_AUTH)) for user in users]
+    for file_name, subject in (server, *clients):
+        key = new_key()
+        _write_pair(path, file_name, issue(subject, validity, key, authority), key)
+    print(
+        f"{folder}: ca, server ({', '.join(names)}), clients {', '.join(users)}; "
+        f"they hold for {int(days)} days"
+    )
     return 0
 
 
-def _certificate(name, key, days, authority, authority_key, usage, alternatives, begins=None):
-    subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-    now = begins or datetime.datetime.now(datetime.timezone.utc)
+def new_key() -> ec.EllipticCurvePrivateKey:
+    """A new private key."""
+    return ec.generate_private_key(ec.SECP256R1())
+
+
+def issue(
+    subject: Subject, validity: Validity, key: ec.EllipticCurvePrivateKey, issuer: Issuer | None
+) -> x509.Certificate:
+    """A certificate for a key, by an issuer; by itself where there is none."""
+    name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, subject.name)])
+    issuer_key = issuer.key if issuer else key
     builder = (
         x509.CertificateBuilder()
-        .subject_name(subject)
+        .subject_name(name)
         .public_key(key.public_key())
-        .issuer_name(authority.subject if authority else subject)
+        .issuer_name(issuer.certificate.subject if issuer else name)
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - datetime.timedelta(minutes=5))
-        .not_valid_after(now + datetime.timedelta(days=days))
-        .add_extension(x509.BasicConstraints(ca=authority is None, path_length=None), critical=True)
-        .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
-        .add_extension(
-            x509.AuthorityKeyIdentifier.from_issuer_public_key((authority_key or key).public_key()),
-            critical=False,
-        )
-        .add_extension(
-            x509.KeyUsage(
-                digital_signature=True,
-                key_cert_sign=authority is None,
-                crl_sign=authority is None,
-                content_commitment=False,
-                key_encipherment=False,
-                data_encipherment=False,
-                key_agreement=False,
-                encipher_only=False,
-                decipher_only=False,
-            ),
-            critical=True,
-        )
+        .not_valid_before(validity.begins - CLOCK_SKEW)
+        .not_valid_after(validity.begins + datetime.timedelta(days=validity.days))
+    )
+    for extension, critical in _extensions(subject, key, issuer_key):
+        builder = builder.add_extension(extension, critical=critical)
+    return builder.sign(issuer_key, hashes.SHA256())
+
+
+def _extensions(
+    subject: Subject, key: ec.EllipticCurvePrivateKey, issuer_key: ec.EllipticCurvePrivateKey
+) -> Iterable[tuple[x509.ExtensionType, bool]]:
+    """(extension, whether it is critical) of a certificate."""
+    is_authority = subject.usage is None
+    yield x509.BasicConstraints(ca=is_authority, path_length=None), True
+    yield x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False
+    yield x509.AuthorityKeyIdentifier.from_issuer_public_key(issuer_key.public_key()), False
+    yield _key_usage(is_authority), True
+    if subject.usage:
+        yield x509.ExtendedKeyUsage([subject.usage]), False
+    if subject.alternative_names:
+        names = [_alternative_name(name) for name in subject.alternative_names]
+        yield x509.SubjectAlternativeName(names), False
+
+
+def _key_usage(is_authority: bool) -> x509.KeyUsage:
+    return x509.KeyUsage(
+        digital_signature=True,
+        key_cert_sign=is_authority,
+        crl_sign=is_authority,
+        content_commitment=False,
+        key_encipherment=False,
+        data_encipherment=False,
+        key_agreement=False,
+        encipher_only=False,
+        decipher_only=False,
     )
-    if usage:
-        builder = builder.add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
-    if alternatives:
-        builder = builder.add_extension(
-            x509.SubjectAlternativeName(list(map(_alternative, alternatives))), critical=False
-        )
-    return builder.sign(authority_key or key, hashes.SHA256())
 
 
-def _alternative(name):
+def _alternative_name(name: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(name))
     except ValueError:
         return x509.DNSName(name)
 
 
-def _key_bytes(key):
+def key_bytes(key: ec.EllipticCurvePrivateKey) -> bytes:
+    """A private key in PEM."""
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
 
 
-def _write(folder, name, data):
-    fd = os.open(os.path.join(folder, name), os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
-    with os.fdopen(fd, "wb") as file:
+def _write_pair(
+    folder: Path, name: str, certificate: x509.Certificate, key: ec.EllipticCurvePrivateKey
+) -> None:
+    _write(folder / f"{name}.pem", certificate.public_bytes(serialization.Encoding.PEM))
+    _write(folder / f"{name}.key", key_bytes(key))
+
+
+def _write(path: Path, data: bytes) -> None:
+    """Writes a file that only its owner may read, and that is not there yet."""
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
+    with os.fdopen(descriptor, "wb") as file:
         file.write(data)
 
 
-def show(files):
-    """Who each certificate is of and when it ends; 1 where one has ended or ends within SOON_DAYS."""
-    code, now = 0, datetime.datetime.now(datetime.timezone.utc)
+def show(files: Iterable[str]) -> int:
+    """Prints who each certificate is of and when it ends; 1 where one has ended or ends soon."""
+    code = 0
+    now = datetime.datetime.now(datetime.UTC)
     for path in files:
-        try:
-            with open(path, "rb") as file:
-                certificates = x509.load_pem_x509_certificates(file.read())
-        except ValueError:
-            raise InvalidInputError(f"{path} holds no certificate in PEM") from None
-        for each in certificates:
-            left = (each.not_valid_after_utc - now).total_seconds() / 86400
-            word = "has ended" if left < 0 else "ends soon" if left < SOON_DAYS else "holds"
-            code = code or int(left < SOON_DAYS)
-            print(
-                f"{path}: {each.subject.rfc4514_string()}, "
-                f"sha256:{each.fingerprint(hashes.SHA256()).hex()}, "
-                f"{word}, until {each.not_valid_after_utc:%Y-%m-%d %H:%M} UTC ({left:.0f} days)"
-            )
+        for certificate in _read(path):
+            days_left = (certificate.not_valid_after_utc - now).total_seconds() / SECONDS_PER_DAY
+            if days_left < EXPIRES_SOON_DAYS:
+                code = 1
+            print(_line(path, certificate, days_left))
     return code
+
+
+def _read(path: str) -> list[x509.Certificate]:
+    try:
+        return x509.load_pem_x509_certificates(Path(path).read_bytes())
+    except ValueError:
+        reason = f"{path} holds no certificate in PEM"
+        raise InvalidInputError(reason) from None
+
+
+def _line(path: str, certificate: x509.Certificate, days_left: float) -> str:
+    state = "holds"
+    if days_left < 0:
+        state = "has ended"
+    elif days_left < EXPIRES_SOON_DAYS:
+        state = "ends soon"
+    return (
+        f"{path}: {certificate.subject.rfc4514_string()}, "
+        f"sha256:{certificate.fingerprint(hashes.SHA256()).hex()}, "
+        f"{state}, until {certificate.not_valid_after_utc:%Y-%m-%d %H:%M} UTC ({days_left:.0f} days)"
+    )
--- a/granitespool/netconf/content.py
+++ b/granitespool/netconf/content.py
@@ -17,6 +17,8 @@
 
 def value_text(value: Value) -> str:
     """A leaf's value as XML has it."""
+    if isinstance(value, str):
+        return value
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
@@ -109,8 +111,11 @@
         value = tree.get(name)
         if value is None:
             continue
-        if child.is_leaf:
-            _append_leaf(parent, child, value)
+        if child.kind == "leaf":
+            etree.SubElement(parent, own(name)).text = value_text(value)
+        elif child.kind == "leaf-list":
+            for each in value:
+                etree.SubElement(parent, own(name)).text = value_text(each)
         elif child.kind == "container":
             yield from append_tree(etree.SubElement(parent, own(name)), child, value)
         else:
@@ -119,12 +124,6 @@
                 yield
 
 
-def _append_leaf(parent: Element, node: SchemaNode, value: Value) -> None:
-    tag = own(node.name)
-    for each in value if node.kind == "leaf-list" else (value,):
-        etree.SubElement(parent, tag).text = value_text(each)
-
-
 def top_element(parent: Element, name: str) -> Element:
     """A new child that declares the module's namespace as the default one."""
     return etree.SubElement(parent, own(name), nsmap={None: model.NAMESPACE})
--- a/granitespool/netconf/namespaces.py
+++ b/granitespool/netconf/namespaces.py
@@ -1,5 +1,7 @@
 """XML namespaces of the messages, and the capabilities that the server's hello lists."""
 
+from functools import cache
+
 from granitespool.management import model
 
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -34,6 +36,7 @@
     return f"{{{BASE}}}{name}"
 
 
+@cache  # of the module's names alone, and asked for each leaf of a reply
 def own(name: str) -> str:
     """The qualified name of a data node of the granitespool module."""
     return f"{{{model.NAMESPACE}}}{name}"
--- a/granitespool/operator_settings.py
+++ b/granitespool/operator_settings.py
@@ -1,8 +1,6 @@
-"""The operator's settings: one INI file, a section for each subsystem, a subsystem off where its section is
-absent.
+"""The operator's settings: one INI file, a section for each subsystem, which is off without it.
 
-`load(path)` gives an Operator, or raises InvalidInputError: one sentence that names the file, the section,
-the key, what was found and what would do. Each key has its unit in its name. Nothing here knows what a
+The sections' and keys' names are the operators'; each key has its unit in its name. Nothing here knows what a
 section is for."""
 
 from typing import Annotated
@@ -23,13 +21,15 @@
     half_life_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 30.0
     oldest_s: Annotated[float, Meta(ge=1, le=604_800)] = 300.0
 
-    def __post_init__(self):
+    def __post_init__(self) -> None:
+        """Rejects what would never act."""
         if self.every_ms > self.oldest_s * 1_000:
-            raise ValueError("every_ms is longer than oldest_s, so nothing written would ever be believed")
+            reason = "every_ms is longer than oldest_s, so nothing written would ever be believed"
+            raise ValueError(reason)
 
 
 class Tls(msgspec.Struct, frozen=True, kw_only=True):
-    """[tls]: what the managers' doors show and trust (docs/tls.md); PEM files."""
+    """[tls]: what management listeners show and trust (docs/tls.md); PEM files."""
 
     certificate: Annotated[str, Meta(min_length=1)]
     key: Annotated[str, Meta(min_length=1)]
@@ -79,66 +79,98 @@
     users: dict[str, User] = {}
 
     @property
-    def managed(self):
-        """Whether any door for managers is on."""
+    def managed(self) -> bool:
+        """Whether any management protocol is on."""
         return self.netconf is not None or self.gnmi is not None
 
 
-SECTIONS = {"state": State, "tls": Tls, "netconf": Netconf, "gnmi": Gnmi, "figures": Figures}
-CERTIFICATES = "cn", "dns", "email", "uri", "sha256"  # what of a certificate a user may be known by
-WRITABLE = "*", "class", "zone", "channel", "permissions", "drain", "cold", "operator"  # of the YANG module
-FIXED = ("state", "folder"), ("netconf", "listen"), ("gnmi", "listen")  # keys that wait for a restart
-USERS = "user."  # how the name of a user's section begins
-PATHS = frozenset(
+SECTIONS: dict[str, type[msgspec.Struct]] = {
+    "state": State,
+    "tls": Tls,
+    "netconf": Netconf,
+    "gnmi": Gnmi,
+    "figures": Figures,
+}
+CERTIFICATE_KINDS = ("cn", "dns", "email", "uri", "sha256")  # what of a certificate a user may be known by
+WRITABLE = ("*", "class", "zone", "channel", "permissions", "drain", "cold", "operator")  # of the YANG module
+FIXED_KEYS = (("state", "folder"), ("netconf", "listen"), ("gnmi", "listen"))  # that wait for a restart
+USER_PREFIX = "user."  # how the name of a user's section begins
+PATH_KEYS = frozenset(
     [("state", "folder"), ("tls", "certificate"), ("tls", "key"), ("tls", "authorities")]
 )  # values that are paths: relative ones stand beside the file
 
 
-def load(path):
-    """The Operator of an INI file, or InvalidInputError with one sentence."""
-    read = ini.load(path, {**SECTIONS, USERS + "*": User}, PATHS)
-    users = {name.removeprefix(USERS): read.pop(name) for name in list(read) if name.startswith(USERS)}
-    operator = Operator(**read, users=users)
-    if operator.managed and operator.tls is None:
-        raise InvalidInputError(f"{path}: a door for managers needs the section [tls]")
-    if operator.managed and not users:
-        raise InvalidInputError(
-            f"{path}: a door for managers needs a section [user.NAME], or nobody could come in"
-        )
+def load(path: str) -> Operator:
+    """The settings of an INI file.
+
+    Raises:
+        InvalidInputError: the file cannot be read or is wrong; one sentence says where and how.
+    """
+    sections = ini.load(path, {**SECTIONS, USER_PREFIX + "*": User}, PATH_KEYS)
+    users = {
+        name.removeprefix(USER_PREFIX): section
+        for name, section in sections.items()
+        if isinstance(section, User)
+    }
+    subsystems = {name: section for name, section in sections.items() if name in SECTIONS}
+    operator = Operator(users=users, **subsystems)  # type: ignore[arg-type]  # each of its section's type
+    _check_management(path, operator)
     for name, user in users.items():
-        if user.certificate.partition(":")[0] not in CERTIFICATES or not user.certificate.partition(":")[2]:
-            raise InvalidInputError(
-                f"{path}: [{USERS}{name}] certificate is {user.certificate!r:.60}, where "
-                f"{', '.join(kind + ':...' for kind in CERTIFICATES)} would do"
-            )
-        for word in filter(None, map(str.strip, user.write.split(","))):
-            if word not in WRITABLE:
-                raise InvalidInputError(
-                    f"{path}: [{USERS}{name}] write names {word!r:.60}; known are {', '.join(WRITABLE)}"
-                )
+        _check_user(path, name, user)
     return operator
 
 
-def restart_names(before, now):
+def _check_management(path: str, operator: Operator) -> None:
+    if operator.managed and operator.tls is None:
+        reason = f"{path}: a door for managers needs the section [tls]"
+        raise InvalidInputError(reason)
+    if operator.managed and not operator.users:
+        reason = f"{path}: a door for managers needs a section [user.NAME], or nobody could come in"
+        raise InvalidInputError(reason)
+
+
+def _check_user(path: str, name: str, user: User) -> None:
+    kind, _, value = user.certificate.partition(":")
+    if kind not in CERTIFICATE_KINDS or not value:
+        wanted = ", ".join(f"{known}:..." for known in CERTIFICATE_KINDS)
+        reason = (
+            f"{path}: [{USER_PREFIX}{name}] certificate is {user.certificate!r:.60}, where {wanted} would do"
+        )
+        raise InvalidInputError(reason)
+    for word in filter(None, map(str.strip, user.write.split(","))):
+        if word not in WRITABLE:
+            known = ", ".join(WRITABLE)
+            reason = f"{path}: [{USER_PREFIX}{name}] write names {word!r:.60}; known are {known}"
+            raise InvalidInputError(reason)
+
+
+def restart_names(before: Operator | None, now: Operator | None) -> list[str]:
     """The names, as section.key, of what differs and cannot change while the service runs."""
-    waits = []
-    for section, key in FIXED:
-        old, new = (getattr(each, section, None) for each in (before, now))
-        if getattr(old, key, None) != getattr(new, key, None):
-            waits.append(f"{section}.{key}")
-    if (getattr(before, "figures", None) is None) != (getattr(now, "figures", None) is None):
-        waits.append("figures")
-    return waits
+    names = [
+        f"{section}.{key}"
+        for section, key in FIXED_KEYS
+        if _value(before, section, key) != _value(now, section, key)
+    ]
+    if _has_figures(before) != _has_figures(now):
+        names.append("figures")
+    return names
+
 
+def _value(operator: Operator | None, section: str, key: str) -> object:
+    return getattr(getattr(operator, section, None), key, None)
 
-def summary(operator):
+
+def _has_figures(operator: Operator | None) -> bool:
+    return operator is not None and operator.figures is not None
+
+
+def summary(operator: Operator) -> str:
     """One line for a person: which sections are on, and with what."""
-    on = [
-        f"[{name}] "
-        + ", ".join(
-            f"{key} {value}" for key, value in msgspec.structs.asdict(getattr(operator, name)).items()
-        )
-        for name in SECTIONS
-        if getattr(operator, name) is not None
-    ]
+    sections = ((name, getattr(operator, name)) for name in SECTIONS)
+    on = [_section_summary(name, section) for name, section in sections if section is not None]
     return "; ".join(on) or "no section, everything is off"
+
+
+def _section_summary(name: str, section: msgspec.Struct) -> str:
+    values = msgspec.structs.asdict(section).items()
+    return f"[{name}] " + ", ".join(f"{key} {value}" for key, value in values)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -611,15 +611,14 @@
         authority_key = made.serialization.load_pem_private_key(file.read(), None)
     with open(f"{folder}/ca.pem", "rb") as file:
         authority = made.x509.load_pem_x509_certificate(file.read())
-    key = made.ec.generate_private_key(made.ec.SECP256R1())
+    key = made.new_key()
 
     past = datetime.datetime.now(datetime.timezone.utc) - datetime.timedelta(days=9)
-    old = made._certificate(
-        "operations", key, 5, authority, authority_key, made.ExtendedKeyUsageOID.CLIENT_AUTH, [], past
-    )
+    subject = made.Subject("operations", made.ExtendedKeyUsageOID.CLIENT_AUTH)
+    old = made.issue(subject, made.Validity(past, 5), key, made.Issuer(authority, authority_key))
     (tmp_path / "ca.pem").write_bytes(authority.public_bytes(made.serialization.Encoding.PEM))
     (tmp_path / "old.pem").write_bytes(old.public_bytes(made.serialization.Encoding.PEM))
-    (tmp_path / "old.key").write_bytes(made._key_bytes(key))
+    (tmp_path / "old.key").write_bytes(made.key_bytes(key))
     with pytest.raises((Ended, ssl.SSLError, ConnectionError)):
         Manager(house.where, str(tmp_path), "old").ask("<get/>")
     house.logged("manager_refused", why="expired")
