--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -194,7 +194,7 @@
         (pb.GetRequest(path=[path("/a" * 40)]), "INVALID_ARGUMENT"),
     ],
 )
-def test_a_get_that_cannot_be_answered_has_the_specifications_code(house, request_, code):
+def test_a_get_that_cannot_be_answered_has_the_specifications_status(house, request_, code):
     with pytest.raises(grpc.RpcError) as raised:
         house.client().get_(request_, timeout=10)
     assert raised.value.code().name == code and raised.value.details()
@@ -250,14 +250,14 @@
         ({"replace": {"/": {"granitespool:coordinator": {"settings": {}}}}}, "FAILED_PRECONDITION"),
     ],
 )
-def test_a_set_that_is_refused_leaves_everything_as_it_was(house, parts, code):
+def test_a_rejected_set_changes_nothing(house, parts, code):
     client, before = house.client(), house.settings()
     parts = {**parts, "update": {"/coordinator/settings/drain/grace": 7, **parts.get("update", {})}}
     assert client.set(**parts) == code and client.why
     assert house.settings() == before and client.value("/coordinator/state/version") == 1
 
 
-def test_rights_hold_and_the_doors_cannot_overtake_one_another(house):
+def test_users_are_authorized_and_gnmi_and_netconf_cannot_overwrite_each_other(house):
     client, netconf = house.client(), house.manager()
     assert house.client("reader").value(BASE) == "1000.0"
     assert house.client("reader").set(update={BASE: "5"}) == "PERMISSION_DENIED"
@@ -275,7 +275,7 @@
         house.client("stranger").capabilities(pb.CapabilityRequest(), timeout=2)
 
 
-def test_a_set_whose_client_drops_is_whole_or_not_there(house):
+def test_a_set_whose_client_disconnects_is_applied_completely_or_not_at_all(house):
     for number in range(8):
         channel = house.client()
         future = channel.set_.future(
@@ -300,7 +300,7 @@
     assert house.client().set(update={BASE: "300"}) == "ok"
 
 
-def test_once_and_poll_send_all_and_the_mark(house):
+def test_once_and_poll_send_all_values_and_the_sync_response(house):
     client = house.client()
     answers = list(
         client.subscribe(iter([listed("/coordinator/state/backend/phase", mode=pb.SubscriptionList.ONCE)]))
@@ -323,7 +323,7 @@
     assert list(answers) == []
 
 
-def test_a_stream_tells_what_changes_and_what_goes(house):
+def test_a_stream_sends_changes_and_deletions(house):
     client = house.client()
     stream = client.subscribe(
         iter([listed("/coordinator/settings/channel", "/coordinator/state/backend/phase")])
@@ -341,7 +341,7 @@
     stream.cancel()
 
 
-def test_samples_come_in_time_and_heartbeats_repeat_what_is_suppressed(house):
+def test_samples_are_periodic_and_heartbeats_repeat_what_is_suppressed(house):
     client = house.client()
     stream = client.subscribe(
         iter(
@@ -391,7 +391,7 @@
         (listed(BASE, one=pb.SAMPLE, sample_interval=5), "INVALID_ARGUMENT"),
     ],
 )
-def test_a_subscription_that_cannot_be_is_refused(house, request_, code):
+def test_a_wrong_subscription_is_rejected(house, request_, code):
     with pytest.raises(grpc.RpcError) as raised:
         list(house.client().subscribe(iter([request_])))
     assert raised.value.code().name == code
@@ -502,7 +502,7 @@
 
 
 @pytest.mark.parametrize("how", ["rapid resets", "settings", "pings", "headers", "hpack", "no http2"])
-def test_a_flood_ends_its_connection_and_nobody_else_notices(house, folder, how):
+def test_a_flood_ends_its_connection_without_effect_on_others(house, folder, how):
     proxy, client, raw = house.proxy(), house.client(), Raw(house, folder)
     with pytest.raises(ConnectionError):
         flood_of(raw, how)
@@ -520,7 +520,7 @@
         (framed(pb.Poll()) * 100, StatusCode.RESOURCE_EXHAUSTED),
     ],
 )
-def test_bodies_out_of_bounds_are_answered_by_a_status(house, folder, data, code):
+def test_bodies_over_the_limits_are_answered_by_a_status(house, folder, data, code):
     raw = Raw(house, folder)
     stream = raw.call()
     raw.h2.send_data(stream, data)
@@ -531,7 +531,7 @@
     assert int(status) == code
 
 
-def test_a_stalled_message_ends_at_its_deadline_and_a_stalled_reader_slows_nobody(house, folder):
+def test_a_stalled_message_ends_at_its_deadline_and_a_stalled_reader_delays_nobody(house, folder):
     raw, client = Raw(house, folder), house.client()
     stream = raw.call(headers=[("grpc-timeout", "500m")])
     raw.h2.send_data(stream, framed(listed(BASE))[:-4])
@@ -561,7 +561,7 @@
         raise RuntimeError
 
 
-def test_a_stop_tells_connections_to_go_away(tmp_path, folder):
+def test_a_shutdown_sends_goaway(tmp_path, folder):
     house = Gnmis(tmp_path, folder)
     with house:
         raw = Raw(house, folder)
--- a/tests/test_manage.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The model, edits, datastores, mapping, harm and rights: plain trees in, verdicts out."""
+"""The model, edits, datastores, mapping, impact check, authorization and operational state."""
 
 import copy
 
@@ -21,7 +21,7 @@
 from granitespool.settings import RequestClass
 
 MODEL = Model()
-NODE = MODEL.settings
+SETTINGS = MODEL.settings
 TREE = {
     "class": [{"name": "pay", "promised-time": "100", "time-limit": "400"}, {"name": "ask"}],
     "zone": ["n", "s"],
@@ -29,7 +29,7 @@
 }
 
 
-def C(name, *children, op=None, value=None, place=None):  # noqa: N802 as short as a scenario's word
+def node(name, *children, op=None, value=None, place=None):
     return Change(name, op, value, tuple(children), place)
 
 
@@ -38,10 +38,10 @@
 
 
 def pay(*children, op=None, name="pay", place=None):
-    return C("class", leaf("name", name), *children, op=op, place=place)
+    return node("class", leaf("name", name), *children, op=op, place=place)
 
 
-def refused(call, *words):
+def rejection_of(call, *words):
     with pytest.raises(ManagementError) as raised:
         call(*words)
     return raised.value.tag, raised.value.reason
@@ -61,17 +61,17 @@
         (leaf("zone", "x"), ("zone", 2, None, "x")),
         (leaf("zone", "n", "delete"), ("zone", 0, None, "s")),
         (
-            C("channel", leaf("message-head", "3.0"), op="replace"),
+            node("channel", leaf("message-head", "3.0"), op="replace"),
             ("channel", None, "lines-per-second", None),
         ),
-        (C("channel", leaf("lines-per-second", None, "remove")), ("channel", None, None, None)),
-        (C("channel", op="delete"), ("channel", None, None, None)),
-        (C("operator", C("state", leaf("folder", "x"))), ("operator", None, "state", {"folder": "x"})),
+        (node("channel", leaf("lines-per-second", None, "remove")), ("channel", None, None, None)),
+        (node("channel", op="delete"), ("channel", None, None, None)),
+        (node("operator", node("state", leaf("folder", "x"))), ("operator", None, "state", {"folder": "x"})),
     ],
 )
-def test_an_edit_changes_what_it_names_and_leaves_the_former_tree_alone(change, expected):
+def test_an_edit_changes_what_it_names_and_not_the_tree_it_was_given(change, expected):
     before = copy.deepcopy(TREE)
-    value = edited(NODE, TREE, [change])
+    value = edited(SETTINGS, TREE, [change])
     assert before == TREE
     for step in expected[:-1]:
         if step is not None:
@@ -86,18 +86,18 @@
         (pay(op="delete", name="no"), "merge", "data-missing"),
         (leaf("zone", "n", "create"), "merge", "data-exists"),
         (leaf("zone", "x", "delete"), "merge", "data-missing"),
-        (C("channel", leaf("message-head", None, "delete")), "merge", "data-missing"),
-        (C("drain", op="delete"), "merge", "data-missing"),
-        (C("class", leaf("benefit", "1.0")), "merge", "missing-element"),
+        (node("channel", leaf("message-head", None, "delete")), "merge", "data-missing"),
+        (node("drain", op="delete"), "merge", "data-missing"),
+        (node("class", leaf("benefit", "1.0")), "merge", "missing-element"),
         (leaf("nothing", "1"), "merge", "unknown-element"),
         (pay(op="twist"), "merge", "bad-attribute"),
         (pay(place=("before", {"name": "no"})), "merge", "bad-attribute"),
         (pay(name="no"), "none", "data-missing"),
-        (C("channel", leaf("message-head")), "merge", "missing-element"),
+        (node("channel", leaf("message-head")), "merge", "missing-element"),
     ],
 )
-def test_an_edit_that_cannot_be_is_refused_by_the_rfcs_tag(change, default, tag):
-    assert refused(edited, NODE, TREE, [change], default)[0] == tag
+def test_a_wrong_edit_is_rejected_with_the_rfcs_tag(change, default, tag):
+    assert rejection_of(edited, SETTINGS, TREE, [change], default)[0] == tag
 
 
 @pytest.mark.parametrize(
@@ -121,19 +121,19 @@
         ),
     ],
 )
-def test_a_tree_that_the_module_does_not_allow_is_refused_in_one_sentence(part, words):
+def test_a_tree_that_the_module_does_not_allow_is_rejected_in_one_sentence(part, words):
     tree = {**TREE, **part}
-    tag, why = refused(MODEL.check, {key: value for key, value in tree.items() if value is not None})
+    tag, why = rejection_of(MODEL.check, {key: value for key, value in tree.items() if value is not None})
     assert words in why and "\n" not in why and tag
 
 
-def test_defaults_are_those_of_what_is_there():
-    tree = with_defaults(NODE, {"zone": ["n"], "operator": {"state": {"folder": "x"}}})
+def test_defaults_are_added_to_containers_that_are_present():
+    tree = with_defaults(SETTINGS, {"zone": ["n"], "operator": {"state": {"folder": "x"}}})
     assert tree["operator"]["state"]["every-ms"] == 1000 and "channel" not in tree
-    assert with_defaults(NODE, TREE) == TREE
+    assert with_defaults(SETTINGS, TREE) == TREE
 
 
-def told(**settings):
+def configuration(**settings):
     return {
         "settings": settings_of(
             {
@@ -150,27 +150,33 @@
     }
 
 
-def test_a_configuration_and_its_tree_map_to_each_other_and_what_is_not_changed_keeps_its_value():
-    for each in (told(), config.load("examples/config.json"), {"settings": settings_of({"zones": ["n"]})}):
+def test_a_configuration_and_its_tree_map_to_each_other_and_unchanged_settings_keep_their_values():
+    for each in (
+        configuration(),
+        config.load("examples/config.json"),
+        {"settings": settings_of({"zones": ["n"]})},
+    ):
         tree = mapping.tree_of(each)
         MODEL.check(tree)
         assert mapping.config_of(tree, each) == each
     tree = edited(
-        NODE,
-        mapping.tree_of(told()),
+        SETTINGS,
+        mapping.tree_of(configuration()),
         [
-            C("drain", leaf("grace", "5000000")),
+            node("drain", leaf("grace", "5000000")),
             pay(leaf("benefit", "2.0")),
-            C("operator", C("state", leaf("every-ms", 250))),
+            node("operator", node("state", leaf("every-ms", 250))),
         ],
     )
-    new = mapping.config_of(tree, told())
+    new = mapping.config_of(tree, configuration())
     assert new["settings"].drain_grace == 5 * 10**9 and new["settings"].entries_per_s == 100.123456789
     assert new["settings"].classes == [
         RequestClass(name="pay", latency_objective=100_000, writes=True, priority_weight=2)
     ]
     assert new["operator"].state == State(folder="x", half_life_s=12.5, every_ms=250)
-    gone = mapping.config_of(edited(NODE, tree, [C("drain", op="delete"), C("operator", op="delete")]), new)
+    gone = mapping.config_of(
+        edited(SETTINGS, tree, [node("drain", op="delete"), node("operator", op="delete")]), new
+    )
     assert gone["settings"].drain_grace is None and gone["operator"].state is None
 
 
@@ -188,12 +194,12 @@
         ({"backlog_limit": 60}, 10, (), None),
     ],
 )
-def test_a_change_that_would_do_harm_is_refused(change, proxies, waits, words):
+def test_the_impact_check_rejects_harmful_changes(change, proxies, waits, words):
     limits = {"sockets": change.pop("limits", 1024)}
-    new = {**told(**change), "limits": limits, "limits_told": {"sockets": 1024}}
+    new = {**configuration(**change), "limits": limits, "limits_told": {"sockets": 1024}}
     if words is None:
-        return impact_check.check(new, told(), proxies, {"n"}, waits)
-    assert words in refused(impact_check.check, new, told(), proxies, {"n", "s"}, waits)[1]
+        return impact_check.check(new, configuration(), proxies, {"n"}, waits)
+    assert words in rejection_of(impact_check.check, new, configuration(), proxies, {"n", "s"}, waits)[1]
     return None
 
 
@@ -217,18 +223,18 @@
         ("dns:::1", False),
     ],
 )
-def test_a_user_is_known_by_one_thing_of_its_certificate(certificate, found):
+def test_a_user_is_identified_by_one_thing_of_its_certificate(certificate, found):
     user = authorization.User("u", certificate, True, "class, zone")
     assert (
         authorization.find_user([user], authorization.certificate_identities(CERTIFICATE, "abcd")) is user
     ) == found
     authorization.require_write(user, ["class"])
-    assert refused(authorization.require_write, user, ["class", "cold"]) == (
+    assert rejection_of(authorization.require_write, user, ["class", "cold"]) == (
         "access-denied",
         "u may not write cold",
     )
     assert (
-        refused(authorization.require_read, authorization.User("u", certificate, False, ""))[0]
+        rejection_of(authorization.require_read, authorization.User("u", certificate, False, ""))[0]
         == "access-denied"
     )
     authorization.require_write(authorization.User("u", certificate, False, "*"), ["cold"])
@@ -238,12 +244,12 @@
     """What the datastores act on: keeps and applies at once, later, or not at all, as it is told."""
 
     def __init__(self):
-        self.applied, self.harm, self.fault, self.later, self.asked = [], None, None, False, []
+        self.applied, self.impact, self.fault, self.later, self.asked = [], None, None, False, []
         self.told, self.unkept = [], []
 
     def check(self, tree, running):
-        if self.harm:
-            raise ManagementError("operation-failed", self.harm)
+        if self.impact:
+            raise ManagementError("operation-failed", self.impact)
 
     def keep(self, tree, version, answer):
         self.asked.append(answer)
@@ -273,7 +279,7 @@
         self.stores, self.now = Datastores(MODEL, self.host, copy.deepcopy(TREE)), 0
 
     def edit(self, who, pace, store=CANDIDATE):
-        self.stores.edit(who, store, [C("channel", leaf("lines-per-second", pace))])
+        self.stores.edit(who, store, [node("channel", leaf("lines-per-second", pace))])
 
     def commit(self, who, **more):
         answers = []
@@ -295,23 +301,23 @@
     assert s.stores.version == 2
 
 
-@pytest.mark.parametrize("trouble", ["harm", "fault", "disk"])
-def test_a_commit_that_is_refused_leaves_everything_as_it_was(trouble):
+@pytest.mark.parametrize("failure", ["impact", "fault", "disk"])
+def test_a_rejected_commit_changes_nothing(failure):
     s = Stores()
     s.edit("a", "5.0")
-    if trouble == "disk":
+    if failure == "disk":
         s.host.later = True
         s.commit("a")
         s.host.kept("full")
     else:
-        setattr(s.host, trouble, "no")
+        setattr(s.host, failure, "no")
         assert s.commit("a") == "operation-failed"
     assert s.pace() == "100.0" and s.stores.version == 1 and not s.host.applied and s.pace(CANDIDATE) == "5.0"
     assert s.stores.changes.busy is None and s.stores.refused == 1 == len(s.host.told)
-    assert s.host.unkept == ([] if trouble == "harm" else [s.stores.tree(RUNNING)])
+    assert s.host.unkept == ([] if failure == "impact" else [s.stores.tree(RUNNING)])
 
 
-def test_a_commit_begun_from_a_version_that_has_passed_is_refused():
+def test_a_commit_begun_from_an_outdated_version_is_rejected():
     s = Stores()
     s.edit("a", "5.0")
     s.stores.file({**TREE, "channel": {"lines-per-second": "7.0"}})
@@ -321,19 +327,19 @@
     assert s.commit("a") == "ok" and s.pace() == "6.0"
 
 
-def test_locks_hold_off_others_and_end_with_their_session():
+def test_locks_exclude_others_and_end_with_their_session():
     s = Stores()
     s.stores.lock("a", CANDIDATE)
     s.stores.lock("a", RUNNING)
-    assert refused(s.stores.lock, "b", CANDIDATE)[0] == "lock-denied"
-    assert refused(s.edit, "b", "5.0")[0] == "in-use" and s.commit("b") == "in-use"
-    assert refused(s.stores.unlock, "b", CANDIDATE)[0] == "operation-failed"
-    assert refused(s.stores.file, TREE)[0] == "in-use"
+    assert rejection_of(s.stores.lock, "b", CANDIDATE)[0] == "lock-denied"
+    assert rejection_of(s.edit, "b", "5.0")[0] == "in-use" and s.commit("b") == "in-use"
+    assert rejection_of(s.stores.unlock, "b", CANDIDATE)[0] == "operation-failed"
+    assert rejection_of(s.stores.file, TREE)[0] == "in-use"
     s.edit("a", "5.0")
     s.stores.closed("a", None)
     assert not s.stores.locks.holders() and s.pace(CANDIDATE) == "100.0"
     s.edit("b", "5.0")
-    assert refused(s.stores.lock, "a", CANDIDATE)[0] == "lock-denied"
+    assert rejection_of(s.stores.lock, "a", CANDIDATE)[0] == "lock-denied"
     assert s.commit("b") == "ok"
     s.stores.lock("a", CANDIDATE)
 
@@ -357,7 +363,7 @@
     s.edit("a", "5.0")
     persist = "p" if "persist" in end else None
     assert s.commit("a", timeout=10, persist=persist) == "ok" and s.pace() == "5.0"
-    assert s.commit("b") == "in-use" and refused(s.stores.file, TREE)[0] == "in-use"
+    assert s.commit("b") == "in-use" and rejection_of(s.stores.file, TREE)[0] == "in-use"
     s.now = 5 * 10**9
     if end == "confirm":
         assert s.commit("a") == "ok"
@@ -400,15 +406,15 @@
     s.stores.delete("a", STARTUP)
     assert (
         s.pace(STARTUP) == "100.0"
-        and refused(s.stores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
+        and rejection_of(s.stores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
     )
-    assert refused(s.edit, "a", "5.0", RUNNING)[0] == "operation-not-supported"
+    assert rejection_of(s.edit, "a", "5.0", RUNNING)[0] == "operation-not-supported"
     s.stores.copy("a", CANDIDATE, {**TREE, "zone": ["n"]})
     assert s.commit("a") == "ok" and s.stores.tree(RUNNING)["zone"] == ["n"]
 
 
-def test_a_picture_is_what_the_module_allows():
-    class Some:
+def test_the_operational_state_is_valid_by_the_module():
+    class Coordinator:
         def pictured_fleet(self):
             return {
                 "joined": 2,
@@ -439,7 +445,7 @@
         list_named=True,
         folder=FolderFigures(7, 2, False),
     )
-    state = OperationalState(Some(), facts)
+    state = OperationalState(Coordinator(), facts)
     assert len(list(state.steps())) >= 1
     outs = [view.get("out") for each in state.tree["backend"] for view in each["seen-from"]]
     assert outs == ["cut", None, "unproven", None]
@@ -453,7 +459,7 @@
 WHO = st.sampled_from(["a", "b", "c"])
 
 
-class Several(RuleBasedStateMachine):
+class ConcurrentSessions(RuleBasedStateMachine):
     """Sessions that edit, lock, commit and drop at random, files that are read anew, against plain facts."""
 
     @initialize()
@@ -469,7 +475,12 @@
     @rule(who=WHO, pace=PACES, test=st.sampled_from(["set", "test-then-set", "test-only"]))
     def edit(self, who, pace, test):
         self._try(
-            self.s.stores.edit, who, CANDIDATE, [C("channel", leaf("lines-per-second", pace))], "merge", test
+            self.s.stores.edit,
+            who,
+            CANDIDATE,
+            [node("channel", leaf("lines-per-second", pace))],
+            "merge",
+            test,
         )
 
     @rule(
@@ -509,13 +520,13 @@
         self.s.now += seconds * 10**9
         self.s.stores.tick(self.s.now, lambda error: None)
 
-    @rule(what=st.sampled_from([("harm", "no"), ("fault", "no"), ("later", True)]))
-    def trouble(self, what):
+    @rule(what=st.sampled_from([("impact", "no"), ("fault", "no"), ("later", True)]))
+    def failure(self, what):
         setattr(self.s.host, *what)
 
     @rule(why=st.none() | st.just("full"))
     def mend(self, why):
-        self.s.host.harm = self.s.host.fault = None
+        self.s.host.impact = self.s.host.fault = None
         self.s.host.later = False
         while self.s.host.asked:
             self.s.host.kept(why)
@@ -533,7 +544,7 @@
         assert (stores.changes.busy is not None) == bool(self.s.host.asked)
 
 
-Several.TestCase.settings = hypothesis_settings(
+ConcurrentSessions.TestCase.settings = hypothesis_settings(
     max_examples=60, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestSeveral = Several.TestCase
+TestConcurrentSessions = ConcurrentSessions.TestCase
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 100_000])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_messages_come_out_whole_however_their_bytes_arrive(chunked, size):
+def test_messages_are_complete_however_their_bytes_arrive(chunked, size):
     reader, got = MessageReader(1000), []
     reader.chunked = chunked
     data = b"".join(frame(message, chunked) for message in (b"<a/>", b"<b>]] ></b>", b"<c/>"))
@@ -71,7 +71,7 @@
         (True, b"\n#11111111111111", "no end"),
     ],
 )
-def test_bytes_that_are_no_frame_are_told(chunked, data, words):
+def test_bytes_that_are_no_frame_are_rejected(chunked, data, words):
     reader = MessageReader(1000)
     reader.chunked = chunked
     reader.feed(data)
@@ -93,7 +93,7 @@
         ('<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>'.encode("utf-16"), "DTD"),
     ],
 )
-def test_xml_out_of_bounds_is_refused(data, words):
+def test_xml_over_the_limits_is_rejected(data, words):
     with pytest.raises(MalformedMessageError, match=words):
         parse_message(data)
 
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("minor", [0, 1])
-def test_both_framings_read_the_state_and_commit_a_change_that_acts(house, minor):
+def test_both_framings_read_state_and_commit_a_change_that_takes_effect(house, minor):
     one = house.manager(minor=minor)
     assert "base:1.1" in one.hello and "granitespool&amp;revision=2026-12-01" in one.hello
     state = one.ask("<get/>")
@@ -161,7 +161,7 @@
         ),
     ],
 )
-def test_what_cannot_be_done_is_answered_by_the_rfcs_tag_and_the_session_goes_on(house, body, tag):
+def test_a_rejected_operation_has_the_rfcs_tag_and_the_session_goes_on(house, body, tag):
     one = house.manager()
     answer = one.ask(body)
     assert tag_of(answer) == tag and "<error-message" in answer and tag_of(one.ask("<get/>")) == "ok"
@@ -185,7 +185,7 @@
         ("<zone>n</zone><zone xmlns='urn:x'>q</zone>", "unknown-namespace", "settings"),
     ],
 )
-def test_an_edit_that_is_wrong_is_refused_with_its_path_and_nothing_of_it_stays(house, settings, tag, path):
+def test_a_wrong_edit_is_rejected_with_its_path_and_changes_nothing(house, settings, tag, path):
     one, before = house.manager(), None
     before = one.config("candidate")
     answer = one.edit("<drain><grace>7</grace></drain>" + settings)
@@ -205,7 +205,7 @@
         ),
     ],
 )
-def test_a_commit_that_would_do_harm_is_refused_and_the_old_settings_run_on(house, settings, words):
+def test_a_commit_that_fails_the_impact_check_is_rejected_and_the_old_settings_run_on(house, settings, words):
     proxy, one, before = house.proxy(), house.manager(), house.settings()
     assert tag_of(one.edit(settings)) == "ok"
     answer = one.commit()
@@ -215,7 +215,7 @@
     proxy.close()
 
 
-def test_filters_choose_by_subtree_and_by_xpath(house):
+def test_filters_select_by_subtree_and_by_xpath(house):
     one = house.manager()
 
     def state(inner):
@@ -304,7 +304,7 @@
         assert tag_of(one.ask("<delete-config><target><startup/></target></delete-config>")) == "ok"
 
 
-def test_users_read_and_write_what_they_may(house):
+def test_users_read_and_write_what_they_are_authorized_for(house):
     reader, pacer = house.manager("reader"), house.manager("pacer")
     assert "<backend>" in reader.ask("<get/>") and tag_of(reader.edit(PACE.format("500"))) == "access-denied"
     assert tag_of(pacer.edit("<drain><grace>5</grace></drain>")) == "access-denied"
@@ -316,7 +316,7 @@
 # Two at once, and sessions that end
 
 
-def test_two_managers_and_a_reload_cannot_overtake_one_another(house):
+def test_two_sessions_and_a_reload_cannot_overwrite_each_others_changes(house):
     one, two = house.manager(), house.manager()
     assert tag_of(one.lock()) == "ok"
     held = two.lock()
@@ -347,7 +347,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("how", ["reset", "close"])
-def test_a_session_dropped_at_any_step_leaves_nothing_half_applied(house, step, how):
+def test_a_session_lost_at_any_step_leaves_nothing_half_applied(house, step, how):
     watcher = house.manager()
     before, stores = (
         house.settings(),
@@ -391,7 +391,7 @@
     assert house.settings()["entries_per_s"] == 600
 
 
-def test_a_fault_half_way_puts_back_what_was(house):
+def test_a_failure_half_way_restores_the_former_settings(house):
     one, before = house.manager(), house.settings()
     probes, calls = house.service.probes, []
 
@@ -411,7 +411,7 @@
     house.lines[:] = [line for line in house.lines if line["event"] != "failed"]
 
 
-def test_one_session_kills_another_and_subscribers_hear_what_changed(house):
+def test_one_session_kills_another_and_subscribers_are_notified_of_changes(house):
     one, two = house.manager(), house.manager()
     sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
     assert tag_of(two.ask(sub)) == "ok" and tag_of(two.ask(sub)) == "in-use"
@@ -489,7 +489,7 @@
         house.logged("settings_dropped")
 
 
-def test_what_waits_for_a_restart_is_put_into_startup_and_acts_after_it(tmp_path, folder):
+def test_what_waits_for_a_restart_goes_to_startup_and_takes_effect_after_it(tmp_path, folder):
     with House(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit("<class><name>late</name></class>")) == "ok"
@@ -508,7 +508,7 @@
     assert "late" not in one.config("startup")
 
 
-def test_a_disk_that_does_not_take_it_refuses_the_commit(tmp_path, folder, monkeypatch):
+def test_a_commit_is_rejected_where_the_disk_does_not_take_it(tmp_path, folder, monkeypatch):
     monkeypatch.setattr("granitespool.net.management_service.KEEP_MOST", 300_000_000)
     with House(tmp_path, folder, state=True) as house:
         one = house.manager()
@@ -588,7 +588,7 @@
         "flood",
     ],
 )
-def test_a_bad_peer_is_ended_and_nobody_else_notices(house, folder, how, tmp_path):
+def test_a_misbehaving_peer_is_disconnected_without_effect_on_others(house, folder, how, tmp_path):
     proxy, one = house.proxy(), house.manager()
     others = keys(tmp_path / "others") if how == "foreign" else folder
     if how == "foreign":  # trusted by nobody here, under a name that is
@@ -602,7 +602,7 @@
     proxy.close()
 
 
-def test_an_expired_certificate_is_refused(house, folder, tmp_path):
+def test_an_expired_certificate_is_rejected(house, folder, tmp_path):
     import datetime  # noqa: PLC0415
 
     from granitespool.cli import keys as made  # noqa: PLC0415
@@ -624,7 +624,7 @@
     house.logged("manager_refused", why="expired")
 
 
-def test_hundreds_of_half_open_handshakes_keep_nobody_out(tmp_path, folder):
+def test_hundreds_of_half_open_handshakes_block_nobody(tmp_path, folder):
     with House(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
         assert house.service.streams.admission.connections_limit == 256 - 16 - 32 - (6 + 3 + 1)
         proxy = house.proxy()
@@ -637,7 +637,7 @@
         proxy.close()
 
 
-def test_there_are_only_so_many_sessions_and_a_silent_one_is_ended_unless_it_subscribed(tmp_path, folder):
+def test_sessions_are_limited_and_an_idle_one_is_ended_unless_it_subscribed(tmp_path, folder):
     with House(tmp_path, folder, sessions=2, idle_s=1.0) as house:
         one, two = house.manager(), house.manager()
         with pytest.raises((Ended, ConnectionError)):
@@ -651,7 +651,7 @@
         assert tag_of(two.ask("<get/>")) == "ok"
 
 
-def test_a_reader_that_stops_costs_no_turn_and_no_memory(tmp_path, folder):
+def test_a_client_that_stops_reading_costs_neither_turns_nor_memory(tmp_path, folder):
     known = [
         {
             "name": f"s-{k:04}",
@@ -679,7 +679,7 @@
         proxy.close()
 
 
-def test_keys_are_read_anew_without_dropping_sessions_and_a_wrong_file_changes_nothing(tmp_path, folder):
+def test_keys_are_reloaded_without_ending_sessions_and_a_wrong_file_changes_nothing(tmp_path, folder):
     own = keys(tmp_path / "keys")
     with House(tmp_path, own) as house:
         one = house.manager()
@@ -697,7 +697,7 @@
 # A real client
 
 
-def test_ncclient_reads_commits_is_refused_and_finds_nothing_half_applied(house, folder):
+def test_ncclient_reads_commits_is_rejected_and_finds_nothing_half_applied(house, folder):
     with ncclient_manager.connect_tls(
         host=house.where[0],
         port=house.where[1],
@@ -735,5 +735,5 @@
     assert house.settings()["drain_grace"] == 3 * 10**9
 
 
-def test_the_framing_knows_the_rfcs_end_mark():
+def test_both_framings_encode_as_the_rfc_has_them():
     assert END_OF_MESSAGE == b"]]>]]>" and frame(b"x", True) == b"\n#1\nx\n##\n"
--- a/tests/test_operator.py
+++ b/tests/test_operator_settings.py
@@ -64,7 +64,7 @@
         operator_settings.load(str(tmp_path))
 
 
-def test_an_empty_file_has_everything_off_and_relative_folders_stand_beside_it(tmp_path):
+def test_an_empty_file_has_everything_off_and_relative_folders_are_beside_it(tmp_path):
     path = tmp_path / "operator.ini"
     path.write_text("; nothing\n")
     assert operator_settings.load(
@@ -172,6 +172,6 @@
         schema.load(str(path))
 
 
-def test_booleans_and_words_are_told_as_such():
+def test_booleans_and_words_are_named_as_such():
     with pytest.raises(InvalidInputError, match="again is 'perhaps', where true or false would do"):
         ini.parse("x.ini", "[c]\nagain = perhaps\n", {"c": schema.Class})
