--- a/bench/manage.py
+++ b/bench/manage.py
@@ -1,4 +1,4 @@
-"""What managers' doors cost: reading all state, subscriptions, commits, by stand-in managers on loopback.
+"""What the management protocols cost: reads of all state, subscriptions, commits, by clients on loopback.
 
     python -m bench.manage [read] [stream] [commit] [memory]      (all of them where none is named)
 
@@ -8,16 +8,24 @@
 
 import json
 import os
+import select
 import signal
 import socket
 import subprocess
 import sys
 import tempfile
+import threading
 import time
+from collections.abc import Callable, Iterator, Sequence
+from pathlib import Path
+from types import TracebackType
+from typing import Any, NamedTuple, Self
 
 from granitespool.net.service import Service
 from granitespool.operator_settings import Gnmi, Netconf, Operator, Tls, User
+from granitespool.planner.events import LoadReport, ProxyJoined
 from granitespool.settings import settings_from_wire
+from granitespool.units import SECOND
 
 if sys.argv[1:2] != ["serve"]:  # the coordinator's process has only what a coordinator has
     import grpc
@@ -26,312 +34,369 @@
     from granitespool.emulator.managers import Manager, tag_of
     from granitespool.gnmi import gnmi_pb2 as pb
 
-SECOND = 1_000_000_000
-SIZES = (120, 640), (1000, 5000)
-STREAMS, STREAM_S = 100, 8  # subscriptions at 1 s; how long they are looked at
+MS_PER_S = 1e3
+ZONES = ("n", "s")
+REPORTED_MEAN = 40_000_000  # ns that a backend takes for an answer
+PARTS_PER_SECOND = 20  # the fleet's reports come in so many parts
+WARM_UP_S = 2.5  # tables, first reports
+IDLE_S = 3
+SUBSCRIPTIONS = 100  # of all state, sampled each second
+STREAM_S = 8  # for how long they are looked at
 COMMITS = 40
+READERS = 6
+READS = 4  # of each reader
+SHORTEST_TURN_S = 1e-5  # a turn under it only polled
 
 
-class Timed:
-    """The loop's epoll, with the time between two waits noted."""
+class Fleet(NamedTuple):
+    """How many backends and proxies."""
 
-    def __init__(self, epoll):
-        self.epoll, self.left, self.turns = epoll, time.perf_counter(), []
+    backends: int
+    proxies: int
 
-    def __getattr__(self, name):
+
+FLEETS = (Fleet(120, 640), Fleet(1000, 5000))
+
+
+class TurnFigures(NamedTuple):
+    """Of the coordinator's turns since the last look, and its memory now."""
+
+    longest_ms: float
+    turns: int
+    p999_ms: float
+    memory_mb: float
+
+
+# The coordinator's process
+
+
+class TimedEpoll:
+    """The loop's epoll, with the time between two waits noted in `turns`, s."""
+
+    def __init__(self, epoll: select.epoll) -> None:
+        self.epoll = epoll
+        self.turns: list[float] = []
+        self._wait_ended = time.perf_counter()
+
+    def __getattr__(self, name: str) -> Any:  # noqa: ANN401 as epoll has it
         return getattr(self.epoll, name)
 
-    def poll(self, *words):
+    def poll(self, timeout: float, max_events: int) -> list[tuple[int, int]]:
+        """Waits as epoll does."""
         now = time.perf_counter()
-        if words[0] or now - self.left > 1e-5:
-            self.turns.append(now - self.left)
-        found = self.epoll.poll(*words)
-        self.left = time.perf_counter()
-        return found
-
-
-def memory_mb():
-    with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
-
-
-def serve(backends, proxies, doors, keys, ports):
-    """The child: serves until SIGTERM; SIGUSR1 prints and forgets the turns so far."""
-    zones = ["n", "s"]
-    settings = settings_from_wire(
-        {
-            "zones": zones,
-            "classes": [{"name": "pay", "worth": 1.0}],
-            "family_info": {"egress_per_s": 1e6, "most_waiting": 2e6, "proxy_count": proxies},
-            "rules": {},
-        }
-    )
-    known = [
-        {
-            "name": f"s-{k:05}",
-            "address": "127.0.0.1:9",
-            "zone": zones[k % 2],
-            "type": "m",
-            "status": "ready",
-            "weight": 1.0,
-            "since_ms": 0,
-        }
-        for k in range(backends)
-    ]
-    operator = (
-        Operator(
-            tls=Tls(certificate=f"{keys}/server.pem", key=f"{keys}/server.key", authorities=f"{keys}/ca.pem"),
-            netconf=Netconf(listen=f"127.0.0.1:{ports[0]}", sessions=8),
-            gnmi=Gnmi(listen=f"127.0.0.1:{ports[1]}", sessions=8, streams=200),
-            users={"operations": User(certificate="cn:operations", write="*")},
-        )
-        if doors
-        else None
-    )
-    service = Service(
-        {
-            "name": "bench",
-            "listen": ("127.0.0.1", 0),
-            "discovery": ("127.0.0.1", 9),
-            "seed": 1,
-            "sockets": 1024,
-            "probes": 4,
-            "connections": 900,
-            "buffers": 64,
-            "peer_listen": None,
-            "peers": [],
-            "peers_all": None,
-            "known": {"index": 1, "endpoints": known},
-            "settings": settings,
-            "operator": operator,
-        },
-        os.open(os.devnull, os.O_WRONLY),
+        if timeout or now - self._wait_ended > SHORTEST_TURN_S:
+            self.turns.append(now - self._wait_ended)
+        events = self.epoll.poll(timeout, max_events)
+        self._wait_ended = time.perf_counter()
+        return events
+
+
+def memory_mb() -> float:
+    """The process' resident memory."""
+    pages = int(Path("/proc/self/statm").read_text().split()[1])
+    return pages * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
+
+
+def serve(backends: int, proxies: int, management: bool, keys: str, ports: Sequence[int]) -> None:
+    """Serves until SIGTERM; SIGUSR1 prints the turns so far, and begins to count anew."""
+    configuration = _configuration(backends, proxies)
+    if management:
+        configuration["operator"] = _operator(keys, ports)
+    service = Service(configuration, os.open(os.devnull, os.O_WRONLY))
+    _join_proxies(service, proxies)
+    service.loop.spawn(_reports(service, [entry["name"] for entry in configuration["known"]["endpoints"]]))
+    timed = service.loop.epoll = TimedEpoll(service.loop.epoll)
+    signal.signal(signal.SIGUSR1, lambda *_: _print_figures(timed))
+    signal.signal(signal.SIGTERM, lambda *_: service.stop())
+    print("ready", flush=True)
+    service.run()
+
+
+def _configuration(backends: int, proxies: int) -> dict[str, Any]:
+    settings = {
+        "zones": list(ZONES),
+        "classes": [{"name": "pay", "worth": 1.0}],
+        "family_info": {"egress_per_s": 1e6, "most_waiting": 2e6, "proxy_count": proxies},
+        "rules": {},
+    }
+    return {
+        "name": "bench",
+        "listen": ("127.0.0.1", 0),
+        "discovery": ("127.0.0.1", 9),
+        "seed": 1,
+        "sockets": 1024,
+        "probes": 4,
+        "connections": 900,
+        "buffers": 64,
+        "peer_listen": None,
+        "peers": [],
+        "peers_all": None,
+        "known": {"index": 1, "endpoints": [_endpoint(number) for number in range(backends)]},
+        "settings": settings_from_wire(settings),
+        "operator": None,
+    }
+
+
+def _endpoint(number: int) -> dict[str, Any]:
+    return {
+        "name": f"s-{number:05}",
+        "address": "127.0.0.1:9",
+        "zone": ZONES[number % len(ZONES)],
+        "type": "m",
+        "status": "ready",
+        "weight": 1.0,
+        "since_ms": 0,
+    }
+
+
+def _operator(keys: str, ports: Sequence[int]) -> Operator:
+    return Operator(
+        tls=Tls(certificate=f"{keys}/server.pem", key=f"{keys}/server.key", authorities=f"{keys}/ca.pem"),
+        netconf=Netconf(listen=f"127.0.0.1:{ports[0]}", sessions=8),
+        gnmi=Gnmi(listen=f"127.0.0.1:{ports[1]}", sessions=8, streams=200),
+        users={"operations": User(certificate="cn:operations", write="*")},
     )
-    loop, coordinator = service.loop, service.coordinator
+
+
+def _join_proxies(service: Service, proxies: int) -> None:
+    coordinator = service.coordinator
+    now = service.loop.now
     for number in range(proxies):
-        coordinator.report(loop.now, "joined", proxy=number, zone=zones[number % 2], standing=False, rate=1.0)
-    coordinator.tick(loop.now)
+        zone = ZONES[number % len(ZONES)]
+        coordinator.report(now, ProxyJoined(proxy=number, zone=zone, bootstrap=False, rate=1.0))
+    coordinator.tick(now)
     coordinator.waiting.clear()
 
-    def reports():
-        """Each backend from each zone once a second, a twentieth at a time; nothing is written to anyone."""
-        while True:
-            for k in range(20):
-                for entry in known[k::20]:
-                    for zone in zones:
-                        coordinator.report(
-                            loop.now,
-                            "heard",
-                            zone=zone,
-                            backend=entry["name"],
-                            tries=10,
-                            failed=0,
-                            mean=40_000_000,
-                            window=SECOND,
-                            load={},
-                        )
-                coordinator.waiting.clear()
-                yield None, 0, loop.now + SECOND // 20
-
-    loop.spawn(reports())
-    timed = loop.epoll = Timed(loop.epoll)
-
-    def told(*_):
-        turns, timed.turns = sorted(timed.turns), []
-        print(
-            json.dumps(
-                {
-                    "longest_ms": 1e3 * turns[-1] if turns else 0,
-                    "turns": len(turns),
-                    "p999_ms": 1e3 * turns[int(len(turns) * 0.999)] if turns else 0,
-                    "memory_mb": memory_mb(),
-                }
-            ),
-            flush=True,
-        )
 
-    signal.signal(signal.SIGUSR1, told)
-    signal.signal(signal.SIGTERM, lambda *_: service.stop())
-    print("ready", flush=True)
-    service.run()
+def _reports(service: Service, backends: Sequence[str]) -> Iterator[Any]:
+    """Each backend from each zone once a second, in parts; nothing is written to anyone."""
+    coordinator = service.coordinator
+    loop = service.loop
+    while True:
+        for part in range(PARTS_PER_SECOND):
+            for backend in backends[part::PARTS_PER_SECOND]:
+                for zone in ZONES:
+                    coordinator.report(loop.now, _load_report(zone, backend))
+            coordinator.waiting.clear()
+            yield None, 0, loop.now + SECOND // PARTS_PER_SECOND
+
+
+def _load_report(zone: str, backend: str) -> LoadReport:
+    return LoadReport(
+        zone=zone,
+        backend=backend,
+        attempts=10,
+        failures=0,
+        mean=REPORTED_MEAN,
+        window=SECOND,
+        load={},
+    )
+
+
+def _print_figures(timed: TimedEpoll) -> None:
+    turns = sorted(timed.turns) or [0.0]
+    figures = TurnFigures(
+        longest_ms=MS_PER_S * turns[-1],
+        turns=len(timed.turns),
+        p999_ms=MS_PER_S * turns[int(len(turns) * 0.999)],
+        memory_mb=memory_mb(),
+    )
+    timed.turns = []
+    print(json.dumps(figures._asdict()), flush=True)
+
+
+# The clients
 
 
 class Child:
     """A coordinator in a process of its own."""
 
-    def __init__(self, backends, proxies, keys, doors=True):
-        self.ports, self.keys = [], keys
-        for _ in range(2):
-            with socket.create_server(("127.0.0.1", 0)) as sock:
-                self.ports.append(sock.getsockname()[1])
+    def __init__(self, fleet: Fleet, keys: str, management: bool = True) -> None:
+        self.keys = keys
+        self.ports = [_free_port(), _free_port()]
+        words = json.dumps([*fleet, management, keys, self.ports])
         self.process = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "bench.manage",
-                "serve",
-                json.dumps([backends, proxies, doors, keys, self.ports]),
-            ],
-            stdout=subprocess.PIPE,
-            text=True,
+            [sys.executable, "-m", "bench.manage", "serve", words], stdout=subprocess.PIPE, text=True
         )
-        assert self.process.stdout.readline() == "ready\n"
-        time.sleep(2.5)  # tables, first reports
+        assert self.process.stdout is not None
+        self.output = self.process.stdout
+        assert self.output.readline() == "ready\n"
+        time.sleep(WARM_UP_S)
         self.figures()
 
-    def figures(self):
+    def figures(self) -> TurnFigures:
         """Of the turns since the last call."""
         self.process.send_signal(signal.SIGUSR1)
-        return json.loads(self.process.stdout.readline())
+        return TurnFigures(**json.loads(self.output.readline()))
 
-    def netconf(self):
+    def netconf(self) -> "Manager":
+        """A NETCONF session."""
         return Manager(("127.0.0.1", self.ports[0]), self.keys, timeout=120)
 
-    def gnmi(self):
-        read = [
-            open(f"{self.keys}/{name}", "rb").read()
-            for name in ("ca.pem", "operations.key", "operations.pem")
-        ]
-        return grpc.secure_channel(
-            f"127.0.0.1:{self.ports[1]}",
-            grpc.ssl_channel_credentials(*read),
-            [("grpc.max_receive_message_length", 1 << 30)],
-        )
+    def gnmi(self) -> "grpc.Channel":
+        """A gNMI connection."""
+        names = ("ca.pem", "operations.key", "operations.pem")
+        credentials = grpc.ssl_channel_credentials(*(Path(self.keys, name).read_bytes() for name in names))
+        options = [("grpc.max_receive_message_length", 1 << 30)]
+        return grpc.secure_channel(f"127.0.0.1:{self.ports[1]}", credentials, options)
 
-    def __enter__(self):
+    def __enter__(self) -> Self:
         return self
 
-    def __exit__(self, *_):
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         self.process.terminate()
         self.process.communicate()
 
 
-def method(channel, name, kind, stream=False):
-    make_ = channel.stream_stream if stream else channel.unary_unary
-    return make_(f"/gnmi.gNMI/{name}", lambda message: message.SerializeToString(), kind.FromString)
+def _free_port() -> int:
+    with socket.create_server(("127.0.0.1", 0)) as sock:
+        port: int = sock.getsockname()[1]
+        return port
+
+
+def _method(channel: "grpc.Channel", name: str, kind: Any, stream: bool = False) -> Callable[..., Any]:  # noqa: ANN401
+    make_method = channel.stream_stream if stream else channel.unary_unary
+    method: Callable[..., Any] = make_method(
+        f"/gnmi.gNMI/{name}", lambda message: message.SerializeToString(), kind.FromString
+    )
+    return method
 
 
-def state():
-    return pb.Path(elem=[pb.PathElem(name="coordinator"), pb.PathElem(name="state")])
+def _path(*names: str) -> "pb.Path":
+    return pb.Path(elem=[pb.PathElem(name=name) for name in names])
 
 
-def measure_read(keys):
-    for backends, proxies in SIZES:
-        with Child(backends, proxies, keys) as child:
-            time.sleep(3)
+def measure_read(keys: str) -> None:
+    """How long it takes to read all state, and what it does to the turns."""
+    for fleet in FLEETS:
+        with Child(fleet, keys) as child:
+            time.sleep(IDLE_S)
             idle = child.figures()
-            begun = time.perf_counter()
-            answer = child.netconf().ask("<get/>")
-            took, netconf = time.perf_counter() - begun, child.figures()
-            assert answer.count("<backend>") == backends
-            size = len(answer)
-            channel = child.gnmi()
-            begun = time.perf_counter()
-            got = method(channel, "Get", pb.GetResponse)(
-                pb.GetRequest(path=[state()], encoding=pb.JSON_IETF), timeout=120
-            )
-            took2, gnmi = time.perf_counter() - begun, child.figures()
-            channel.close()
+            netconf = _read_by_netconf(child, fleet)
+            gnmi = _read_by_gnmi(child)
         print(
-            f"read: {backends} backends x {proxies} proxies x 2 zones: NETCONF {took * 1e3:.0f} ms, "
-            f"{size / 1e3:.0f} KB, longest turn {netconf['longest_ms']:.1f} ms; gNMI {took2 * 1e3:.0f} ms, "
-            f"{got.ByteSize() / 1e3:.0f} KB, longest turn {gnmi['longest_ms']:.1f} ms; "
-            f"without readers {idle['longest_ms']:.1f} ms"
+            f"read: {fleet.backends} backends x {fleet.proxies} proxies x {len(ZONES)} zones: "
+            f"NETCONF {netconf}; gNMI {gnmi}; without readers {idle.longest_ms:.1f} ms"
         )
 
 
-def measure_stream(keys):
-    with Child(*SIZES[0], keys) as child:
-        idle_s = child.figures() and time.sleep(3) or child.figures()
+def _read_by_netconf(child: Child, fleet: Fleet) -> str:
+    begun = time.perf_counter()
+    answer = child.netconf().ask("<get/>")
+    seconds = time.perf_counter() - begun
+    assert answer.count("<backend>") == fleet.backends
+    return _read_figures(child, seconds, len(answer))
+
+
+def _read_by_gnmi(child: Child) -> str:
+    channel = child.gnmi()
+    request = pb.GetRequest(path=[_path("coordinator", "state")], encoding=pb.JSON_IETF)
+    begun = time.perf_counter()
+    answer = _method(channel, "Get", pb.GetResponse)(request, timeout=120)
+    seconds = time.perf_counter() - begun
+    channel.close()
+    return _read_figures(child, seconds, answer.ByteSize())
+
+
+def _read_figures(child: Child, seconds: float, size: int) -> str:
+    longest_ms = child.figures().longest_ms
+    return f"{seconds * MS_PER_S:.0f} ms, {size / 1e3:.0f} KB, longest turn {longest_ms:.1f} ms"
+
+
+def measure_stream(keys: str) -> None:
+    """What many subscriptions of all state do to the turns."""
+    fleet = FLEETS[0]
+    with Child(fleet, keys) as child:
+        time.sleep(IDLE_S)
+        idle = child.figures()
         channel = child.gnmi()
-        subscribe = method(channel, "Subscribe", pb.SubscribeResponse, stream=True)
-        calls = [
-            subscribe(
-                iter(
-                    [
-                        pb.SubscribeRequest(
-                            subscribe=pb.SubscriptionList(
-                                encoding=pb.PROTO,
-                                subscription=[
-                                    pb.Subscription(path=state(), mode=pb.SAMPLE, sample_interval=SECOND)
-                                ],
-                            )
-                        )
-                    ]
-                )
-            )
-            for _ in range(STREAMS)
-        ]
-        end, updates = time.monotonic() + STREAM_S, [0] * STREAMS
-        import threading  # noqa: PLC0415
-
-        def take(k, call):
-            try:
-                for answer in call:
-                    updates[k] += len(answer.update.update)
-            except grpc.RpcError:
-                pass
-
-        threads = [threading.Thread(target=take, args=each, daemon=True) for each in enumerate(calls)]
-        for thread in threads:
-            thread.start()
-        time.sleep(max(0, end - time.monotonic()))
-        busy = child.figures()
-        for call in calls:
-            call.cancel()
+        updates, busy = _subscribed_updates(child, channel)
         channel.close()
     print(
-        f"stream: {STREAMS} subscriptions of all state at 1 s, {SIZES[0][0]} backends: "
-        f"{sum(updates) / STREAM_S:.0f} updates a second in all, fewest of one "
-        f"{min(updates)}; longest turn "
-        f"{busy['longest_ms']:.1f} ms (without "
-        f"{idle_s['longest_ms']:.1f}), 99.9 % {busy['p999_ms']:.1f} ms"
+        f"stream: {SUBSCRIPTIONS} subscriptions of all state at 1 s, {fleet.backends} backends: "
+        f"{sum(updates) / STREAM_S:.0f} updates a second in all, fewest of one {min(updates)}; "
+        f"longest turn {busy.longest_ms:.1f} ms (without {idle.longest_ms:.1f}), "
+        f"99.9 % {busy.p999_ms:.1f} ms"
     )
 
 
-def measure_commit(keys):
-    with Child(*SIZES[0], keys) as child:
-        one = child.netconf()
-        begun = time.perf_counter()
-        for k in range(COMMITS):
-            assert tag_of(one.edit(f"<drain><grace>{5_000_000 + k}</grace></drain>")) == "ok"
-            assert tag_of(one.commit()) == "ok"
-        netconf = time.perf_counter() - begun
-        channel = child.gnmi()
-        path = pb.Path(
-            elem=[pb.PathElem(name=name) for name in ("coordinator", "settings", "drain", "grace")]
-        )
-        set_ = method(channel, "Set", pb.SetResponse)
-        begun = time.perf_counter()
-        for k in range(COMMITS):
-            set_(
-                pb.SetRequest(update=[pb.Update(path=path, val=pb.TypedValue(uint_val=6_000_000 + k))]),
-                timeout=10,
-            )
-        gnmi, figures = time.perf_counter() - begun, child.figures()
-        channel.close()
+def _subscribed_updates(child: Child, channel: "grpc.Channel") -> tuple[list[int], TurnFigures]:
+    """(updates that came of each subscription, the turns meanwhile)."""
+    one = pb.Subscription(path=_path("coordinator", "state"), mode=pb.SAMPLE, sample_interval=SECOND)
+    subscriptions = pb.SubscriptionList(encoding=pb.PROTO, subscription=[one])
+    subscribe = _method(channel, "Subscribe", pb.SubscribeResponse, stream=True)
+    calls = [subscribe(iter([pb.SubscribeRequest(subscribe=subscriptions)])) for _ in range(SUBSCRIPTIONS)]
+    end = time.monotonic() + STREAM_S
+    updates = [0] * SUBSCRIPTIONS
+
+    def count(number: int, call: Any) -> None:  # noqa: ANN401 a call of grpc
+        try:
+            for answer in call:
+                updates[number] += len(answer.update.update)
+        except grpc.RpcError:
+            pass  # cancelled below
+
+    for number, call in enumerate(calls):
+        threading.Thread(target=count, args=(number, call), daemon=True).start()
+    time.sleep(max(0, end - time.monotonic()))
+    figures = child.figures()
+    for call in calls:
+        call.cancel()
+    return updates, figures
+
+
+def measure_commit(keys: str) -> None:
+    """How many changes of the settings a second."""
+    with Child(FLEETS[0], keys) as child:
+        netconf = _commits_by_netconf(child)
+        gnmi = _commits_by_gnmi(child)
+        figures = child.figures()
     print(
-        f"commit: {COMMITS / netconf:.0f} a second by NETCONF (edit and commit), "
-        f"{COMMITS / gnmi:.0f} by gNMI; "
-        f"longest turn {figures['longest_ms']:.1f} ms"
+        f"commit: {netconf:.0f} a second by NETCONF (edit and commit), {gnmi:.0f} by gNMI; "
+        f"longest turn {figures.longest_ms:.1f} ms"
     )
 
 
-def measure_memory(keys):
-    with Child(*SIZES[0], keys, doors=False) as child:
-        off = child.figures()["memory_mb"]
-    with Child(*SIZES[0], keys) as child:
-        idle = child.figures()["memory_mb"]
-        managers = [child.netconf() for _ in range(6)]
-        for _ in range(4):
-            for one in managers:
-                one.send("<get/>")
-            for one in managers:
-                one.receive()
-        load = child.figures()["memory_mb"]
+def _commits_by_netconf(child: Child) -> float:
+    session = child.netconf()
+    begun = time.perf_counter()
+    for number in range(COMMITS):
+        assert tag_of(session.edit(f"<drain><grace>{5_000_000 + number}</grace></drain>")) == "ok"
+        assert tag_of(session.commit()) == "ok"
+    return COMMITS / (time.perf_counter() - begun)
+
+
+def _commits_by_gnmi(child: Child) -> float:
+    channel = child.gnmi()
+    set_method = _method(channel, "Set", pb.SetResponse)
+    path = _path("coordinator", "settings", "drain", "grace")
+    begun = time.perf_counter()
+    for number in range(COMMITS):
+        update = pb.Update(path=path, val=pb.TypedValue(uint_val=6_000_000 + number))
+        set_method(pb.SetRequest(update=[update]), timeout=10)
+    rate = COMMITS / (time.perf_counter() - begun)
+    channel.close()
+    return rate
+
+
+def measure_memory(keys: str) -> None:
+    """What the process takes with management off, on, and after many reads."""
+    with Child(FLEETS[0], keys, management=False) as child:
+        off = child.figures().memory_mb
+    with Child(FLEETS[0], keys) as child:
+        idle = child.figures().memory_mb
+        sessions = [child.netconf() for _ in range(READERS)]
+        for _ in range(READS):
+            for session in sessions:
+                session.send("<get/>")
+            for session in sessions:
+                session.receive()
+        load = child.figures().memory_mb
     print(
-        f"memory: {off:.1f} MB with the doors off, {idle:.1f} MB on and idle, {load:.1f} MB after six "
-        "managers read all state four times"
+        f"memory: {off:.1f} MB with management off, {idle:.1f} MB on and idle, {load:.1f} MB after "
+        f"{READERS} clients read all state {READS} times"
     )
 
 
@@ -343,15 +408,16 @@
 }
 
 
-def main(words):
-    if words[:1] == ["serve"]:
-        return serve(*json.loads(words[1]))
+def main(words: Sequence[str]) -> None:
+    """Measures what is named, or serves as the coordinator that is measured."""
+    if words and words[0] == "serve":
+        serve(*json.loads(words[1]))
+        return
     with tempfile.TemporaryDirectory() as folder:
-        keys = os.path.join(folder, "keys")
+        keys = str(Path(folder, "keys"))
         make(keys, ["127.0.0.1"], ["operations"], "2")
         for name in words or MEASURES:
             MEASURES[name](keys)
-    return None
 
 
 if __name__ == "__main__":
