--- a/granitespool/cli/check.py
+++ b/granitespool/cli/check.py
@@ -7,9 +7,9 @@
 from granitespool.net import config
 
 
-def run(told: Mapping[str, Any]) -> int:
-    """Prints a line for each file that `told`, docopt's arguments, names; the exit code."""
-    path, operator_path = paths(told)
+def run(arguments: Mapping[str, Any]) -> int:
+    """Prints a line for each file that docopt's arguments name; the exit code."""
+    path, operator_path = paths(arguments)
     if path or not operator_path:
         print(config.summary(config.load(path)))
     if operator_path:
--- a/granitespool/cli/files.py
+++ b/granitespool/cli/files.py
@@ -10,11 +10,11 @@
     from granitespool.operator_settings import Operator
 
 
-def paths(told: Mapping[str, Any]) -> tuple[str | None, str | None]:
+def paths(arguments: Mapping[str, Any]) -> tuple[str | None, str | None]:
     """(configuration, operator's settings) of docopt's arguments, None for one that is not named."""
     return (
-        told["--config"] or os.environ.get("LB_CONFIG"),
-        told["--operator"] or os.environ.get("GRANITESPOOL_OPERATOR"),
+        arguments["--config"] or os.environ.get("LB_CONFIG"),
+        arguments["--operator"] or os.environ.get("GRANITESPOOL_OPERATOR"),
     )
 
 
@@ -27,7 +27,7 @@
     return operator_settings.load(path)
 
 
-def read(told: Mapping[str, Any]) -> dict[str, Any]:
+def read(arguments: Mapping[str, Any]) -> dict[str, Any]:
     """The whole configuration; both files are read and checked before any part hears of either."""
-    path, operator_path = paths(told)
+    path, operator_path = paths(arguments)
     return {**config.load(path), "operator": operator_of(operator_path)}
--- a/granitespool/cli/keys.py
+++ b/granitespool/cli/keys.py
@@ -25,7 +25,7 @@
 
 
 class Subject(NamedTuple):
-    """Who a certificate is for, and what for."""
+    """Whom a certificate is issued to, and for what use."""
 
     name: str
     usage: x509.ObjectIdentifier | None = None  # None: an authority
@@ -46,11 +46,11 @@
     key: ec.EllipticCurvePrivateKey
 
 
-def run(told: Mapping[str, Any]) -> int:
-    """Does what `told`, docopt's arguments, asks for; the exit code."""
-    if told["show"]:
-        return show(told["FILE"])
-    return make(told["DIR"], told["--name"], told["--user"], told["--days"])
+def run(arguments: Mapping[str, Any]) -> int:
+    """Does what docopt's arguments ask for; the exit code."""
+    if arguments["show"]:
+        return show(arguments["FILE"])
+    return make(arguments["DIR"], arguments["--name"], arguments["--user"], arguments["--days"])
 
 
 def make(folder: str, names: Sequence[str], users: Sequence[str], days: str) -> int:
--- a/granitespool/gnmi/__init__.py
+++ b/granitespool/gnmi/__init__.py
@@ -7,7 +7,7 @@
     statuses                a management error as a status of gRPC
     context                 what a call may use of its connection
     capabilities, get, set, subscribe     the methods
-    subscription            one subscription: what was sent of it, and what is news
+    subscription            one subscription: what was sent of it, and what has changed
     connection              one connection: HTTP/2, and the methods' table
 
 Nothing here does I/O or reads a clock. Operators' page: docs/gnmi.md."""
--- a/granitespool/gnmi/connection.py
+++ b/granitespool/gnmi/connection.py
@@ -23,7 +23,7 @@
 
 
 class GnmiConnection:
-    """The protocol of one connection, as the management listener drives it (management.interfaces)."""
+    """The protocol of one connection: a management.interfaces.ProtocolSession."""
 
     subscribed = None  # NETCONF's notifications are not for it
 
--- a/granitespool/gnmi/subscribe.py
+++ b/granitespool/gnmi/subscribe.py
@@ -68,7 +68,7 @@
 def _stream(
     sender: "_Sender", call: Call, subscriptions: Sequence[Subscription], updates_only: bool
 ) -> Iterator[None]:
-    """Sends all values at first, and then what is news whenever a subscription is due."""
+    """Sends all values at first, and then what has changed whenever a subscription is due."""
     for each in subscriptions:
         values = yield from sender.current(each)
         each.begin(values, sender.now())
@@ -86,8 +86,8 @@
             yield
         for each in due:
             values = yield from sender.current(each)
-            news = each.news(values, now)
-            yield from sender.send(news.updates, news.deletes)
+            delta = each.delta(values, now)
+            yield from sender.send(delta.updates, delta.deletes)
             yield
 
 
--- a/granitespool/gnmi/subscription.py
+++ b/granitespool/gnmi/subscription.py
@@ -1,4 +1,4 @@
-"""One subscription of a Subscribe call: when it is due, what was sent of it, and what is news; no I/O."""
+"""One subscription of a Subscribe call: when it is due, what was sent of it, and what has changed; no I/O."""
 
 from collections.abc import Mapping
 from typing import NamedTuple, TypeAlias
@@ -20,7 +20,7 @@
 
 
 class Leaf:
-    """A leaf as all who subscribed to it share it: its path, and its latest update encoded."""
+    """A leaf, shared by all subscriptions that match it: its path, and its latest update encoded."""
 
     __slots__ = ("__weakref__", "_encoded", "node", "path")
 
@@ -45,7 +45,7 @@
 LeafValues: TypeAlias = Mapping[Leaf, Value]
 
 
-class News(NamedTuple):
+class Delta(NamedTuple):
     """What is to be sent: values, and leaves that are gone."""
 
     updates: LeafValues
@@ -84,7 +84,7 @@
         self.due = now + self.interval
         self._heartbeat_at = now
 
-    def news(self, leaves: LeafValues, now: int) -> News:
+    def delta(self, leaves: LeafValues, now: int) -> Delta:
         """What is to be sent of the values as they are now; a reading that is late is not made up for."""
         self.due = max(self.due + self.interval, now + self.interval // 2)
         deletes = [leaf for leaf in self.sent if leaf not in leaves]
@@ -94,7 +94,7 @@
         else:
             updates = {leaf: value for leaf, value in leaves.items() if self._is_new(leaf, value)}
         self.sent = leaves
-        return News(updates, deletes)
+        return Delta(updates, deletes)
 
     def _is_heartbeat(self, now: int) -> bool:
         return bool(self.heartbeat_interval) and now - self._heartbeat_at >= self.heartbeat_interval
--- a/granitespool/management/changes.py
+++ b/granitespool/management/changes.py
@@ -31,7 +31,7 @@
         """Has the service run on a tree within the call, or raises ManagementError and changes nothing."""
 
     def refused(self, by: str, why: str) -> None:
-        """Is told of each change that was rejected."""
+        """Is called for each change that was rejected."""
 
 
 class _Change(NamedTuple):
--- a/granitespool/management/datastores.py
+++ b/granitespool/management/datastores.py
@@ -52,7 +52,7 @@
         return self.changes.commits
 
     @property
-    def refused(self) -> int:
+    def rejected(self) -> int:
         """How many changes of the settings were rejected since the start."""
         return self.changes.rejected
 
@@ -103,7 +103,7 @@
             self.trees.replace(session, store, tree)
 
     def copy(self, session: object, target: str, tree: Tree) -> None:
-        """Replaces the whole of candidate or startup."""
+        """Replaces all settings of candidate or startup."""
         self._check_editable(session, target)
         copied = copy.deepcopy(tree)
         self.model.check(copied)
--- a/granitespool/management/errors.py
+++ b/granitespool/management/errors.py
@@ -63,6 +63,6 @@
 
     @property
     def has_info(self) -> bool:
-        """Whether anything is told beside tag, reason and path."""
+        """Whether there is anything beside tag, reason and path."""
         info = (self.attribute, self.element, self.namespace, self.session)
         return any(each is not None for each in info)
--- a/granitespool/management/impact_check.py
+++ b/granitespool/management/impact_check.py
@@ -68,11 +68,11 @@
 def _check_limits(configuration: Configuration) -> None:
     """The process may be given less than it was started with, not more."""
     limits = configuration.get("limits") or {}
-    told = configuration.get("limits_told") or {}
-    exceeded = sorted(name for name, limit in limits.items() if limit > told.get(name, limit))
+    maxima = configuration.get("limits_told") or {}
+    exceeded = sorted(name for name, limit in limits.items() if limit > maxima.get(name, limit))
     if exceeded:
         name = exceeded[0]
-        reason = f"{name} is over the {told[name]} that this process was told"
+        reason = f"{name} is over the {maxima[name]} that this process was told"
         raise _failed(reason, settings_path("limits"))
 
 
--- a/granitespool/management/interfaces.py
+++ b/granitespool/management/interfaces.py
@@ -1,6 +1,6 @@
 """What datastores and protocols need of the service around them: net.management_service and its listener."""
 
-from collections.abc import Iterator, MutableMapping
+from collections.abc import Iterator, Mapping, MutableMapping
 from typing import Any, Protocol
 
 from granitespool.management.changes import Answer
@@ -38,10 +38,44 @@
         """Has the listener look at the connection again in the next turn."""
 
 
-class Session(Protocol):
-    """A protocol's session, as other sessions know it."""
+class ProtocolSession(Protocol):
+    """One client's session in any protocol, as the listener drives it and as other sessions know it."""
 
+    number: int
     transport: Transport
+    subscribed: frozenset[str] | None  # names of events to be notified of, empty for all; None for none
+
+    @property
+    def busy(self) -> bool:
+        """Whether `work` has something to do."""
+
+    @property
+    def keeps(self) -> bool:
+        """Whether silence is no reason to end the session."""
+
+    def begin(self) -> None:
+        """The connection is up."""
+
+    def received(self, data: bytes) -> None:
+        """Takes plain bytes of the client."""
+
+    def work(self) -> None:
+        """One step of what takes long."""
+
+    def due(self) -> int | None:
+        """When `tick` is to be called at the latest, ns; None for never."""
+
+    def tick(self, now: int) -> None:
+        """Does what is due."""
+
+    def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
+        """Tells the client of an event; `at` as RFC 3339 has it."""
+
+    def leave(self) -> None:
+        """Tells the client that the server goes."""
+
+    def closed(self, why: str, /) -> None:
+        """The connection has ended, however."""
 
 
 class StateReader(Protocol):
@@ -50,7 +84,7 @@
     tree: Tree
 
     def steps(self) -> Iterator[None]:
-        """Reads a part; the tree is whole at the end."""
+        """Reads a part; the tree is complete at the end."""
 
 
 class SharedState(Protocol):
@@ -73,7 +107,7 @@
     def picture(self) -> StateReader:
         """A new reading of the operational state."""
 
-    def session(self, number: str) -> Session | None:
+    def session(self, number: str) -> ProtocolSession | None:
         """The session of a number."""
 
     def number_of(self, session: object) -> int:
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -59,7 +59,7 @@
 LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf: the configuration's name
 DECIMAL_DIGITS = 6  # of the module's decimals, but for those of the operator's file
 OPERATOR_DIGITS = 3
-NO_SETTINGS = Settings()  # what stands where nothing is told
+NO_SETTINGS = Settings()  # the values where nothing is set
 OPERATOR_DECIMALS = ("half-life-s", "oldest-s")
 
 
--- a/granitespool/management/model.py
+++ b/granitespool/management/model.py
@@ -122,7 +122,7 @@
 
 
 class Model:
-    """The module as a whole: its nodes, and the check of trees against it."""
+    """The module: its nodes, and the check of trees against it."""
 
     def __init__(self) -> None:
         with importlib.resources.as_file(importlib.resources.files("granitespool.management")) as folder:
@@ -155,7 +155,7 @@
 
 
 def _yang_library() -> dict[str, object]:
-    """What yangson wants to be told: the module is all there is (RFC 7895)."""
+    """The YANG library (RFC 7895) that yangson loads: this one module."""
     module = {
         "name": MODULE,
         "revision": REVISION,
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -2,7 +2,7 @@
 
     state = OperationalState(coordinator, facts)
     for _ in state.steps(): ...             # between two steps the loop goes on
-    state.tree                              # the whole of `state`
+    state.tree                              # all of `state`
 
 Each backend is as it is when its step comes; what changes meanwhile shows in the next reading."""
 
@@ -26,7 +26,7 @@
     """What is read of a coordinator."""
 
     def pictured_fleet(self) -> Facts:
-        """Figures of the whole, and of each table."""
+        """Figures of the fleet and of each table."""
 
     def listed(self) -> Mapping[str, object]:
         """The names of all backends that are known."""
@@ -36,7 +36,7 @@
 
 
 class FolderFigures(NamedTuple):
-    """Of the state folder: bytes and batches written since the start, whether the disk refuses writes."""
+    """Of the state folder: bytes and batches written since the start, whether the disk rejects writes."""
 
     written: int
     batches: int
@@ -57,7 +57,7 @@
 
 
 class OperationalState:
-    """One reading; `tree` is whole once `steps` has ended."""
+    """One reading; `tree` is complete once `steps` has ended."""
 
     def __init__(self, coordinator: Coordinator, facts: ServiceFacts) -> None:
         self.coordinator = coordinator
@@ -65,7 +65,7 @@
         self.tree: Tree = {}
 
     def steps(self) -> Iterator[None]:
-        """Reads a part and yields, until the tree is whole."""
+        """Reads a part and yields, until the tree is complete."""
         fleet = self.coordinator.pictured_fleet()
         self.tree.update(_service_tree(self.facts))
         self.tree.update(_fleet_tree(fleet))
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -268,7 +268,7 @@
                 name=service.config["name"],
                 version=stores.version,
                 commits=stores.commits,
-                rejected=stores.refused,
+                rejected=stores.rejected,
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_seen[1],
                 list_named=service.discovery.named,
--- a/granitespool/netconf/filters.py
+++ b/granitespool/netconf/filters.py
@@ -30,7 +30,7 @@
             )
 
     def select_tree(self, top: SchemaNode, tree: Tree) -> Tree | None:
-        """What a subtree filter leaves of the whole tree, None for nothing; an XPath filter leaves it all."""
+        """What a subtree filter selects of the tree, None for nothing; an XPath filter leaves all of it."""
         if self.element is None or self.kind == XPATH:
             return tree
         selected: Tree | None = None
--- a/granitespool/netconf/operations/editing.py
+++ b/granitespool/netconf/operations/editing.py
@@ -53,7 +53,7 @@
     changes: tuple[Change, ...],
     test: str,
 ) -> None:
-    """Replaces or removes the settings as a whole."""
+    """Replaces or removes all of the settings."""
     stores = context.service.datastores
     node = context.service.model.settings
     tree = {} if operation in REMOVALS else edited(node, {}, changes)
--- a/granitespool/netconf/operations/retrieval.py
+++ b/granitespool/netconf/operations/retrieval.py
@@ -47,11 +47,11 @@
     return with_defaults(context.service.model.settings, tree)
 
 
-def _add_data(context: OperationContext, operation: Element, reply: Element, whole: Tree) -> Steps:
+def _add_data(context: OperationContext, operation: Element, reply: Element, tree: Tree) -> Steps:
     """Puts a tree into the reply, through the request's filter, in steps."""
     chosen = Filter(operation)
     top = context.service.model.top
-    selected = chosen.select_tree(top, whole)
+    selected = chosen.select_tree(top, tree)
     data = etree.SubElement(reply, base("data"))
     if selected:
         for step, _ in enumerate(append_tree(top_element(data, top.name), top, selected)):
--- a/granitespool/netconf/parameters.py
+++ b/granitespool/netconf/parameters.py
@@ -87,6 +87,6 @@
 
 
 def config_tree(config: Element, node: SchemaNode) -> Tree:
-    """The whole tree of settings that a config element holds."""
+    """The tree of settings that a config element holds."""
     settings = config_content(config).settings
     return {} if settings is None else edited(node, {}, changes_of(node, settings))
--- a/granitespool/netconf/session.py
+++ b/granitespool/netconf/session.py
@@ -23,7 +23,7 @@
 
 
 class NetconfSession:
-    """The protocol of one session, as the management listener drives it (management.interfaces).
+    """The protocol of one session: a management.interfaces.ProtocolSession.
 
     Requests are processed one after the other, in steps: `work` does one step."""
 
--- a/granitespool/operator_settings.py
+++ b/granitespool/operator_settings.py
@@ -54,7 +54,7 @@
 
 
 class User(msgspec.Struct, frozen=True, kw_only=True):
-    """[user.NAME]: who a manager's certificate stands for, and what that user may do (docs/tls.md)."""
+    """[user.NAME]: who a client's certificate stands for, and what that user may do (docs/tls.md)."""
 
     certificate: Annotated[str, Meta(min_length=1)]
     read: bool = True
@@ -69,7 +69,7 @@
 
 
 class Operator(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file; None for a section that is absent."""
+    """All of the file; None for a section that is absent."""
 
     state: State | None = None
     tls: Tls | None = None
--- a/granitespool/rpc/calls.py
+++ b/granitespool/rpc/calls.py
@@ -113,8 +113,8 @@
     Args:
         methods: by "package.Service/Method".
         now: gives the time in ns.
-        on_failure: is told of faults of this program.
-        on_wake: is told that a call can go on.
+        on_failure: is called with faults of this program.
+        on_wake: is called when a call can go on.
     """
 
     def __init__(
--- a/granitespool/rpc/http2.py
+++ b/granitespool/rpc/http2.py
@@ -45,7 +45,7 @@
 
 
 class StreamHandler(Protocol):
-    """Who is told what happens to the streams of a connection."""
+    """Receives what happens to the streams of a connection."""
 
     def opened(self, stream: int, headers: Headers) -> None:
         """A request has begun."""
@@ -109,7 +109,7 @@
             self._handle(event)
 
     def _check_frame_sizes(self, data: bytes) -> None:
-        """Rejects frames over the limit at their headers: h2 would buffer them whole before it does."""
+        """Rejects frames over the limit at their headers: h2 would buffer all of them before it does."""
         self._frame_header += data[self._bytes_before_header :]
         self._bytes_before_header -= min(self._bytes_before_header, len(data))
         while len(self._frame_header) >= FRAME_HEADER_BYTES and not self._bytes_before_header:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -313,7 +313,7 @@
         setattr(s.host, failure, "no")
         assert s.commit("a") == "operation-failed"
     assert s.pace() == "100.0" and s.stores.version == 1 and not s.host.applied and s.pace(CANDIDATE) == "5.0"
-    assert s.stores.changes.busy is None and s.stores.refused == 1 == len(s.host.told)
+    assert s.stores.changes.busy is None and s.stores.rejected == 1 == len(s.host.told)
     assert s.host.unkept == ([] if failure == "impact" else [s.stores.tree(RUNNING)])
 
 
