--- a/granitespool/gnmi/__init__.py
+++ b/granitespool/gnmi/__init__.py
@@ -1,6 +1,6 @@
 """gNMI 0.8 over gRPC: a management protocol on top of the datastores.
 
-    gnmi.proto, gnmi_pb2    the messages; the second is made of the first (`make proto`)
+    gnmi.proto, gnmi_pb2    the messages; the second is made of the first (`make proto`), and has no types
     paths                   paths to nodes and values, wildcards, flattening
     values                  typed values
     edits                   delete, replace and update as changes of the settings
