--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, expected",
+    ("change", "expected"),
     [
         (pay(leaf("benefit", "9.0")), ("class", 0, "benefit", "9.0")),
         (pay(leaf("benefit", "9.0"), op="replace"), ("class", 0, "promised-time", None)),
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, default, tag",
+    ("change", "default", "tag"),
     [
         (pay(op="create"), "merge", "data-exists"),
         (pay(op="delete", name="no"), "merge", "data-missing"),
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    "part, words",
+    ("part", "words"),
     [
         ({"zone": []}, "at least one zone"),
         ({"zone": None}, "at least one zone"),
@@ -124,12 +124,15 @@
 def test_a_tree_that_the_module_does_not_allow_is_rejected_in_one_sentence(part, words):
     tree = {**TREE, **part}
     tag, why = rejection_of(MODEL.check, {key: value for key, value in tree.items() if value is not None})
-    assert words in why and "\n" not in why and tag
+    assert words in why
+    assert "\n" not in why
+    assert tag
 
 
 def test_defaults_are_added_to_containers_that_are_present():
     tree = with_defaults(SETTINGS, {"zone": ["n"], "operator": {"state": {"folder": "x"}}})
-    assert tree["operator"]["state"]["every-ms"] == 1000 and "channel" not in tree
+    assert tree["operator"]["state"]["every-ms"] == 1000
+    assert "channel" not in tree
     assert with_defaults(SETTINGS, TREE) == TREE
 
 
@@ -169,7 +172,8 @@
         ],
     )
     new = mapping.config_of(tree, configuration())
-    assert new["settings"].drain_grace == 5 * 10**9 and new["settings"].entries_per_s == 100.123456789
+    assert new["settings"].drain_grace == 5 * 10**9
+    assert new["settings"].entries_per_s == 100.123456789
     assert new["settings"].classes == [
         RequestClass(name="pay", latency_objective=100_000, writes=True, priority_weight=2)
     ]
@@ -177,11 +181,12 @@
     gone = mapping.config_of(
         edited(SETTINGS, tree, [node("drain", op="delete"), node("operator", op="delete")]), new
     )
-    assert gone["settings"].drain_grace is None and gone["operator"].state is None
+    assert gone["settings"].drain_grace is None
+    assert gone["operator"].state is None
 
 
 @pytest.mark.parametrize(
-    "change, proxies, waits, words",
+    ("change", "proxies", "waits", "words"),
     [
         ({"classes": []}, 0, (), "without a class"),
         ({"zones": ["n"]}, 0, (), "zone s have joined"),
@@ -210,7 +215,7 @@
 
 
 @pytest.mark.parametrize(
-    "certificate, found",
+    ("certificate", "found"),
     [
         ("cn:ops", True),
         ("cn:OPS", False),
@@ -294,10 +299,13 @@
     s = Stores()
     s.edit("a", "5.0")
     s.host.later = True
-    assert s.commit("a") == "waits" and not s.host.applied and s.pace() == "100.0"
+    assert s.commit("a") == "waits"
+    assert not s.host.applied
+    assert s.pace() == "100.0"
     assert s.commit("b") == "in-use"
     s.host.kept(None)
-    assert s.pace() == "5.0" and s.host.applied[0]["channel"] == {"lines-per-second": "5.0"}
+    assert s.pace() == "5.0"
+    assert s.host.applied[0]["channel"] == {"lines-per-second": "5.0"}
     assert s.stores.version == 2
 
 
@@ -312,8 +320,12 @@
     else:
         setattr(s.host, failure, "no")
         assert s.commit("a") == "operation-failed"
-    assert s.pace() == "100.0" and s.stores.version == 1 and not s.host.applied and s.pace(CANDIDATE) == "5.0"
-    assert s.stores.changes.busy is None and s.stores.rejected == 1 == len(s.host.told)
+    assert s.pace() == "100.0"
+    assert s.stores.version == 1
+    assert not s.host.applied
+    assert s.pace(CANDIDATE) == "5.0"
+    assert s.stores.changes.busy is None
+    assert s.stores.rejected == 1 == len(s.host.told)
     assert s.host.unkept == ([] if failure == "impact" else [s.stores.tree(RUNNING)])
 
 
@@ -321,10 +333,12 @@
     s = Stores()
     s.edit("a", "5.0")
     s.stores.file({**TREE, "channel": {"lines-per-second": "7.0"}})
-    assert s.commit("a") == "operation-failed" and s.pace() == "7.0"
+    assert s.commit("a") == "operation-failed"
+    assert s.pace() == "7.0"
     s.stores.discard("a")
     s.edit("a", "6.0")
-    assert s.commit("a") == "ok" and s.pace() == "6.0"
+    assert s.commit("a") == "ok"
+    assert s.pace() == "6.0"
 
 
 def test_locks_exclude_others_and_end_with_their_session():
@@ -332,12 +346,14 @@
     s.stores.lock("a", CANDIDATE)
     s.stores.lock("a", RUNNING)
     assert rejection_of(s.stores.lock, "b", CANDIDATE)[0] == "lock-denied"
-    assert rejection_of(s.edit, "b", "5.0")[0] == "in-use" and s.commit("b") == "in-use"
+    assert rejection_of(s.edit, "b", "5.0")[0] == "in-use"
+    assert s.commit("b") == "in-use"
     assert rejection_of(s.stores.unlock, "b", CANDIDATE)[0] == "operation-failed"
     assert rejection_of(s.stores.file, TREE)[0] == "in-use"
     s.edit("a", "5.0")
     s.stores.closed("a", None)
-    assert not s.stores.locks.holders() and s.pace(CANDIDATE) == "100.0"
+    assert not s.stores.locks.holders()
+    assert s.pace(CANDIDATE) == "100.0"
     s.edit("b", "5.0")
     assert rejection_of(s.stores.lock, "a", CANDIDATE)[0] == "lock-denied"
     assert s.commit("b") == "ok"
@@ -345,7 +361,7 @@
 
 
 @pytest.mark.parametrize(
-    "end, pace",
+    ("end", "pace"),
     [
         ("confirm", "5.0"),
         ("time", "100.0"),
@@ -362,14 +378,17 @@
     s = Stores()
     s.edit("a", "5.0")
     persist = "p" if "persist" in end else None
-    assert s.commit("a", timeout=10, persist=persist) == "ok" and s.pace() == "5.0"
-    assert s.commit("b") == "in-use" and rejection_of(s.stores.file, TREE)[0] == "in-use"
+    assert s.commit("a", timeout=10, persist=persist) == "ok"
+    assert s.pace() == "5.0"
+    assert s.commit("b") == "in-use"
+    assert rejection_of(s.stores.file, TREE)[0] == "in-use"
     s.now = 5 * 10**9
     if end == "confirm":
         assert s.commit("a") == "ok"
     elif end.startswith("again"):
         s.edit("a", "6.0")
-        assert s.commit("a", timeout=10) == "ok" and s.pace() == "6.0"
+        assert s.commit("a", timeout=10) == "ok"
+        assert s.pace() == "6.0"
         s.now = 14 * 10**9
         s.stores.tick(s.now, None)
         assert s.pace() == "6.0"
@@ -394,7 +413,8 @@
         assert answers == [None]
     s.now = 30 * 10**9
     s.stores.tick(s.now, lambda error: None)
-    assert s.pace() == pace and s.stores.confirmation is None
+    assert s.pace() == pace
+    assert s.stores.confirmation is None
     s.edit("c", "8.0")
     assert s.commit("c") in ("ok", "waits")
 
@@ -402,15 +422,15 @@
 def test_startup_is_what_a_restart_begins_with_until_the_next_commit():
     s = Stores()
     s.edit("a", "5.0", STARTUP)
-    assert s.pace(STARTUP) == "5.0" and s.pace() == "100.0"
+    assert s.pace(STARTUP) == "5.0"
+    assert s.pace() == "100.0"
     s.stores.delete("a", STARTUP)
-    assert (
-        s.pace(STARTUP) == "100.0"
-        and rejection_of(s.stores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
-    )
+    assert s.pace(STARTUP) == "100.0"
+    assert rejection_of(s.stores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
     assert rejection_of(s.edit, "a", "5.0", RUNNING)[0] == "operation-not-supported"
     s.stores.copy("a", CANDIDATE, {**TREE, "zone": ["n"]})
-    assert s.commit("a") == "ok" and s.stores.tree(RUNNING)["zone"] == ["n"]
+    assert s.commit("a") == "ok"
+    assert s.stores.tree(RUNNING)["zone"] == ["n"]
 
 
 def test_the_operational_state_is_valid_by_the_module():
@@ -470,7 +490,8 @@
         try:
             call(*words)
         except ManagementError as error:
-            assert error.reason and "\n" not in error.reason
+            assert error.reason
+            assert "\n" not in error.reason
 
     @rule(who=WHO, pace=PACES, test=st.sampled_from(["set", "test-then-set", "test-only"]))
     def edit(self, who, pace, test):
@@ -505,7 +526,8 @@
     @rule(who=WHO)
     def drop(self, who):
         self.s.stores.closed(who, lambda error: None)
-        assert who not in self.s.stores.locks.holders() and self.s.stores.trees.candidate_editor != who
+        assert who not in self.s.stores.locks.holders()
+        assert self.s.stores.trees.candidate_editor != who
 
     @rule(who=WHO)
     def discard(self, who):
@@ -539,7 +561,8 @@
         MODEL.check(stores.tree(RUNNING))
         applied = self.s.host.applied
         assert stores.tree(RUNNING) == (applied[-1] if applied else TREE)
-        assert stores.version >= self.version and stores.version - 1 == len(applied) == stores.commits
+        assert stores.version >= self.version
+        assert stores.version - 1 == len(applied) == stores.commits
         self.version = stores.version
         assert (stores.changes.busy is not None) == bool(self.s.host.asked)
 
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -1,6 +1,6 @@
 """The operator's settings, the experiments' files, and the command line: each refusal is one sentence."""
 
-import os
+from pathlib import Path
 
 import pytest
 
@@ -9,12 +9,12 @@
 from granitespool.emulator import schema
 from granitespool.errors import InvalidInputError
 
-EXAMPLE = os.path.join(os.path.dirname(__file__), "..", "deploy", "granitespool.ini")
+EXAMPLE = Path(__file__).parent.parent / "deploy" / "granitespool.ini"
 STATE = "[state]\nfolder = /var/x\n"
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    ("text", "words"),
     [
         ("[stat]\n", "the section [stat] is unknown; the nearest known name is state"),
         ("[zzz]\n", "the section [zzz] is unknown; known are state, tls, netconf, gnmi"),
@@ -46,14 +46,16 @@
     path.write_text(text)
     with pytest.raises(InvalidInputError) as raised:
         operator_settings.load(str(path))
-    assert words in str(raised.value) and str(path) in str(raised.value) and "\n" not in str(raised.value)
+    assert words in str(raised.value)
+    assert str(path) in str(raised.value)
+    assert "\n" not in str(raised.value)
     monkeypatch.delenv("LB_CONFIG", raising=False)
     assert main(["check", "--operator", str(path)]) == 1
     assert capsys.readouterr().err == f"granitespool: {raised.value}\n"
 
 
 @pytest.mark.parametrize(
-    "data, words", [(b"\xff\xfe[state]", "byte 0 is not UTF-8"), (b"x" * (1 << 20) + b"y", "over")]
+    ("data", "words"), [(b"\xff\xfe[state]", "byte 0 is not UTF-8"), (b"x" * (1 << 20) + b"y", "over")]
 )
 def test_a_file_that_is_no_text_is_one_sentence(tmp_path, data, words):
     path = tmp_path / "operator.ini"
@@ -67,20 +69,18 @@
 def test_an_empty_file_has_everything_off_and_relative_folders_are_beside_it(tmp_path):
     path = tmp_path / "operator.ini"
     path.write_text("; nothing\n")
-    assert operator_settings.load(
-        str(path)
-    ) == operator_settings.Operator() and "off" in operator_settings.summary(operator_settings.Operator())
+    assert operator_settings.load(str(path)) == operator_settings.Operator()
+    assert "off" in operator_settings.summary(operator_settings.Operator())
     path.write_text("[state]\nfolder = memory\nevery_ms = 250\n")
     state = operator_settings.load(str(path)).state
     assert (state.folder, state.every_ms, state.half_life_s) == (str(tmp_path / "memory"), 250, 30.0)
 
 
 def test_the_example_names_every_key_and_is_off_as_it_comes(tmp_path):
-    with open(EXAMPLE) as file:
-        lines = file.read().splitlines()
-    assert operator_settings.load(EXAMPLE) == operator_settings.Operator()
+    lines = EXAMPLE.read_text().splitlines()
+    assert operator_settings.load(str(EXAMPLE)) == operator_settings.Operator()
     on = "\n".join(
-        line[1:] if line[:2] in ("#[",) or line[:1] == "#" and "=" in line and line[1:2] != " " else line
+        line[1:] if line[:2] in ("#[",) or (line[:1] == "#" and "=" in line and line[1:2] != " ") else line
         for line in lines
     )
     path = tmp_path / "on.ini"
@@ -102,14 +102,12 @@
         == operator_settings.restart_names(one, None)
         == ["state.folder"]
     )
-    assert (
-        operator_settings.restart_names(None, one) == ["state.folder"]
-        and operator_settings.restart_names(one, same) == []
-    )
+    assert operator_settings.restart_names(None, one) == ["state.folder"]
+    assert operator_settings.restart_names(one, same) == []
 
 
 @pytest.mark.parametrize(
-    "words, sentence",
+    ("words", "sentence"),
     [
         (["serv"], "there is no command 'serv'"),
         (["--nope"], "there is no option '--nope'"),
@@ -124,17 +122,21 @@
     assert main(words) == 2
     out, err = capsys.readouterr()
     first, empty, usage = err.split("\n")[:3]
-    assert out == "" and first.startswith("granitespool: ") and sentence in first
-    assert (empty, usage) == ("", "Usage:") and not list(recwarn)
+    assert out == ""
+    assert first.startswith("granitespool: ")
+    assert sentence in first
+    assert (empty, usage) == ("", "Usage:")
+    assert not list(recwarn)
 
 
 def test_help_and_version_end_with_0(capsys):
-    assert main(["--help"]) == 0 and main(["version"]) == 0
+    assert main(["--help"]) == 0
+    assert main(["version"]) == 0
     assert "GRANITESPOOL_OPERATOR" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    ("change", "words"),
     [
         ("load", "no KEY=VALUE"),
         ("nope=1", "no section has this key"),
@@ -149,11 +151,13 @@
 def test_a_wrong_key_of_an_experiment_is_one_sentence(change, words):
     with pytest.raises(InvalidInputError) as raised:
         schema.load("restart", [change])
-    assert words in str(raised.value) and "\n" not in str(raised.value)
+    assert words in str(raised.value)
+    assert "\n" not in str(raised.value)
 
 
 def test_an_experiment_is_a_name_or_a_file_with_changes(tmp_path, capsys):
-    assert "restart" in schema.names() and schema.load("restart", ["load=0.9"]).fleet.load == 0.9
+    assert "restart" in schema.names()
+    assert schema.load("restart", ["load=0.9"]).fleet.load == 0.9
     path = tmp_path / "mine.ini"
     path.write_text("[experiment]\nkind = restart\ntitle = mine\n[class.pay]\nbenefit = 9\n")
     setup = schema.load(str(path), ["restart.down_s=3", "sizes=4x6"])
@@ -162,11 +166,10 @@
         9,
         [(4, 6)],
     )
-    assert (
-        main(["emulate", "run", "nothing"]) == 1
-        and "restart come with the program" in capsys.readouterr().err
-    )
-    assert main(["emulate", "list"]) == 0 and "restart" in capsys.readouterr().out
+    assert main(["emulate", "run", "nothing"]) == 1
+    assert "restart come with the program" in capsys.readouterr().err
+    assert main(["emulate", "list"]) == 0
+    assert "restart" in capsys.readouterr().out
     with pytest.raises(InvalidInputError, match="lacks the section"):
         path.write_text("[fleet]\nload = 0.5\n")
         schema.load(str(path))
