--- a/bench/state.py
+++ b/bench/state.py
@@ -21,11 +21,12 @@
 from granitespool.operator_settings import State
 from granitespool.settings import RequestClass, Settings
 from granitespool.state import record, restore_policy
-from granitespool.state.disk import Folder
-from granitespool.state.recovery import Memory
-from granitespool.state.snapshotter import Keeper
+from granitespool.state.disk import StateFolder
+from granitespool.state.record import Clocks
+from granitespool.state.recovery import Recovery
+from granitespool.state.snapshotter import Snapshotter
 from granitespool.state.store import Store
-from granitespool.state.writer import read_back
+from granitespool.state.writer import read_folder
 
 SECOND = 1_000_000_000
 MB = 1 << 20
@@ -96,14 +97,14 @@
 
 
 def header(zones, now):
-    return lambda: record.Header(record.FORMAT, *identity(zones), now, 0, 1, PROGRAM)
+    return lambda: record.Header(record.FORMAT_VERSION, *identity(zones), now, 0, 1, PROGRAM)
 
 
 def played(folder, backends, zones, seconds, churn=0, look=None):
     """Plays so many virtual seconds with a sweep each half second; returns (coordinator, fleet, store)."""
     fleet, coordinator = Fleet(backends, zones), Coordinator(settings(zones), 1, BEGAN)
-    memory = Memory(State(folder="x"), identity(zones))
-    store = Store(Folder(folder), 64 * MB, header(zones, BEGAN))
+    recovery = Recovery(State(folder="x"), identity(zones))
+    store = Store(StateFolder(folder), 64 * MB, header(zones, BEGAN))
     fleet.list(coordinator, BEGAN)
     for second in range(seconds):
         now = BEGAN + second * SECOND
@@ -123,9 +124,11 @@
                 while coordinator.pick(party) is not None:
                     pass
             names = list(coordinator.listed())
-            changes = memory.changes(coordinator, fleet.addresses, fleet.index, half, names, True)
+            changes = recovery.collect_changes(
+                coordinator, fleet.addresses, fleet.index, half, names, is_last=True
+            )
             if changes:
-                store.append(half, half, changes)
+                store.append(Clocks(half, half), changes)
         if look:
             look(second)
     return coordinator, fleet, store
@@ -137,12 +140,12 @@
         size, gap = sum(os.stat(entry).st_size for entry in os.scandir(folder)), SECOND
         coordinator, now = Coordinator(settings(10), 1, BEGAN + 16 * SECOND), BEGAN + 15 * SECOND + gap
         begun = time.perf_counter()
-        opened, _ = read_back(Folder(folder), 64 * MB)
+        content = read_folder(StateFolder(folder), 64 * MB)
         read = time.perf_counter()
-        memory = Memory(State(folder="x"), identity(10))
-        memory.opened(opened.found, opened.kept, None, restore_policy.Clocks(now, now))
+        recovery = Recovery(State(folder="x"), identity(10))
+        recovery.load(content.state, content.record, None, Clocks(now, now))
         carried = time.perf_counter()
-        known = memory.first_list({"index": -1})
+        known = recovery.choose_list({"index": -1})
         listed = time.perf_counter()
         coordinator.report(
             now,
@@ -154,12 +157,12 @@
             ],
         )
         told = time.perf_counter()
-        belief = memory.recall(coordinator, now, restore_policy.Clocks(now, now))
+        restored = recovery.restore(coordinator, now, Clocks(now, now))
         done = time.perf_counter()
     print(
-        f"open: 1,000 backends x 10 zones, {size / 1e6:.2f} MB, {opened.found.frames} frames: read "
+        f"open: 1,000 backends x 10 zones, {size / 1e6:.2f} MB, {content.state.frame_count} frames: read "
         f"{1e3 * (read - begun):.0f} ms, checked and carried {1e3 * (carried - read):.0f} ms, recalled "
-        f"{1e3 * (done - told):.0f} ms ({belief.links} links); "
+        f"{1e3 * (done - told):.0f} ms ({restored.link_count} links); "
         f"the list itself {1e3 * (told - listed):.0f} ms"
     )
 
@@ -170,12 +173,12 @@
             *_, store = played(folder, backends, zones, BYTES_FOR)
             size = sum(os.stat(entry).st_size for entry in os.scandir(folder))
             print(
-                f"bytes: {backends} backends x {zones} zones, {store.written / BYTES_FOR / 1e3:.1f} KB a "
-                f"second, folder {size / 1e3:.0f} KB after {BYTES_FOR} s"
+                f"bytes: {backends} backends x {zones} zones, {store.bytes_written / BYTES_FOR / 1e3:.1f} KB "
+                f"a second, folder {size / 1e3:.0f} KB after {BYTES_FOR} s"
             )
 
 
-class SlowFolder(Folder):
+class SlowFolder(StateFolder):
     """A disk whose every sync takes 200 ms."""
 
     def sync(self, name):
@@ -203,9 +206,9 @@
     loop, fleet = Loop(print), Fleet(backends, zones)
     coordinator = Coordinator(settings(zones), 1, loop.now)
     fleet.list(coordinator, loop.now)
-    keeper = None
+    snapshotter = None
     if folder:
-        keeper = Keeper(
+        snapshotter = Snapshotter(
             loop,
             Quiet(),
             State(folder=folder, every_ms=1000),
@@ -214,7 +217,7 @@
             time.monotonic_ns,
             SlowFolder(folder),
         )
-        keeper.start(coordinator, Listed(fleet))
+        snapshotter.start(coordinator, Listed(fleet))
     pieces, times, end = 50, [], loop.now + STALL_FOR * SECOND
 
     def reports():
@@ -232,8 +235,8 @@
         loop.turn(coordinator.tick, 2_000_000)
         times.append(1e3 * (time.perf_counter() - begun))
     gc.enable()
-    if keeper:
-        keeper.close()
+    if snapshotter:
+        snapshotter.close()
     loop.close()
     times.sort()
     return times[-1], times[int(len(times) * 0.999)], sum(times) / len(times), len(times)
@@ -257,15 +260,16 @@
     coordinator = Coordinator(settings(10), 1, loop.now)
     fleet.list(coordinator, loop.now)
     with tempfile.TemporaryDirectory() as folder:
-        keeper = Keeper(loop, Quiet(), State(folder=folder), "n0", settings(10), time.monotonic_ns)
-        keeper.start(coordinator, Listed(fleet))
+        snapshotter = Snapshotter(loop, Quiet(), State(folder=folder), "n0", settings(10), time.monotonic_ns)
+        snapshotter.start(coordinator, Listed(fleet))
         fleet.report(coordinator, loop.now)
         begun = time.perf_counter()
-        keeper.close()
+        snapshotter.close()
         took = time.perf_counter() - begun
-        found, _ = read_back(Folder(folder), 64 * MB)
+        content = read_folder(StateFolder(folder), 64 * MB)
     loop.close()
-    links = sum(len(each) for _, each in found.kept.backends.values()) if found.kept else 0
+    stored = content.record.backends.values() if content.record else ()
+    links = sum(len(backend.links) for backend in stored)
     print(
         f"close: last snapshot of 1,000 backends x 10 zones, all of it new: {1e3 * took:.0f} ms, "
         f"{links} links"
--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from granitespool.coordinator_status import EndpointState
 from granitespool.planner.events import (
     Acknowledged,
     EndpointListUpdate,
@@ -190,8 +191,15 @@
             kept.pop(proxy, None)
 
     def listed(self):
-        """{backend: (phase, started ns)} of every backend that is known."""
-        return {rec.name: (rec.phase, rec.started_at) for rec in self.planner.inspection.backends()}
+        """Return what the endpoint list says of every backend that is known, by name."""
+        return {
+            backend.name: EndpointState(backend.phase, backend.started_at)
+            for backend in self.planner.inspection.backends()
+        }
+
+    def snapshot(self, names):
+        """Return what is known of the fleet and of these backends, for a later life to restore."""
+        return self.planner.inspection.snapshot(names)
 
     def learnt(self, backends):
         """What the planner has learnt of the fleet and of these backends, to be reported as `recalled` by a
--- a/granitespool/emulator/play.py
+++ b/granitespool/emulator/play.py
@@ -8,10 +8,10 @@
 from granitespool.emulator.world import BEGAN, SECOND, World
 from granitespool.errors import InvalidInputError
 from granitespool.state import record, restore_policy
-from granitespool.state.disk import Folder
-from granitespool.state.recovery import Memory
+from granitespool.state.disk import StateFolder
+from granitespool.state.recovery import Recovery
 from granitespool.state.store import Store
-from granitespool.state.writer import read_back
+from granitespool.state.writer import read_folder
 from granitespool.units import MILLISECOND
 
 LOOK = SECOND // 10  # ns between looks at the tables
@@ -85,12 +85,12 @@
         }
 
     def _remember(self):
-        self.memory = Memory(self.restart, self.identity)
+        self.memory = Recovery(self.restart, self.identity)
         self.store = Store(
             self.folder,
             MOST,
             lambda: record.Header(
-                record.FORMAT, *self.identity, self.world.now, self.world.now, 1, __version__
+                record.FORMAT_VERSION, *self.identity, self.world.now, self.world.now, 1, __version__
             ),
         )
 
@@ -98,22 +98,22 @@
         world = self.world
         if world.coordinator is not None and life == world.lives:
             world.at(world.now + self.restart.every_ms * MILLISECOND // 2, self._sweep, life)
-            changes = self.memory.changes(
+            changes = self.memory.collect_changes(
                 world.coordinator, {}, 0, world.now, list(world.coordinator.listed()), True
             )
             if changes:
-                self.store.append(world.now, world.now, changes)
+                self.store.append(record.Clocks(world.now, world.now), changes)
 
     def _recall(self):
         """What makes the next coordinator recall the folder, or None in variants without."""
         if self.variant in ("without", "changed"):
             return None
         later = int(self.restart.old_s * SECOND) if self.variant == "old" else 0
-        clocks = restore_policy.Clocks(self.world.now + later, self.world.now + later)
-        opened, _ = read_back(self.folder, MOST)
-        memory = Memory(self.restart, self.identity)
-        memory.opened(opened.found, opened.kept, opened.why, clocks)
-        return lambda coordinator: memory.recall(coordinator, self.world.now, clocks)
+        clocks = record.Clocks(self.world.now + later, self.world.now + later)
+        content = read_folder(self.folder, MOST)
+        memory = Recovery(self.restart, self.identity)
+        memory.load(content.state, content.record, content.reason, clocks)
+        return lambda coordinator: memory.restore(coordinator, self.world.now, clocks)
 
     def _sample(self, until, keep=False, since=None):
         world, kept = self.world, []
@@ -159,7 +159,7 @@
             for seed in seeds:
                 told("{} x {}, {}, seed {}".format(*size, variant, seed))
                 with tempfile.TemporaryDirectory() as path:
-                    folder = Folder(path)
+                    folder = StateFolder(path)
                     plays.append(Restart(setup, variant, *size, seed, folder).play(near.get(seed)))
                     folder.close()
             if variant == CONTROL:
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -182,14 +182,14 @@
         """Has the tree outlast the process where a state folder is on, and answers once it is safe."""
         if self.service.keeper is None:
             return answer(None)
-        ticket = self.service.keeper.keep_settings(tree, self.base, version)
+        ticket = self.service.keeper.save_settings(tree, self.base, version)
         self.keeping.append((ticket, self.loop.now + KEEP_MOST, answer))
         return self.loop.wake()
 
     def unkeep(self, tree, version):
         """Nobody waits for it: under a slow disk the newest state wins."""
         if self.service.keeper is not None:
-            self.service.keeper.keep_settings(tree, self.base, version)
+            self.service.keeper.save_settings(tree, self.base, version)
 
     def keep_startup(self, answer):
         """The same of startup, as it is now."""
@@ -218,7 +218,7 @@
             self.list_seen = self.service.discovery.index, now
         waiting, self.keeping = self.keeping, []
         for ticket, due, answer in waiting:
-            safe = self.service.keeper.safe(ticket)
+            safe = self.service.keeper.is_durable(ticket)
             if safe or now >= due:
                 answer(None if safe else "the state folder's disk does not take it")
             else:
@@ -249,7 +249,7 @@
                 self.from_file = None
             self.base, waits = tree, self.service.last_waits
             if self.service.keeper is not None:
-                self.service.keeper.keep_settings(None, None, self.datastores.version)
+                self.service.keeper.save_settings(None, None, self.datastores.version)
         self.users = self._users(config["operator"])
         for door in self.doors:
             door.context = made[door.name]
@@ -269,7 +269,7 @@
                 "index": service.discovery.index,
                 "named": service.discovery.named,
                 "age": self.loop.now - self.list_seen[1],
-                "folder": service.keeper and service.keeper.figures(),
+                "folder": service.keeper and service.keeper.metrics(),
             },
         )
 
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -36,12 +36,12 @@
         self.fixed, self.operator = {name: config[name] for name in FIXED}, config.get("operator")
         self.file_tree = None
         if self.operator and self.operator.state:
-            from granitespool.state.snapshotter import Keeper  # noqa: PLC0415 imported only where it is on
+            from granitespool.state.snapshotter import Snapshotter  # noqa: PLC0415 imported only where it is on
 
-            self.keeper = Keeper(
+            self.keeper = Snapshotter(
                 self.loop, self.log, self.operator.state, config["name"], config["settings"], self.mono
             )
-            config = {**config, "known": self.keeper.first_list(config["known"])}
+            config = {**config, "known": self.keeper.choose_list(config["known"])}
         if self.operator and self.operator.managed:
             config = self.with_room(self._as_managed(config))
         self.config = config
@@ -84,7 +84,7 @@
         from granitespool.management import mapping  # noqa: PLC0415 imported only where it is on
 
         self.file_tree = mapping.tree_of(config)
-        managed = self.keeper.managed() if self.keeper else None
+        managed = self.keeper.managed_settings if self.keeper else None
         if managed is None:
             return config
         base, tree = managed
@@ -144,7 +144,7 @@
     def _give(self, config):
         operator = config.get("operator")
         if self.keeper and operator and operator.state:
-            self.keeper.new_options(operator.state)
+            self.keeper.set_options(operator.state)
         if self.figures and operator and operator.figures:
             self.figures.options = operator.figures
         self.coordinator.new_settings(self.loop.now, config["settings"])
--- a/granitespool/state/disk.py
+++ b/granitespool/state/disk.py
@@ -1,115 +1,172 @@
-"""The folder on the disk: the one file of the package that touches it.
+"""The folder on the disk: the only module of the package that touches it.
 
-`Folder` has just the calls that a store needs, so that tests can put another one in its place that fails or
-forgets what was not synced. Every call may end in OSError."""
+`StateFolder` has just the calls that a store needs, so that tests can put another one in its place that fails
+or loses what was not synced. Every call may raise OSError.
+"""
 
+import contextlib
 import errno
 import fcntl
 import os
+from pathlib import Path
+from typing import Protocol
 
-LOCK = "lock"  # the file whose lock says which process owns the folder
+from granitespool.state.errors import FolderLockedError
 
+LOCK_NAME = "lock"  # the file whose lock says which process owns the folder
+FOLDER_MODE = 0o700
+FILE_MODE = 0o600
 
-class Owned(Exception):
-    """Another process owns the folder."""
 
+class Folder(Protocol):
+    """A folder of plain files as the store and the writer use it; names are without a path."""
 
-class Folder:
-    """A folder of plain files; names are without a path. `append` keeps its descriptor until `close`."""
+    def create(self) -> None:
+        """Make sure that the folder is there; its parents must be."""
 
-    def __init__(self, path):
-        self.path, self.lock_fd, self.open = path, None, {}  # name -> descriptor that is appended to
+    def acquire_lock(self) -> None:
+        """Own the folder until `close`, or raise FolderLockedError."""
 
-    def _at(self, name):
-        return os.path.join(self.path, name)
+    def ensure_lock(self) -> None:
+        """Own the folder still, also where another came in its place; or raise FolderLockedError."""
 
-    def make(self):
-        """The folder is there afterwards; its parents must be."""
-        try:
-            os.mkdir(self.path, 0o700)
-        except FileExistsError:
-            pass
+    def names(self) -> list[str]:
+        """Return the names of its files in order."""
+
+    def read(self, name: str, max_size: int) -> bytes:
+        """Return at most the first `max_size` bytes of a file."""
+
+    def size(self, name: str) -> int:
+        """Return the size of a file in bytes."""
+
+    def append(self, name: str, data: bytes) -> None:
+        """Add to a file, created where it is not there; not durable before `sync`."""
+
+    def sync(self, name: str) -> None:
+        """Make durable what was appended to a file, also under its former name."""
+
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file; not durable before `sync_names`."""
+
+    def unlink(self, name: str) -> None:
+        """Remove a file; a reader must not mind one that comes back after a crash."""
+
+    def sync_names(self) -> None:
+        """Make durable which names were created, renamed and removed."""
+
+    def close_file(self, name: str) -> None:
+        """Release the descriptor of a file."""
+
+    def close(self) -> None:
+        """Release all descriptors, and the lock with them."""
 
-    def lock(self):
-        """Owns the folder until `close` or the process's end, or ends in Owned."""
-        fd = os.open(self._at(LOCK), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+
+class StateFolder:
+    """A folder on a real disk; `append` keeps a file's descriptor open until `close_file`."""
+
+    def __init__(self, path: str) -> None:
+        self.path = path
+        self.lock_fd: int | None = None
+        self._descriptors: dict[str, int] = {}
+
+    def _path_of(self, name: str) -> Path:
+        return Path(self.path) / name
+
+    def create(self) -> None:
+        """Make sure that the folder is there; its parents must be."""
+        with contextlib.suppress(FileExistsError):  # a file in its place is reported by `acquire_lock`
+            Path(self.path).mkdir(mode=FOLDER_MODE)
+
+    def acquire_lock(self) -> None:
+        """Own the folder until `close` or the process's end, or raise FolderLockedError."""
+        fd = os.open(self._path_of(LOCK_NAME), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(fd)
             if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
-                raise Owned(f"the state folder {self.path} is in use by another process") from None
+                raise FolderLockedError(self.path) from None
             raise
         self.lock_fd = fd
 
-    def keep_lock(self):
-        """Owns the folder still, also where it was taken away and another came in its place; or Owned."""
+    def ensure_lock(self) -> None:
+        """Own the folder still, also where it was removed and another came in its place.
+
+        Raises FolderLockedError where another process owns the one that is there now.
+        """
+        if not self._holds_lock_file():
+            self.close()
+            self.acquire_lock()
+
+    def _holds_lock_file(self) -> bool:
+        if self.lock_fd is None:
+            return False
         try:
-            same = self.lock_fd is not None and os.path.samestat(
-                os.fstat(self.lock_fd), os.stat(self._at(LOCK))
-            )
+            return os.path.samestat(os.fstat(self.lock_fd), self._path_of(LOCK_NAME).stat())
         except FileNotFoundError:
-            same = False
-        if not same:
-            self.close()
-            self.lock()
+            return False
 
-    def names(self):
-        return sorted(os.listdir(self.path))
+    def names(self) -> list[str]:
+        """Return the names of its files in order."""
+        return sorted(entry.name for entry in Path(self.path).iterdir())
 
-    def read(self, name, most):
-        """Its first `most` bytes at most."""
-        with open(self._at(name), "rb") as file:
-            return file.read(most)
+    def read(self, name: str, max_size: int) -> bytes:
+        """Return at most the first `max_size` bytes of a file."""
+        with self._path_of(name).open("rb") as file:
+            return file.read(max_size)
 
-    def size(self, name):
-        return os.stat(self._at(name)).st_size
+    def size(self, name: str) -> int:
+        """Return the size of a file in bytes."""
+        return self._path_of(name).stat().st_size
 
-    def append(self, name, data):
-        """Adds to a file, made where it is not there; not safe before `sync`."""
-        fd = self.open.get(name)
+    def append(self, name: str, data: bytes) -> None:
+        """Add to a file, created where it is not there; not durable before `sync`."""
+        fd = self._descriptors.get(name)
         if fd is None:
-            fd = os.open(self._at(name), os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-            self.open[name] = fd
-        elif not os.fstat(fd).st_nlink:
-            # The folder was taken away: what is written to a file without a name is gone with the process.
+            flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
+            fd = os.open(self._path_of(name), flags, FILE_MODE)
+            self._descriptors[name] = fd
+        elif os.fstat(fd).st_nlink == 0:
+            # The folder was removed: what is written to a file without a name is lost with the process.
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
-        view = memoryview(data)
-        while view:
-            view = view[os.write(fd, view) :]
-
-    def sync(self, name):
-        """What was appended to a file, also under its former name, is safe afterwards."""
-        os.fsync(self.open[name])
-
-    def rename(self, name, new):
-        """Not safe before `sync_names`."""
-        os.rename(self._at(name), self._at(new))
-        if name in self.open:
-            self.open[new] = self.open.pop(name)
-
-    def unlink(self, name):
-        """Safe or not: who reads must not mind a name that comes back."""
-        self.shut(name)
-        os.unlink(self._at(name))
-
-    def sync_names(self):
-        """Names that were made, moved or removed stay so."""
+        rest = memoryview(data)
+        while rest:
+            rest = rest[os.write(fd, rest) :]
+
+    def sync(self, name: str) -> None:
+        """Make durable what was appended to a file, also under its former name."""
+        os.fsync(self._descriptors[name])
+
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file; not durable before `sync_names`."""
+        self._path_of(name).rename(self._path_of(new_name))
+        if name in self._descriptors:
+            self._descriptors[new_name] = self._descriptors.pop(name)
+
+    def unlink(self, name: str) -> None:
+        """Remove a file; a reader must not mind one that comes back after a crash."""
+        self.close_file(name)
+        self._path_of(name).unlink()
+
+    def sync_names(self) -> None:
+        """Make durable which names were created, renamed and removed."""
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
         finally:
             os.close(fd)
 
-    def shut(self, name):
-        """Gives the descriptor of a file back."""
-        fd = self.open.pop(name, None)
+    def close_file(self, name: str) -> None:
+        """Release the descriptor of a file."""
+        fd = self._descriptors.pop(name, None)
         if fd is not None:
             os.close(fd)
 
-    def close(self):
-        for name in list(self.open):
-            self.shut(name)
+    def close(self) -> None:
+        """Release all descriptors, and the lock with them."""
+        for name in list(self._descriptors):
+            self.close_file(name)
         if self.lock_fd is not None:
-            fd, self.lock_fd = self.lock_fd, None
-            os.close(fd)  # the lock goes with it
+            fd = self.lock_fd
+            self.lock_fd = None
+            os.close(fd)
--- a/granitespool/state/framing.py
+++ b/granitespool/state/framing.py
@@ -1,74 +1,108 @@
-"""Frames of a state file: bytes in, checked frames out. The page docs/state-format.md tells the same in
-words.
+"""Framing of a state file: bytes in, checked frames out; no I/O.
 
-A file begins with MAGIC and the generation it was written for; a frame is a length, a checksum and a body
-whose first byte is its kind. The checksum also covers where the frame stands and in which generation, so
-that a block of another file, a moved block or a block of zeros is no frame."""
+docs/state-format.md specifies the same in words. A file begins with MAGIC and the generation it was written
+for. A frame is a length, a checksum and a body whose first byte is its kind. The checksum also covers the
+frame's offset and generation, so that a block of another file, a moved block or a block of zeros is no frame.
+"""
 
 import struct
+from collections.abc import Iterator
+from enum import Enum
+from typing import NamedTuple
 
 import google_crc32c
 
-MAGIC = b"granites\x00\x01\r\n"  # no text file begins so; the line end tells of a transfer as text
-START = struct.Struct("<QI")  # after MAGIC: generation, checksum of MAGIC and generation
-HEAD = struct.Struct("<II")  # length of the body, checksum
-PLACE = struct.Struct("<QQI")  # what a checksum covers before the body: generation, offset, length
-BODY_MOST = 16 << 20  # bytes of a body: a snapshot's part takes a sixteenth of it at most
-BEGIN = len(MAGIC) + START.size  # offset of the first frame
+from granitespool.state.errors import TornWriteError
 
-HEADER, HELD, WHOLE, CHANGED = b"h", b"s", b"w", b"c"  # kinds: who and when; snapshot; its end; changes after
-KINDS = frozenset((HEADER, HELD, WHOLE, CHANGED))
+MAGIC = b"granites\x00\x01\r\n"  # no text file begins so; the line end reveals a transfer as text
+MAX_BODY_SIZE = 16 << 20  # bytes; a part of a snapshot takes a sixteenth of it at most
 
+_GENERATION = struct.Struct("<QI")  # after MAGIC: generation, checksum of MAGIC and generation
+_HEAD = struct.Struct("<II")  # length of the body, checksum
+_POSITION = struct.Struct("<QQI")  # what a checksum covers before the body: generation, offset, length
 
-class Torn(Exception):
-    """From `offset` on a file holds what is no frame; `why` says what is wrong there, in a few words."""
+FIRST_FRAME_OFFSET = len(MAGIC) + _GENERATION.size
+HEAD_SIZE = _HEAD.size
 
-    def __init__(self, offset, why):
-        super().__init__(f"{why} at byte {offset}")
-        self.offset, self.why = offset, why
 
+class FrameKind(Enum):
+    """What a frame holds, by the first byte of its body."""
 
-def begin(generation):
-    """The first bytes of a file."""
-    return MAGIC + START.pack(generation, google_crc32c.value(MAGIC + generation.to_bytes(8, "little")))
+    HEADER = b"h"  # who wrote the file, and when
+    SNAPSHOT = b"s"  # a part of the snapshot
+    SNAPSHOT_END = b"w"  # the snapshot is complete
+    CHANGES = b"c"  # a batch of changes after the snapshot
 
 
-def frame(generation, offset, kind, body):
-    """The bytes of a frame that is to stand at `offset`."""
-    body = kind + body
-    place = PLACE.pack(generation, offset, len(body))
-    return HEAD.pack(len(body), google_crc32c.value(place + body)) + body
+class Frame(NamedTuple):
+    """A frame that passed its checksum; `body` is without the byte of its kind."""
 
+    offset: int
+    kind: FrameKind
+    body: bytes
 
-def generation_of(data):
-    """The generation that a file's first bytes tell, or Torn."""
+    @property
+    def end(self) -> int:
+        """Offset of the first byte after this frame."""
+        return self.offset + HEAD_SIZE + 1 + len(self.body)
+
+
+def encode_file_start(generation: int) -> bytes:
+    """Return the first bytes of a file of this generation."""
+    checksum = google_crc32c.value(MAGIC + generation.to_bytes(8, "little"))
+    return MAGIC + _GENERATION.pack(generation, checksum)
+
+
+def encode_frame(generation: int, offset: int, kind: FrameKind, body: bytes) -> bytes:
+    """Return the bytes of a frame that is to stand at `offset`."""
+    return encode_payload(generation, offset, kind.value + body)
+
+
+def encode_payload(generation: int, offset: int, payload: bytes) -> bytes:
+    """Return a frame at `offset` of a payload that already begins with the byte of its kind."""
+    position = _POSITION.pack(generation, offset, len(payload))
+    return _HEAD.pack(len(payload), google_crc32c.value(position + payload)) + payload
+
+
+def decode_generation(data: bytes) -> int:
+    """Return the generation that a file's first bytes give; raise TornWriteError where they are no start."""
     if data[: len(MAGIC)] != MAGIC:
-        raise Torn(0, "it is no state file")
-    if len(data) < BEGIN:
-        raise Torn(len(MAGIC), "it ends before its first frame")
-    generation, check = START.unpack_from(data, len(MAGIC))
-    if google_crc32c.value(data[: len(MAGIC) + 8]) != check:
-        raise Torn(len(MAGIC), "its generation is spoilt")
+        raise TornWriteError(0, "it is no state file")
+    if len(data) < FIRST_FRAME_OFFSET:
+        raise TornWriteError(len(MAGIC), "it ends before its first frame")
+    generation: int
+    generation, checksum = _GENERATION.unpack_from(data, len(MAGIC))
+    if google_crc32c.value(data[: len(MAGIC) + 8]) != checksum:
+        raise TornWriteError(len(MAGIC), "its generation is spoilt")
     return generation
 
 
-def frames(data):
-    """Yields (offset, kind, body) for each frame of a file's bytes; ends in Torn where one is no frame, also
-    at the end of a file that ends within a frame."""
-    generation, offset, end = generation_of(data), BEGIN, len(data)
-    while offset < end:
-        if end - offset < HEAD.size:
-            raise Torn(offset, "a frame ends within its head")
-        length, check = HEAD.unpack_from(data, offset)
-        if not 1 <= length <= BODY_MOST:
-            raise Torn(offset, f"a frame tells the length {length}")
-        body = bytes(data[offset + HEAD.size : offset + HEAD.size + length])
-        if len(body) < length:
-            raise Torn(offset, "a frame ends within its body")
-        if google_crc32c.value(PLACE.pack(generation, offset, length) + body) != check:
-            raise Torn(offset, "a frame's checksum is wrong")
-        kind = body[:1]
-        if kind not in KINDS:
-            raise Torn(offset, f"a frame has the unknown kind {kind!r}")
-        yield offset, kind, body[1:]
-        offset += HEAD.size + length
+def decode_frames(data: bytes) -> Iterator[Frame]:
+    """Yield each frame of a file's bytes.
+
+    Raises TornWriteError at the first bytes that are no frame, also where the file ends within one.
+    """
+    generation = decode_generation(data)
+    offset = FIRST_FRAME_OFFSET
+    while offset < len(data):
+        frame = _decode_frame(data, generation, offset)
+        yield frame
+        offset = frame.end
+
+
+def _decode_frame(data: bytes, generation: int, offset: int) -> Frame:
+    if len(data) - offset < HEAD_SIZE:
+        raise TornWriteError(offset, "a frame ends within its head")
+    length, checksum = _HEAD.unpack_from(data, offset)
+    if not 1 <= length <= MAX_BODY_SIZE:
+        raise TornWriteError(offset, f"a frame tells the length {length}")
+    payload = bytes(data[offset + HEAD_SIZE : offset + HEAD_SIZE + length])
+    if len(payload) < length:
+        raise TornWriteError(offset, "a frame ends within its body")
+    if google_crc32c.value(_POSITION.pack(generation, offset, length) + payload) != checksum:
+        raise TornWriteError(offset, "a frame's checksum is wrong")
+    kind = payload[:1]
+    try:
+        return Frame(offset, FrameKind(kind), payload[1:])
+    except ValueError:
+        raise TornWriteError(offset, f"a frame has the unknown kind {kind!r}") from None
--- a/granitespool/state/record.py
+++ b/granitespool/state/record.py
@@ -1,219 +1,341 @@
-"""What is kept: values by key, their encoding, and the versions of the format with the step between them.
+"""What is stored: records by key, their encoding, and the versions of the format with the step between them.
 
-Version 1 kept a backend with all its zones in one value, so that one zone's news wrote all of them again;
-version 2 has a value for each backend and zone, with a time of its own. Whatever can't be decoded is a
-Spoilt, which is no fault of ours but of what was read."""
+The structs are stored as arrays, so that the order of their fields is the stored form (docs/state-format.md)
+and their names are not. Version 1 kept a backend with all its zones in one value, so that news of one zone
+wrote all of them again; version 2 has a value for each backend and zone, with a time of its own. What cannot
+be decoded raises CorruptRecordError.
+"""
+
+from collections.abc import Iterator, Mapping
+from typing import Any, NamedTuple, TypeVar, cast
 
 import msgspec
 
-FORMAT = 2  # the version that is written
-FLEET = b"f"  # key of the fleet's facts
-MANAGED = b"m"  # key of the settings that managers have changed
-BACKEND = b"b"  # first byte of a backend's key, its name follows
-LINK = b"l"  # first byte of a link's key, (backend, zone) as msgpack follows
+from granitespool.planner.records import MinimumRtt
+from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
+from granitespool.state.errors import CorruptRecordError
+
+FORMAT_VERSION = 2  # the version that is written
+FLEET_KEY = b"f"
+MANAGED_SETTINGS_KEY = b"m"
+BACKEND_PREFIX = b"b"  # first byte of a backend's key, its name follows
+LINK_PREFIX = b"l"  # first byte of a link's key, (backend, zone) as msgpack follows
+
+Tree = dict[str, Any]  # of the YANG module, as JSON has it
+Changes = dict[bytes, bytes | None]  # key -> new value, None where the key is removed
+
 
+class Clocks(NamedTuple):
+    """Both clocks of a machine at one moment."""
 
-class Spoilt(Exception):
-    """A value that was read cannot be what was written."""
+    wall: int  # ns, Unix time
+    monotonic: int  # ns, starts anew with the machine only
 
 
 class Header(msgspec.Struct, array_like=True, frozen=True):
-    """The first frame; `format` stays its first field in every version, so that any reader can tell it."""
+    """The first frame; `format_version` stays its first field in every version, for any reader to tell it."""
 
-    format: int
+    format_version: int
     name: str  # of the coordinator
-    classes: list[str | None]  # names in their order
+    class_names: list[str | None]  # in their order
     zones: list[str]
     wall: int  # ns, Unix time when the file was begun
-    mono: int  # ns, the monotonic clock then
-    start: int  # number of the start that wrote it, from 1
-    program: str  # the program's version
+    monotonic: int  # ns, the monotonic clock then
+    start_number: int  # of the start that wrote it, from 1
+    program_version: str
 
 
-class Link1(msgspec.Struct, array_like=True, frozen=True):
-    """What one zone met at a backend, as version 1 had it within its backend; times in ns of Unix time, sums
-    and means as the planner has them."""
+class LinkRecordV1(msgspec.Struct, array_like=True, frozen=True):
+    """What one zone observed at a backend, as version 1 had it within its backend.
 
-    tries: float
-    failed: float
-    answered: float
-    time: float
-    low: tuple[int, float] | None
-    over: int
-    streak: float
-    cut_at: int | None
-    ramp_from: int | None
+    Times are in ns of Unix time; sums and means are those of the planner.
+    """
 
+    attempts: float
+    failures: float
+    successes: float
+    response_time: float  # ns of all successes
+    minimum_rtt: MinimumRtt | None
+    overloaded_reports: int  # reports
+    consecutive_failures: float  # attempts
+    ejected_at: int | None
+    slow_start_since: int | None
 
-class Link(Link1, array_like=True, frozen=True):
-    at: int  # ns, when it was taken out
 
+class LinkRecord(LinkRecordV1, array_like=True, frozen=True):
+    """The same as a value of its own."""
 
-class Backend(msgspec.Struct, array_like=True, frozen=True):
-    at: int
+    taken_at: int  # ns, when it was taken from the planner
+
+
+class BackendRecord(msgspec.Struct, array_like=True, frozen=True):
+    """What is known of a backend but for its links; times in ns of Unix time."""
+
+    taken_at: int
     phase: str
     zone: str | None
-    kind: str | None
-    listed: float
-    started: int
-    gone_at: int | None
-    ramp_from: int | None
-    proven: bool
-    missing: bool
+    machine_type: str | None
+    configured_weight: float
+    started_at: int
+    left_ready_at: int | None
+    slow_start_since: int | None
+    verified: bool
+    removal_unconfirmed: bool
     address: str | None  # host:port
 
 
-class Backend1(Backend, array_like=True, frozen=True):
-    links: dict[str, Link1]  # by zone
+class BackendRecordV1(BackendRecord, array_like=True, frozen=True):
+    """The same with its links, as version 1 had it."""
+
+    links: dict[str, LinkRecordV1]  # by zone
 
 
-class Fleet(msgspec.Struct, array_like=True, frozen=True):
-    at: int
-    strained: bool
-    room: float
-    through: float
-    asked: dict[str, float]
-    index: int  # version of discovery's list
+class FleetRecord(msgspec.Struct, array_like=True, frozen=True):
+    """What is known of the fleet as a whole."""
 
+    taken_at: int
+    is_overloaded: bool
+    admitted_share: float
+    success_ratio: float
+    demand: dict[str, float]  # by request class
+    list_index: int  # version of the endpoint list
 
-class Managed(msgspec.Struct, array_like=True, frozen=True):
+
+class ManagedSettings(msgspec.Struct, array_like=True, frozen=True):
     """Settings that managers have changed: trees of the YANG module, of the files and of what runs."""
 
-    at: int
+    taken_at: int
     version: int
-    base: dict
-    tree: dict
+    base: Tree
+    tree: Tree
+
+
+class Batch(msgspec.Struct, array_like=True, frozen=True):
+    """The body of a frame of the snapshot, or of changes after it."""
+
+    wall: int  # ns
+    monotonic: int  # ns
+    changes: dict[bytes, bytes | None]
+
+
+class SnapshotEnd(msgspec.Struct, array_like=True, frozen=True):
+    """The body of the frame that ends a snapshot."""
+
+    wall: int  # ns
+    monotonic: int  # ns
+    count: int  # of the snapshot's values
+
 
+Value = FleetRecord | BackendRecord | LinkRecord
+Values = dict[str | None, dict[bytes, Value]]  # by backend (None: the fleet) and key
 
-class Kept(msgspec.Struct):
-    """A record as the newest version has it."""
 
-    fleet: Fleet | None
-    backends: dict[str, tuple[Backend, dict[str, Link]]]  # by name; links by zone
-    managed: Managed | None = None
+class StoredBackend(NamedTuple):
+    """A backend's record and those of its links by zone."""
 
+    facts: BackendRecord
+    links: dict[str, LinkRecord]
 
-_encode = msgspec.msgpack.Encoder().encode
-_header = msgspec.msgpack.Decoder(Header)
-_backend = msgspec.msgpack.Decoder(Backend)
-_backend1 = msgspec.msgpack.Decoder(Backend1)
-_link = msgspec.msgpack.Decoder(Link)
-_managed = msgspec.msgpack.Decoder(Managed)
-_link_key = msgspec.msgpack.Decoder(tuple[str, str])
-_fleet = msgspec.msgpack.Decoder(Fleet)
-_batch = msgspec.msgpack.Decoder(tuple[int, int, dict[bytes, bytes | None]])
 
-_end = msgspec.msgpack.Decoder(tuple[int, int, int])
+class Record(msgspec.Struct):
+    """All that a folder holds, in the form of the newest version."""
 
+    fleet: FleetRecord | None
+    backends: dict[str, StoredBackend]  # by name
+    managed: ManagedSettings | None = None
 
-def _decoded(decoder, data):
+
+encode_value = msgspec.msgpack.Encoder().encode
+
+_HEADER = msgspec.msgpack.Decoder(Header)
+_ANY_HEADER = msgspec.msgpack.Decoder(list)
+_BACKEND = msgspec.msgpack.Decoder(BackendRecord)
+_BACKEND_V1 = msgspec.msgpack.Decoder(BackendRecordV1)
+_LINK = msgspec.msgpack.Decoder(LinkRecord)
+_LINK_KEY = msgspec.msgpack.Decoder(tuple[str, str])
+_MANAGED = msgspec.msgpack.Decoder(ManagedSettings)
+_FLEET = msgspec.msgpack.Decoder(FleetRecord)
+_BATCH = msgspec.msgpack.Decoder(Batch)
+_SNAPSHOT_END = msgspec.msgpack.Decoder(SnapshotEnd)
+
+_Decoded = TypeVar("_Decoded")
+
+
+def _decode(decoder: "msgspec.msgpack.Decoder[_Decoded]", data: bytes) -> _Decoded:
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Spoilt(f"a value cannot be read: {error}") from None
+        reason = f"a value cannot be read: {error}"
+        raise CorruptRecordError(reason) from None
 
 
-def header_format(data):
-    """The format version that a header's bytes tell, whatever else the version put into it."""
-    first = _decoded(msgspec.msgpack.Decoder(list), data)
+def decode_format_version(data: bytes) -> int:
+    """Return the format version of a header's bytes, whatever else that version put into them."""
+    first = _decode(_ANY_HEADER, data)
     if not first or type(first[0]) is not int:
-        raise Spoilt("a header tells no format version")
+        reason = "a header tells no format version"
+        raise CorruptRecordError(reason)
     return first[0]
 
 
-def header(data):
-    return _decoded(_header, data)
+def decode_header(data: bytes) -> Header:
+    """Return the header of a frame's body."""
+    return _decode(_HEADER, data)
 
 
-def batch_bytes(wall, mono, changes):
-    """The body of a frame of changes: when, and the new value of each key, None where it goes."""
-    return _encode((wall, mono, changes))
+def decode_batch(data: bytes) -> Batch:
+    """Return the batch of a frame's body."""
+    return _decode(_BATCH, data)
 
 
-def batch(data):
-    """(wall ns, monotonic ns, {key: value or None}) of a frame's body."""
-    return _decoded(_batch, data)
+def decode_snapshot_end(data: bytes) -> SnapshotEnd:
+    """Return the end of a snapshot of a frame's body."""
+    return _decode(_SNAPSHOT_END, data)
 
 
-def end_bytes(wall, mono, count):
-    """The body of the frame that ends a snapshot of so many values."""
-    return _encode((wall, mono, count))
+def backend_key(backend: str) -> bytes:
+    """Return the key of a backend's value."""
+    return BACKEND_PREFIX + backend.encode()
 
 
-def end(data):
-    return _decoded(_end, data)
+def link_key(backend: str, zone: str) -> bytes:
+    """Return the key of the value of what a zone observed at a backend."""
+    return LINK_PREFIX + encode_value((backend, zone))
 
 
-value_bytes = _encode
+def fleet_record(fleet: FleetSnapshot, list_index: int, now: int) -> FleetRecord:
+    """Return the record of the fleet, taken at `now` (ns)."""
+    return FleetRecord(
+        taken_at=now,
+        is_overloaded=fleet.is_overloaded,
+        admitted_share=fleet.admitted_share,
+        success_ratio=fleet.success_ratio,
+        demand=cast(dict[str, float], fleet.demand),  # usage reports name their class
+        list_index=list_index,
+    )
 
 
-def link_key(backend, zone):
-    return LINK + _encode((backend, zone))
+def backend_record(backend: BackendSnapshot, address: tuple[str, int] | None, now: int) -> BackendRecord:
+    """Return the record of a backend without its links, taken at `now` (ns)."""
+    return BackendRecord(
+        taken_at=now,
+        phase=backend.phase,
+        zone=cast(str | None, backend.zone),  # a list may tell numbers, which the format has no place for
+        machine_type=cast(str | None, backend.machine_type),
+        configured_weight=backend.configured_weight,
+        started_at=backend.started_at,
+        left_ready_at=backend.left_ready_at,
+        slow_start_since=backend.slow_start_since,
+        verified=backend.verified,
+        removal_unconfirmed=backend.removal_unconfirmed,
+        address="{}:{}".format(*address) if address else None,
+    )
 
 
-def values(fleet, backends, addresses, index, now):
-    """{backend, or None for the fleet: {key: Struct}} of what the planner has learnt; `addresses` are
-    (host, port) by backend."""
-    found = {}
-    if fleet is not None:
-        found[None] = {FLEET: Fleet(at=now, index=index, **fleet)}
-    for name, (facts, links) in backends.items():
-        where = addresses.get(name)
-        found[name] = {
-            BACKEND + name.encode(): Backend(
-                at=now, address="{}:{}".format(*where) if where else None, **facts
-            )
-        }
-        for zone, met in links.items():
-            found[name][link_key(name, zone)] = Link(at=now, **met)
-    return found
+def link_record(link: LinkSnapshot, now: int) -> LinkRecord:
+    """Return the record of a link, taken at `now` (ns)."""
+    return LinkRecord(
+        attempts=link.attempts,
+        failures=link.failures,
+        successes=link.successes,
+        response_time=link.response_time,
+        minimum_rtt=link.minimum_rtt,
+        overloaded_reports=link.overloaded_reports,
+        consecutive_failures=link.consecutive_failures,
+        ejected_at=link.ejected_at,
+        slow_start_since=link.slow_start_since,
+        taken_at=now,
+    )
 
 
-def values_of(kept):
-    """The same of a Kept."""
-    found = {
-        name: {BACKEND + name.encode(): facts, **{link_key(name, zone): link for zone, link in links.items()}}
-        for name, (facts, links) in kept.backends.items()
+def backend_values(
+    name: str, backend: BackendSnapshot, address: tuple[str, int] | None, now: int
+) -> dict[bytes, Value]:
+    """Return the values of a backend and of its links by key, taken at `now` (ns)."""
+    values: dict[bytes, Value] = {backend_key(name): backend_record(backend, address, now)}
+    for zone, link in backend.links.items():
+        values[link_key(name, zone)] = link_record(link, now)
+    return values
+
+
+def values_of(record: Record) -> Values:
+    """Return the values of a record that the planner learns anew, by backend (None: the fleet) and key."""
+    values: Values = {}
+    for name, backend in record.backends.items():
+        values[name] = {backend_key(name): backend.facts}
+        for zone, link in backend.links.items():
+            values[name][link_key(name, zone)] = link
+    if record.fleet is not None:
+        values[None] = {FLEET_KEY: record.fleet}
+    return values
+
+
+def encode_values(values: Values) -> dict[bytes, bytes]:
+    """Return the encoded values by key, in their order."""
+    return {key: encode_value(value) for group in values.values() for key, value in group.items()}
+
+
+def decode_record(version: int, encoded: Mapping[bytes, bytes]) -> Record:
+    """Return the record of {key: bytes} as any known format version wrote it.
+
+    Raises CorruptRecordError where a key or value is none of that version.
+    """
+    if version <= 1:
+        return _decode_v1(encoded)
+    record = Record(fleet=None, backends={})
+    facts: dict[str, BackendRecord] = {}
+    links: dict[str, dict[str, LinkRecord]] = {}
+    for key, data in encoded.items():
+        if key == FLEET_KEY:
+            record.fleet = _decode(_FLEET, data)
+        elif key == MANAGED_SETTINGS_KEY:
+            record.managed = _decode(_MANAGED, data)
+        elif key[:1] == BACKEND_PREFIX:
+            facts[_backend_name(key)] = _decode(_BACKEND, data)
+        elif key[:1] == LINK_PREFIX:
+            name, zone = _decode(_LINK_KEY, key[1:])
+            links.setdefault(name, {})[zone] = _decode(_LINK, data)
+        else:
+            raise CorruptRecordError(_unknown_kind(key))
+    record.backends = {name: StoredBackend(each, links.get(name, {})) for name, each in facts.items()}
+    return record
+
+
+def _decode_v1(encoded: Mapping[bytes, bytes]) -> Record:
+    record = Record(fleet=None, backends={})
+    for key, data in encoded.items():
+        if key == FLEET_KEY:
+            record.fleet = _decode(_FLEET, data)
+        elif key[:1] == BACKEND_PREFIX:
+            name = _backend_name(key)
+            record.backends[name] = _upgrade_backend(_decode(_BACKEND_V1, data))
+        else:
+            raise CorruptRecordError(_unknown_kind(key))
+    return record
+
+
+def _upgrade_backend(backend: BackendRecordV1) -> StoredBackend:
+    """Take the step from version 1 to 2: a link gets the time of its backend."""
+    facts = BackendRecord(**dict(_fields(backend, BackendRecord)))
+    links = {
+        zone: LinkRecord(**dict(_fields(link, LinkRecordV1)), taken_at=backend.taken_at)
+        for zone, link in backend.links.items()
     }
-    if kept.fleet is not None:
-        found[None] = {FLEET: kept.fleet}
-    return found
-
-
-def kept(version, held):
-    """The Kept of {key: bytes} as any known format wrote it, or Spoilt."""
-    fleet, managed, backends, links = None, None, {}, {}
-    for key, data in held.items():
-        try:
-            if key == FLEET:
-                fleet = _decoded(_fleet, data)
-            elif key == MANAGED and version > 1:
-                managed = _decoded(_managed, data)
-            elif key[:1] == BACKEND:
-                backends[key[1:].decode()] = _decoded(_backend if version > 1 else _backend1, data)
-            elif key[:1] == LINK and version > 1:
-                name, zone = _decoded(_link_key, key[1:])
-                links.setdefault(name, {})[zone] = _decoded(_link, data)
-            else:
-                raise Spoilt(f"there is a value of the unknown kind {key[:1]!r}")
-        except UnicodeDecodeError:
-            raise Spoilt("a backend's name is not UTF-8") from None
-    if version == 1:
-        backends, links = from_1(backends)
-    return Kept(fleet, {name: (each, links.get(name, {})) for name, each in backends.items()}, managed)
-
-
-def from_1(backends):
-    """The step from version 1 to 2: a link takes its backend's time."""
-
-    def part(struct, whole, **more):
-        names = [name for name in struct.__struct_fields__ if name not in more]
-        return struct(**{name: getattr(whole, name) for name in names}, **more)
-
-    return (
-        {name: part(Backend, each) for name, each in backends.items()},
-        {
-            name: {zone: part(Link, link, at=each.at) for zone, link in each.links.items()}
-            for name, each in backends.items()
-        },
-    )
+    return StoredBackend(facts, links)
+
+
+def _fields(struct: msgspec.Struct, of: type[msgspec.Struct]) -> Iterator[tuple[str, Any]]:
+    for name in of.__struct_fields__:
+        yield name, getattr(struct, name)
+
+
+def _backend_name(key: bytes) -> str:
+    try:
+        return key[1:].decode()
+    except UnicodeDecodeError:
+        reason = "a backend's name is not UTF-8"
+        raise CorruptRecordError(reason) from None
+
+
+def _unknown_kind(key: bytes) -> str:
+    return f"there is a value of the unknown kind {key[:1]!r}"
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -1,143 +1,199 @@
-"""The keeper: a coroutine of the loop that brings a coordinator's memory to the writer, and the record back.
+"""The snapshotter: a coroutine of the loop that brings a coordinator's snapshots to the writer.
 
-It sweeps all backends each half of `every_ms`, a few at a time, so that no turn is felt and what was learnt
-is on the disk within `every_ms` where the disk takes no longer than the other half."""
+It sweeps all backends each half of `every_ms`, a few at a time, so that no turn is long and what was learnt
+is on the disk within `every_ms` where the disk takes no longer than the other half. At a start it has the
+coordinator restore the record of the former life.
+"""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 from granitespool import __version__
+from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
-from granitespool.state import record, restore_policy
-from granitespool.state.disk import Folder
-from granitespool.state.recovery import NONE, Memory
-from granitespool.state.writer import Writer
-
-SECOND = 1_000_000_000  # ns
-MS = 1_000_000  # ns
-OPEN_MOST = 0.4  # s that a start waits for the folder: who is up without a memory still serves
-LAST_MOST = 0.25  # s for the last snapshot after SIGTERM: 0.7 s pass at least until SIGKILL
-LINKS_A_STEP = 200  # links taken out in one step: a millisecond
-NAMED_WAIT = SECOND // 20  # ns between looks whether any list has come
-
-
-class Keeper:
-    """Made before the coordinator, since the list to start from may be the record's; `start` follows it. Owns
-    the writer, and gives it up in `close`."""
-
-    def __init__(self, loop, log, options, name, settings, mono, folder=None):
-        self.loop, self.log, self.options, self.mono = loop, log, options, mono
-        self.identity = restore_policy.Identity(
-            name,
-            settings.class_names,
-            list(settings.zones or ()),
-        )
-        self.memory = Memory(options, self.identity)
-        self.coordinator = self.discovery = self.task = self._managed = None
+from granitespool.net.connection import Waits
+from granitespool.net.discovery import Discovery
+from granitespool.net.log import Log
+from granitespool.net.loop import Loop
+from granitespool.operator_settings import State
+from granitespool.settings import Settings
+from granitespool.state import record as records
+from granitespool.state.disk import Folder, StateFolder
+from granitespool.state.record import Clocks, Header, ManagedSettings, Tree
+from granitespool.state.recovery import NO_RECORD, Recovery
+from granitespool.state.restore_policy import Identity
+from granitespool.state.writer import FolderContent, Writer
+from granitespool.units import MILLISECOND, SECOND
+
+OPEN_TIMEOUT = 0.4  # s that a start waits for the folder: a service without its record still serves
+CLOSE_TIMEOUT = 0.25  # s for the last snapshot after SIGTERM: 0.7 s pass at least until SIGKILL
+LINKS_PER_STEP = 200  # links taken out in one step: a millisecond
+FIRST_LIST_POLL = SECOND // 20  # ns between looks whether any list has come
+NOT_IN_TIME = "the folder could not be read in time"
+
+
+class ManagedTrees(NamedTuple):
+    """Trees of settings as managers left them in a former life."""
+
+    base: Tree  # of the files
+    running: Tree
+
+
+class StateMetrics(NamedTuple):
+    """What the folder took since the start."""
+
+    bytes_written: int
+    batches_written: int
+    is_failing: bool
+
+
+class Snapshotter:
+    """Owns the writer, and gives it up in `close`.
+
+    It is made before the coordinator, since the list to start from may be the record's; `start` follows that.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        log: Log,
+        options: State,
+        name: str,
+        settings: Settings,
+        monotonic: Callable[[], int],
+        folder: Folder | None = None,
+    ) -> None:
+        """Open the folder; raise InvalidInputError where another process owns it."""
+        self.loop = loop
+        self.log = log
+        self.options = options
+        self.monotonic = monotonic
+        self.identity = Identity(name, settings.class_names, list(settings.zones or ()))
+        self.recovery = Recovery(options, self.identity)
+        self.coordinator: Coordinator | None = None
+        self.discovery: Discovery | None = None
+        self.managed_settings: ManagedTrees | None = None
         self.writer = Writer(
-            folder or Folder(options.folder), options.most_mb, self._header, loop.wake, self._clocks
-        )
-        opened = self.writer.wait_opened(OPEN_MOST)
-        if opened and opened.owned:
-            raise InvalidInputError(opened.owned)
-        for problem in opened.problems if opened else ():
-            log.event("state_torn", why=problem)
-        if opened:
-            carried = self.memory.opened(opened.found, opened.kept, opened.why, self._clocks())
-            kept = opened.kept and opened.kept.managed
-            if kept is not None and opened.found.header.name == name:
-                self._managed = kept.base, kept.tree
-                carried[record.MANAGED] = record.value_bytes(kept)
-            if carried:
-                self.writer.submit(carried)
-        else:
-            self.memory.why = "the folder could not be read in time"
-
-    def managed(self):
-        """(tree of the files, tree of the settings) as managers left them in a former life, or None. Unlike
-        what was learnt they do not age, but they are this coordinator's alone."""
-        return self._managed
-
-    def keep_settings(self, tree, base, version):
-        """Has settings outlast the process (None: those of the files hold); returns a ticket for `safe`."""
-        return self.writer.submit(
-            {
-                record.MANAGED: None
-                if tree is None
-                else record.value_bytes(record.Managed(self.loop.now, version, base, tree))
-            }
+            folder or StateFolder(options.folder),
+            options.most_mb,
+            self._make_header,
+            loop.wake,
+            self._clocks,
         )
+        self._take_content(self.writer.wait_opened(OPEN_TIMEOUT))
+
+    def _take_content(self, content: FolderContent | None) -> None:
+        if content is None:
+            self.recovery.rejection = NOT_IN_TIME
+            return
+        if content.locked:
+            raise InvalidInputError(content.locked)
+        for problem in content.problems:
+            self.log.event("state_torn", why=problem)
+        carried = self.recovery.load(content.state, content.record, content.reason, self._clocks())
+        managed = content.record.managed if content.record else None
+        if managed is not None and content.state and content.state.header.name == self.identity.name:
+            # Unlike what was learnt these do not age, but they are this coordinator's alone.
+            self.managed_settings = ManagedTrees(managed.base, managed.tree)
+            carried[records.MANAGED_SETTINGS_KEY] = records.encode_value(managed)
+        if carried:
+            self.writer.submit(dict(carried))
+
+    def save_settings(self, tree: Tree | None, base: Tree | None, version: int) -> int:
+        """Have settings outlast the process (None: those of the files hold).
+
+        Returns a ticket for `is_durable`.
+        """
+        value = None
+        if tree is not None and base is not None:
+            value = records.encode_value(ManagedSettings(self.loop.now, version, base, tree))
+        return self.writer.submit({records.MANAGED_SETTINGS_KEY: value})
+
+    def is_durable(self, ticket: int) -> bool:
+        """Whether what was saved with this ticket is on the disk."""
+        return self.writer.durable_ticket >= ticket
+
+    def metrics(self) -> StateMetrics:
+        """Return what the folder took since the start."""
+        writer = self.writer
+        return StateMetrics(writer.bytes_written, writer.batches_written, writer.is_failing)
+
+    def choose_list(self, known: dict[str, Any]) -> dict[str, Any]:
+        """Return the endpoint list to start from, in discovery's form."""
+        return self.recovery.choose_list(known)
+
+    def start(self, coordinator: Coordinator, discovery: Discovery) -> None:
+        """Begin to take snapshots of a coordinator that was told the first list, or will be."""
+        self.coordinator = coordinator
+        self.discovery = discovery
+        self.loop.spawn(self._run(coordinator, discovery))
+
+    def set_options(self, options: State) -> None:
+        """Take what may change while the service runs: how often, how much, how long it counts."""
+        self.options = options
+        self.recovery.set_options(options)
+        self.writer.set_max_mb(options.most_mb)
 
-    def figures(self):
-        """(bytes written, batches, whether the disk fails) since the start."""
-        return self.writer.written, self.writer.writes, self.writer.failing
-
-    def safe(self, ticket):
-        return self.writer.safe >= ticket
-
-    def _header(self, start):
-        return record.Header(record.FORMAT, *self.identity, *self._clocks(), start, __version__)
-
-    def _clocks(self):
-        return restore_policy.Clocks(self.loop.clock(), self.mono())
+    def close(self) -> None:
+        """Write a last snapshot, as far as the disk takes it in time."""
+        if self.coordinator and self.discovery and self.discovery.named:
+            names = list(self.coordinator.listed())
+            self._submit_changes(self.coordinator, self.discovery, names, is_last=True)
+        if not self.writer.close(CLOSE_TIMEOUT):
+            self.log.event("state_unsafe", why="the last snapshot was not safe in time")
+        self._log_reports()
 
-    def first_list(self, known):
-        return self.memory.first_list(known)
+    def _make_header(self, start_number: int) -> Header:
+        return Header(records.FORMAT_VERSION, *self.identity, *self._clocks(), start_number, __version__)
 
-    def start(self, coordinator, discovery):
-        self.coordinator, self.discovery = coordinator, discovery
-        self.task = self.loop.spawn(self._run())
+    def _clocks(self) -> Clocks:
+        return Clocks(self.loop.clock(), self.monotonic())
 
-    def new_options(self, options):
-        """What may change while the service runs: how often, how much, how long it is believed."""
-        self.options = options
-        self.memory.new_options(options)
-        self.writer.limit(options.most_mb)
-
-    def _run(self):
-        while not self.discovery.named:  # the first list that names anyone is the one to start from
-            yield None, 0, self.loop.now + NAMED_WAIT
-            self.tell()
-        self._recall()
+    def _run(self, coordinator: Coordinator, discovery: Discovery) -> Waits:
+        while not discovery.named:  # the first list that names anyone is the one to start from
+            yield None, 0, self.loop.now + FIRST_LIST_POLL
+            self._log_reports()
+        self._restore(coordinator)
         while True:
-            names = list(self.coordinator.listed())
-            step = max(1, LINKS_A_STEP // max(1, len(self.identity.zones)))
-            steps = [names[at : at + step] for at in range(0, len(names), step)] or [[]]
-            pause = self.options.every_ms * MS // 2 // len(steps)
-            for number, part in enumerate(steps, 1):
-                self._hand_on(part, number == len(steps))
+            steps = self._steps(list(coordinator.listed()))
+            pause = self.options.every_ms * MILLISECOND // 2 // len(steps)
+            for number, names in enumerate(steps, 1):
+                self._submit_changes(coordinator, discovery, names, is_last=number == len(steps))
                 yield None, 0, self.loop.now + pause
-                self.tell()
+                self._log_reports()
 
-    def _recall(self):
-        belief, why = self.memory.recall(self.coordinator, self.loop.now, self._clocks()), self.memory.why
-        if belief:
+    def _steps(self, names: list[str]) -> list[list[str]]:
+        """Return the names in groups that take a short time each; one empty group without any."""
+        size = max(1, LINKS_PER_STEP // max(1, len(self.identity.zones)))
+        return [names[at : at + size] for at in range(0, len(names), size)] or [[]]
+
+    def _restore(self, coordinator: Coordinator) -> None:
+        restored = self.recovery.restore(coordinator, self.loop.now, self._clocks())
+        written = self.recovery.written
+        if restored and written:
             self.log.event(
                 "recalled",
-                age_ms=(self.loop.now - self.memory.then.wall) // MS,
-                backends=len(belief.backends),
-                links=belief.links,
-                cuts=belief.cuts,
-                strained=belief.fleet["strained"],
-                room=round(belief.fleet["room"], 3),
-                left_out=belief.left,
-                list=self.memory.own_list,
+                age_ms=(self.loop.now - written.wall) // MILLISECOND,
+                backends=len(restored.backends),
+                links=restored.link_count,
+                cuts=restored.ejected_count,
+                strained=restored.fleet.is_overloaded,
+                room=round(restored.fleet.admitted_share, 3),
+                left_out=restored.left_out,
+                list=self.recovery.uses_own_list,
             )
-        elif why != NONE:
-            self.log.event("recall_ignored", why=why)
-
-    def _hand_on(self, names, last):
-        changes = self.memory.changes(
-            self.coordinator, self.discovery.addresses, self.discovery.index, self.loop.now, names, last
+        elif self.recovery.rejection != NO_RECORD:
+            self.log.event("recall_ignored", why=self.recovery.rejection)
+
+    def _submit_changes(
+        self, coordinator: Coordinator, discovery: Discovery, names: list[str], is_last: bool
+    ) -> None:
+        changes = self.recovery.collect_changes(
+            coordinator, discovery.addresses, discovery.index, self.loop.now, names, is_last
         )
         if changes:
             self.writer.submit(changes)
 
-    def tell(self):
-        for event, fields in self.writer.drain():
-            self.log.event(event, **fields)
-
-    def close(self):
-        """A last snapshot, as far as the disk takes it in time."""
-        if self.task is not None and self.discovery.named:
-            self._hand_on(list(self.coordinator.listed()), True)
-        if not self.writer.close(LAST_MOST):
-            self.log.event("state_unsafe", why="the last snapshot was not safe in time")
-        self.tell()
+    def _log_reports(self) -> None:
+        for report in self.writer.drain():
+            self.log.event(report.event, **report.fields)
--- a/granitespool/state/store.py
+++ b/granitespool/state/store.py
@@ -1,226 +1,336 @@
-"""The store: a map of keys to bytes, kept in one file a generation through a Folder.
+"""The store: a map of keys to bytes, kept in one file a generation through a folder.
 
 A file holds a header, a snapshot, the snapshot's end, then one frame for each batch of changes. A new
-generation is written aside, synced, renamed, its folder synced; only then are the older ones removed. What
-was read back is always a whole state: the newest file whose snapshot is whole, with the changes up to the
-first frame that is torn. Whatever fails, the next write begins a new generation: what a failed write or sync
-left is never built on."""
+generation is written aside, synced, renamed, its folder synced; only then are the older ones removed. What is
+read back is always a complete state: the newest file whose snapshot is complete, with the changes up to the
+first torn frame. Whatever fails, the next write begins a new generation: nothing is ever built on what a
+failed write or sync left.
+"""
 
 import errno
 import re
+from collections.abc import Callable, Iterable, Iterator
+from contextlib import suppress
+from typing import NamedTuple
 
 from granitespool.state import framing, record
-from granitespool.state.framing import CHANGED, HEADER, HELD, WHOLE, Torn
-from granitespool.state.record import Spoilt
-
-NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")  # a generation's file; `.new` until it is whole
-ASIDE = ".new"
-PART = 256 * 1024  # bytes of a snapshot's frame, about: small pieces for the disk and the reader
-COMPACT_LEAST = 256 * 1024  # bytes of changes under which no new generation is worth its syncs
+from granitespool.state.disk import Folder
+from granitespool.state.errors import CorruptRecordError, TornWriteError, UnsupportedFormatError
+from granitespool.state.framing import Frame, FrameKind
+from granitespool.state.record import Changes, Clocks, Header
+
+FILE_NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")  # a generation's file; `.new` until it is complete
+ASIDE_SUFFIX = ".new"
+SNAPSHOT_PART_SIZE = (
+    256 * 1024
+)  # bytes of a snapshot's frame, about: small pieces for the disk and the reader
+COMPACT_MIN_SIZE = 256 * 1024  # bytes of changes under which no new generation is worth its syncs
 COMPACT_GROWTH = 4  # times the snapshot that the changes after it may take: what a start has to read
-VALUE_HEAD = 16  # bytes that a key and value take in a frame beside their own, at most
-FILE_HEAD = 4096  # bytes of a file beside its values, at most: begin, header, heads of frames
-
+VALUE_OVERHEAD = 16  # bytes that a key and value take in a frame beside their own, at most
+FILE_OVERHEAD = 4096  # bytes of a file beside its values, at most: start, header, heads of frames
 
-class Newer(Exception):
-    """A file is of a newer format than this program knows; nothing may be written beside it."""
 
+class FolderFiles(NamedTuple):
+    """The files of a folder that are a store's."""
 
-class Found:
-    """What a folder held: the newest whole state, who wrote it, and what was wrong on the way."""
+    complete: dict[int, str]  # generation -> name
+    aside: list[str]  # written aside and never finished
 
-    def __init__(self, name, generation, header):
-        self.name, self.generation, self.header = name, generation, header
-        self.held, self.clocks, self.problems = {}, (0, 0), []  # clocks: wall and monotonic ns of the last
-        self.frames = self.size = 0
+    @property
+    def highest_generation(self) -> int:
+        """The highest generation that any name tells, 0 without any."""
+        return max([0, *self.complete, *map(_generation_in, self.aside)])
 
 
-def file_name(generation):
+def file_name(generation: int) -> str:
+    """Return the name of a generation's file."""
     return f"state-{generation:016x}"
 
 
-def ours(names):
-    """{generation: name} of whole files, and the names written aside that never became whole."""
-    whole, aside = {}, []
+def _generation_in(name: str) -> int:
+    match = FILE_NAME.fullmatch(name)
+    assert match, name
+    return int(match[1], 16)
+
+
+def classify_names(names: Iterable[str]) -> FolderFiles:
+    """Sort out a store's files; other names are not ours."""
+    files = FolderFiles({}, [])
     for name in names:
-        if match := NAME.fullmatch(name):
-            if match[2]:
-                aside.append(name)
+        match = FILE_NAME.fullmatch(name)
+        if match and match[2]:
+            files.aside.append(name)
+        elif match:
+            files.complete[int(match[1], 16)] = name
+    return files
+
+
+class StoredState:
+    """The state that a file holds, and who wrote it."""
+
+    def __init__(self, name: str, generation: int, header: Header) -> None:
+        self.name = name
+        self.generation = generation
+        self.header = header
+        self.values: dict[bytes, bytes] = {}
+        self.clocks = Clocks(0, 0)  # of the last frame
+        self.frame_count = 0
+
+    def apply(self, changes: Changes) -> None:
+        """Set and remove values."""
+        for key, value in changes.items():
+            if value is None:
+                self.values.pop(key, None)
             else:
-                whole[int(match[1], 16)] = name
-    return whole, aside
+                self.values[key] = value
 
 
-def read_file(name, data):
-    """(Found or None, what is wrong or None) of one file's bytes; Newer for a newer format's."""
-    found = None
-    snapshot = False  # whether its snapshot is whole
-    try:
-        generation = framing.generation_of(data)
-        if file_name(generation) != name:
-            raise Torn(0, f"it is of the generation {generation}, which its name is not")
-        for offset, kind, body in framing.frames(data):
+class FileReading(NamedTuple):
+    """What was read of one file: its state, None where no snapshot is complete; what is wrong, or None."""
+
+    state: StoredState | None
+    problem: str | None
+
+
+class FolderReading(NamedTuple):
+    """The newest complete state of a folder, or None; and what was wrong on the way."""
+
+    state: StoredState | None
+    problems: list[str]
+
+
+class _FileReader:
+    """Applies the frames of one file in their order; raises TornWriteError at the first that does not fit."""
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.state: StoredState | None = None
+        self.is_complete = False  # whether the snapshot is
+
+    def read(self, data: bytes) -> None:
+        generation = framing.decode_generation(data)
+        if file_name(generation) != self.name:
+            raise TornWriteError(0, f"it is of the generation {generation}, which its name is not")
+        for frame in framing.decode_frames(data):
             try:
-                if found is None:
-                    found = _begun(name, generation, offset, kind, body)
-                elif kind == HELD and not snapshot or kind == CHANGED and snapshot:
-                    wall, mono, changes = record.batch(body)
-                    _apply(found.held, changes)
-                    found.clocks = wall, mono
-                elif kind == WHOLE and not snapshot:
-                    wall, mono, count = record.end(body)
-                    if count != len(found.held):
-                        raise Torn(offset, f"its snapshot holds {len(found.held)} of {count} values")
-                    found.clocks, snapshot = (wall, mono), True
-                else:
-                    raise Torn(offset, f"a frame of the kind {kind!r} is out of place")
-            except Spoilt as error:
-                raise Torn(offset, str(error)) from None
-            found.frames, found.size = found.frames + 1, offset + framing.HEAD.size + 1 + len(body)
-        if not snapshot:
-            raise Torn(len(data), "it ends before its snapshot is whole")
-    except Torn as error:
-        return (found if snapshot else None), f"{name}: {error}"
-    return found, None
-
-
-def _begun(name, generation, offset, kind, body):
-    if kind != HEADER:
-        raise Torn(offset, "its first frame is no header")
-    version = record.header_format(body)
-    if version > record.FORMAT:
-        raise Newer(f"{name} is of format {version}, this program knows up to {record.FORMAT}")
-    return Found(name, generation, record.header(body))
-
-
-def _apply(held, changes):
-    for key, value in changes.items():
-        if value is None:
-            held.pop(key, None)
+                self._apply(generation, frame)
+            except CorruptRecordError as error:
+                raise TornWriteError(frame.offset, str(error)) from None
+        if not self.is_complete:
+            raise TornWriteError(len(data), "it ends before its snapshot is whole")
+
+    def _apply(self, generation: int, frame: Frame) -> None:
+        if self.state is None:
+            self.state = self._begin(generation, frame)
+        elif frame.kind is FrameKind.SNAPSHOT_END and not self.is_complete:
+            self._end_snapshot(self.state, frame)
+        elif frame.kind is self._expected_batch:
+            batch = record.decode_batch(frame.body)
+            self.state.apply(batch.changes)
+            self.state.clocks = Clocks(batch.wall, batch.monotonic)
         else:
-            held[key] = value
-
-
-def recover(folder, most):
-    """The newest whole state in the folder as a Found, or None; and the list of what was wrong. Newer where
-    any file is of a newer format. Files of more than `most` bytes are not ours and not read."""
-    problems, whole = [], ours(folder.names())[0]
-    for generation in sorted(whole, reverse=True):
-        name = whole[generation]
-        data = folder.read(name, most + 1)
-        if len(data) > most:
-            problems.append(f"{name}: it is over {most} bytes")
+            raise TornWriteError(frame.offset, f"a frame of the kind {frame.kind.value!r} is out of place")
+        self.state.frame_count += 1
+
+    @property
+    def _expected_batch(self) -> FrameKind:
+        return FrameKind.CHANGES if self.is_complete else FrameKind.SNAPSHOT
+
+    def _begin(self, generation: int, frame: Frame) -> StoredState:
+        if frame.kind is not FrameKind.HEADER:
+            raise TornWriteError(frame.offset, "its first frame is no header")
+        version = record.decode_format_version(frame.body)
+        if version > record.FORMAT_VERSION:
+            raise UnsupportedFormatError(self.name, version, record.FORMAT_VERSION)
+        return StoredState(self.name, generation, record.decode_header(frame.body))
+
+    def _end_snapshot(self, state: StoredState, frame: Frame) -> None:
+        end = record.decode_snapshot_end(frame.body)
+        if end.count != len(state.values):
+            raise TornWriteError(
+                frame.offset, f"its snapshot holds {len(state.values)} of {end.count} values"
+            )
+        state.clocks = Clocks(end.wall, end.monotonic)
+        self.is_complete = True
+
+
+def read_file(name: str, data: bytes) -> FileReading:
+    """Return what one file's bytes hold; raise UnsupportedFormatError for a newer format's."""
+    reader = _FileReader(name)
+    try:
+        reader.read(data)
+    except TornWriteError as error:
+        return FileReading(reader.state if reader.is_complete else None, f"{name}: {error}")
+    return FileReading(reader.state, None)
+
+
+def read_newest(folder: Folder, max_size: int) -> FolderReading:
+    """Return the newest complete state of a folder.
+
+    Files of more than `max_size` bytes are not ours and not read. Raises UnsupportedFormatError where any
+    file that is read has a newer format.
+    """
+    problems: list[str] = []
+    files = classify_names(folder.names()).complete
+    for generation in sorted(files, reverse=True):
+        name = files[generation]
+        data = folder.read(name, max_size + 1)
+        if len(data) > max_size:
+            problems.append(f"{name}: it is over {max_size} bytes")
             continue
-        found, problem = read_file(name, data)
+        state, problem = read_file(name, data)
         if problem:
             problems.append(problem)
-        if found:
-            return found, problems
-    return None, problems
+        if state:
+            return FolderReading(state, problems)
+    return FolderReading(None, problems)
 
 
 class Store:
-    """Writes what is handed to it; `held` is the whole state, also what no write has brought to the disk
-    yet."""
-
-    def __init__(self, folder, most, header):
-        """`header()` gives a Header for a new file; `most` bytes that the folder may hold."""
-        self.folder, self.most, self.header, self.held = folder, most, header, {}
-        self.name = None  # the file that is appended to; None: the next write begins a new one
-        self.generation = self.size = self.base = self.written = 0
-        self.live = FILE_HEAD  # bytes that a snapshot of `held` takes, at most
-
-    def append(self, wall, mono, changes):
-        """Changes are on the disk and synced afterwards, or an OSError tells why not; then they wait in
-        `held` for the next call."""
-        self.take(changes)
-        if self.name is not None:
-            body = record.batch_bytes(wall, mono, changes)
-            data = framing.frame(self.generation, self.size, CHANGED, body)
-            changed = self.size + len(data) - self.base
-            room = self.size + len(data) + self.live <= self.most  # the next snapshot must fit beside it
-            if (
-                len(body) < framing.BODY_MOST
-                and room
-                and changed <= max(COMPACT_LEAST, COMPACT_GROWTH * self.base)
-            ):
-                return self._add(data)
-        return self.begin(wall, mono)
-
-    def take(self, changes):
-        """Holds changes for the next write."""
+    """Writes what is handed to it; `values` is the complete state, also what no write has stored yet."""
+
+    def __init__(self, folder: Folder, max_size: int, make_header: Callable[[], Header]) -> None:
+        """Write through `folder`, which may hold `max_size` bytes; a new file begins with a new header."""
+        self.folder = folder
+        self.max_size = max_size
+        self.make_header = make_header
+        self.values: dict[bytes, bytes] = {}
+        self.generation = 0
+        self.size = 0  # bytes of the file that is appended to
+        self.bytes_written = 0  # since the start
+        self._name: str | None = (
+            None  # of the file that is appended to; None: the next write begins a new one
+        )
+        self._base_size = 0  # bytes of that file when its snapshot was complete
+        self._snapshot_size = FILE_OVERHEAD  # bytes that a snapshot of `values` takes, at most
+
+    def append(self, clocks: Clocks, changes: Changes) -> None:
+        """Store changes: they are synced afterwards.
+
+        Raises OSError where that failed; then they wait in `values` for the next call.
+        """
+        self.stage(changes)
+        if self._name is not None:
+            body = record.encode_value(record.Batch(clocks.wall, clocks.monotonic, changes))
+            data = framing.encode_frame(self.generation, self.size, FrameKind.CHANGES, body)
+            if self._fits(body, data):
+                self._append_frame(self._name, data)
+                return
+        self.write_snapshot(clocks)
+
+    def _fits(self, body: bytes, data: bytes) -> bool:
+        """Whether a frame may be appended to the present file."""
+        new_size = self.size + len(data)
+        if len(body) >= framing.MAX_BODY_SIZE:
+            return False
+        if new_size + self._snapshot_size > self.max_size:  # the next snapshot must fit beside it
+            return False
+        return new_size - self._base_size <= max(COMPACT_MIN_SIZE, COMPACT_GROWTH * self._base_size)
+
+    def stage(self, changes: Changes) -> None:
+        """Hold changes for the next write."""
         for key, value in changes.items():
-            old = self.held.pop(key, None)
+            old = self.values.pop(key, None)
             if old is not None:
-                self.live -= len(key) + len(old) + VALUE_HEAD
+                self._snapshot_size -= len(key) + len(old) + VALUE_OVERHEAD
             if value is not None:
-                self.held[key] = value
-                self.live += len(key) + len(value) + VALUE_HEAD
+                self.values[key] = value
+                self._snapshot_size += len(key) + len(value) + VALUE_OVERHEAD
 
-    def _add(self, data):
-        name, self.name = self.name, None  # unless all of it goes well, nothing is built on this file
+    def _append_frame(self, name: str, data: bytes) -> None:
+        self._name = None  # unless all of it goes well, nothing is built on this file
         self.folder.append(name, data)
         self.folder.sync(name)
-        self.name, self.size, self.written = name, self.size + len(data), self.written + len(data)
-
-    def begin(self, wall, mono):
-        """A new generation with a snapshot of all that is held; the older ones go once it is safe."""
-        if self.name is not None:
-            self.folder.shut(self.name)
-        self.name, names = None, self.folder.names()
-        whole, aside = ours(names)
-        for name in aside:  # a former write that never became whole
+        self._name = name
+        self.size += len(data)
+        self.bytes_written += len(data)
+
+    def write_snapshot(self, clocks: Clocks) -> None:
+        """Begin a new generation with all that is held; the older ones are removed once it is durable.
+
+        Raises OSError where that failed; then the next write tries again.
+        """
+        if self._name is not None:
+            self.folder.close_file(self._name)
+        self._name = None
+        files = classify_names(self.folder.names())
+        for name in files.aside:  # a former write that was never finished
             self.folder.unlink(name)
-        taken = sum(self.folder.size(name) for name in whole.values())
-        if taken + self.live > self.most and len(whole) > 1:
-            taken -= self._drop([whole[g] for g in sorted(whole)[:-1]])
-        if taken + self.live > self.most:
-            raise OSError(errno.EFBIG, "what is kept needs more than most_mb")
-        generation = max([self.generation, *whole, *(int(NAME.fullmatch(n)[1], 16) for n in aside)]) + 1
+        self._make_room(files)
+        generation = max(self.generation, files.highest_generation) + 1
         name = file_name(generation)
+        size = self._write_durably(name, generation, clocks)
+        self._name = name
+        self.generation = generation
+        self.size = size
+        self._base_size = size
+        self.bytes_written += size
+        self._drop(files.complete.values())
+
+    def _make_room(self, files: FolderFiles) -> None:
+        """Remove the older files where a snapshot would not fit; raise OSError where it still does not."""
+        taken = sum(self.folder.size(name) for name in files.complete.values())
+        if taken + self._snapshot_size > self.max_size and len(files.complete) > 1:
+            older = sorted(files.complete)[:-1]
+            taken -= self._drop([files.complete[generation] for generation in older])
+        if taken + self._snapshot_size > self.max_size:
+            raise OSError(errno.EFBIG, "what is kept needs more than most_mb")
+
+    def _write_durably(self, name: str, generation: int, clocks: Clocks) -> int:
+        """Write a generation aside, sync and rename it; return its size."""
+        aside = name + ASIDE_SUFFIX
         try:
-            size = self._write_aside(name + ASIDE, generation, wall, mono)
-            self.folder.sync(name + ASIDE)
-            self.folder.rename(name + ASIDE, name)
+            size = 0
+            for piece in self._snapshot_pieces(generation, clocks):
+                self.folder.append(aside, piece)
+                size += len(piece)
+            self.folder.sync(aside)
+            self.folder.rename(aside, name)
             self.folder.sync_names()
         except OSError:
-            self.folder.shut(name + ASIDE)
-            self.folder.shut(name)
+            self.folder.close_file(aside)
+            self.folder.close_file(name)
             raise
-        self.name, self.generation, self.size, self.base = name, generation, size, size
-        self.written += size
-        self._drop(list(whole.values()))
-
-    def _write_aside(self, name, generation, wall, mono):
-        size = len(framing.begin(generation))
-        self.folder.append(name, framing.begin(generation))
-
-        def add(kind, body):
-            nonlocal size
-            data = framing.frame(generation, size, kind, body)
-            self.folder.append(name, data)
-            size += len(data)
-
-        add(HEADER, record.value_bytes(self.header()))
-        part, length = {}, 0
-        for key, value in self.held.items():
-            part[key], length = value, length + len(key) + len(value)
-            if length >= PART:
-                add(HELD, record.batch_bytes(wall, mono, part))
-                part, length = {}, 0
-        if part:
-            add(HELD, record.batch_bytes(wall, mono, part))
-        add(WHOLE, record.end_bytes(wall, mono, len(self.held)))
         return size
 
-    def _drop(self, names):
-        """Removes files that a newer one stands for; what cannot go now goes with the next generation."""
+    def _snapshot_pieces(self, generation: int, clocks: Clocks) -> Iterator[bytes]:
+        start = framing.encode_file_start(generation)
+        yield start
+        offset = len(start)
+        for kind, body in self._snapshot_bodies(clocks):
+            data = framing.encode_frame(generation, offset, kind, body)
+            yield data
+            offset += len(data)
+
+    def _snapshot_bodies(self, clocks: Clocks) -> Iterator[tuple[FrameKind, bytes]]:
+        yield FrameKind.HEADER, record.encode_value(self.make_header())
+        for part in self._snapshot_parts():
+            batch = record.Batch(clocks.wall, clocks.monotonic, part)
+            yield FrameKind.SNAPSHOT, record.encode_value(batch)
+        end = record.SnapshotEnd(clocks.wall, clocks.monotonic, len(self.values))
+        yield FrameKind.SNAPSHOT_END, record.encode_value(end)
+
+    def _snapshot_parts(self) -> Iterator[Changes]:
+        part: Changes = {}
+        size = 0
+        for key, value in self.values.items():
+            part[key] = value
+            size += len(key) + len(value)
+            if size >= SNAPSHOT_PART_SIZE:
+                yield part
+                part = {}
+                size = 0
+        if part:
+            yield part
+
+    def _drop(self, names: Iterable[str]) -> int:
+        """Remove files that a newer one replaces, as far as that works now; return the bytes of those."""
         dropped = 0
         for name in names:
-            try:
+            with suppress(
+                OSError
+            ):  # it is older: a reader takes the newest, and the next generation tries again
                 size = self.folder.size(name)
                 self.folder.unlink(name)
                 dropped += size
-            except OSError:
-                pass  # it is older: who reads takes the newest
         return dropped
--- a/tests/disks.py
+++ b/tests/support/faulty_folder.py
@@ -1,8 +1,9 @@
-"""A folder that forgets: what was not synced may be lost, torn or in the wrong order after a crash.
+"""A folder in memory that fails: what was not synced may be lost, torn or in the wrong order after a crash.
 
-It has the calls of state.disk.Folder. Files are inodes with what is safe and what is there; names are safe
-only after `sync_names`. `crash_at` ends the call of that number half way in Crash, `fails` has calls end in
-OSError."""
+It has the calls of granitespool.state.disk.Folder. Files are inodes with what is safe and what is there;
+names are safe only after `sync_names`. `crash_at` ends the call of that number half way in Crash, `fails` has
+calls end in OSError.
+"""
 
 import errno
 import os
@@ -17,7 +18,7 @@
         self.safe, self.data = data, data
 
 
-class Forgetful:
+class FaultyFolder:
     def __init__(self, files=None):
         self.safe_names = {name: Inode(data) for name, data in (files or {}).items()}
         self.present, self.pending = dict(self.safe_names), []  # names now; changes of names not yet safe
@@ -38,11 +39,11 @@
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
         return self.present[name]
 
-    def make(self):
-        if "make" in self.fails:
-            raise OSError(self.fails["make"], os.strerror(self.fails["make"]))
+    def create(self):
+        if "create" in self.fails:
+            raise OSError(self.fails["create"], os.strerror(self.fails["create"]))
 
-    lock = keep_lock = make
+    acquire_lock = ensure_lock = create
 
     def close(self):
         self.open = {}
@@ -50,8 +51,8 @@
     def names(self):
         return sorted(self.present)
 
-    def read(self, name, most):
-        return self._there(name).data[:most]
+    def read(self, name, max_size):
+        return self._there(name).data[:max_size]
 
     def size(self, name):
         return len(self._there(name).data)
@@ -88,7 +89,7 @@
     def unlink(self, name):
         stops = self._call("unlink", name)
         self._there(name)
-        self.shut(name)
+        self.close_file(name)
         del self.present[name]
         self.pending.append(("unlink", name, None))
         if stops:
@@ -100,7 +101,7 @@
             raise Crash
         self.safe_names, self.pending = dict(self.present), []
 
-    def shut(self, name):
+    def close_file(self, name):
         self.open.pop(name, None)
 
     def after_crash(self, keep, tear):
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -521,7 +521,7 @@
         assert tag_of(two.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
         assert tag_of(one.receive()) == "resource-denied"
         writer = house.service.keeper.writer
-    writer.thread.join(10)  # this process held the folder for as long as its disk hung
+    writer.join(10)  # this process held the folder for as long as its disk hung
     with House(tmp_path, folder, state=True) as house:  # what was refused does not come back with a restart
         assert house.settings()["entries_per_s"] == 1000 and len(house.settings()["classes"]) == 1
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -79,7 +79,7 @@
 def status(coordinator):
     names = list(coordinator.listed())
     return {
-        "listed": coordinator.listed(),
+        "listed": {name: (each.phase, each.started_at) for name, each in coordinator.listed().items()},
         "zones": sorted(coordinator.joined_zones()),
         "snapshot": coordinator.learnt(names),
         "fleet": coordinator.pictured_fleet(),
--- a/tests/test_state_trust.py
+++ b/tests/test_state_restore.py
@@ -9,70 +9,75 @@
 from support.records import endpoint
 
 from granitespool.coordinator import Coordinator
+from granitespool.coordinator_status import EndpointState
+from granitespool.endpoints import Phase
 from granitespool.operator_settings import State
+from granitespool.planner.events import Restored
+from granitespool.planner.records import MinimumRtt
 from granitespool.settings import RequestClass, Settings
 from granitespool.state import record, restore_policy
-from granitespool.state.change_filter import Ledger
-from granitespool.state.recovery import Memory
-from granitespool.state.restore_policy import Clocks, Identity
+from granitespool.state.change_filter import ChangeFilter
+from granitespool.state.record import Clocks, StoredBackend
+from granitespool.state.recovery import Recovery
+from granitespool.state.restore_policy import Identity, Policy, Situation
 
 S = 10**9
 W = 10**18  # ns: the wall clock when the record was last written
 WHO = Identity("n0", ["pay"], ["n", "s"])
-HEADER = record.Header(record.FORMAT, "n0", ["pay"], ["n", "s"], W - S, 0, 1, "test")
+HEADER = record.Header(record.FORMAT_VERSION, "n0", ["pay"], ["n", "s"], W - S, 0, 1, "test")
 HALF, OLDEST = 30 * S, 300 * S
 
 
 def link(at=W, **facts):
     usual = {
-        "tries": 100.0,
-        "failed": 10.0,
-        "answered": 90.0,
-        "time": 90 * 4e7,
-        "low": (W - S, 3e7),
-        "over": 0,
-        "streak": 0.0,
-        "cut_at": None,
-        "ramp_from": None,
+        "attempts": 100.0,
+        "failures": 10.0,
+        "successes": 90.0,
+        "response_time": 90 * 4e7,
+        "minimum_rtt": MinimumRtt(W - S, 3e7),
+        "overloaded_reports": 0,
+        "consecutive_failures": 0.0,
+        "ejected_at": None,
+        "slow_start_since": None,
     }
-    return record.Link(**{**usual, **facts}, at=at)
+    return record.LinkRecord(**{**usual, **facts}, taken_at=at)
 
 
 def backend(at=W, **facts):
     usual = {
         "phase": "ready",
         "zone": "n",
-        "kind": "m",
-        "listed": 1.0,
-        "started": W - 1000 * S,
-        "gone_at": None,
-        "ramp_from": None,
-        "proven": True,
-        "missing": False,
+        "machine_type": "m",
+        "configured_weight": 1.0,
+        "started_at": W - 1000 * S,
+        "left_ready_at": None,
+        "slow_start_since": None,
+        "verified": True,
+        "removal_unconfirmed": False,
         "address": "127.0.0.1:1",
     }
-    return record.Backend(at=at, **{**usual, **facts})
+    return record.BackendRecord(taken_at=at, **{**usual, **facts})
 
 
 def kept(fleet=None, **backends):
-    return record.Kept(
+    return record.Record(
         fleet,
         {
-            name: each if isinstance(each, tuple) else (backend(), {"n": each})
+            name: StoredBackend(*each) if isinstance(each, tuple) else StoredBackend(backend(), {"n": each})
             for name, each in backends.items()
         },
     )
 
 
 def fleet(**facts):
-    return record.Fleet(
+    return record.FleetRecord(
         **{
-            "at": W,
-            "strained": True,
-            "room": 0.5,
-            "through": 0.8,
-            "asked": {"pay": 10.0},
-            "index": 41,
+            "taken_at": W,
+            "is_overloaded": True,
+            "admitted_share": 0.5,
+            "success_ratio": 0.8,
+            "demand": {"pay": 10.0},
+            "list_index": 41,
             **facts,
         }
     )
@@ -80,10 +85,12 @@
 
 def believed(record_, age=2 * S, listed=None, own_list=False):
     now = Clocks(W + age, 5 * S + age)
-    listed = listed or {name: (facts.phase, facts.started) for name, (facts, _) in record_.backends.items()}
-    return restore_policy.believed(
-        record_, Clocks(W, 5 * S), now, listed, frozenset(WHO.zones), own_list, HALF, OLDEST
-    )
+    listed = listed or {
+        name: (facts.phase, facts.started_at) for name, (facts, _) in record_.backends.items()
+    }
+    endpoints = {name: EndpointState(Phase(phase), started) for name, (phase, started) in listed.items()}
+    situation = Situation(Clocks(W, 5 * S), now, endpoints, frozenset(WHO.zones), own_list)
+    return restore_policy.restore(record_, situation, Policy(HALF, OLDEST))
 
 
 @pytest.mark.parametrize(
@@ -100,7 +107,7 @@
 )  # slewed
 def test_the_age_of_a_record_is_unknown_once_a_clock_went_backward(wall, mono, age):
     then = Clocks(W, 200 * S)
-    assert restore_policy.age_of(then, Clocks(W + wall, 200 * S + mono)) == age
+    assert restore_policy.record_age(then, Clocks(W + wall, 200 * S + mono)) == age
 
 
 @pytest.mark.parametrize(
@@ -108,7 +115,7 @@
     [
         (HEADER, WHO, 5 * S, None),
         (HEADER, WHO._replace(name="n1"), 5 * S, "written by 'n0', and this is 'n1'"),
-        (HEADER, WHO._replace(classes=["pay", "look"]), 5 * S, "classes pay, and now they are pay, look"),
+        (HEADER, WHO._replace(class_names=["pay", "look"]), 5 * S, "classes pay, and now they are pay, look"),
         (HEADER, WHO._replace(zones=["s", "n"]), 5 * S, "zones n, s, and now they are s, n"),
         (HEADER, WHO, 301 * S, "301 s old"),
         (HEADER, WHO, 9 * 24 * 3600 * S, "777600 s old"),
@@ -116,15 +123,17 @@
     ],
 )
 def test_a_record_that_is_not_to_be_believed_says_so_in_one_sentence(header, who, age, words):
-    why = restore_policy.doubt(header, Clocks(W, 5 * S), Clocks(W + age, 5 * S + abs(age)), who, OLDEST)
+    why = restore_policy.rejection_reason(
+        header, Clocks(W, 5 * S), Clocks(W + age, 5 * S + abs(age)), who, OLDEST
+    )
     assert why is None if words is None else words in why and "\n" not in why
 
 
 @pytest.mark.parametrize("age, part", [(0, 1.0), (30 * S, 0.5), (60 * S, 0.25), (300 * S, 2**-10)])
 def test_older_sums_count_for_less_by_the_half_life_and_means_stay(age, part):
-    facts, links = believed(kept(a=link()), age).backends["a"]
-    assert (links["n"]["tries"], links["n"]["failed"]) == pytest.approx((100 * part, 10 * part))
-    assert links["n"]["time"] / links["n"]["answered"] == pytest.approx(4e7)
+    links = believed(kept(a=link()), age).backends["a"].links
+    assert (links["n"].attempts, links["n"].failures) == pytest.approx((100 * part, 10 * part))
+    assert links["n"].response_time / links["n"].successes == pytest.approx(4e7)
 
 
 def test_a_link_that_was_not_written_since_is_as_old_as_it_is():
@@ -134,9 +143,9 @@
             b=(backend(), {"n": link(at=W - 299 * S)}),
         )
     )
-    links = belief.backends["a"][1]
-    assert links["n"]["tries"] / links["s"]["tries"] == pytest.approx(2) and "x" not in links
-    assert belief.backends["b"][1] == {} and belief.links == 2
+    links = belief.backends["a"].links
+    assert links["n"].attempts / links["s"].attempts == pytest.approx(2) and "x" not in links
+    assert belief.backends["b"].links == {} and belief.link_count == 2
 
 
 @pytest.mark.parametrize(
@@ -156,23 +165,29 @@
     belief = believed(
         kept(a=(then, {"n": link()}), b=link()), listed={"b": ("ready", 0), **({"a": now} if now else {})}
     )
-    assert belief.left == ({reason: 1} if reason else {}) and ("a" in belief.backends) == (reason is None)
+    assert belief.left_out == ({reason: 1} if reason else {}) and ("a" in belief.backends) == (reason is None)
     assert "b" in belief.backends
 
 
 @pytest.mark.parametrize("age, cut", [(2 * S, True), (30 * S, True), (31 * S, False)])
 def test_cuts_running_failures_and_a_jam_hold_for_a_half_life(age, cut):
-    belief = believed(kept(fleet(), a=link(cut_at=W - S, over=2, streak=9.0)), age)
-    found = belief.backends["a"][1]["n"]
-    assert (found["cut_at"] is not None, bool(found["over"]), bool(found["streak"])) == (cut, cut, cut)
-    assert belief.cuts == cut and belief.fleet["strained"] == cut
-    assert belief.fleet["room"] == (pytest.approx(1 - 0.5 * 0.5 ** (age / HALF)) if cut else 1.0)
+    belief = believed(
+        kept(fleet(), a=link(ejected_at=W - S, overloaded_reports=2, consecutive_failures=9.0)), age
+    )
+    found = belief.backends["a"].links["n"]
+    assert (
+        found.ejected_at is not None,
+        bool(found.overloaded_reports),
+        bool(found.consecutive_failures),
+    ) == (cut, cut, cut)
+    assert belief.ejected_count == cut and belief.fleet.is_overloaded == cut
+    assert belief.fleet.admitted_share == (pytest.approx(1 - 0.5 * 0.5 ** (age / HALF)) if cut else 1.0)
 
 
 def test_a_missing_backend_is_missing_only_by_the_list_that_dropped_it():
-    record_ = kept(a=(backend(missing=True), {}))
-    assert believed(record_, own_list=True).backends["a"][0]["missing"] is True
-    assert believed(record_, own_list=False).backends["a"][0]["missing"] is False
+    record_ = kept(a=(backend(removal_unconfirmed=True), {}))
+    assert believed(record_, own_list=True).backends["a"].removal_unconfirmed is True
+    assert believed(record_, own_list=False).backends["a"].removal_unconfirmed is False
 
 
 @pytest.mark.parametrize("index, newer", [(40, True), (41, False), (42, False)])
@@ -208,15 +223,15 @@
 ):
     tries, failed, answered, time, streak = sums
     odd = link(
-        tries=tries,
-        failed=failed,
-        answered=answered,
-        time=time,
-        streak=streak,
-        low=low,
-        over=over,
-        cut_at=cut,
-        ramp_from=ramp,
+        attempts=tries,
+        failures=failed,
+        successes=answered,
+        response_time=time,
+        consecutive_failures=streak,
+        minimum_rtt=MinimumRtt(*low) if low else None,
+        overloaded_reports=over,
+        ejected_at=cut,
+        slow_start_since=ramp,
     )
     coordinator = Coordinator(
         Settings(zones=["n", "s"], classes=[RequestClass(name="pay")], health_checks_allowed=True), 1, W
@@ -228,10 +243,14 @@
         entries=[endpoint(name, machine_type="m") for name in "abcd"],
     )
     record_ = kept(
-        fleet(room=room, through=through), a=odd, b=odd, c=odd, d=(backend(ramp_from=ramp), {"s": odd})
+        fleet(admitted_share=room, success_ratio=through),
+        a=odd,
+        b=odd,
+        c=odd,
+        d=(backend(slow_start_since=ramp), {"s": odd}),
     )
     belief = believed(record_)
-    coordinator.report(W, "recalled", fleet=belief.fleet, backends=belief.backends)
+    coordinator.report(W, Restored(belief.fleet, belief.backends))
     for second in range(1, 5):
         coordinator.report(
             W + second * S,
@@ -253,28 +272,31 @@
 
 
 def test_what_is_written_again_is_what_would_change_a_start():
-    ledger, first = Ledger(HALF), link()
+    ledger, first = ChangeFilter(HALF), link()
     group = lambda at=W, **facts: {"a": {b"l1": link(at, **facts)}}  # noqa: E731
-    assert ledger.due(group()) == {b"l1": first} and ledger.due(group()) == {}
-    assert ledger.due(group(W + S, time=95 * 4e7, tries=105.0, answered=95.0, failed=10.0)) == {}
+    assert ledger.select(group()) == {b"l1": first} and ledger.select(group()) == {}
+    assert (
+        ledger.select(group(W + S, response_time=95 * 4e7, attempts=105.0, successes=95.0, failures=10.0))
+        == {}
+    )
     for facts in (
-        {"time": 90 * 5e7},
-        {"failed": 20.0, "time": 90 * 5e7},
-        {"cut_at": W},
-        {"over": 1},
-        {"streak": 5.0},
-        {"low": (W, 2e7)},
-        {"low": None},
-        {"tries": 500.0},
-        {"ramp_from": W},
-        {"answered": 20.0},
+        {"response_time": 90 * 5e7},
+        {"failures": 20.0, "response_time": 90 * 5e7},
+        {"ejected_at": W},
+        {"overloaded_reports": 1},
+        {"consecutive_failures": 5.0},
+        {"minimum_rtt": MinimumRtt(W, 2e7)},
+        {"minimum_rtt": None},
+        {"attempts": 500.0},
+        {"slow_start_since": W},
+        {"successes": 20.0},
     ):
-        assert b"l1" in ledger.due(group(W + S, **facts)), facts
-        ledger.due(group(W + S))
-    assert b"l1" in ledger.due(group(W + S + HALF // 2))
-    assert ledger.due({"a": {}}) == {b"l1": None} and ledger.gone({}) == []
-    ledger.due({"a": {b"l1": first}, "b": {b"l2": first}})
-    assert ledger.gone({"b": None}) == [b"l1"] and ledger.gone({"b": None}) == []
+        assert b"l1" in ledger.select(group(W + S, **facts)), facts
+        ledger.select(group(W + S))
+    assert b"l1" in ledger.select(group(W + S + HALF // 2))
+    assert ledger.select({"a": {}}) == {b"l1": None} and ledger.remove_absent({}) == []
+    ledger.select({"a": {b"l1": first}, "b": {b"l2": first}})
+    assert ledger.remove_absent({"b": None}) == [b"l1"] and ledger.remove_absent({"b": None}) == []
 
 
 def test_a_memory_round_trip_gives_back_the_tables_that_were():
@@ -304,20 +326,26 @@
             )
         first.tick(W + second * S)
     now = W + 20 * S
-    fleet_, backends = first.learnt(list(first.listed()))
-    groups = record.values(fleet_, backends, {}, 7, now)
-    held = {key: record.value_bytes(value) for values in groups.values() for key, value in values.items()}
-    memory = Memory(State(folder="x"), WHO)
+    snapshot = first.snapshot(list(first.listed()))
+    groups = {None: {record.FLEET_KEY: record.fleet_record(snapshot.fleet, 7, now)}}
+    for name, each in snapshot.backends.items():
+        groups[name] = record.backend_values(name, each, None, now)
+    held = record.encode_values(groups)
+    recovery = Recovery(State(folder="x"), WHO)
 
     class Found:
-        header, clocks = HEADER, (now, now)
+        header, clocks = HEADER, Clocks(now, now)
 
-    carried = memory.opened(Found, record.kept(record.FORMAT, held), None, Clocks(now + S, now + S))
-    assert record.kept(record.FORMAT, carried) == record.kept(record.FORMAT, held)
+    carried = recovery.load(
+        Found, record.decode_record(record.FORMAT_VERSION, held), None, Clocks(now + S, now + S)
+    )
+    assert record.decode_record(record.FORMAT_VERSION, carried) == record.decode_record(
+        record.FORMAT_VERSION, held
+    )
     second = life(now + S)
     second.report(now + S, "list_news", form="restored", entries=entries())
-    belief = memory.recall(second, now + S, Clocks(now + S, now + S))
-    assert belief.cuts == 1 and "f" not in second.tables[0] and "f" not in first.tables[0]
+    belief = recovery.restore(second, now + S, Clocks(now + S, now + S))
+    assert belief.ejected_count == 1 and "f" not in second.tables[0] and "f" not in first.tables[0]
     for name, weight in first.tables[0].items():
         assert second.tables[0][name] == pytest.approx(weight, rel=0.12), (name, first.tables, second.tables)
-    assert msgspec.structs.asdict(memory.ledger.written[None][record.FLEET])["index"] == 7
+    assert msgspec.structs.asdict(recovery.change_filter.written[None][record.FLEET_KEY])["list_index"] == 7
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -15,7 +15,7 @@
 from types import SimpleNamespace
 
 import pytest
-from disks import Forgetful
+from support.faulty_folder import FaultyFolder
 from support.records import settings_of
 from test_state_store import V1
 
@@ -24,8 +24,10 @@
 from granitespool.net.service import Service
 from granitespool.operator_settings import Operator, State
 from granitespool.state import framing, record
-from granitespool.state.disk import Folder
-from granitespool.state.store import file_name, recover
+from granitespool.state.disk import StateFolder
+from granitespool.state.framing import FrameKind
+from granitespool.state.record import Clocks
+from granitespool.state.store import file_name, read_newest
 from granitespool.state.writer import Writer
 
 KILLS = int(os.environ.get("GRANITESPOOL_KILLS", "12"))  # `make crash` sets hundreds
@@ -43,11 +45,11 @@
 
 
 def header(start):
-    return record.Header(record.FORMAT, "t", [], [], 1, 1, start, "test")
+    return record.Header(record.FORMAT_VERSION, "t", [], [], 1, 1, start, "test")
 
 
 def writer_on(folder, **more):
-    return Writer(folder, 1, header, lambda: None, lambda: (1, 1), **more)
+    return Writer(folder, 1, header, lambda: None, lambda: Clocks(1, 1), **more)
 
 
 def events(writer):
@@ -60,12 +62,12 @@
 @pytest.mark.parametrize("call", ["append", "sync", "rename", "sync_names"])
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
 def test_a_disk_that_fails_is_told_once_tried_again_and_told_when_it_is_well(monkeypatch, call, code):
-    monkeypatch.setattr("granitespool.state.writer.PAUSE_FIRST", 0.01)
-    monkeypatch.setattr("granitespool.state.writer.PAUSE_MOST", 0.02)
-    disk = Forgetful()
+    monkeypatch.setattr("granitespool.state.writer.RETRY_DELAY_MIN", 0.01)
+    monkeypatch.setattr("granitespool.state.writer.RETRY_DELAY_MAX", 0.02)
+    disk = FaultyFolder()
     writer = writer_on(disk)
     writer.submit({b"a": b"1"})
-    assert until(lambda: writer.writes)
+    assert until(lambda: writer.batches_written)
     disk.fails = {call: code}
     writer.submit({b"a": b"2"})
     writer.submit({b"b": b"3"})
@@ -77,50 +79,50 @@
         ("state_failed", os.strerror(code), True)
     ]
     disk.fails = {}
-    assert until(lambda: writer.synced and events(writer) == ["state_back"])
+    assert until(lambda: writer.synced_at and events(writer) == ["state_back"])
     assert writer.close(5)
-    assert recover(disk, MOST)[0].held == {b"a": b"2", b"b": b"3"}
+    assert read_newest(disk, MOST).state.values == {b"a": b"2", b"b": b"3"}
 
 
 def test_under_a_slow_disk_the_newest_state_wins_and_what_waits_is_one_value_a_key():
-    disk, gate = Forgetful(), threading.Event()
+    disk, gate = FaultyFolder(), threading.Event()
     real = disk.sync
     disk.sync = lambda name: (gate.wait(10), real(name))
     writer = writer_on(disk)
     for number in range(5000):
         writer.submit({b"a": b"%d" % number, b"b%d" % (number % 3): b"x"})
-    assert len(writer.pending) <= 4
+    assert writer.pending_count() <= 4
     gate.set()
-    assert writer.close(5) and writer.writes <= 3
-    assert recover(disk, MOST)[0].held[b"a"] == b"4999"
+    assert writer.close(5) and writer.batches_written <= 3
+    assert read_newest(disk, MOST).state.values[b"a"] == b"4999"
 
 
 def test_a_close_does_not_wait_for_a_disk_that_hangs_and_wakes_no_loop_that_is_gone():
-    disk, gate, woken = Forgetful(), threading.Event(), []
+    disk, gate, woken = FaultyFolder(), threading.Event(), []
     disk.sync = lambda name: gate.wait(10)
-    writer, begun = Writer(disk, 1, header, lambda: woken.append(1), lambda: (1, 1)), time.monotonic()
+    writer, begun = Writer(disk, 1, header, lambda: woken.append(1), lambda: Clocks(1, 1)), time.monotonic()
     writer.submit({b"a": b"1"})
     assert writer.close(0.1) is False and time.monotonic() - begun < 1
     disk.fails = {"rename": errno.EIO}
     gate.set()
-    writer.thread.join(5)
+    writer.join(5)
     assert events(writer) == ["state_failed"] and not woken
 
 
 def test_a_folder_that_cannot_be_opened_is_used_once_it_can(monkeypatch):
-    monkeypatch.setattr("granitespool.state.writer.PAUSE_FIRST", 0.01)
-    disk = Forgetful()
-    disk.fails = {"make": errno.EACCES}
+    monkeypatch.setattr("granitespool.state.writer.RETRY_DELAY_MIN", 0.01)
+    disk = FaultyFolder()
+    disk.fails = {"create": errno.EACCES}
     writer = writer_on(disk)
-    assert writer.wait_opened(5).why == "the folder cannot be used: Permission denied"
+    assert writer.wait_opened(5).reason == "the folder cannot be used: Permission denied"
     writer.submit({b"a": b"1"})
     disk.fails = {}
-    assert until(lambda: writer.writes) and events(writer) == ["state_failed", "state_back"]
-    assert writer.close(5) and recover(disk, MOST)[0].held == {b"a": b"1"}
+    assert until(lambda: writer.batches_written) and events(writer) == ["state_failed", "state_back"]
+    assert writer.close(5) and read_newest(disk, MOST).state.values == {b"a": b"1"}
 
 
 def test_a_start_does_not_wait_for_a_folder_that_is_slow_to_read():
-    disk, gate = Forgetful(), threading.Event()
+    disk, gate = FaultyFolder(), threading.Event()
     disk.names = lambda: gate.wait(10) and []
     writer = writer_on(disk)
     assert writer.wait_opened(0.05) is None
@@ -129,10 +131,10 @@
 
 
 def test_a_newer_format_is_never_written_beside(tmp_path):
-    Folder(str(tmp_path)).append(file_name(5), newer_file(5))
+    StateFolder(str(tmp_path)).append(file_name(5), newer_file(5))
     before = (tmp_path / file_name(5)).read_bytes()
-    writer = writer_on(Folder(str(tmp_path)))
-    assert "left untouched" in writer.wait_opened(5).why
+    writer = writer_on(StateFolder(str(tmp_path)))
+    assert "left untouched" in writer.wait_opened(5).reason
     writer.submit({b"a": b"1"})
     writer.close(5)
     assert sorted(os.listdir(tmp_path)) == ["lock", file_name(5)]
@@ -141,9 +143,9 @@
 
 def newer_file(generation):
     """A file as the next version of the format might begin it."""
-    begin = framing.begin(generation)
-    body = record.value_bytes([record.FORMAT + 1, {"name": "t"}, "more"])
-    return begin + framing.frame(generation, len(begin), framing.HEADER, body)
+    begin = framing.encode_file_start(generation)
+    body = record.encode_value([record.FORMAT_VERSION + 1, {"name": "t"}, "more"])
+    return begin + framing.encode_frame(generation, len(begin), FrameKind.HEADER, body)
 
 
 # A service on a clock of ours
@@ -238,7 +240,7 @@
             self.hear(**{name: mean or 40 * (second < 13) for name, mean in means.items()})
             for _ in range(20):
                 self.turn()
-        assert until(lambda: self.turn(0) or self.service.keeper.writer.writes >= 2)
+        assert until(lambda: self.turn(0) or self.service.keeper.writer.batches_written >= 2)
 
     def table(self):
         return dict(self.service.coordinator.tables[0])
@@ -366,9 +368,13 @@
         [line] = second.logged("recalled")
         assert line["backends"] == 3 and line["cuts"] == 1 and line["list"] is True
         assert "c" not in second.table() and second.table()["b"] < second.table()["a"] / 2
-        assert until(lambda: second.turn() or second.service.keeper.writer.writes)
-    found, problems = recover(Folder(str(tmp_path / "state")), MOST)
-    assert found.header.format == record.FORMAT and not problems and found.header.start == 4
+        assert until(lambda: second.turn() or second.service.keeper.writer.batches_written)
+    found, problems = read_newest(StateFolder(str(tmp_path / "state")), MOST)
+    assert (
+        found.header.format_version == record.FORMAT_VERSION
+        and not problems
+        and found.header.start_number == 4
+    )
 
 
 @pytest.mark.parametrize(
@@ -395,7 +401,7 @@
         with pytest.raises(InvalidInputError, match="in use by another process"), Bench(tmp_path / "state"):
             pass
         first.learn(**SICK)
-    assert recover(Folder(str(tmp_path / "state")), MOST)[0].held
+    assert read_newest(StateFolder(str(tmp_path / "state")), MOST).state.values
 
 
 def test_a_folder_that_is_a_file_or_has_no_parent_is_told_and_the_service_serves(tmp_path):
@@ -408,7 +414,7 @@
 
 
 def test_the_folder_that_goes_away_is_made_again(tmp_path, monkeypatch):
-    monkeypatch.setattr("granitespool.state.writer.PAUSE_FIRST", 0.01)
+    monkeypatch.setattr("granitespool.state.writer.RETRY_DELAY_MIN", 0.01)
     with Bench(tmp_path / "state") as bench:
         bench.learn(**SICK)
         shutil.rmtree(tmp_path / "state")
@@ -417,7 +423,7 @@
         assert until(lambda: bench.service.keeper.writer.folder.lock_fd is None)
         (tmp_path / "state").mkdir()
         assert until(lambda: bench.turn() or bench.logged("state_back"))
-    assert recover(Folder(str(tmp_path / "state")), MOST)[0].held
+    assert read_newest(StateFolder(str(tmp_path / "state")), MOST).state.values
 
 
 def test_a_reload_takes_the_new_figures_and_names_what_waits(tmp_path):
@@ -440,11 +446,11 @@
         )
         for _ in range(60):
             bench.turn(0.5)
-        memory = bench.service.keeper.memory
-        assert set(memory.ledger.written) == {None, "b", "c", "d"}
-    held = recover(Folder(str(tmp_path / "state")), MOST)[0].held
-    assert record.BACKEND + b"a" not in held and record.link_key("a", "n") not in held
-    assert record.BACKEND + b"b" in held
+        recovery = bench.service.keeper.recovery
+        assert set(recovery.change_filter.written) == {None, "b", "c", "d"}
+    held = read_newest(StateFolder(str(tmp_path / "state")), MOST).state.values
+    assert record.backend_key("a") not in held and record.link_key("a", "n") not in held
+    assert record.backend_key("b") in held
 
 
 # Real processes
@@ -570,13 +576,15 @@
         proxy.close()
         collector.close()
         assert main(["state", "verify", world.folder]) == 0, capsys.readouterr().out
-        found, problems = recover(Folder(world.folder), MOST)
+        found, problems = read_newest(StateFolder(world.folder), MOST)
         assert not problems
         if kill:
-            kept = record.kept(found.header.format, found.held)
+            kept = record.decode_record(found.header.format_version, found.values)
             slow, other = (kept.backends[world.names[k]][1]["n"] for k in (kill % 2, 1 - kill % 2))
-            if slow.at > found.header.wall:  # written in this life: what it met stands over what was kept
-                assert slow.time / slow.answered > 1.5 * other.time / other.answered
+            if (
+                slow.taken_at > found.header.wall
+            ):  # written in this life: what it met stands over what was kept
+                assert slow.response_time / slow.successes > 1.5 * other.response_time / other.successes
     assert recalls >= KILLS - 2
 
 
@@ -593,15 +601,18 @@
     collector.close()
     assert process.returncode == 0 and err == "" and took < 0.7, took
     assert '"stopped"' in out and "state_unsafe" not in out
-    found, problems = recover(Folder(world.folder), MOST)
+    found, problems = read_newest(StateFolder(world.folder), MOST)
     assert not problems and found.clocks[0] > time.time_ns() - 5 * S
     assert main(["state", "show", world.folder]) == 0
     shown = capsys.readouterr().out
     assert "s-3 ready from n: 2" in shown and "9 backends, 9 links" in shown and "believed by 9" in shown
     assert main(["state", "verify", world.folder]) == 0 and "whole" in capsys.readouterr().out
-    before = record.kept(record.FORMAT, found.held)
+    before = record.decode_record(record.FORMAT_VERSION, found.values)
     assert main(["state", "compact", world.folder]) == 0 and "bytes before" in capsys.readouterr().out
-    assert record.kept(record.FORMAT, recover(Folder(world.folder), MOST)[0].held) == before
+    assert (
+        record.decode_record(record.FORMAT_VERSION, read_newest(StateFolder(world.folder), MOST).state.values)
+        == before
+    )
     [name] = [name for name in os.listdir(world.folder) if name != "lock"]
     data = open(os.path.join(world.folder, name), "rb").read()
     for cut, words in ((len(data) - 3, f"{name}: a frame ends within its body at byte"), (40, "at byte")):
@@ -613,10 +624,10 @@
     for command in ("show", "verify", "compact"):
         assert main(["state", command, str(tmp_path / "none")]) == 1
         assert capsys.readouterr().err.count("\n") == 1
-    folder = Folder(str(tmp_path))
-    folder.lock()
+    folder = StateFolder(str(tmp_path))
+    folder.acquire_lock()
     assert main(["state", "compact", str(tmp_path)]) == 1 and "in use" in capsys.readouterr().err
     folder.close()
-    Folder(str(tmp_path)).append(file_name(2), newer_file(2))
+    StateFolder(str(tmp_path)).append(file_name(2), newer_file(2))
     for command in ("show", "verify", "compact"):
         assert main(["state", command, str(tmp_path)]) == 1 and "format 3" in capsys.readouterr().err
