--- a/granitespool/state/restore_policy.py
+++ b/granitespool/state/restore_policy.py
@@ -256,4 +256,6 @@
         return False
     if max(link.failures, link.successes) > link.attempts * FAILURES_SLACK:
         return False
+    if link.successes and not link.response_time:  # the planner divides by the mean
+        return False
     return link.minimum_rtt is None or (_is_sum(link.minimum_rtt.mean) and link.minimum_rtt.mean > 0)
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -12,7 +12,7 @@
 from granitespool.coordinator_status import EndpointState
 from granitespool.endpoints import Phase
 from granitespool.operator_settings import State
-from granitespool.planner.events import Restored
+from granitespool.planner.events import EndpointListUpdate, ListForm, Restored
 from granitespool.planner.records import MinimumRtt
 from granitespool.settings import RequestClass, Settings
 from granitespool.state import record, restore_policy
@@ -271,6 +271,17 @@
         assert len(lines) >= 3  # at most a third of four is one
 
 
+def test_a_record_whose_answers_took_no_time_is_not_restored():
+    odd = link(attempts=4.0, failures=0.0, successes=4.0, response_time=0.0, minimum_rtt=None)
+    belief = believed(kept(a=odd, b=link()))
+    assert belief.backends["a"].links == {} and belief.link_count == 1
+    coordinator = Coordinator(Settings(zones=["n", "s"], classes=[RequestClass(name="pay")]), 1, W)
+    entries = [endpoint(name, machine_type="m") for name in "abcd"]
+    coordinator.report(W, EndpointListUpdate(ListForm.RESTORED, entries))
+    coordinator.report(W, Restored(belief.fleet, belief.backends))
+    assert not coordinator.queues["remarks"]
+
+
 def test_what_is_written_again_is_what_would_change_a_start():
     ledger, first = ChangeFilter(HALF), link()
     group = lambda at=W, **facts: {"a": {b"l1": link(at, **facts)}}  # noqa: E731
