--- a/bench/log.py
+++ b/bench/log.py
@@ -16,7 +16,11 @@
 
 ROUNDS = 9  # of each, in turns
 LINES = 20_000  # of a round
-FIELDS = {"backend": "s-5be2a07c", "status": "ok", "ms": 12}  # the service's most frequent line, a probe's
+FIELDS = {
+    "backend": "s-5be2a07c",
+    "status": "ok",
+    "duration_ms": 12,
+}  # the service's most frequent line, a probe's
 
 
 class Plain:
@@ -42,7 +46,7 @@
 def timed(log, lines):
     begun = time.perf_counter()
     for _ in range(lines):
-        log.event("probed", **FIELDS)
+        log.event("health_check", **FIELDS)
     took = time.perf_counter() - begun
     log.waiting, log.size, log.dropped = [], 0, 0
     return took / lines * 1e6
--- a/granitespool/net/acceptor.py
+++ b/granitespool/net/acceptor.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 
 from granitespool.net.admission import Admission
-from granitespool.net.connection import Waits
 from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
-from granitespool.net.loop import IN, SECOND, Loop
+from granitespool.net.log_events import log_rejected
+from granitespool.net.loop import IN, SECOND, Loop, Waits
 
 BACKLOG = 4096  # connections the system holds for us: all proxies at once after a restart
 ACCEPTS_PER_TURN = 64  # connections taken in one turn: the others are served between
-FULL_WAIT = SECOND // 50  # ns between accepts while there is no room
+ACCEPT_RETRY_DELAY = SECOND // 50  # ns between accepts while there is no room
 
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
@@ -47,7 +47,7 @@
             while True:
                 yield self.listener.fileno(), IN, None
                 if not self._accept_waiting():
-                    yield None, 0, self.loop.now + FULL_WAIT
+                    yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
 
     def _accept_waiting(self) -> bool:
         """Takes those who wait, as many as a turn may.
@@ -70,5 +70,5 @@
                 self.on_accepted(sock, f"{host}:{port}")
             except OSError as error:  # reset already: it must not end the accepting
                 sock.close()
-                self.log.often("refused", peer=host, why=str(error))
+                log_rejected(self.log, peer=host, reason=str(error))
         return True
--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -75,7 +75,7 @@
         return False
 
     def _end(self, connection: Connection) -> None:
-        self.log.often("given_up", peer=connection.peer, role=connection.role)
+        self.log.often("evicted", peer=connection.peer, role=connection.role)
         self.loop.end(connection.task)
 
 
--- a/granitespool/net/connection.py
+++ b/granitespool/net/connection.py
@@ -4,31 +4,30 @@
 reads what a message means and reports nothing: that is for `admission`, `messages` and `membership`."""
 
 import socket
-from collections.abc import Generator
 from dataclasses import dataclass
 from enum import StrEnum
 
 from granitespool.net.frames import Reader
-from granitespool.net.loop import IN, OUT, SECOND, Loop, Task
+from granitespool.net.loop import IN, OUT, SECOND, Loop, Task, Waits
 from granitespool.net.messages import ProxyJoining
 
-Waits = Generator[tuple[int | None, int, int | None], int | None, None]  # a coroutine of the loop
-
 DISCARD_SIZE = 16 * 1024  # bytes read at once of what nobody is to hear any more
 READ_PER_TURN = 256 * 1024  # bytes read from one peer in one turn: twice what may stand unread
-LINGER = SECOND // 4  # ns that last words may take to be read: under half of a planned restart's 0.7 s
+LINGER_TIMEOUT = (
+    SECOND // 4
+)  # ns that last words may take to be read: under half of a planned restart's 0.7 s
 
 # Why a connection ended, where nothing was wrong with what it sent
-CLOSED = "closed"  # by the other side
-GIVEN_UP = "given up"  # by us, for room or with the process
-REFUSED = "refused"  # its last word was written, and the log has the reason
+CLOSED_BY_PEER = "closed by peer"  # by the other side
+CLOSED_BY_COORDINATOR = "closed by coordinator"  # by us, for room or with the process
+REJECTED = "rejected"  # its last word was written, and the log has the reason
 REPLACED = "replaced"  # by a later stream of the same proxy
 
 
 class Role(StrEnum):
     """What a connection is used for; the values are words of the log."""
 
-    PENDING = "stranger"  # it has not said who it is
+    PENDING = "unauthenticated"  # it has not said who it is
     PROXY = "proxy"
     COLLECTOR = "collector"
 
@@ -51,7 +50,7 @@
     away: bool = False  # its proxy was silent for too long, and counts as left
     ended_by_us: bool = False
     leaving_reported: bool = False
-    end_reason: str = CLOSED  # for the log
+    end_reason: str = CLOSED_BY_PEER  # for the log
 
     def write(self, data: bytes) -> None:
         """Sends what waits and then `data`, as far as the system takes it now; the rest waits in `unsent`.
@@ -65,11 +64,11 @@
         self.unsent = unsent[sent:]
 
     def linger(self, loop: Loop) -> Waits:
-        """Writes what waits, ends our side and waits for the other side's end, for `LINGER` at most.
+        """Writes what waits, ends our side and waits for the other side's end, for `LINGER_TIMEOUT` at most.
 
         What still comes is dropped: a close over bytes that were not read resets, and takes with it what was
         sent. Raises OSError where the connection is broken."""
-        sock, our_side_ended, until = self.sock, False, loop.now + LINGER
+        sock, our_side_ended, until = self.sock, False, loop.now + LINGER_TIMEOUT
         while loop.now < until:
             self.write(b"")
             if not self.unsent and not our_side_ended:
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -54,13 +54,13 @@
         if index < self.after and not message.get("snapshot"):
             # Against changes that another copy of discovery is late with: what is held is newer. A whole list
             # stands for itself, whatever its version. Harm: none by the protocol, changes come in order.
-            return self.log.often("list_older", index=index, held=self.index)
+            return self.log.often("stale_endpoint_list", index=index, held_index=self.index)
         form, first = ListForm.COMPLETE if message.get("snapshot") else ListForm.CHANGES, not self.named
         for row in required_field(message, "endpoints", list):
             try:
                 entry = endpoint_from_wire(row, SOCKET_ENTRY)
             except InvalidInputError as error:
-                self.log.often("entry_dropped", why=str(error))
+                self.log.often("endpoint_skipped", reason=str(error))
                 form = ListForm.CHANGES  # what cannot be read is not gone: nobody leaves by being left out
                 unread = True
                 continue
@@ -75,7 +75,7 @@
             form = ListForm.RESTORED
         if entries or form != ListForm.CHANGES:
             self.coordinator.report(self.loop.now, EndpointListUpdate(form, entries))
-        self.log.event("list", form=form, index=index, entries=len(entries))
+        self.log.event("endpoint_list", kind=form, index=index, entries=len(entries))
 
     def _read_up_to(self, index, unread):
         """Keeps the version to ask from: that before the first entry that could not be read, until a watch
@@ -99,7 +99,7 @@
         try:
             self.addresses[backend] = address(told) if told else known
         except InvalidInputError as error:  # the entry holds, it only cannot be probed at a new place
-            self.log.often("entry_dropped", backend=backend, why=str(error))
+            self.log.often("endpoint_skipped", backend=backend, reason=str(error))
 
     def _watch(self):
         wait = WAIT_FIRST
@@ -134,9 +134,9 @@
             except Exception as error:  # whatever it is: without a watch the list would stand for ever
                 self.log.event(
                     "watch_ended",
-                    why=str(error) or type(error).__name__,
+                    reason=str(error) or type(error).__name__,
                     index=self.index,
-                    age_ms=(self.loop.now - self.heard_at) // MILLISECOND,
+                    silence_ms=(self.loop.now - self.heard_at) // MILLISECOND,
                 )
             yield None, 0, self.loop.now + int(wait * self.uniform(*JITTER))
             wait = min(WAIT_MOST, wait * GROWTH)
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -10,6 +10,7 @@
 from granitespool.net.connection import Connection, Role
 from granitespool.net.frames import PONG
 from granitespool.net.log import Log
+from granitespool.net.log_events import log_message_dropped
 from granitespool.net.loop import Loop
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames, Message
@@ -83,8 +84,8 @@
             # and with a collector all of its zone's reports. Harm: the fault shows in the log alone.
             self.loop.failed(error)
 
-    def _drop(self, connection: Connection, why: str) -> None:
-        self.log.often("dropped", peer=connection.peer, proxy=connection.proxy, why=why)
+    def _drop(self, connection: Connection, reason: str) -> None:
+        log_message_dropped(self.log, peer=connection.peer, reason=reason, proxy=connection.proxy)
 
     def _report_applied(self, connection: Connection, message: Message) -> None:
         if connection.role is not Role.PROXY:
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -1,50 +1,78 @@
-"""Datagrams between coordinators; owns the UDP socket."""
+"""Gossip: datagrams between coordinators.
+
+Owns the UDP socket. It hands what a known peer sends to the coordinator as it came, and sends what the
+coordinator asks for; a datagram that is lost is not sent again."""
 
 import socket
+from collections.abc import Mapping
+from typing import Any
 
+from granitespool.coordinator import Coordinator
 from granitespool.net.listen_address import bind
-from granitespool.net.loop import IN
+from granitespool.net.log import Log
+from granitespool.net.log_events import log_message_dropped
+from granitespool.net.loop import IN, Loop, Waits
+
+DATAGRAM_MAX = 256  # bytes of a datagram at most: the protocol's
+DATAGRAMS_PER_TURN = 64  # read in one turn: the others are served between
+ALL_PEERS = -1  # in place of a peer's number
 
-LONGEST = 256  # bytes of a datagram at most: the protocol's
-AT_ONCE = 64  # datagrams read in one turn: the others are served between
 
+class Gossip:
+    """Sends and receives datagrams as long as its coroutine runs; whoever ends `task` closes the socket."""
 
-class Peers:
-    def __init__(self, loop, coordinator, log, config):
-        self.loop, self.coordinator, self.log = loop, coordinator, log
+    def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, config: Mapping[str, Any]) -> None:
+        """Binds at once; raises OSError where the address cannot be bound."""
+        self.loop = loop
+        self.coordinator = coordinator
+        self.log = log
         self.new_config(config)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         bind(self.sock, config["peer_listen"], log)
-        loop.spawn(self._read())
+        self.task = loop.spawn(self._run())
 
-    def new_config(self, config):
-        self.peers, self.everyone = config["peers"], config["peers_all"]
-        self.numbers = {peer: number for number, peer in enumerate(self.peers)}
+    def new_config(self, config: Mapping[str, Any]) -> None:
+        """Takes the peers' addresses; the socket stays."""
+        self.peers: list[tuple[str, int]] = config["peers"]
+        self.all_peers: tuple[str, int] | None = config["peers_all"]
+        self.numbers = {address: number for number, address in enumerate(self.peers)}
 
-    def _read(self):
-        with self.sock:
-            while True:
-                yield self.sock.fileno(), IN, None
-                for _ in range(AT_ONCE):
-                    try:
-                        data, sender = self.sock.recvfrom(LONGEST + 1)
-                    except OSError:  # nothing more, or an earlier datagram was refused
-                        break
-                    if sender in self.numbers and len(data) <= LONGEST:
-                        self.coordinator.report(
-                            self.loop.now, "peer_said", sender=self.numbers[sender], contents=data.hex()
-                        )
-                    else:
-                        self.log.often(
-                            "dropped", peer="{}:{}".format(*sender), why="a datagram of no peer, or too long"
-                        )
-
-    def send(self, peer, contents):
-        """To one peer by its number, or to all with -1."""
+    def send(self, peer: int, contents: str) -> None:
+        """Sends hex digits' bytes to one peer by its number, or to `ALL_PEERS`.
+
+        A datagram that is too long, has no address or is not taken is lost, as the protocol permits."""
         data = bytes.fromhex(contents)
-        where = self.everyone if peer < 0 else self.peers[peer] if peer < len(self.peers) else None
+        address = self._address(peer)
+        if address is None or len(data) > DATAGRAM_MAX:
+            return
         try:
-            if where and len(data) <= LONGEST:
-                self.sock.sendto(data, where)
+            self.sock.sendto(data, address)
         except OSError:
-            pass  # late or never, as the protocol says
+            pass  # lost on the way, like any datagram
+
+    def _address(self, peer: int) -> tuple[str, int] | None:
+        if peer < 0:
+            return self.all_peers
+        return self.peers[peer] if peer < len(self.peers) else None
+
+    def _run(self) -> Waits:
+        with self.sock:
+            while True:
+                yield self.sock.fileno(), IN, None
+                self._read_waiting()
+
+    def _read_waiting(self) -> None:
+        for _ in range(DATAGRAMS_PER_TURN):
+            try:
+                data, sender = self.sock.recvfrom(DATAGRAM_MAX + 1)
+            except OSError:  # nothing more, or the system tells that an earlier datagram was refused
+                return
+            self._received(data, sender)
+
+    def _received(self, data: bytes, sender: tuple[str, int]) -> None:
+        if sender in self.numbers and len(data) <= DATAGRAM_MAX:
+            number = self.numbers[sender]
+            self.coordinator.report(self.loop.now, "peer_said", sender=number, contents=data.hex())
+            return
+        host, port = sender
+        log_message_dropped(self.log, peer=f"{host}:{port}", reason="a datagram of no peer, or too long")
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -47,7 +47,9 @@
             self.flying -= 1
         # a turn of its own: the one that asked is not ended before the answer is reported
         yield None, 0, self.loop.now
-        self.log.event("probed", backend=backend, status=status, ms=(self.loop.now - started) // 1_000_000)
+        self.log.event(
+            "health_check", backend=backend, status=status, duration_ms=(self.loop.now - started) // 1_000_000
+        )
         self.coordinator.report(
             self.loop.now, "probed", backend=backend, status=status, took=self.loop.now - started, load=load
         )
--- a/granitespool/net/listen_address.py
+++ b/granitespool/net/listen_address.py
@@ -21,6 +21,6 @@
                 raise
         if not told:
             told = True
-            log.event("address_taken", address="{}:{}".format(*address))
+            log.event("address_in_use", address="{}:{}".format(*address))
             log.flush()
         time.sleep(AGAIN)
--- a/granitespool/net/log.py
+++ b/granitespool/net/log.py
@@ -54,7 +54,7 @@
             more = {event: times - OFTEN for event, times in self.told.items() if times > OFTEN}
             self.second, self.told = second, {}
             if more:
-                self.event("untold", events=more)
+                self.event("suppressed", events=more)
         self.told[name] = self.told.get(name, 0) + 1
         if self.told[name] <= OFTEN:
             self.event(name, **fields)
--- a/granitespool/net/loop.py
+++ b/granitespool/net/loop.py
@@ -10,7 +10,9 @@
 import select
 import threading
 import time
+from collections.abc import Generator
 
+Waits = Generator[tuple[int | None, int, int | None], int | None, None]  # a coroutine
 IN, OUT = select.EPOLLIN, select.EPOLLOUT
 SECOND = 1_000_000_000  # ns
 EVENTS = 64  # events that room is made for beside one a descriptor: there is no cap on those
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -188,7 +188,7 @@
             session.end("there are as many sessions as may be")
             return
         session.protocol = self.make(session.user, session)
-        self.log.event("manager", door=self.name, peer=session.peer, user=session.user.name)
+        self.log.event("manager_connected", listener=self.name, peer=session.peer, user=session.user.name)
         session.protocol.begin()
 
     def _work(self, session):
@@ -231,10 +231,14 @@
             session.sock.close()
         if session.protocol is not None:
             self.log.event(
-                "manager_ended", door=self.name, peer=session.peer, user=session.user.name, why=why
+                "manager_disconnected",
+                listener=self.name,
+                peer=session.peer,
+                user=session.user.name,
+                reason=why,
             )
         elif why not in ("closed", "given up"):
-            self.log.often("manager_refused", door=self.name, peer=session.peer, why=why)
+            self.log.often("manager_rejected", listener=self.name, peer=session.peer, reason=why)
 
     def end_of_turn(self):
         """Resumes sessions that others have changed: what was sent to them is written."""
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -136,7 +136,7 @@
 
     def _undone(self, error):
         if error:
-            self.log.event("commit_not_undone", why=error.why)
+            self.log.event("rollback_failed", reason=error.why)
 
     # The datastores' host
 
@@ -150,7 +150,7 @@
         return config
 
     def refused(self, by, why):
-        self.log.event("change_refused", by=by, why=why)
+        self.log.event("change_rejected", by=by, reason=why)
         self.notify("change-refused", by=by, why=why)
 
     def check(self, tree, running):
@@ -175,7 +175,7 @@
                 "operation-failed", "a part could not take its settings, and all have their former ones again"
             ) from None
         version = self.datastores.version + 1
-        self.log.event("settings_changed", by=by, version=version, waits_for_restart=waits)
+        self.log.event("settings_changed", by=by, version=version, restart_required=waits)
         self.notify("settings-changed", version=version, by=by)
 
     def keep(self, tree, version, answer):
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -22,7 +22,7 @@
     def join_collector(self, connection: Connection, zone: str) -> None:
         """Makes a pending connection a collector's, or raises InvalidInputError where no place is free."""
         self.admission.admit(connection, Role.COLLECTOR)
-        self.log.event("collector", peer=connection.peer, zone=zone)
+        self.log.event("collector_joined", peer=connection.peer, zone=zone)
 
     def join_proxy(self, connection: Connection, joining: ProxyJoining) -> None:
         """Makes a pending connection a proxy's current stream and ends the one before it.
@@ -68,14 +68,14 @@
         Its stream stays: it is the proxy's to end."""
         connection.away = True
         connection.awaiting_since = None
-        self.log.event("away", peer=connection.peer, proxy=connection.proxy)
+        self.log.event("unreachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(self.loop.now, "left", proxy=connection.proxy, silent=True)
 
     def mark_back(self, connection: Connection) -> None:
         """A proxy that was away has spoken: it counts as joined anew, with the tables that it was written."""
         joining = connection.joining
         connection.away = False
-        self.log.event("back", peer=connection.peer, proxy=connection.proxy)
+        self.log.event("reachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(
             self.loop.now,
             "joined",
--- a/granitespool/net/metrics.py
+++ b/granitespool/net/metrics.py
@@ -1,39 +1,74 @@
-"""Figures for counting across coordinators: a line of the log each so often (docs/fleet.md).
+"""A line of the log with this coordinator's measurements, once a period (docs/fleet.md).
 
-Off unless the operator's settings have [figures]. It only reads: once a line, but for the longest turn."""
+Off unless the operator's settings have the section [figures]. It only reads the planner's metrics, the list's
+age and the longest turn; it takes no decision and changes no order."""
 
-MS = 1_000_000  # ns in a millisecond
+from granitespool.coordinator import Coordinator
+from granitespool.net.discovery import Discovery
+from granitespool.net.log import Log
+from granitespool.net.loop import Loop, Waits
+from granitespool.operator_settings import Figures
+from granitespool.planner.status import Outlier, PlannerMetrics
+from granitespool.units import MICROSECOND, MILLISECOND
 
+SHARE_DIGITS = 3  # digits of a share, a rate or a number of entries in the log
+OUTLIER_DIGITS = 2  # digits of an outlier's numbers
 
-class Figures:
-    def __init__(self, loop, coordinator, log, options, discovery):
-        self.loop, self.coordinator, self.log, self.options = loop, coordinator, log, options
-        self.discovery, self.longest = discovery, 0
-        loop.spawn(self._tell())
 
-    def turned(self, began):
-        """A turn that began then ends; called last in it."""
-        self.longest = max(self.longest, self.loop.clock() - began)
+class Metrics:
+    """Writes the event `metrics`; `options` may be replaced while it runs."""
 
-    def _tell(self):
+    def __init__(
+        self, loop: Loop, coordinator: Coordinator, log: Log, options: Figures, discovery: Discovery
+    ) -> None:
+        self.loop = loop
+        self.coordinator = coordinator
+        self.log = log
+        self.options = options
+        self.discovery = discovery
+        self.longest_turn = 0  # ns, since the line before
+        loop.spawn(self._run())
+
+    def turn_ended(self, began_at: int) -> None:
+        """Notes how long a turn took that began at `began_at` (ns) and ends now; called last in it."""
+        self.longest_turn = max(self.longest_turn, self.loop.clock() - began_at)
+
+    def _run(self) -> Waits:
         while True:
-            yield None, 0, self.loop.now + self.options.every_ms * MS
-            figures = self.coordinator.figures()
-            figures["lag_ms"] = figures.pop("lag") // MS
-            backends, untold = self.coordinator.unusual(self.options.backends)
-            longest, self.longest = self.longest, 0
-            self.log.event(
-                "figures",
-                **{
-                    key: round(value, 3) if isinstance(value, float) else value
-                    for key, value in figures.items()
-                },
-                list=self.discovery.index,
-                list_age_ms=(self.loop.now - self.discovery.told_at) // MS,
-                turn_us=longest // 1_000,
-                more=untold,
-                backends={
-                    name: [why, *(round(each, 2) for each in numbers)]
-                    for name, (why, *numbers) in backends.items()
-                },
-            )
+            yield None, 0, self.loop.now + self.options.every_ms * MILLISECOND
+            self._write_line()
+            self.longest_turn = 0
+
+    def _write_line(self) -> None:
+        inspection = self.coordinator.planner.inspection
+        metrics: PlannerMetrics = inspection.metrics()
+        outliers = inspection.outliers(self.coordinator.now, self.options.backends)
+        self.log.event(
+            "metrics",
+            joined=metrics.joined,
+            unassigned=metrics.unassigned,
+            in_flight=round(metrics.in_flight, SHARE_DIGITS),
+            in_flight_limit=round(metrics.in_flight_limit, SHARE_DIGITS),
+            configured_rate=round(metrics.configured_rate, SHARE_DIGITS),
+            observed_rate=round(metrics.observed_rate, SHARE_DIGITS),
+            total_entries=round(metrics.total_entries, SHARE_DIGITS),
+            acknowledgement_ms=metrics.acknowledgement_latency // MILLISECOND,
+            overloaded=metrics.is_overloaded,
+            admitted_share=round(metrics.admitted_share, SHARE_DIGITS),
+            success_ratio=round(metrics.success_ratio, SHARE_DIGITS),
+            subsets=metrics.subsets,
+            total_reports=self.coordinator.reports,
+            ejected_links=metrics.ejected_links,
+            last_resort_links=metrics.last_resort_links,
+            list_index=self.discovery.index,
+            list_age_ms=(self.loop.now - self.discovery.told_at) // MILLISECOND,
+            longest_turn_us=self.longest_turn // MICROSECOND,
+            outliers={name: _outlier_fields(outlier) for name, outlier in outliers.backends.items()},
+            outliers_omitted=outliers.omitted,
+        )
+
+
+def _outlier_fields(outlier: Outlier) -> list[str | float]:
+    """[reason, attempts, failures, weight] of an outlier, as the log has it."""
+    numbers = (outlier.attempts, outlier.failures, outlier.weight)
+    return [outlier.reason, *(round(number, OUTLIER_DIGITS) for number in numbers)]
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -7,12 +7,13 @@
 from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
 from granitespool.errors import InvalidInputError
 from granitespool.net.buffers import Pool
+from granitespool.net.connection import LINGER_TIMEOUT
 from granitespool.net.discovery import Discovery
-from granitespool.net.gossip import Peers
+from granitespool.net.gossip import Gossip
 from granitespool.net.health_checks import Probes
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
-from granitespool.net.streams import LINGER, Streams
+from granitespool.net.streams import Streams
 
 FIXED = "name", "listen", "peer_listen"  # what a new configuration cannot change while the service runs
 
@@ -51,7 +52,7 @@
         self.probes = Probes(self.loop, self.coordinator, self.log, config, self.discovery.addresses)
         self.peers = None
         if self._has_peers(config):
-            self.peers = Peers(self.loop, self.coordinator, self.log, config)
+            self.peers = Gossip(self.loop, self.coordinator, self.log, config)
         self.pool = Pool(config["buffers"])
         self.streams = Streams(
             self.loop, self.coordinator, self.log, self.pool, config, self.discovery.addresses
@@ -62,11 +63,11 @@
             from granitespool.net.management_service import Managing  # noqa: PLC0415 imported only where it is on
 
             self.managing = Managing(self, self.loop, self.log)
-        self.figures = None
+        self.metrics = None
         if self.operator and self.operator.figures:
-            from granitespool.net.metrics import Figures  # noqa: PLC0415 imported only where it is on
+            from granitespool.net.metrics import Metrics  # noqa: PLC0415 imported only where it is on
 
-            self.figures = Figures(
+            self.metrics = Metrics(
                 self.loop, self.coordinator, self.log, self.operator.figures, self.discovery
             )
         self.log.event("serving", listen="{}:{}".format(*config["listen"]))
@@ -90,7 +91,7 @@
         base, tree = managed
         if base != self.file_tree:
             self.log.event(
-                "settings_dropped", why="the files have changed since managers changed the settings"
+                "settings_discarded", reason="the files have changed since managers changed the settings"
             )
             return config
         self.log.event("settings_restored")
@@ -101,7 +102,7 @@
         return bool(config["settings"].gossip_allowed and config["peer_listen"])
 
     def _failed(self, error):
-        self.log.event("failed", why="".join(traceback.format_exception(error)))
+        self.log.event("task_failed", traceback="".join(traceback.format_exception(error)))
 
     def _new_config(self):
         """The whole file is read and checked before any part hears of it; then each takes what is its own."""
@@ -110,12 +111,12 @@
             config = self.with_room(self.reread())
             waits = self.managing.reread(config) if self.managing else self.take(config)
         except InvalidInputError as error:
-            return self.log.event("reload_refused", why=str(error))
+            return self.log.event("reload_rejected", reason=str(error))
         except Exception as error:
             if not hasattr(error, "why"):
                 raise
-            return self.log.event("reload_refused", why=error.why)
-        self.log.event("reloaded", discovery="{}:{}".format(*config["discovery"]), waits_for_restart=waits)
+            return self.log.event("reload_rejected", reason=error.why)
+        self.log.event("reloaded", discovery="{}:{}".format(*config["discovery"]), restart_required=waits)
 
     def waits(self, config):
         """Names of what differs in this configuration and would wait for a restart."""
@@ -145,8 +146,8 @@
         operator = config.get("operator")
         if self.keeper and operator and operator.state:
             self.keeper.new_options(operator.state)
-        if self.figures and operator and operator.figures:
-            self.figures.options = operator.figures
+        if self.metrics and operator and operator.figures:
+            self.metrics.options = operator.figures
         self.coordinator.new_settings(self.loop.now, config["settings"])
         for part in (self.discovery, self.probes, self.streams, *([self.peers] if self.peers else ())):
             part.new_config(config)
@@ -171,8 +172,8 @@
                 self._write(party)
             except Exception as error:  # what cannot be written to one party ends no other's service
                 self._failed(error)
-        if self.figures:
-            self.figures.turned(now)
+        if self.metrics:
+            self.metrics.turn_ended(now)
         self.log.flush()
         return due
 
@@ -188,7 +189,7 @@
                 self.discovery.forget(backend)
         elif party == REMARKS:
             while (text := self.coordinator.pick(REMARKS)) is not None:
-                self.log.event("remark", text=text)
+                self.log.event("internal_error", detail=text)
         else:
             self.streams.send(party)
 
@@ -202,7 +203,7 @@
     def _finish(self):
         """Everyone is told the end after what was ordered; who takes nothing is waited for a moment, and not
         past a second stop. No decision is taken any more."""
-        until = self.loop.clock() + LINGER
+        until = self.loop.clock() + LINGER_TIMEOUT
         self.streams.finish()
         while self.streams.connections and self.stops < 2 and (left := until - self.loop.clock()) > 0:
             self.loop.turn(self._last_turn, left)
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -14,25 +14,22 @@
 from granitespool.net.admission import Admission
 from granitespool.net.buffers import Pool
 from granitespool.net.connection import (
-    CLOSED,
-    GIVEN_UP,
-    LINGER,
+    CLOSED_BY_COORDINATOR,
+    CLOSED_BY_PEER,
     READ_PER_TURN,
-    REFUSED,
+    REJECTED,
     REPLACED,
     Connection,
     Role,
-    Waits,
 )
 from granitespool.net.dispatch import Dispatcher
 from granitespool.net.frames import Reader, frame, updates
 from granitespool.net.log import Log
-from granitespool.net.loop import IN, OUT, SECOND, Loop
+from granitespool.net.log_events import log_rejected
+from granitespool.net.loop import IN, OUT, SECOND, Loop, Waits
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames
 
-__all__ = ["LINGER", "Streams"]
-
 JOIN_TIMEOUT = 3 * SECOND // 2  # ns from accept to joining, whatever is sent meanwhile: proxies join at once
 FIRST_MESSAGE_MAX = 1024  # bytes of a pending connection's message at most: a joining takes a tenth
 SILENCE_TIMEOUT = 6 * SECOND  # ns beyond a full channel's that a stream may bring nothing after an order
@@ -134,13 +131,13 @@
         try:
             yield from self._exchange(connection)
         except GeneratorExit:
-            connection.end_reason = GIVEN_UP
+            connection.end_reason = CLOSED_BY_COORDINATOR
             raise
         except InvalidInputError as error:
             connection.end_reason = str(error)
             self.membership.leave(connection)
             if connection.role is Role.PENDING:
-                yield from self._refuse(connection)
+                yield from self._reject(connection)
         except OSError as error:
             connection.end_reason = error.strerror or str(error)
         except Exception:
@@ -160,7 +157,7 @@
             while not events:
                 # A poke reads nothing: the turn is closed by then; what is reported would miss its mark
                 if self.finishing:
-                    connection.end_reason = GIVEN_UP
+                    connection.end_reason = CLOSED_BY_COORDINATOR
                     yield from connection.linger(self.loop)
                     return
                 deadline = self._deadline(connection)
@@ -220,13 +217,14 @@
             raise InvalidInputError("it has not joined in time")
         self.membership.mark_away(connection)
 
-    def _refuse(self, connection: Connection) -> Waits:
+    def _reject(self, connection: Connection) -> Waits:
         """Writes the reason as a last word, which must not be lost with the close."""
-        why, connection.end_reason = connection.end_reason, REFUSED
-        self.log.often("refused", peer=connection.peer, why=why)
+        reason = connection.end_reason
+        connection.end_reason = REJECTED
+        log_rejected(self.log, peer=connection.peer, reason=reason)
         if connection.unsent:  # it reads nothing
             return
-        connection.unsent = frame({"type": "refused", "why": why})
+        connection.unsent = frame({"type": "refused", "why": reason})
         try:
             yield from connection.linger(self.loop)
         except OSError:
@@ -240,11 +238,11 @@
             connection.end_reason = REPLACED
         if connection.role is not Role.PENDING:
             self.log.event(
-                "ended",
+                "connection_closed",
                 peer=connection.peer,
                 role=connection.role,
                 proxy=connection.proxy,
-                why=connection.end_reason,
+                reason=connection.end_reason,
             )
-        elif connection.end_reason not in (CLOSED, GIVEN_UP, REFUSED):
-            self.log.often("refused", peer=connection.peer, why=connection.end_reason)
+        elif connection.end_reason not in (CLOSED_BY_PEER, CLOSED_BY_COORDINATOR, REJECTED):
+            log_rejected(self.log, peer=connection.peer, reason=connection.end_reason)
--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -25,15 +25,15 @@
 AGAIN = SECOND // 100  # ns between two looks
 LOGGED_FAULTS = (  # log events that tell of a fault around it, which it has met
     "watch_ended",
-    "list_older",
-    "entry_dropped",
-    "reload_refused",
-    "away",
-    "given_up",
-    "dropped",
+    "stale_endpoint_list",
+    "endpoint_skipped",
+    "reload_rejected",
+    "unreachable",
+    "evicted",
+    "message_dropped",
     "log_dropped",
 )
-LOGGED_TROUBLE = "failed", "remark"  # log events that tell of a fault of the program
+LOGGED_TROUBLE = "task_failed", "internal_error"  # log events that tell of a fault of the program
 
 Wait = Generator[tuple[int | None, int, int | None], int, Any]
 
@@ -197,13 +197,13 @@
         event = line.get("event")
         if event in LOGGED_FAULTS:
             self.log_events[event] += 1
-        if event in ("reloaded", "reload_refused"):
-            self.reloads.append(Reloaded(line["at_ms"] * MS, event == "reload_refused"))
-        elif event == "list":
+        if event in ("reloaded", "reload_rejected"):
+            self.reloads.append(Reloaded(line["at_ms"] * MS, event == "reload_rejected"))
+        elif event == "endpoint_list":
             if line["index"] < self.list_index:
                 self.older_lists += 1
             self.list_index = line["index"]
-        elif event == "probed":
+        elif event == "health_check":
             self.probes += 1
         elif event in LOGGED_TROUBLE:
             self.faults.append(f"{self.name} logged {event}: {str(line)[-400:]}")
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -38,7 +38,7 @@
         if opened and opened.owned:
             raise InvalidInputError(opened.owned)
         for problem in opened.problems if opened else ():
-            log.event("state_torn", why=problem)
+            log.event("state_corrupt", reason=problem)
         if opened:
             carried = self.memory.opened(opened.found, opened.kept, opened.why, self._clocks())
             kept = opened.kept and opened.kept.managed
@@ -110,18 +110,18 @@
         belief, why = self.memory.recall(self.coordinator, self.loop.now, self._clocks()), self.memory.why
         if belief:
             self.log.event(
-                "recalled",
+                "snapshot_restored",
                 age_ms=(self.loop.now - self.memory.then.wall) // MS,
                 backends=len(belief.backends),
                 links=belief.links,
-                cuts=belief.cuts,
-                strained=belief.fleet["strained"],
-                room=round(belief.fleet["room"], 3),
-                left_out=belief.left,
-                list=self.memory.own_list,
+                ejected=belief.cuts,
+                overloaded=belief.fleet["strained"],
+                admitted_share=round(belief.fleet["room"], 3),
+                skipped=belief.left,
+                own_list=self.memory.own_list,
             )
         elif why != NONE:
-            self.log.event("recall_ignored", why=why)
+            self.log.event("snapshot_ignored", reason=why)
 
     def _hand_on(self, names, last):
         changes = self.memory.changes(
@@ -139,5 +139,5 @@
         if self.task is not None and self.discovery.named:
             self._hand_on(list(self.coordinator.listed()), True)
         if not self.writer.close(LAST_MOST):
-            self.log.event("state_unsafe", why="the last snapshot was not safe in time")
+            self.log.event("snapshot_not_saved", reason="the last snapshot was not safe in time")
         self.tell()
--- a/granitespool/state/writer.py
+++ b/granitespool/state/writer.py
@@ -99,7 +99,7 @@
     # The thread
 
     def _tell(self, event, **fields):
-        self.failing = event != "state_back"
+        self.failing = event != "state_write_recovered"
         with self.changed:
             self.told.append((event, fields))
             if not self.closing:  # the loop may be gone by then, and its descriptor another's
@@ -111,7 +111,7 @@
             if store:
                 self._serve(store)
         except Exception as error:  # a fault of ours: the service goes on without a memory
-            self._tell("state_failed", why=f"{type(error).__name__}: {error}", retry=False)
+            self._tell("state_write_failed", reason=f"{type(error).__name__}: {error}", retry=False)
         finally:
             self.ready.set()
             self.folder.close()
@@ -129,7 +129,7 @@
                 self.opened = Opened(why=str(error))
                 self.opened.owned = str(error)
                 if self.ready.is_set():
-                    self._tell("state_failed", why=str(error), retry=False)
+                    self._tell("state_write_failed", reason=str(error), retry=False)
                 return None
             except OSError as error:
                 self.folder.close()
@@ -140,7 +140,7 @@
                     return None
                 pause = min(PAUSE_MOST, pause * 2)
         if failed:
-            self._tell("state_back")
+            self._tell("state_write_recovered")
         if not self.ready.is_set():
             self.opened = opened
         if untouched:
@@ -154,7 +154,7 @@
 
     def _failed(self, error, told):
         if not told:
-            self._tell("state_failed", why=error.strerror or str(error), retry=True)
+            self._tell("state_write_failed", reason=error.strerror or str(error), retry=True)
         return True
 
     def _rest(self, seconds):
@@ -185,9 +185,9 @@
                 pause, again = min(PAUSE_MOST, pause * 2), True
                 continue
             except Owned as error:
-                return self._tell("state_failed", why=str(error), retry=False)
+                return self._tell("state_write_failed", reason=str(error), retry=False)
             if failed:
-                self._tell("state_back")
+                self._tell("state_write_recovered")
             failed, again, pause = False, False, PAUSE_FIRST
             self.synced, self.written, self.writes = wall, store.written, self.writes + 1
             with self.changed:
--- a/tests/house.py
+++ b/tests/house.py
@@ -117,7 +117,9 @@
         self.thread.join(10)
         os.close(self.pipe[1])
         self.log.join(10)
-        assert not [line for line in self.lines if line["event"] in ("failed", "remark")], self.lines
+        assert not [line for line in self.lines if line["event"] in ("task_failed", "internal_error")], (
+            self.lines
+        )
 
     def logged(self, event, seconds=5.0, **fields):
         """Waits for a line of the log."""
@@ -139,7 +141,7 @@
         end = time.monotonic() + 5
         while time.monotonic() < end:
             for line in self.lines[before:]:
-                if line["event"] in ("reloaded", "reload_refused"):
+                if line["event"] in ("reloaded", "reload_rejected"):
                     return line
             time.sleep(0.01)
         raise AssertionError(self.lines[-5:])
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -641,7 +641,7 @@
         self.until(lambda: " ".join(words) in self.log, words)
 
     def do_dropped(self, number):
-        self.until(lambda: self.log.count('"dropped"') == int(number), number)
+        self.until(lambda: self.log.count('"message_dropped"') == int(number), number)
 
     def do_unheard(self, backend):  # nothing was counted of it
         rec = self.service.coordinator.planner.fleet.backends[backend]
@@ -685,12 +685,12 @@
             os.close(self.fillers.pop())
 
     def do_crosses(self, name, *words):  # a message that arrives just as an order is written to a proxy
-        real, before = self.service.streams.send, self.log.count('"dropped"')
+        real, before = self.service.streams.send, self.log.count('"message_dropped"')
         self.service.streams.send = lambda proxy: (self.send(name, framed(words)), real(proxy))
         self.do_host("weigh", "0", "a", "2.5")
         self.service.streams.send = real
         assert not self.service.log.waiting, self.service.log.waiting
-        assert self.log.count('"dropped"') == before, self.log
+        assert self.log.count('"message_dropped"') == before, self.log
 
     def do_peer_gets(self, text):
         self.until(lambda: select.select([self.peer], [], [], 0)[0], "a datagram")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,23 +48,25 @@
 
 def test_two_coordinators_are_put_on_one_axis_and_added_up():
     logs = {name: played(Told(name), DAY + more) for name, more in (("x", FAILS), ("y", ""))}
-    assert any(event["event"] == "figures" for event in logs["x"])
+    assert any(event["event"] == "metrics" for event in logs["x"])
     last = [
         row
         for second, row in fleet.rows(logs).items()
-        if all(name in row and row[name]["figures"] for name in ("x", "y"))
+        if all(name in row and row[name].metrics for name in ("x", "y"))
     ][-1]
     row = fleet.together(last.values())
-    assert row["joined"] == 2 and row["unbound"] == 0 and row["room"] == 1.0
+    assert row.joined == 2
+    assert row.unassigned == 0
+    assert row.admitted_share == 1.0
     text = fleet.report(logs, each=True, backends=True)
-    assert " x " in text and " y " in text and "b cut at 1" in text
+    assert " x " in text and " y " in text and "b ejected at 1" in text
 
 
 @pytest.mark.parametrize(
-    "line", [b"", b"no event", b'0.12 {"at_ms":5,"event":"fig', b'{"event":"x"}', b"[1]", b"\xff\xfe{"]
+    "line", [b"", b"no event", b'0.12 {"at_ms":5,"event":"met', b'{"event":"x"}', b"[1]", b"\xff\xfe{"]
 )
 def test_what_is_no_event_is_left_out(line):
-    good = b'0.190 {"at_ms":7,"event":"list","name":"n"}'
+    good = b'0.190 {"at_ms":7,"event":"endpoint_list","name":"n"}'
     assert [event["at_ms"] for event in fleet.lines(line + b"\n" + good + b"\n" + line)] == [7]
 
 
@@ -77,8 +79,9 @@
             + "\n".join(FAILS.replace('"b"', f'"a{k}"').replace("at 2200ms\n", "") for k in range(3))
             + "at 3500ms",
         )
-        if event["event"] == "figures"
+        if event["event"] == "metrics"
     ]
-    assert len(told[-1]["backends"]) == 2 and told[-1]["more"] == 1
+    assert len(told[-1]["outliers"]) == 2
+    assert told[-1]["outliers_omitted"] == 1
     off = [event["event"] for event in played(Sockets(), DAY + "at 3500ms")]
-    assert "serving" in off and "figures" not in off
+    assert "serving" in off and "metrics" not in off
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -269,7 +269,7 @@
     assert tag_of(netconf.lock("running")) == "ok"
     assert client.set(update={BASE: "600"}) == "ABORTED"
     netconf.reset()
-    house.logged("manager_ended")
+    house.logged("manager_disconnected")
     assert client.set(update={BASE: "600"}) == "ok" and house.settings()["entries_per_s"] == 600
     with pytest.raises(grpc.RpcError):
         house.client("stranger").capabilities(pb.CapabilityRequest(), timeout=2)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -335,9 +335,9 @@
     assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 500
     assert tag_of(one.lock("running")) == "ok"
     refused = house.reload(family_info={**info, "egress_per_s": 800.0})
-    assert refused["event"] == "reload_refused" and "locked by a manager" in refused["why"]
+    assert refused["event"] == "reload_rejected" and "locked by a manager" in refused["reason"]
     one.reset()
-    house.logged("manager_ended")
+    house.logged("manager_disconnected")
     assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 800.0
     assert tag_of(two.lock("running")) == "ok" and tag_of(two.lock()) == "ok"
 
@@ -369,7 +369,7 @@
             if step != "confirmed":
                 one.edit(PACE.format("600"))
     getattr(one, how)()
-    house.logged("manager_ended")
+    house.logged("manager_disconnected")
     assert {name: watcher.config(name) for name in stores} == stores and house.settings() == before
     assert tag_of(watcher.lock()) == "ok" and tag_of(watcher.lock("running")) == "ok"
 
@@ -384,7 +384,7 @@
     one.edit(PACE.format("600"))
     assert tag_of(one.commit("<confirmed/><persist>q7</persist>")) == "ok"
     one.close()
-    house.logged("manager_ended")
+    house.logged("manager_disconnected")
     assert house.settings()["entries_per_s"] == 600 and tag_of(two.commit()) == "in-use"
     assert tag_of(two.commit("<persist-id>q8</persist-id>")) == "invalid-value"
     assert tag_of(two.commit("<persist-id>q7</persist-id>")) == "ok"
@@ -407,8 +407,8 @@
     assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
     probes.new_config = real
     assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
-    house.logged("failed")  # read by then: the log has a thread of its own
-    house.lines[:] = [line for line in house.lines if line["event"] != "failed"]
+    house.logged("task_failed")  # read by then: the log has a thread of its own
+    house.lines[:] = [line for line in house.lines if line["event"] != "task_failed"]
 
 
 def test_one_session_kills_another_and_subscribers_hear_what_changed(house):
@@ -442,7 +442,7 @@
     assert tag_of(one.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
     with pytest.raises(Ended):
         two.receive()
-    house.logged("manager_ended", why="killed by operations")
+    house.logged("manager_disconnected", reason="killed by operations")
 
 
 # What outlasts a restart
@@ -486,7 +486,7 @@
     house.write(family_info={**house.reading["family_info"], "egress_per_s": 900.0})
     with house:  # the file has changed since: it holds
         assert house.settings()["entries_per_s"] == 900.0
-        house.logged("settings_dropped")
+        house.logged("settings_discarded")
 
 
 def test_what_waits_for_a_restart_is_put_into_startup_and_acts_after_it(tmp_path, folder):
@@ -622,7 +622,7 @@
     (tmp_path / "old.key").write_bytes(made._key_bytes(key))
     with pytest.raises((Ended, ssl.SSLError, ConnectionError)):
         Manager(house.where, str(tmp_path), "old").ask("<get/>")
-    house.logged("manager_refused", why="expired")
+    house.logged("manager_rejected", reason="expired")
 
 
 def test_hundreds_of_half_open_handshakes_keep_nobody_out(tmp_path, folder):
@@ -645,7 +645,7 @@
             house.manager().ask("<get/>")
         sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
         assert tag_of(two.ask(sub)) == "ok"
-        house.logged("manager_ended", why="idle")
+        house.logged("manager_disconnected", reason="idle")
         with pytest.raises(Ended):
             one.receive()
         time.sleep(0.5)
@@ -691,7 +691,7 @@
         assert tag_of(house.manager().ask("<get/>")) == "ok"
         with open(f"{own}/server.pem", "w") as file:
             file.write("nothing")
-        assert "cannot be used" in house.reload()["why"]
+        assert "cannot be used" in house.reload()["reason"]
         assert tag_of(one.ask("<get/>")) == "ok"
 
 
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -22,9 +22,9 @@
 from granitespool.net import config
 from granitespool.net import listen_address as binding
 from granitespool.net import log as logging
+from granitespool.net.connection import LINGER_TIMEOUT
 from granitespool.net.loop import IN, SECOND, Loop
 from granitespool.net.service import Service
-from granitespool.net.streams import LINGER
 
 SERVE = [sys.executable, "-m", "granitespool", "serve", "--config"]
 LONG = 60  # s: a bound for a machine that is busy, never a time that is waited
@@ -181,7 +181,7 @@
     with process(path) as former:
         event(former, "serving")
         with process(path) as successor:
-            assert event(successor, "address_taken")["address"] == where
+            assert event(successor, "address_in_use")["address"] == where
             former.send_signal(signal.SIGTERM)
             event(successor, "serving")
             with dialled(where) as sock:
@@ -236,15 +236,15 @@
         joins(sock, service)
         real = service.loop.turn
 
-        def turn(end_of_turn, wait):  # a second passes by the quarter of LINGER
+        def turn(end_of_turn, wait):  # a second passes by the quarter of LINGER_TIMEOUT
             turns.append(wait)
-            now[0] += LINGER // 4
+            now[0] += LINGER_TIMEOUT // 4
             real(end_of_turn, 0)
 
         service.loop.turn = turn
         service.stop()
         service.run()
-        assert 3 <= len(turns) <= 5 and LINGER < 0.35 * SECOND and '"stopped"' in service.text()
+        assert 3 <= len(turns) <= 5 and LINGER_TIMEOUT < 0.35 * SECOND and '"stopped"' in service.text()
 
 
 def test_a_second_asking_for_the_end_waits_for_nobody(tmp_path):
@@ -290,7 +290,7 @@
         with pytest.raises(ConnectionRefusedError):
             dialled(service.where)
         text = service.text()
-    assert text.count('"event":"failed"') == 3 and "nor this" in text and '"stopped"' in text
+    assert text.count('"event":"task_failed"') == 3 and "nor this" in text and '"stopped"' in text
 
 
 def test_the_last_lines_wait_for_a_reader_that_is_slow(monkeypatch):
@@ -299,7 +299,7 @@
     service = Service(config.checked(HERE), write)
     os.set_blocking(read, False)
     for _ in range(1000):
-        service.log.event("remark", text="a-word-" * 20)
+        service.log.event("internal_error", detail="a-word-" * 20)
     service.log.flush()
     assert service.log.waiting  # the pipe is full now
     got = []
@@ -452,7 +452,7 @@
             else:
                 sock.close()
             for _ in range(50):
-                now[0] += LINGER // 2
+                now[0] += LINGER_TIMEOUT // 2
                 service.turn(SECOND // 100)
                 if not streams.connections:
                     break
@@ -493,7 +493,7 @@
                 data += sock.recv(1 << 16)
         assert b'"whole"' in data and service.coordinator.planner.overload.demand.get(name)
         text = service.text()
-    assert not any(word in text for word in ("failed", "remark", "dropped"))
+    assert not any(word in text for word in ("task_failed", "internal_error", "message_dropped"))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -205,7 +205,7 @@
 def test_a_change_that_arrives_twice_is_told_once_more_and_is_the_same(watched):
     watched.agent.push([watched.change(1, "draining")])
     assert watched.run(2, lambda: len(watched.news) == 2)
-    assert watched.news == [{"s-1": "draining"}] * 2 and "list_older" not in watched.log
+    assert watched.news == [{"s-1": "draining"}] * 2 and "stale_endpoint_list" not in watched.log
 
 
 def test_of_two_changes_out_of_order_the_later_one_stays(watched):
@@ -219,7 +219,7 @@
     )
     watched.agent.held = watched.list.index
     watched.agent.push([second, first])
-    assert watched.run(2, lambda: "list_older" in watched.log)
+    assert watched.run(2, lambda: "stale_endpoint_list" in watched.log)
     assert watched.news == [{"s-2": "gone"}] and watched.told() == [("s-2", "gone")]
 
 
@@ -354,7 +354,7 @@
     newest = played.world.list.index
     for coordinator in played.world.coordinators:
         assert coordinator.log_events["watch_ended"] >= 1 and coordinator.list_index == newest
-        assert coordinator.log_events["list_older"] == 1
+        assert coordinator.log_events["stale_endpoint_list"] == 1
     assert played.result.older_lists == 0 and played.result.list_to_last_proxy.unfinished == 0
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -85,7 +85,7 @@
         stderr=subprocess.PIPE,
     ) as process:
         assert any('"serving"' in line for line in iter(process.stdout.readline, ""))
-        for text, words in (("{", "reload_refused"), (json.dumps(CONFIG), "reloaded"), ("", "not JSON")):
+        for text, words in (("{", "reload_rejected"), (json.dumps(CONFIG), "reloaded"), ("", "not JSON")):
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
             assert any(words in line for line in iter(process.stdout.readline, ""))
--- a/tests/test_state_format.py
+++ b/tests/test_state_format.py
@@ -135,12 +135,28 @@
         return data.decode("latin-1")
 
 
+LOG_FIELDS = {  # the recording's names of the log's fields -> today's
+    "cuts": "ejected",
+    "strained": "overloaded",
+    "room": "admitted_share",
+    "left_out": "skipped",
+    "list": "own_list",
+}
+
+
+def recorded_log_line():
+    """The recorded line of the log under today's names of the event and its fields."""
+    line = {LOG_FIELDS.get(key, key): value for key, value in READ["start"]["log"].items()}
+    assert line["event"] == "recalled"
+    return {**line, "event": "snapshot_restored"}
+
+
 def lived(folder):
     """(what a start takes over, what that life leaves in its file)."""
     with Life(folder) as life:
         life.turn()
         taken = {"status": plain(status(life.service.coordinator))}
-        [line] = life.logged("recalled")
+        [line] = life.logged("snapshot_restored")
         taken["log"] = {key: value for key, value in line.items() if key not in ("at", "ts", "time")}
         taken["written"] = {zone: life.joined(number, zone) for number, zone in enumerate("ns", 1)}
         for means in ({"a": 45, "b": 150, "f": 40}, {"a": 46, "b": 90, "f": 41}, {"a": 45, "c": 40}):
@@ -155,7 +171,7 @@
 def test_start_takes_over_and_leaves_what_it_did(folder):
     taken, left = lived(folder)
     assert taken["written"] == READ["start"]["written"]
-    assert taken["log"] == READ["start"]["log"]
+    assert taken["log"] == recorded_log_line()
     assert taken["status"] == READ["start"]["status"]
     assert json.dumps(taken["status"]) == json.dumps(READ["start"]["status"])  # in the same order, too
     assert left == READ["left"]
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -73,11 +73,11 @@
         disk.fails["append"] = code  # an append alone needs no rename: have it begin anew
     assert until(lambda: disk.calls > 12)
     told = writer.drain()
-    assert [(event, fields["why"], fields["retry"]) for event, fields in told] == [
-        ("state_failed", os.strerror(code), True)
+    assert [(event, fields["reason"], fields["retry"]) for event, fields in told] == [
+        ("state_write_failed", os.strerror(code), True)
     ]
     disk.fails = {}
-    assert until(lambda: writer.synced and events(writer) == ["state_back"])
+    assert until(lambda: writer.synced and events(writer) == ["state_write_recovered"])
     assert writer.close(5)
     assert recover(disk, MOST)[0].held == {b"a": b"2", b"b": b"3"}
 
@@ -104,7 +104,7 @@
     disk.fails = {"rename": errno.EIO}
     gate.set()
     writer.thread.join(5)
-    assert events(writer) == ["state_failed"] and not woken
+    assert events(writer) == ["state_write_failed"] and not woken
 
 
 def test_a_folder_that_cannot_be_opened_is_used_once_it_can(monkeypatch):
@@ -115,7 +115,7 @@
     assert writer.wait_opened(5).why == "the folder cannot be used: Permission denied"
     writer.submit({b"a": b"1"})
     disk.fails = {}
-    assert until(lambda: writer.writes) and events(writer) == ["state_failed", "state_back"]
+    assert until(lambda: writer.writes) and events(writer) == ["state_write_failed", "state_write_recovered"]
     assert writer.close(5) and recover(disk, MOST)[0].held == {b"a": b"1"}
 
 
@@ -269,8 +269,10 @@
     assert "d" not in table and table["b"] < table["a"] / 2
     with Bench(tmp_path / "state", now + S, mono + S) as second:
         second.turn()
-        assert second.table() == pytest.approx(table, rel=0.1) and len(second.logged("recalled")) == 1
-        assert second.logged("recalled")[0]["cuts"] == 1
+        assert (
+            second.table() == pytest.approx(table, rel=0.1) and len(second.logged("snapshot_restored")) == 1
+        )
+        assert second.logged("snapshot_restored")[0]["ejected"] == 1
 
 
 @pytest.mark.parametrize(
@@ -287,8 +289,8 @@
     _, now, then = lived(tmp_path / "state", **SICK)
     with Bench(tmp_path / "state", now + wall, then + mono, **settings) as second:
         second.turn()
-        [line] = second.logged("recall_ignored")
-        assert words in line["why"] and not second.logged("recalled")
+        [line] = second.logged("snapshot_ignored")
+        assert words in line["reason"] and not second.logged("snapshot_restored")
         assert second.table() == dict.fromkeys("abcd", 1.0)
 
 
@@ -307,8 +309,8 @@
     monkeypatch.setattr(Bench, "known", newer)
     with Bench(tmp_path / "state", now + S, mono + S) as second:
         second.turn()
-        [line] = second.logged("recalled")
-        assert line["left_out"] == {"started again since": 1, "not ready now": 2} and line["backends"] == 1
+        [line] = second.logged("snapshot_restored")
+        assert line["skipped"] == {"started again since": 1, "not ready now": 2} and line["backends"] == 1
         assert set(second.table()) == {"a", "b", "e"} and second.table()["b"] == second.table()["e"]
 
 
@@ -343,7 +345,10 @@
         first.learn(**SICK)
     with Bench(tmp_path / "state", first.now + S, first.mono + S) as second:
         second.turn()
-        assert second.logged("list")[0]["index"] == 9 and second.logged("recalled")[0]["list"] is True
+        assert (
+            second.logged("endpoint_list")[0]["index"] == 9
+            and second.logged("snapshot_restored")[0]["own_list"] is True
+        )
         assert "a" not in second.table() and second.service.discovery.addresses["new"] == ("127.0.0.1", 5)
     monkeypatch.setattr(Bench, "known", [])
     with Bench(tmp_path / "state", second.now + S, second.mono + S) as third:
@@ -363,8 +368,8 @@
     bench.config = lambda **_: {**Bench.config(bench), "name": "n0"}
     with bench as second:
         second.turn()
-        [line] = second.logged("recalled")
-        assert line["backends"] == 3 and line["cuts"] == 1 and line["list"] is True
+        [line] = second.logged("snapshot_restored")
+        assert line["backends"] == 3 and line["ejected"] == 1 and line["own_list"] is True
         assert "c" not in second.table() and second.table()["b"] < second.table()["a"] / 2
         assert until(lambda: second.turn() or second.service.keeper.writer.writes)
     found, problems = recover(Folder(str(tmp_path / "state")), MOST)
@@ -386,7 +391,7 @@
     path.write_bytes(spoil(path.read_bytes()))
     with Bench(tmp_path / "state", now + S, mono + S) as second:
         second.turn()
-        assert name in second.logged("state_torn")[0]["why"] and not second.logged("recalled")
+        assert name in second.logged("state_corrupt")[0]["reason"] and not second.logged("snapshot_restored")
         assert second.table() == dict.fromkeys("abcd", 1.0)
 
 
@@ -402,8 +407,8 @@
     (tmp_path / "file").write_text("x")
     for path in (tmp_path / "file", tmp_path / "no" / "parent"):
         with Bench(path) as bench:
-            assert until(lambda: bench.turn() or bench.logged("state_failed"))
-            assert bench.logged("recall_ignored") and bench.table() == dict.fromkeys("abcd", 1.0)
+            assert until(lambda: bench.turn() or bench.logged("state_write_failed"))
+            assert bench.logged("snapshot_ignored") and bench.table() == dict.fromkeys("abcd", 1.0)
     assert (tmp_path / "file").read_text() == "x"
 
 
@@ -413,10 +418,10 @@
         bench.learn(**SICK)
         shutil.rmtree(tmp_path / "state")
         bench.hear(a=400, b=40)
-        assert until(lambda: bench.turn() or bench.logged("state_failed"))
+        assert until(lambda: bench.turn() or bench.logged("state_write_failed"))
         assert until(lambda: bench.service.keeper.writer.folder.lock_fd is None)
         (tmp_path / "state").mkdir()
-        assert until(lambda: bench.turn() or bench.logged("state_back"))
+        assert until(lambda: bench.turn() or bench.logged("state_write_recovered"))
     assert recover(Folder(str(tmp_path / "state")), MOST)[0].held
 
 
@@ -424,12 +429,12 @@
     with Bench(tmp_path / "state") as bench:
         bench.service.reload()
         bench.turn()
-        assert bench.logged("reloaded")[0]["waits_for_restart"] == []
+        assert bench.logged("reloaded")[0]["restart_required"] == []
         assert bench.service.keeper.options.every_ms == 300
         bench.config = lambda **_: {**Bench.config(bench), "operator": None}
         bench.service.reload()
         bench.turn()
-        assert bench.logged("reloaded")[1]["waits_for_restart"] == ["state.folder"]
+        assert bench.logged("reloaded")[1]["restart_required"] == ["state.folder"]
 
 
 def test_names_that_went_are_forgotten_on_the_disk_too(tmp_path):
@@ -549,10 +554,12 @@
         try:
             assert time.monotonic() - begun < (1.0 if os.environ.get("CI") is None else 3.0), "late"
             told = {line["event"]: line for line in lines}
-            assert "state_torn" not in told, told
-            if "recalled" in told:
+            assert "state_corrupt" not in told, told
+            if "snapshot_restored" in told:
                 recalls += 1
-                assert told["recalled"]["age_ms"] < 5000 and told["recalled"]["backends"] == len(world.names)
+                assert told["snapshot_restored"]["age_ms"] < 5000 and told["snapshot_restored"][
+                    "backends"
+                ] == len(world.names)
             proxy = Party(
                 world.where, {"type": "joined", "node": 1, "locality": "n", "w": 5.0, "cold": kill == 0}
             )
@@ -592,7 +599,7 @@
     took = time.monotonic() - begun
     collector.close()
     assert process.returncode == 0 and err == "" and took < 0.7, took
-    assert '"stopped"' in out and "state_unsafe" not in out
+    assert '"stopped"' in out and "snapshot_not_saved" not in out
     found, problems = recover(Folder(world.folder), MOST)
     assert not problems and found.clocks[0] > time.time_ns() - 5 * S
     assert main(["state", "show", world.folder]) == 0
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -117,7 +117,7 @@
     played.dialled(2)
     played.steps("grants")
     played.play(news(5, entry("a", status="gone")))
-    played.play("logged list_older")
+    played.play("logged stale_endpoint_list")
     played.play("breaks")
     played.dialled(3)
 
@@ -176,7 +176,7 @@
 
 def health_checks(played: RecordingSockets) -> None:
     """A new backend is asked for its load, whatever it answers."""
-    played.steps("set probes=true\nknown a:n\njoins p 1 n\ngets p whole")
+    played.steps("set health_checks_allowed=true\nknown a:n\njoins p 1 n\ngets p whole")
     played.dialled(1)
     played.steps("grants\nknown c:n d:n")
     played.play("answers d HTTP/1.1 503 Busy\\r\\nContent-Length: 0\\r\\n\\r\\n")
@@ -189,7 +189,7 @@
 
 def datagrams(played: RecordingSockets) -> None:
     """A datagram goes to one peer by its number or to all; one over 256 bytes or to no peer is not sent."""
-    played.steps("set peers=true\nknown a:n\nopen k")
+    played.steps("set gossip_allowed=true\nknown a:n\nopen k")
     written = []
     played.peer.settimeout(5)
     for step in ("host post 0 6a", "host post -1 6a6b", "host post 0 00ff", f"host post -1 {'ab' * 256}"):
