--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -89,7 +89,7 @@
         if content.locked:
             raise InvalidInputError(content.locked)
         for problem in content.problems:
-            self.log.event("state_torn", why=problem)
+            self.log.event("state_corrupt", reason=problem)
         carried = self.recovery.load(content.state, content.record, content.reason, self._clocks())
         managed = content.record.managed if content.record else None
         if managed is not None and content.state and content.state.header.name == self.identity.name:
@@ -140,7 +140,7 @@
             names = list(self.coordinator.listed())
             self._submit_changes(self.coordinator, self.discovery, names, is_last=True)
         if not self.writer.close(CLOSE_TIMEOUT):
-            self.log.event("state_unsafe", why="the last snapshot was not safe in time")
+            self.log.event("snapshot_not_saved", reason="the last snapshot was not safe in time")
         self._log_reports()
 
     def _make_header(self, start_number: int) -> Header:
@@ -172,18 +172,18 @@
         written = self.recovery.written
         if restored and written:
             self.log.event(
-                "recalled",
+                "snapshot_restored",
                 age_ms=(self.loop.now - written.wall) // MILLISECOND,
                 backends=len(restored.backends),
                 links=restored.link_count,
-                cuts=restored.ejected_count,
-                strained=restored.fleet.is_overloaded,
-                room=round(restored.fleet.admitted_share, 3),
-                left_out=restored.left_out,
-                list=self.recovery.uses_own_list,
+                ejected=restored.ejected_count,
+                overloaded=restored.fleet.is_overloaded,
+                admitted_share=round(restored.fleet.admitted_share, 3),
+                skipped=restored.left_out,
+                own_list=self.recovery.uses_own_list,
             )
         elif self.recovery.rejection != NO_RECORD:
-            self.log.event("recall_ignored", why=self.recovery.rejection)
+            self.log.event("snapshot_ignored", reason=self.recovery.rejection)
 
     def _submit_changes(
         self, coordinator: Coordinator, discovery: Discovery, names: list[str], is_last: bool
--- a/granitespool/state/writer.py
+++ b/granitespool/state/writer.py
@@ -164,7 +164,7 @@
     # The thread
 
     def _report(self, event: str, **fields: Any) -> None:
-        self.is_failing = event != "state_back"
+        self.is_failing = event != "state_write_recovered"
         with self._condition:
             self._reports.append(LogReport(event, fields))
             if not self._is_closing:  # the loop may be gone by then, and its descriptor another's
@@ -176,7 +176,7 @@
             if store:
                 self._serve(store)
         except Exception as error:
-            self._report("state_failed", why=f"{type(error).__name__}: {error}", retry=False)
+            self._report("state_write_failed", reason=f"{type(error).__name__}: {error}", retry=False)
         finally:
             self._is_opened.set()
             self.folder.close()
@@ -209,7 +209,7 @@
             except FolderLockedError as error:
                 self._content = FolderContent(reason=str(error), locked=str(error))
                 if self._is_opened.is_set():
-                    self._report("state_failed", why=str(error), retry=False)
+                    self._report("state_write_failed", reason=str(error), retry=False)
                 return None
             except OSError as error:
                 self.folder.close()
@@ -222,12 +222,12 @@
                     return None
             else:
                 if has_failed:
-                    self._report("state_back")
+                    self._report("state_write_recovered")
                 return content
 
     def _report_failure(self, error: OSError, is_reported: bool) -> None:
         if not is_reported:
-            self._report("state_failed", why=error.strerror or str(error), retry=True)
+            self._report("state_write_failed", reason=error.strerror or str(error), retry=True)
 
     def _pause(self, seconds: float) -> bool:
         """Wait; True where the end came meanwhile."""
@@ -257,11 +257,11 @@
                 if is_closing or self._pause(backoff.next_delay()):
                     return True
             except FolderLockedError as error:
-                self._report("state_failed", why=str(error), retry=False)
+                self._report("state_write_failed", reason=str(error), retry=False)
                 return True
             else:
                 if has_failed:
-                    self._report("state_back")
+                    self._report("state_write_recovered")
                 self._note_written(store, clocks, ticket)
                 return is_closing
 
