--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -113,9 +113,9 @@
         except InvalidInputError as error:
             return self.log.event("reload_rejected", reason=str(error))
         except Exception as error:
-            if not hasattr(error, "why"):
+            if not hasattr(error, "reason"):
                 raise
-            return self.log.event("reload_rejected", reason=error.why)
+            return self.log.event("reload_rejected", reason=error.reason)
         self.log.event("reloaded", discovery="{}:{}".format(*config["discovery"]), restart_required=waits)
 
     def waits(self, config):
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -13,6 +13,7 @@
 from granitespool.cli.keys import make
 from granitespool.net import config
 from granitespool.net.service import Service
+from granitespool.state.snapshotter import StateMetrics
 from support.records import endpoint
 
 SECOND = 1_000_000_000  # ns
@@ -162,8 +163,8 @@
         self.service = Service(
             self.config, os.open(os.devnull, os.O_WRONLY), clock=lambda: START, mono=lambda: START
         )
-        self.service.keeper.figures = lambda: (40_960, 12, False)
-        self.service.keeper.safe = lambda ticket: True
+        self.service.keeper.metrics = lambda: StateMetrics(40_960, 12, False)
+        self.service.keeper.is_durable = lambda ticket: True
         self.loop, self.coordinator = self.service.loop, self.service.coordinator
         self.managing = self.service.managing
         self.fleet()
