--- a/granitespool/cli/__init__.py
+++ b/granitespool/cli/__init__.py
@@ -49,7 +49,7 @@
 from docopt import DocoptExit, docopt
 
 from granitespool import __version__
-from granitespool.errors import InvalidInputError
+from granitespool.errors import GranitespoolError
 
 FAILED = 1  # exit code where something that was read cannot be used
 MISUSED = 2  # exit code where the call itself is wrong
@@ -68,7 +68,7 @@
         return 0
     try:
         return _command(told)(told)
-    except (InvalidInputError, OSError) as error:
+    except (GranitespoolError, OSError) as error:
         print(f"granitespool: {error}", file=sys.stderr)
         return FAILED
 
--- a/granitespool/cli/emulate.py
+++ b/granitespool/cli/emulate.py
@@ -1,19 +1,28 @@
-"""`lab`: experiments in virtual time."""
+"""`emulate`: experiments in virtual time."""
 
 import sys
+from typing import Any
 
-from granitespool.emulator import play, schema
+from granitespool.emulator import experiment, plot, report, schema
 
 
-def run(told):
-    if told["list"]:
+def run(arguments: dict[str, Any]) -> int:
+    """Lists experiments or runs one; the exit code. Raises InvalidInputError where it cannot be run."""
+    if arguments["list"]:
         for name in schema.names():
             print(f"{name:12} {schema.load(name).experiment.title}")
         return 0
-    setup = schema.load(told["EXPERIMENT"], told["--set"])
-    steps = sys.stderr.isatty()
-    result = play.play(setup, lambda words: steps and print(words, file=sys.stderr))
-    if told["--plot"]:
-        play.plot(result, told["--plot"])
-    print(play.as_json(result) if told["--json"] else "\n".join(play.table(result)))
+    setup = schema.load(arguments["EXPERIMENT"], arguments["--set"])
+    result = experiment.run(setup, _print_progress if sys.stderr.isatty() else _ignore)
+    if arguments["--plot"]:
+        plot.plot(result, arguments["--plot"])
+    print(report.as_json(result) if arguments["--json"] else "\n".join(report.table(result)))
     return 0
+
+
+def _print_progress(text: str) -> None:
+    print(text, file=sys.stderr)
+
+
+def _ignore(_: str) -> None:
+    """Takes progress that nobody sees."""
--- /dev/null
+++ b/granitespool/emulator/clock.py
@@ -0,0 +1,34 @@
+"""Virtual time: a clock that stands still while a call runs, and the calls that are due."""
+
+import heapq
+from collections.abc import Callable
+from typing import Any
+
+EPOCH = 10**18  # ns: virtual time begins here
+
+_ScheduledCall = tuple[int, int, Callable[..., None], tuple[Any, ...]]
+
+
+class VirtualClock:
+    """Runs calls in order of their times; calls of one time run in the order in which they were scheduled."""
+
+    def __init__(self, now: int = EPOCH) -> None:
+        self.now = now  # ns
+        self.scheduled = 0  # calls so far
+        self._due: list[_ScheduledCall] = []
+
+    def at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401
+        """Schedules a call for a time (ns); a time that has passed means as soon as possible."""
+        self.scheduled += 1
+        heapq.heappush(self._due, (when, self.scheduled, call, arguments))
+
+    def run_until(self, until: int) -> None:
+        """Runs everything that is due up to a time (ns), which is the time from then on."""
+        while self._due and self._due[0][0] <= until:
+            self.now, _, call, arguments = heapq.heappop(self._due)
+            call(*arguments)
+        self.now = until
+
+    def pending_times(self) -> list[int]:
+        """The times (ns) of the calls that are scheduled, in no order."""
+        return [when for when, *_ in self._due]
--- /dev/null
+++ b/granitespool/emulator/coordinator_host.py
@@ -0,0 +1,239 @@
+"""Runs a coordinator in virtual time: its incarnations, and everything that reaches or leaves it.
+
+Whatever belongs to an incarnation that has ended is dropped, as it would be with its sockets: messages on
+their way to proxies, their acknowledgements, load reports, answers to health checks."""
+
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from random import Random
+from typing import Any
+
+from granitespool.coordinator import PROBES, REMARKS, Coordinator
+from granitespool.emulator.backend import Backend
+from granitespool.emulator.channel import BATCH_TIME, Channel
+from granitespool.emulator.clock import VirtualClock
+from granitespool.endpoints import Endpoint, Phase
+from granitespool.planner.events import (
+    Acknowledged,
+    EndpointListUpdate,
+    Event,
+    HealthCheckOutcome,
+    HealthCheckResult,
+    ListForm,
+    ProxyJoined,
+    UsageReport,
+)
+from granitespool.simulation.proxy_table import (
+    AdmissionLevel,
+    AdmissionUpdate,
+    ProxyTable,
+    TableUpdate,
+    WeightUpdate,
+)
+from granitespool.units import MILLISECOND, SECOND
+
+HEALTH_CHECK_TIME = 2 * MILLISECOND  # ns until a health check is answered
+HEALTH_CHECK_TIMEOUT = SECOND // 2  # ns, as the service has it
+APPLY_TIME = 5 * MILLISECOND  # ns in which a proxy applies a message
+UPDATE_OVERHEAD = 2  # table entries that a message counts as beside those in it
+MACHINE_TYPE = "m"
+CELL = 0
+
+Restore = Callable[[Coordinator], None]
+
+
+class CoordinatorHost:
+    """At most one running coordinator, before the backends and proxies of an emulation."""
+
+    def __init__(
+        self,
+        clock: VirtualClock,
+        random: Random,
+        backends: Mapping[str, Backend],
+        proxies: Sequence[ProxyTable],
+        make: Callable[[int, int], Coordinator],
+        make_channel: Callable[[int], Channel],
+        rate: float,
+    ) -> None:
+        """`rate`: transactions a second of all proxies.
+
+        `make(incarnation, now)` and `make_channel(now)` give a new coordinator and its channel."""
+        self.clock = clock
+        self.random = random
+        self.backends = backends
+        self.proxies = proxies
+        self.make = make
+        self.make_channel = make_channel
+        self.rate = rate
+        self.coordinator: Coordinator | None = None
+        self.incarnation = 0  # counted from 1
+        self.joined: set[int] = set()  # proxies with a stream
+        self.internal_errors: list[str] = []
+        self._channel = make_channel(clock.now)
+        self._next_wake: int | None = None  # ns
+        self._turn_scheduled = False
+
+    def running(self, incarnation: int) -> Coordinator | None:
+        """The coordinator of this incarnation, or None where it has ended."""
+        return self.coordinator if incarnation == self.incarnation else None
+
+    def start(self, restore: Restore | None = None, rejoin_s: float = 0.0) -> None:
+        """Starts an incarnation with the whole list and what `restore` gives it.
+
+        Proxies join within `rejoin_s` s."""
+        now = self.clock.now
+        self.incarnation += 1
+        self._next_wake = None
+        self._channel = self.make_channel(now)
+        self.coordinator = coordinator = self.make(self.incarnation, now)
+        coordinator.report(now, EndpointListUpdate(ListForm.RESTORED, self._endpoints()))
+        if restore:
+            restore(coordinator)
+        self._turn(coordinator)
+        for proxy in self.proxies:
+            delay = int(self.random.random() * rejoin_s * SECOND) // BATCH_TIME * BATCH_TIME
+            self.clock.at(now + delay, self._join, self.incarnation, proxy)
+
+    def kill(self) -> None:
+        """Ends the incarnation at once; every proxy goes on with the table that it holds."""
+        self.coordinator = None
+        self.joined.clear()
+
+    def take(self, incarnation: int, events: Iterable[Event]) -> None:
+        """Reports events that reach this incarnation now, as one turn.
+
+        Usage of proxies without a stream is dropped."""
+        coordinator = self.running(incarnation)
+        if coordinator is None:
+            return
+        for event in events:
+            if not isinstance(event, UsageReport) or event.proxy in self.joined:
+                coordinator.report(self.clock.now, event)
+        self._turn(coordinator)
+
+    def zone_table(self, zone: str) -> dict[str, float]:
+        """The weights of the coordinator's tables for a zone; empty where there are none."""
+        if self.coordinator is None:
+            return {}
+        weights: dict[str, float] = {}
+        for table in self.coordinator.planner.subsets.tables.get(zone, ()):
+            weights.update(self.coordinator.tables.get(table, {}))
+        return weights
+
+    def _endpoints(self) -> list[Endpoint]:
+        return [
+            Endpoint(
+                name=backend.name,
+                zone=backend.zone,
+                machine_type=MACHINE_TYPE,
+                cell=CELL,
+                phase=Phase.READY,
+                weight=1.0,
+                started_at=backend.started,
+            )
+            for backend in self.backends.values()
+        ]
+
+    def _join(self, incarnation: int, proxy: ProxyTable) -> None:
+        coordinator = self.running(incarnation)
+        if coordinator is None:
+            return
+        self.joined.add(proxy.number)
+        joined = ProxyJoined(
+            proxy=proxy.number,
+            zone=proxy.zone,
+            bootstrap=incarnation == 1,
+            rate=self.rate / len(self.proxies),
+        )
+        coordinator.report(self.clock.now, joined)
+        self._schedule_turn()
+
+    # Turns
+
+    def _schedule_turn(self) -> None:
+        """Ends the turn once everything of this instant has been reported."""
+        if not self._turn_scheduled:
+            self._turn_scheduled = True
+            self.clock.at(self.clock.now, self._scheduled_turn, self.incarnation)
+
+    def _scheduled_turn(self, incarnation: int) -> None:
+        self._turn_scheduled = False
+        self._wake(incarnation)
+
+    def _wake(self, incarnation: int) -> None:
+        coordinator = self.running(incarnation)
+        if coordinator is not None:
+            self._turn(coordinator)
+
+    def _turn(self, coordinator: Coordinator) -> None:
+        due = coordinator.tick(self.clock.now)
+        for party in coordinator.parties():
+            while (message := coordinator.pick(party)) is not None:
+                self._handle(party, message)
+        if due is not None and self._is_sooner(due):
+            self._next_wake = due
+            self.clock.at(max(due, self.clock.now + 1), self._wake, self.incarnation)
+
+    def _is_sooner(self, due: int) -> bool:
+        """Whether a wake-up has to be scheduled for this time."""
+        scheduled = self._next_wake
+        return scheduled is None or due < scheduled or scheduled <= self.clock.now
+
+    def _handle(self, party: int | str, message: Any) -> None:  # noqa: ANN401 as `pick` gives it
+        if party == PROBES:
+            self._check_health(message)
+        elif party == REMARKS:
+            self.internal_errors.append(message)
+        elif isinstance(party, int):
+            self._send(self.proxies[party], message)
+
+    def _check_health(self, name: str) -> None:
+        dead = self.backends[name].fault.dead
+        took = HEALTH_CHECK_TIMEOUT if dead else HEALTH_CHECK_TIME
+        outcome = HealthCheckOutcome.TIMED_OUT if dead else HealthCheckOutcome.OK
+        result = HealthCheckResult(backend=name, outcome=outcome, latency=took, load={})
+        self.clock.at(self.clock.now + took, self.take, self.incarnation, [result])
+
+    # Messages to proxies
+
+    def _send(self, proxy: ProxyTable, message: dict[str, Any]) -> None:
+        update = table_update(message)
+        arrives_at = self._channel.send(self.clock.now, entry_count(message))
+        sent_at = self.clock.now
+        self.clock.at(arrives_at, self._apply, self.incarnation, proxy, update, message["mark"], sent_at)
+
+    def _apply(
+        self, incarnation: int, proxy: ProxyTable, update: TableUpdate, mark: int | None, sent_at: int
+    ) -> None:
+        if self.running(incarnation) is None or proxy.number not in self.joined:
+            return
+        proxy.apply(update)
+        if mark is not None:
+            took = self.clock.now - sent_at
+            done_at = self.clock.now + APPLY_TIME
+            self.clock.at(done_at, self._acknowledge, incarnation, proxy.number, mark, took)
+
+    def _acknowledge(self, incarnation: int, proxy: int, mark: int, took: int) -> None:
+        coordinator = self.running(incarnation)
+        if coordinator is not None:
+            coordinator.report(self.clock.now, Acknowledged(proxy=proxy, sequence=mark, latency=took))
+            self._schedule_turn()
+
+
+def table_update(message: Mapping[str, Any]) -> TableUpdate:
+    """A message to a proxy, as `Coordinator.pick` gives it, as an update of its table."""
+    return TableUpdate(
+        weights=[WeightUpdate(complete, weights) for _, complete, weights in message["tables"]],
+        admission=[
+            AdmissionUpdate(classes, AdmissionLevel(share, retries))
+            for classes, share, retries in message["levels"]
+        ],
+        excluded=message["out"],
+        readmitted=message["back"],
+    )
+
+
+def entry_count(message: Mapping[str, Any]) -> int:
+    """Table entries that a message counts as in the channel."""
+    weights = sum(len(entries) + complete for _, complete, entries in message["tables"])
+    exclusions = len(message["out"]) + len(message["back"])
+    return UPDATE_OVERHEAD + int(weights) + len(message["levels"]) + exclusions
--- /dev/null
+++ b/granitespool/emulator/emulation.py
@@ -0,0 +1,96 @@
+"""One emulated fleet from a seed: backends, proxies, traffic, and the coordinator before them."""
+
+from random import Random
+
+from granitespool.coordinator import Coordinator
+from granitespool.emulator.backend import Backend, assign_faults, swap_faults
+from granitespool.emulator.channel import Channel
+from granitespool.emulator.clock import VirtualClock
+from granitespool.emulator.coordinator_host import CoordinatorHost, Restore
+from granitespool.emulator.coordinator_settings import coordinator_settings, entries_per_s
+from granitespool.emulator.distance import shares
+from granitespool.emulator.load_reports import LoadReporter
+from granitespool.emulator.request_traffic import OutcomeShares, RequestTraffic
+from granitespool.emulator.schema import Setup
+from granitespool.simulation.proxy_table import ProxyTable
+from granitespool.units import MILLISECOND
+
+
+class Emulation:
+    """A fleet in virtual time; all chance comes from one generator."""
+
+    def __init__(self, setup: Setup, backends: int, proxies: int, seed: int) -> None:
+        """A fleet of so many backends and proxies; no coordinator runs until `start`."""
+        self.setup = setup
+        self.seed = seed
+        self.random = Random(seed)
+        self.clock = VirtualClock()
+        self.zones = [f"z{number}" for number in range(setup.fleet.zones)]
+        self.backends = self._make_backends(backends)
+        assign_faults(self.backends.values(), setup.fleet, self.random)
+        self.proxies = self._make_proxies(proxies)
+        self.traffic = RequestTraffic(
+            self.clock, self.random, setup.fleet, setup.classes, self.backends, self.proxies
+        )
+        self.host = CoordinatorHost(
+            self.clock,
+            self.random,
+            self.backends,
+            self.proxies,
+            self._make_coordinator,
+            self._make_channel,
+            self.traffic.rate,
+        )
+        self.load_reporter = LoadReporter(self.clock, self.traffic, self.host, setup.channel.report_lag_ms)
+
+    def _make_backends(self, count: int) -> dict[str, Backend]:
+        fleet = self.setup.fleet
+        made = [
+            Backend(f"s-{number:05d}", self._zone(number), fleet.workers, fleet.service_ms * MILLISECOND)
+            for number in range(count)
+        ]
+        return {backend.name: backend for backend in made}
+
+    def _make_proxies(self, count: int) -> list[ProxyTable]:
+        equal = dict.fromkeys(self.backends, 1.0)
+        return [ProxyTable(number, self._zone(number), equal) for number in range(count)]
+
+    def _zone(self, number: int) -> str:
+        return self.zones[number % len(self.zones)]
+
+    def _make_coordinator(self, incarnation: int, now: int) -> Coordinator:
+        settings = coordinator_settings(self.setup, self.zones, len(self.backends), len(self.proxies))
+        return Coordinator(settings, self.seed + incarnation, now)
+
+    def _make_channel(self, now: int) -> Channel:
+        pace = entries_per_s(self.setup, len(self.backends), len(self.proxies))
+        return Channel(self.setup.channel, pace, now)
+
+    @property
+    def now(self) -> int:
+        """The virtual time in ns."""
+        return self.clock.now
+
+    def run_until(self, until: int) -> None:
+        """Lets time pass up to a time (ns)."""
+        self.clock.run_until(until)
+
+    def start(self, restore: Restore | None = None, rejoin_s: float = 0.0) -> None:
+        """Starts a coordinator, which `restore` may give what one before it knew."""
+        self.host.start(restore, rejoin_s)
+
+    def kill(self) -> None:
+        """Ends the coordinator at once."""
+        self.host.kill()
+
+    def swap_faults(self) -> None:
+        """Heals every backend with a fault and gives its fault to a healthy one."""
+        swap_faults(self.backends.values(), self.random)
+
+    def zone_shares(self, zone: str) -> dict[str, float]:
+        """The shares of the coordinator's table for a zone; empty where there is none."""
+        return shares(self.host.zone_table(zone))
+
+    def outcomes(self, first: int, last: int) -> dict[str, OutcomeShares]:
+        """By class, what came of the transactions that began in the seconds from `first` to before `last`."""
+        return self.traffic.shares(first, last)
--- /dev/null
+++ b/granitespool/emulator/experiment.py
@@ -0,0 +1,65 @@
+"""Runs an experiment: every variant of every size with every seed, and what came of it."""
+
+import tempfile
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+
+from granitespool import __version__
+from granitespool.emulator.report import Report, Row, make_row
+from granitespool.emulator.restart import CONTROL, RestartTrial
+from granitespool.emulator.schema import Setup
+from granitespool.state.disk import Folder
+
+Progress = Callable[[str], None]
+
+
+def _ignore(_: str) -> None:
+    """Takes progress that nobody wants to see."""
+
+
+def run(setup: Setup, progress: Progress = _ignore) -> Report:
+    """The report of an experiment; `progress` is told of each trial as it begins."""
+    experiment = setup.experiment
+    rows: list[Row] = []
+    for backends, proxies in experiment.size_pairs():
+        rows += _run_size(setup, backends, proxies, progress)
+    return Report(
+        title=experiment.title,
+        program=__version__,
+        seeds=experiment.seeds,
+        first_seed=experiment.first_seed,
+        rows=rows,
+    )
+
+
+def _run_size(setup: Setup, backends: int, proxies: int, progress: Progress) -> list[Row]:
+    """All variants of one size, after the control that tells how far tables wander by themselves."""
+    experiment = setup.experiment
+    seeds = range(experiment.first_seed, experiment.first_seed + experiment.seeds)
+    near = {}
+    for seed in seeds:
+        with _trial(setup, CONTROL, (backends, proxies), seed, progress) as trial:
+            near[seed] = trial.run_control()
+    rows = []
+    for variant in experiment.variant_names():
+        results = []
+        for seed in seeds:
+            with _trial(setup, variant, (backends, proxies), seed, progress) as trial:
+                results.append(trial.run(near[seed]))
+        rows.append(make_row(f"{backends}x{proxies}", variant, results))
+    return rows
+
+
+@contextmanager
+def _trial(
+    setup: Setup, variant: str, size: tuple[int, int], seed: int, progress: Progress
+) -> Iterator[RestartTrial]:
+    """A trial with a state folder that is removed at its end; `size` is (backends, proxies)."""
+    backends, proxies = size
+    progress(f"{backends} x {proxies}, {variant}, seed {seed}")
+    with tempfile.TemporaryDirectory() as path:
+        folder = Folder(path)
+        try:
+            yield RestartTrial(setup, variant, backends, proxies, seed, folder)
+        finally:
+            folder.close()
--- /dev/null
+++ b/granitespool/emulator/load_reports.py
@@ -0,0 +1,47 @@
+"""Load reports: what collectors and proxies report of each second, some time after it has passed."""
+
+from granitespool.emulator.clock import EPOCH, VirtualClock
+from granitespool.emulator.coordinator_host import CoordinatorHost
+from granitespool.emulator.request_traffic import LinkCounts, RequestTraffic
+from granitespool.planner.events import Event, LoadReport, UsageReport
+from granitespool.units import MILLISECOND, SECOND
+
+
+class LoadReporter:
+    """Reports each second to the incarnation that runs at its end; where none runs, it is lost."""
+
+    def __init__(
+        self, clock: VirtualClock, traffic: RequestTraffic, host: CoordinatorHost, lag_ms: float
+    ) -> None:
+        self.clock = clock
+        self.traffic = traffic
+        self.host = host
+        self.lag = int(lag_ms * MILLISECOND)  # ns
+        clock.at(EPOCH + SECOND, self._report, 0)
+
+    def _report(self, second: int) -> None:
+        self.clock.at(self.clock.now + SECOND, self._report, second + 1)
+        links, demand = self.traffic.take_links(second), self.traffic.take_demand()
+        if self.host.coordinator is None:
+            return
+        events: list[Event] = [
+            _load_report(zone, backend, counts) for (zone, backend), counts in links.items()
+        ]
+        events += [_usage_report(proxy, name, number) for (proxy, name), number in demand.items()]
+        self.clock.at(self.clock.now + self.lag, self.host.take, self.host.incarnation, events)
+
+
+def _load_report(zone: str, backend: str, counts: LinkCounts) -> LoadReport:
+    return LoadReport(
+        zone=zone,
+        backend=backend,
+        attempts=counts.attempts,
+        failures=counts.failed,
+        mean=counts.mean_time,
+        window=SECOND,
+        load={},
+    )
+
+
+def _usage_report(proxy: int, class_name: str, requests: int) -> UsageReport:
+    return UsageReport(proxy=proxy, request_class=class_name, requests=requests, unanswered=0, window=SECOND)
--- /dev/null
+++ b/granitespool/emulator/request_traffic.py
@@ -0,0 +1,197 @@
+"""Transactions: when they arrive, how proxies attempt them, and what is counted of them.
+
+Arrivals are a Poisson process over all proxies. An attempt is drawn by weight from the proxy's table, takes
+its time at the backend and on the way, and is retried where class and admission level allow it."""
+
+from bisect import bisect
+from collections.abc import Mapping, Sequence
+from itertools import accumulate
+from random import Random
+
+import msgspec
+
+from granitespool.emulator.backend import Backend
+from granitespool.emulator.clock import EPOCH, VirtualClock
+from granitespool.emulator.schema import Class, Fleet
+from granitespool.simulation.proxy_table import ProxyTable
+from granitespool.units import MILLISECOND, SECOND
+
+SAME_ZONE_SHARE = 0.1  # round trip within a zone as a part of that to another zone
+
+
+class OutcomeCounts(msgspec.Struct):
+    """Transactions of one class that began in one second, by what came of them."""
+
+    asked: int = 0
+    in_time: int = 0
+    late: int = 0
+    failed: int = 0
+    refused: int = 0
+
+
+class OutcomeShares(msgspec.Struct, frozen=True):
+    """The same as shares of those asked; the names are those of the report."""
+
+    asked: float
+    in_time: float
+    late: float
+    failed: float
+    refused: float
+
+
+class LinkCounts(msgspec.Struct):
+    """What one zone's proxies met at one backend in one second."""
+
+    attempts: int = 0
+    failed: int = 0
+    answered: int = 0
+    answered_time: int = 0  # ns, summed over those answered
+
+    @property
+    def mean_time(self) -> int:
+        """Mean time of an answer in ns, 0 where there was none."""
+        return self.answered_time // self.answered if self.answered else 0
+
+
+class Transaction(msgspec.Struct, frozen=True):
+    """One transaction on its way."""
+
+    proxy: ProxyTable
+    class_name: str
+    counts: OutcomeCounts  # of the second in which it began
+    began: int  # ns
+
+
+class RequestTraffic:
+    """The transactions of all proxies."""
+
+    def __init__(
+        self,
+        clock: VirtualClock,
+        random: Random,
+        fleet: Fleet,
+        classes: Mapping[str, Class],
+        backends: Mapping[str, Backend],
+        proxies: Sequence[ProxyTable],
+    ) -> None:
+        self.clock = clock
+        self.random = random
+        self.fleet = fleet
+        self.classes = classes
+        self.backends = backends
+        self.proxies = proxies
+        self.rate = fleet.load * self._capacity()  # transactions a second of all proxies
+        self.class_names = list(classes)
+        self.cumulative_shares = list(accumulate(each.share for each in classes.values()))
+        self.outcomes: dict[tuple[int, str], OutcomeCounts] = {}  # by second and class
+        self._links: dict[int, dict[tuple[str, str], LinkCounts]] = {}  # second -> by zone and backend
+        self._demand: dict[tuple[int, str], int] = {}  # (proxy, class) -> transactions since the last report
+        clock.at(self._next_arrival(), self._arrive)
+
+    def _capacity(self) -> float:
+        """Transactions a second that all backends together can do."""
+        return sum(
+            self.fleet.workers / (self.fleet.service_ms / 1e3 * backend.fault.slowdown)
+            for backend in self.backends.values()
+            if not backend.fault.dead
+        )
+
+    def take_links(self, second: int) -> dict[tuple[str, str], LinkCounts]:
+        """What was met in a second at each (zone, backend); it is forgotten here."""
+        return self._links.pop(second, {})
+
+    def take_demand(self) -> dict[tuple[int, str], int]:
+        """Transactions of each (proxy, class) since it was taken last."""
+        demand, self._demand = self._demand, {}
+        return demand
+
+    def shares(self, first: int, last: int) -> dict[str, OutcomeShares]:
+        """By class, what came of the transactions that began in the seconds from `first` to before `last`."""
+        return {name: self._class_shares(name, range(first, last)) for name in self.class_names}
+
+    def _class_shares(self, name: str, seconds: range) -> OutcomeShares:
+        found = [counts for second in seconds if (counts := self.outcomes.get((second, name)))]
+        asked = sum(counts.asked for counts in found)
+
+        def share(count: int) -> float:
+            return count / asked if asked else 0.0
+
+        return OutcomeShares(
+            asked=asked,
+            in_time=share(sum(counts.in_time for counts in found)),
+            late=share(sum(counts.late for counts in found)),
+            failed=share(sum(counts.failed for counts in found)),
+            refused=share(sum(counts.refused for counts in found)),
+        )
+
+    def _next_arrival(self) -> int:
+        return self.clock.now + int(self.random.expovariate(self.rate) * SECOND)
+
+    def _arrive(self) -> None:
+        """One transaction begins at a proxy of a class, both drawn by chance."""
+        self.clock.at(self._next_arrival(), self._arrive)
+        proxy = self.proxies[int(self.random.random() * len(self.proxies))]
+        class_name = self._draw_class()
+        second = (self.clock.now - EPOCH) // SECOND
+        counts = self.outcomes.setdefault((second, class_name), OutcomeCounts())
+        counts.asked += 1
+        key = proxy.number, class_name
+        self._demand[key] = self._demand.get(key, 0) + 1
+        share = proxy.admission_level(class_name).share
+        if share < 1 and self.random.random() >= share:
+            counts.refused += 1
+        else:
+            self._attempt(Transaction(proxy, class_name, counts, self.clock.now), 0)
+
+    def _draw_class(self) -> str:
+        position = bisect(self.cumulative_shares, self.random.random() * self.cumulative_shares[-1])
+        return self.class_names[min(position, len(self.class_names) - 1)]
+
+    def _attempt(self, transaction: Transaction, retries: int) -> None:
+        """One attempt, after so many retries."""
+        request_class = self.classes[transaction.class_name]
+        endpoint = transaction.proxy.pick(self.random)
+        time_left = transaction.began + int(request_class.limit_ms * MILLISECOND) - self.clock.now
+        if endpoint is None or time_left <= 0:
+            transaction.counts.failed += 1
+            return
+        took, succeeded = self._call(transaction.proxy, self.backends[endpoint], time_left)
+        end = self.clock.now + took
+        self._count_link(transaction.proxy.zone, endpoint, end, took if succeeded else None)
+        if succeeded:
+            self._count_answer(transaction, end)
+        elif (
+            request_class.again
+            and retries < transaction.proxy.admission_level(transaction.class_name).retries
+        ):
+            self.clock.at(end, self._attempt, transaction, retries + 1)
+        else:
+            transaction.counts.failed += 1
+
+    def _call(self, proxy: ProxyTable, backend: Backend, time_left: int) -> tuple[int, bool]:
+        """The time (ns) after which the proxy knows what came of an attempt, and whether it succeeded."""
+        answer = backend.answer(self.clock.now, self.random, self.fleet)
+        round_trip = self.fleet.cross_zone_ms * MILLISECOND
+        if backend.zone == proxy.zone:
+            round_trip *= SAME_ZONE_SHARE
+        if answer.took is None:
+            return time_left, False
+        took = min(time_left, answer.took + int(round_trip))
+        return took, answer.succeeded and took < time_left
+
+    def _count_link(self, zone: str, backend: str, end: int, answered_after: int | None) -> None:
+        links = self._links.setdefault((end - EPOCH) // SECOND, {})
+        counts = links.setdefault((zone, backend), LinkCounts())
+        counts.attempts += 1
+        if answered_after is None:
+            counts.failed += 1
+        else:
+            counts.answered += 1
+            counts.answered_time += answered_after
+
+    def _count_answer(self, transaction: Transaction, end: int) -> None:
+        promised = self.classes[transaction.class_name].promised_ms * MILLISECOND
+        if end - transaction.began <= promised:
+            transaction.counts.in_time += 1
+        else:
+            transaction.counts.late += 1
--- a/granitespool/emulator/schema.py
+++ b/granitespool/emulator/schema.py
@@ -1,7 +1,6 @@
 """What an experiment's INI file may say; every key has its unit in its name."""
 
-import importlib.resources
-import os
+from collections.abc import Iterable
 from typing import Annotated, Literal
 
 import msgspec
@@ -9,11 +8,15 @@
 
 from granitespool import ini
 from granitespool.errors import InvalidInputError
+from granitespool.simulation import ini_files
 
+PACKAGE = "granitespool.emulator"  # whose folder holds the experiments that come with the program
+CLASS_SECTIONS = "class."  # what the name of a class's section begins with
+LARGEST_SIZE = 100_000  # backends or proxies
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
-Count = Annotated[int, Meta(ge=1, le=100_000)]
-VARIANTS = "without", "state", "old", "changed", "wrong", "alive"
+Count = Annotated[int, Meta(ge=1, le=LARGEST_SIZE)]
+VARIANTS = ("without", "state", "old", "changed", "wrong", "alive")
 
 
 class Experiment(msgspec.Struct, frozen=True, kw_only=True):
@@ -26,23 +29,27 @@
     seeds: Annotated[int, Meta(ge=1, le=100)] = 1  # the first seed and how many follow it
     first_seed: Annotated[int, Meta(ge=0, le=10**9)] = 1
 
-    def __post_init__(self):
+    def __post_init__(self) -> None:
+        """Raises ValueError where variants or sizes are not what they may be."""
         for variant in self.variant_names():
             if variant not in VARIANTS:
                 raise ValueError(f"variants names {variant!r:.40}; known are {', '.join(VARIANTS)}")
         self.size_pairs()
 
-    def variant_names(self):
+    def variant_names(self) -> list[str]:
+        """The variants in the order in which they are run."""
         return [word.strip() for word in self.variants.split(",")]
 
-    def size_pairs(self):
+    def size_pairs(self) -> list[tuple[int, int]]:
+        """The sizes as (backends, proxies); raises ValueError where they are none."""
+        pairs = [size.split("x") for size in self.sizes.split(",")]
         try:
-            pairs = [tuple(int(word) for word in size.split("x")) for size in self.sizes.split(",")]
-            if all(len(pair) == 2 and min(pair) > 0 and max(pair) <= 100_000 for pair in pairs):
-                return pairs
+            found = [(int(backends), int(proxies)) for backends, proxies in pairs]
         except ValueError:
-            pass
-        raise ValueError(f"sizes is {self.sizes!r:.40}, where 30x150 or 30x150, 120x640 would do")
+            found = []
+        if not found or any(min(pair) < 1 or max(pair) > LARGEST_SIZE for pair in found):
+            raise ValueError(f"sizes is {self.sizes!r:.40}, where 30x150 or 30x150, 120x640 would do")
+        return found
 
 
 class Fleet(msgspec.Struct, frozen=True, kw_only=True):
@@ -95,10 +102,17 @@
     old_s: Seconds = 7200.0  # age of the record in the variant `old`
 
 
-SECTIONS = {"experiment": Experiment, "fleet": Fleet, "channel": Channel, "restart": Restart}
+SECTIONS: dict[str, type[msgspec.Struct]] = {
+    "experiment": Experiment,
+    "fleet": Fleet,
+    "channel": Channel,
+    "restart": Restart,
+}
 
 
 class Setup(msgspec.Struct, frozen=True, kw_only=True):
+    """A whole experiment, as it is run."""
+
     experiment: Experiment
     fleet: Fleet = Fleet()
     channel: Channel = Channel()
@@ -106,69 +120,36 @@
     classes: dict[str, Class] = {}
 
 
-def names():
+def names() -> list[str]:
     """The experiments that come with the program."""
-    folder = importlib.resources.files("granitespool.emulator") / "experiments"
-    return sorted(entry.name[: -len(".ini")] for entry in folder.iterdir() if entry.name.endswith(".ini"))
+    return ini_files.names(PACKAGE)
 
 
-def load(told, changes=()):
-    """The Setup of a file or of a name that `names` has, with other values for some keys ("fleet.load=0.9",
-    or the key alone where only one section has it), or InvalidInputError."""
-    known = names()
-    if told in known and not os.path.exists(told):
-        path = f"{told}.ini"
-        text = (importlib.resources.files("granitespool.emulator") / "experiments" / path).read_text()
-    else:
-        path = told
-        try:
-            with open(path, encoding="utf-8") as file:
-                text = file.read()
-        except (OSError, UnicodeDecodeError) as error:
-            raise InvalidInputError(
-                f"{told}: no such experiment ({', '.join(known)} come with the program), and as a "
-                f"file it cannot be read: {getattr(error, 'strerror', error)}"
-            ) from None
+def load(name: str, changes: Iterable[str] = ()) -> Setup:
+    """The experiment of a file or of a name that `names` has, with other values for some keys.
+
+    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key. Raises
+    InvalidInputError."""
+    path, text = ini_files.read(PACKAGE, name, "experiment")
     for change in changes:
-        text = changed(text, change)
-    read = ini.parse(path, text, {**SECTIONS, "class.*": Class})
-    if "experiment" not in read:
+        text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
+    sections = ini.parse(path, text, {**SECTIONS, f"{CLASS_SECTIONS}*": Class})
+    if "experiment" not in sections:
         raise InvalidInputError(f"{path}: it lacks the section [experiment]")
-    own = {name.removeprefix("class."): read.pop(name) for name in list(read) if name.startswith("class.")}
-    return Setup(**read, classes=own or {"pay": Class()})
-
-
-def changed(text, change):
-    """An INI text with one more value for a key, in the place of a former one."""
-    key, equals, value = change.partition("=")
-    section, dot, name = key.strip().rpartition(".")
-    if not equals:
-        raise InvalidInputError(f"--set {change!r:.60} is no KEY=VALUE")
-    if not dot:
-        having = [
-            each
-            for each, struct in SECTIONS.items()
-            if name in (field.name for field in msgspec.structs.fields(struct))
-        ]
-        if len(having) != 1:
-            raise InvalidInputError(
-                f"--set {name!r:.60}: "
-                + (
-                    "no section has this key"
-                    if not having
-                    else "sections " + ", ".join(having) + " have it, so name one as SECTION.KEY"
-                )
-            )
-        section = having[0]
-    found, kept = "", []
-    for line in text.splitlines():
-        if line.strip().startswith("["):
-            found = line.strip().strip("[]")
-        if found == section and line.partition("=")[0].strip() == name:
-            continue
-        kept.append(line)
-        if line.strip() == f"[{section}]":
-            kept.append(f"{name} = {value.strip()}")
-    if f"[{section}]" not in (line.strip() for line in kept):
-        kept += [f"[{section}]", f"{name} = {value.strip()}"]
-    return "\n".join(kept)
+    class_sections = [section for section in sections if section.startswith(CLASS_SECTIONS)]
+    classes = {section.removeprefix(CLASS_SECTIONS): sections.pop(section) for section in class_sections}
+    return Setup(**sections, classes=classes or {"pay": Class()})
+
+
+def _with_section(change: ini_files.Change) -> ini_files.Change:
+    """The change with the section that alone has its key."""
+    if change.section:
+        return change
+    having = ini_files.sections_with(change.key, SECTIONS)
+    if len(having) == 1:
+        return change._replace(section=having[0])
+    if having:
+        problem = f"sections {', '.join(having)} have it, so name one as SECTION.KEY"
+    else:
+        problem = "no section has this key"
+    raise InvalidInputError(f"--set {change.key!r:.60}: {problem}")
--- /dev/null
+++ b/granitespool/emulator/snapshots.py
@@ -0,0 +1,63 @@
+"""What an emulated coordinator writes to a state folder, and what the next incarnation recovers from it."""
+
+from granitespool import __version__
+from granitespool.coordinator import Coordinator
+from granitespool.emulator.coordinator_host import Restore
+from granitespool.emulator.emulation import Emulation
+from granitespool.emulator.schema import Restart
+from granitespool.state import record, restore_policy
+from granitespool.state.disk import Folder
+from granitespool.state.recovery import Memory
+from granitespool.state.store import Store
+from granitespool.state.writer import read_back
+from granitespool.units import MILLISECOND, SECOND
+
+FOLDER_LIMIT = 64 << 20  # bytes of a state folder
+INCARNATION = 1  # that the header tells
+
+
+class SnapshotRecorder:
+    """Writes what changed to a folder at intervals, for as long as the first incarnation runs."""
+
+    def __init__(self, emulation: Emulation, settings: Restart, folder: Folder) -> None:
+        self.emulation = emulation
+        self.settings = settings
+        self.folder = folder
+        self.identity = restore_policy.Identity("lab", list(emulation.setup.classes), emulation.zones)
+        self.memory = Memory(settings, self.identity)
+        self.store = Store(folder, FOLDER_LIMIT, self._header)
+
+    def start(self) -> None:
+        """Begins with the incarnation that runs now."""
+        self._schedule(self.emulation.now)
+
+    def _header(self) -> record.Header:
+        now = self.emulation.now
+        return record.Header(record.FORMAT, *self.identity, now, now, INCARNATION, __version__)
+
+    def _schedule(self, when: int) -> None:
+        self.emulation.clock.at(when, self._write, self.emulation.host.incarnation)
+
+    def _write(self, incarnation: int) -> None:
+        now = self.emulation.now
+        coordinator = self.emulation.host.running(incarnation)
+        if coordinator is None:
+            return
+        self._schedule(now + self.settings.every_ms * MILLISECOND // 2)
+        changes = self.memory.changes(coordinator, {}, 0, now, list(coordinator.listed()), True)
+        if changes:
+            self.store.append(now, now, changes)
+
+    def restore(self, age_s: float) -> Restore:
+        """Reads the folder as if it were so many seconds older; the result restores a new coordinator."""
+        now = self.emulation.now
+        later = now + int(age_s * SECOND)
+        clocks = restore_policy.Clocks(later, later)
+        opened, _ = read_back(self.folder, FOLDER_LIMIT)
+        memory = Memory(self.settings, self.identity)
+        memory.opened(opened.found, opened.kept, opened.why, clocks)
+
+        def restore(coordinator: Coordinator) -> None:
+            memory.recall(coordinator, now, clocks)
+
+        return restore
--- /dev/null
+++ b/granitespool/simulation/plotting.py
@@ -0,0 +1,22 @@
+"""Plots need matplotlib, which is an extra and slow to import."""
+
+import importlib
+import importlib.util
+from typing import Any
+
+from granitespool.errors import InvalidInputError
+
+
+def require_matplotlib() -> None:
+    """Raises InvalidInputError where matplotlib is not there."""
+    if importlib.util.find_spec("matplotlib") is None:
+        raise InvalidInputError("a plot needs the extra `plot` (pip install granitespool[plot])")
+
+
+def load_pyplot() -> Any:  # noqa: ANN401 matplotlib may be missing where types are checked
+    """`matplotlib.pyplot`, which writes files and opens no window.
+
+    Raises InvalidInputError where matplotlib is not there."""
+    require_matplotlib()
+    importlib.import_module("matplotlib").use("Agg")
+    return importlib.import_module("matplotlib.pyplot")
--- a/tests/test_emulator_recordings.py
+++ b/tests/test_emulator_recordings.py
@@ -10,8 +10,11 @@
 import pytest
 from support import recordings
 
-from granitespool.emulator import play, schema
-from granitespool.emulator.world import BEGAN, SECOND, World
+from granitespool.emulator import experiment, schema
+from granitespool.emulator import report as reports
+from granitespool.emulator.clock import EPOCH
+from granitespool.emulator.emulation import Emulation
+from granitespool.units import SECOND
 
 SMALL = ["sizes=8x20", "seeds=1", "learn_s=12", "settle_s=6", "look_s=5", "workers=2", "service_ms=60"]
 EXPERIMENTS = {
@@ -34,9 +37,10 @@
 
 
 def report(name):
-    made = play.play(schema.load("restart", EXPERIMENTS[name]))
+    result = experiment.run(schema.load("restart", EXPERIMENTS[name]))
+    made = json.loads(reports.as_json(result))
     del made["program"]
-    return recordings.as_recorded({"report": made, "table": play.table(made)})
+    return recordings.as_recorded({"report": made, "table": reports.table(result)})
 
 
 def digest(value):
@@ -44,33 +48,36 @@
 
 
 def days():
-    """A world whose coordinator is killed and started anew, second by second."""
+    """An emulation whose coordinator is killed and started anew, second by second."""
     setup = schema.load("restart", [*SMALL, "class.purchase.again=true", "failing_share=0.3", "load=1.2"])
-    world, seconds, waiting = World(setup, 9, 21, 11), [], set()
-    world.start()
+    emulation, seconds, waiting = Emulation(setup, 9, 21, 11), [], set()
+    emulation.start()
     for second in range(1, 16):
         for step in range(1, 201):
-            world.run(BEGAN + (second - 1) * SECOND + step * SECOND // 200)
-            waiting.update(each[0] for each in world.events)
+            emulation.run_until(EPOCH + (second - 1) * SECOND + step * SECOND // 200)
+            waiting.update(emulation.clock.pending_times())
         if second == 6:
-            world.change_places()
-            world.kill()
+            emulation.swap_faults()
+            emulation.kill()
         if second == 8:
-            world.start(None, 1.5)
+            emulation.start(None, 1.5)
         seconds.append(
             {
-                "table": world.table("z0"),
-                "service": world.service(second - 1, second),
+                "table": emulation.zone_shares("z0"),
+                "service": msgspec.to_builtins(emulation.outcomes(second - 1, second)),
                 "proxies": digest(
-                    [[proxy.table, sorted(proxy.shut), proxy.level("purchase")] for proxy in world.proxies]
+                    [
+                        [proxy.weights, sorted(proxy.excluded), proxy.admission_level("purchase")]
+                        for proxy in emulation.proxies
+                    ]
                 ),
             }
         )
     return recordings.as_recorded(
         {
             "seconds": seconds,
-            "chance": digest(world.random.getstate()),
-            "events": world.serial,
+            "chance": digest(emulation.random.getstate()),
+            "events": emulation.clock.scheduled,
             "times": digest(sorted(waiting)),
         }
     )
@@ -94,7 +101,7 @@
     assert report(name) == recordings.read(f"emulator/{name}")
 
 
-def test_a_world_goes_through_the_recorded_seconds():
+def test_an_emulation_goes_through_the_recorded_seconds():
     assert days() == recordings.read("emulator/days")
 
 
