--- a/granitespool/cli/__init__.py
+++ b/granitespool/cli/__init__.py
@@ -23,7 +23,7 @@
            it is torn, or compact it to one snapshot.
   keys     Make a private authority, a server's and clients' certificates for trying out; or say of whom
            certificates are and when they end (exit code 1 where one has ended, or will within two weeks).
-  lab      Play an experiment in virtual time: a file, or a name that `lab list` lists.
+  emulate  Run an experiment in virtual time: a file, or a name that `emulate list` lists.
   scale    Play a scenario in real time on loopback, with real and hollow coordinators: a file, or a name that
            `scale list` lists (exit code 1 where a rule was broken or the run itself failed); or plot what
            coordinators cost against the size of the fleet, from reports of several runs.
--- a/granitespool/cli/scale.py
+++ b/granitespool/cli/scale.py
@@ -1,6 +1,7 @@
 """`scale`: scenarios in real time, with real and hollow coordinators before stand-ins."""
 
 import sys
+from pathlib import Path
 from typing import Any
 
 import msgspec
@@ -8,40 +9,48 @@
 from granitespool.cli import FAILED
 from granitespool.errors import InvalidInputError
 from granitespool.scale import plot, report, runner, schema
+from granitespool.simulation.plotting import require_matplotlib
 
 
-def run(told: dict[str, Any]) -> int:
-    """Lists scenarios or plays one; the exit code. Raises InvalidInputError where it cannot be played."""
-    if told["list"]:
+def run(arguments: dict[str, Any]) -> int:
+    """Lists scenarios, plays one or plots reports; the exit code.
+
+    Raises InvalidInputError where the scenario cannot be played."""
+    if arguments["list"]:
         for name in schema.names():
             print(f"{name:12} {schema.load(name).scale.title}")
         return 0
-    if told["plot"]:
-        return _plot(told["PLOT"], told["REPORT"])
-    if told["--plot"]:
-        plot.require()  # before a run of minutes
-    changes = [*told["--set"], *([f"scale.seed={told['--seed']}"] if told["--seed"] is not None else ())]
-    scenario = schema.load(told["SCENARIO"], changes)
-    result = runner.play(scenario, lambda words: print(words, file=sys.stderr))
-    if told["--report"]:
-        with open(told["--report"], "w", encoding="utf-8") as file:
-            file.write(report.as_json(result))
+    if arguments["plot"]:
+        plot.plot([_read_report(path) for path in arguments["REPORT"]], arguments["PLOT"])
+        return 0
+    return _play(arguments)
+
+
+def _play(arguments: dict[str, Any]) -> int:
+    if arguments["--plot"]:
+        require_matplotlib()  # before a run of minutes
+    changes = list(arguments["--set"])
+    if arguments["--seed"] is not None:
+        changes.append(f"scale.seed={arguments['--seed']}")
+    scenario = schema.load(arguments["SCENARIO"], changes)
+    result = runner.play(scenario, _print_progress)
+    if arguments["--report"]:
+        Path(arguments["--report"]).write_text(report.as_json(result), encoding="utf-8")
     print("\n".join(report.table(result)))
-    if told["--plot"]:
-        plot.plot([result], told["--plot"])
+    if arguments["--plot"]:
+        plot.plot([result], arguments["--plot"])
     if not result.passed:
         print("granitespool: the scenario did not pass", file=sys.stderr)
         return FAILED
     return 0
 
 
-def _plot(path: str, reports: list[str]) -> int:
-    read = []
-    for each in reports:
-        try:
-            with open(each, "rb") as file:
-                read.append(report.of_json(file.read()))
-        except msgspec.DecodeError as error:
-            raise InvalidInputError(f"{each} is no report of a scale run: {error}") from None
-    plot.plot(read, path)
-    return 0
+def _print_progress(text: str) -> None:
+    print(text, file=sys.stderr)
+
+
+def _read_report(path: str) -> report.Report:
+    try:
+        return report.of_json(Path(path).read_bytes())
+    except msgspec.DecodeError as error:
+        raise InvalidInputError(f"{path} is no report of a scale run: {error}") from None
--- a/granitespool/scale/backends.py
+++ b/granitespool/scale/backends.py
@@ -1,14 +1,17 @@
 """Stand-ins of backends: a listener each, which answers `/alive` and `/metrics/load` while it lives."""
 
 import socket
-from collections.abc import Generator
+from collections.abc import Generator, Iterable
+
+import msgspec
 
 from granitespool.net.client import receive, send
 from granitespool.net.config import address
-from granitespool.net.loop import IN, SECOND, Loop, Task
+from granitespool.net.loop import IN, Loop, Task
 from granitespool.scale.fleet import ListedBackend
+from granitespool.units import SECOND
 
-ANSWER_LIMIT = 2 * SECOND  # ns within which a request has to be there
+REQUEST_TIMEOUT = 2 * SECOND  # ns within which a request has to be there
 BACKLOG = 64
 BODY = b"inflight=7,queue=2,util=0.5"
 ANSWER = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
@@ -16,14 +19,25 @@
 Wait = Generator[tuple[int | None, int, int | None], int, None]
 
 
+class HealthCheckCounts(msgspec.Struct):
+    """Health checks that backends have answered, and their bytes."""
+
+    number: int = 0
+    request_bytes: int = 0
+    answer_bytes: int = 0
+
+
 class Backends:
     """All backends that live; one that ended refuses connections."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: Loop, entries: Iterable[ListedBackend]) -> None:
+        """The backends of these entries listen from now on, warm ones."""
         self.loop = loop
         self.living: dict[str, Task] = {}
         self.started: dict[str, int] = {}  # backend -> when it began, ns; 0: long ago
-        self.probes = self.asked_bytes = self.answered_bytes = 0
+        self.health_checks = HealthCheckCounts()
+        for entry in entries:
+            self.start(entry)
 
     def start(self, entry: ListedBackend, started: int = 0) -> None:
         """A backend begins to listen at its address; `started` in ns of Unix time."""
@@ -54,13 +68,13 @@
             request = b""
             try:
                 while b"\r\n\r\n" not in request:
-                    data = yield from receive(sock, self.loop.now + ANSWER_LIMIT)
+                    data = yield from receive(sock, self.loop.now + REQUEST_TIMEOUT)
                     if not data:
                         return
                     request += data
-                yield from send(sock, ANSWER, self.loop.now + ANSWER_LIMIT)
+                yield from send(sock, ANSWER, self.loop.now + REQUEST_TIMEOUT)
             except OSError:
-                return  # who asked has gone
-            self.probes += 1
-            self.asked_bytes += len(request)
-            self.answered_bytes += len(ANSWER)
+                return  # the other side has gone
+            self.health_checks.number += 1
+            self.health_checks.request_bytes += len(request)
+            self.health_checks.answer_bytes += len(ANSWER)
--- /dev/null
+++ b/granitespool/scale/checker/check.py
@@ -0,0 +1,59 @@
+"""Runs all rules over one trace."""
+
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from granitespool.scale.checker.channel import ChannelRule
+from granitespool.scale.checker.cold_backends import ColdBackendRule
+from granitespool.scale.checker.deadlines import Deadlines
+from granitespool.scale.checker.effects import EffectRule
+from granitespool.scale.checker.tables import TableRules
+from granitespool.scale.checker.violation import EventOrderError, UnknownEventError, Violation
+from granitespool.scale.trace import AnyEvent, Limits
+
+
+def check(events: Iterable[AnyEvent], limits: Limits) -> list[Violation]:
+    """All violations in order of time; raises EventOrderError and UnknownEventError.
+
+    A time limit that is still running at the last event is judged as of that event."""
+    judge = _Judge(limits)
+    for index, event in enumerate(events):
+        judge.observe(index, event)
+    return judge.violations_in_order()
+
+
+class _Judge:
+    """All rules over one trace, event by event."""
+
+    def __init__(self, limits: Limits) -> None:
+        self.violations: list[Violation] = []
+        self.deadlines = Deadlines(self.violations)
+        self.now: int | None = None  # ns of the latest event
+        self.handlers: dict[type, list[Callable[[Any], None]]] = {}
+        rules = (
+            TableRules(limits, self.deadlines),
+            ColdBackendRule(limits, self.deadlines),
+            EffectRule(self.violations),
+            ChannelRule(limits, self.violations),
+        )
+        for rule in rules:
+            for kind, handler in rule.handlers.items():
+                self.handlers.setdefault(kind, []).append(handler)
+
+    def observe(self, index: int, event: AnyEvent) -> None:
+        """Lets time pass up to the event, then takes it; raises EventOrderError, UnknownEventError."""
+        handlers = self.handlers.get(type(event))
+        if handlers is None:
+            raise UnknownEventError(index, type(event))
+        if self.now is not None and event.at < self.now:
+            raise EventOrderError(index, event.at, self.now)
+        self.now = event.at
+        self.deadlines.advance(event.at)
+        for handle in handlers:
+            handle(event)
+
+    def violations_in_order(self) -> list[Violation]:
+        """All violations in order of time, up to the latest event."""
+        if self.now is not None:
+            self.deadlines.advance(self.now)
+        return sorted(self.violations, key=lambda violation: violation.at)
--- /dev/null
+++ b/granitespool/scale/checker/deadlines.py
@@ -0,0 +1,56 @@
+"""Time limits that run: each is a violation unless it is stopped in time."""
+
+import heapq
+
+import msgspec
+
+from granitespool.scale.checker.violation import Rule, Violation
+
+Key = tuple[Rule, str]  # rule and subject
+
+
+class _Deadline(msgspec.Struct, frozen=True):
+    """A time limit that runs: `violation` is reported unless it is stopped by `due`."""
+
+    began: int  # ns
+    due: int  # ns: the last instant that is allowed
+    violation: Violation
+
+
+class Deadlines:
+    """The time limits that run, at most one of each rule and subject."""
+
+    def __init__(self, violations: list[Violation]) -> None:
+        """What is found is added to `violations`."""
+        self.violations = violations
+        self._running: dict[Key, _Deadline] = {}
+        self._reported: dict[Key, int] = {}  # when (ns) the time limit began that was reported last
+        self._queue: list[tuple[int, int, _Deadline]] = []
+        self._sequence = 0
+
+    def start(self, began: int, due: int, violation: Violation) -> None:
+        """Starts or keeps a time limit (ns); one that was reported is not reported again."""
+        key = (violation.rule, violation.subject)
+        if self._reported.get(key) == began:
+            return
+        running = self._running.get(key)
+        if running is not None and (running.began, running.due) == (began, due):
+            return
+        deadline = _Deadline(began, due, violation)
+        self._running[key] = deadline
+        self._sequence += 1
+        heapq.heappush(self._queue, (due, self._sequence, deadline))
+
+    def stop(self, rule: Rule, subject: str) -> None:
+        """Stops a time limit, if it runs."""
+        self._running.pop((rule, subject), None)
+
+    def advance(self, now: int) -> None:
+        """Reports each time limit whose last allowed instant lies before `now` (ns)."""
+        while self._queue and self._queue[0][0] < now:
+            deadline = heapq.heappop(self._queue)[2]
+            key = (deadline.violation.rule, deadline.violation.subject)
+            if self._running.get(key) is deadline:
+                del self._running[key]
+                self._reported[key] = deadline.began
+                self.violations.append(deadline.violation)
--- /dev/null
+++ b/granitespool/scale/collector.py
@@ -0,0 +1,118 @@
+"""Stand-ins of collectors: a zone's connection to each coordinator, and the load reports on it."""
+
+import socket
+from collections.abc import Generator, Sequence
+from contextlib import suppress
+from random import Random
+
+from granitespool.net.client import dial, send
+from granitespool.net.frames import frame
+from granitespool.net.loop import IN, Loop
+from granitespool.scale.backends import Backends
+from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint, region_of
+from granitespool.scale.proxy_stream import ProxyStream
+from granitespool.scale.recorder import Recorder
+from granitespool.scale.schema import Scenario
+from granitespool.units import MILLISECOND, SECOND
+
+REPORT_INTERVAL = SECOND  # ns between a collector's reports
+RECONNECT_DELAY = SECOND // 2  # ns between a collector's diallings
+DIAL_TIMEOUT = SECOND  # ns for a connection to come up
+READ_SIZE = 4096
+ROUND_TRIP_LEAST = 0.8  # of the mean service time
+ROUND_TRIP_RANGE = 0.4
+
+Wait = Generator[tuple[int | None, int, int | None], int, None]
+
+
+class Collector:
+    """A zone's collector: what the zone's proxies met, reported to each coordinator."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        recorder: Recorder,
+        scenario: Scenario,
+        zone: str,
+        streams: Sequence[ProxyStream],
+        backends: Backends,
+        random: Random,
+    ) -> None:
+        """`streams` may grow."""
+        self.loop = loop
+        self.recorder = recorder
+        self.scenario = scenario
+        self.zone = zone
+        self.streams = streams
+        self.backends = backends
+        self.random = random
+        self.unreachable: set[str] = set()  # coordinators that a cut keeps it from
+        self.down = False
+
+    @property
+    def region(self) -> str:
+        """The region of its zone."""
+        return region_of(self.zone)
+
+    def report_to(self, endpoint: CoordinatorEndpoint) -> None:
+        """Connects to a coordinator from now on."""
+        self.loop.spawn(self._run(endpoint))
+
+    def _run(self, endpoint: CoordinatorEndpoint) -> Wait:
+        yield None, 0, self.loop.now + int(self.random.random() * RECONNECT_DELAY)
+        while True:
+            if not endpoint.down and not self.down:
+                with (
+                    suppress(OSError),  # dialled again
+                    socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock,
+                ):
+                    yield from self._stream(sock, endpoint)
+            yield None, 0, self.loop.now + RECONNECT_DELAY
+
+    def _stream(self, sock: socket.socket, endpoint: CoordinatorEndpoint) -> Wait:
+        yield from dial(sock, endpoint.address, self.loop.now + DIAL_TIMEOUT)
+        hello = frame({"type": "collector", "locality": self.zone})
+        yield from send(sock, hello, self.loop.now + DIAL_TIMEOUT)
+        endpoint.recorder.count(endpoint.name, "in", "collector", len(hello))
+        due = self.loop.now + int(self.random.random() * REPORT_INTERVAL)
+        while not self.down:
+            events = yield sock.fileno(), IN, due
+            if events and not sock.recv(READ_SIZE):
+                return
+            if self.loop.now < due:
+                continue
+            due += REPORT_INTERVAL
+            if endpoint.wants_reports and endpoint.name not in self.unreachable:
+                reports = self.load_reports()
+                data = b"".join(reports)
+                yield from send(sock, data, None)
+                endpoint.recorder.count(endpoint.name, "in", "heard", len(data), len(reports))
+
+    def load_reports(self) -> list[bytes]:
+        """Frames of what a second brought, on links of this zone drawn from what its proxies hold."""
+        wanted = self.scenario.traffic.links_per_s / len(self.scenario.zones)
+        count = int(wanted) + (self.random.random() < wanted % 1)
+        mine = [stream for stream in self.streams if stream.table.zone == self.zone and stream.table.weights]
+        if not mine:
+            return []
+        names = {stream.table.pick(self.random) for stream in self.random.choices(mine, k=count)}
+        return [self._load_report(name) for name in sorted(name for name in names if name is not None)]
+
+    def _load_report(self, backend: str) -> bytes:
+        traffic = self.scenario.traffic
+        more = traffic.tries_per_report - 1
+        attempts = 1 + (round(self.random.expovariate(1 / more)) if more else 0)
+        failing_share = traffic.failing_share if backend in self.backends.living else 1.0
+        errors = sum(self.random.random() < failing_share for _ in range(attempts))
+        round_trip = traffic.service_ms * (ROUND_TRIP_LEAST + ROUND_TRIP_RANGE * self.random.random())
+        return frame(
+            {
+                "type": "heard",
+                "locality": self.zone,
+                "endpoint": backend,
+                "total": attempts,
+                "errors": errors,
+                "rtt": round_trip if errors < attempts else 0.0,
+                "interval": REPORT_INTERVAL / MILLISECOND,
+            }
+        )
--- /dev/null
+++ b/granitespool/scale/coordinator_log.py
@@ -0,0 +1,63 @@
+"""What a real coordinator's log tells a run: the border to the log's own event names."""
+
+from collections import Counter
+from typing import Any
+
+import msgspec
+
+from granitespool.units import MILLISECOND
+
+FAULT_EVENTS = (  # that tell of a fault around the coordinator, which it has met
+    "watch_ended",
+    "list_older",
+    "entry_dropped",
+    "reload_refused",
+    "away",
+    "given_up",
+    "dropped",
+    "log_dropped",
+)
+INTERNAL_ERROR_EVENTS = ("failed", "remark")  # that tell of a fault of the program
+RELOADED, RELOAD_REJECTED = "reloaded", "reload_refused"
+TEXT_KEPT = 400  # characters of a line that tells of an internal error
+
+
+class Reload(msgspec.Struct, frozen=True):
+    """A line that answers a SIGHUP."""
+
+    at: int  # ns
+    rejected: bool
+
+
+class CoordinatorLog:
+    """Takes a coordinator's log line by line, over all its incarnations."""
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.lines = 0  # since the measuring began
+        self.reloads: list[Reload] = []
+        self.list_index = 0  # version of the list that was told last
+        self.older_lists = 0  # lists that were taken though they were older than the one before
+        self.health_checks = 0
+        self.fault_events: Counter[str] = Counter()
+        self.internal_errors: list[str] = []
+
+    def take(self, line: dict[str, Any]) -> None:
+        """Takes one line."""
+        self.lines += 1
+        event = line.get("event")
+        if event in FAULT_EVENTS:
+            self.fault_events[event] += 1
+        if event in (RELOADED, RELOAD_REJECTED):
+            self.reloads.append(Reload(line["at_ms"] * MILLISECOND, event == RELOAD_REJECTED))
+        elif event == "list":
+            self._take_list(line["index"])
+        elif event == "probed":
+            self.health_checks += 1
+        elif event in INTERNAL_ERROR_EVENTS:
+            self.internal_errors.append(f"{self.name} logged {event}: {str(line)[-TEXT_KEPT:]}")
+
+    def _take_list(self, index: int) -> None:
+        if index < self.list_index:
+            self.older_lists += 1
+        self.list_index = index
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -4,20 +4,23 @@
 the list counts as held by it; while it is cut off it answers with what it holds and stays silent."""
 
 import socket
+from collections import deque
 from collections.abc import Callable, Generator, Iterable
+from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import orjson
 
 from granitespool.net.client import receive, send
-from granitespool.net.loop import IN, SECOND, Loop, Task
-from granitespool.scale.fleet import MS, ListedBackend
+from granitespool.net.loop import IN, Loop, Task
+from granitespool.scale.fleet import ListedBackend
 from granitespool.scale.recorder import Recorder
-from granitespool.scale.trace import BackendTold
+from granitespool.scale.trace import BackendListed
+from granitespool.units import MILLISECOND, SECOND
 
-BEAT = 2 * SECOND  # ns between empty lines of a watch
-REQUEST_LIMIT = 5 * SECOND  # ns within which a request has to be there
-REQUEST_LARGEST = 4096  # bytes of a request
+HEARTBEAT_INTERVAL = 2 * SECOND  # ns between empty lines of a watch
+REQUEST_TIMEOUT = 5 * SECOND  # ns within which a request has to be there
+REQUEST_LIMIT = 4096  # bytes of a request
 BACKLOG = 1024
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
@@ -28,7 +31,10 @@
     """One version of the list: the entries that it changed."""
 
     def __init__(self, index: int, entries: list[ListedBackend], at: int) -> None:
-        self.index, self.entries, self.at = index, entries, at  # at: ns
+        """`at`: when it was published, ns."""
+        self.index = index
+        self.entries = entries
+        self.at = at
         body = {"index": index, "snapshot": False, "endpoints": [as_row(entry) for entry in entries]}
         self.line = orjson.dumps(body) + b"\n"
 
@@ -42,11 +48,14 @@
     """The list with all its versions; agents are told of each change at once unless they are cut off."""
 
     def __init__(self, entries: Iterable[ListedBackend], clock: Callable[[], int]) -> None:
-        self.index, self.clock = 1, clock  # clock: ns
-        self.whole: tuple[int, bytes] = (0, b"")  # a version, and its whole list as a line
+        """`clock` gives ns."""
+        self.index = 1  # newest version
+        self.clock = clock
         self.entries = {entry.name: entry for entry in entries}
         self.changes: list[Change] = []
         self.agents: list[Agent] = []
+        self._snapshot_index = 0  # version of the cached line
+        self._snapshot_line = b""
 
     def publish(self, entries: list[ListedBackend], told: bool = True) -> Change:
         """Makes a version of changed entries; `told` False leaves it to the caller to tell agents."""
@@ -59,10 +68,10 @@
             else:
                 self.entries[entry.name] = entry
         if told:
-            self.tell()
+            self.update_agents()
         return change
 
-    def tell(self) -> None:
+    def update_agents(self) -> None:
         """Brings every agent that is not cut off up to date."""
         for agent in self.agents:
             agent.update()
@@ -71,23 +80,32 @@
         """The changes after one version up to another."""
         return [change for change in self.changes if after < change.index <= upto]
 
-    def whole_line(self) -> bytes:
+    def snapshot_line(self) -> bytes:
         """The whole list as one line."""
-        if self.whole[0] != self.index:
+        if self._snapshot_index != self.index:
             rows = [as_row(entry) for entry in self.entries.values()]
             body = {"index": self.index, "snapshot": True, "endpoints": rows}
-            self.whole = self.index, orjson.dumps(body) + b"\n"
-        return self.whole[1]
+            self._snapshot_index = self.index
+            self._snapshot_line = orjson.dumps(body) + b"\n"
+        return self._snapshot_line
+
+
+class PendingLine(NamedTuple):
+    """A line of a watch that waits to be written."""
+
+    line: bytes
+    change: Change | None  # None: the whole list
 
 
 class Watch:
     """One open watch: lines that wait to be written."""
 
-    def __init__(self, opened: int) -> None:
-        self.opened = opened  # ns
-        self.pending: list[tuple[bytes, Change | None]] = []
+    def __init__(self, opened_at: int) -> None:
+        """`opened_at` in ns."""
+        self.opened_at = opened_at
+        self.pending: deque[PendingLine] = deque()
         self.task: Task | None = None
-        self.waits = False  # whether a poke is safe
+        self.may_poke = False  # whether its coroutine waits
 
 
 class Agent:
@@ -96,7 +114,11 @@
     def __init__(
         self, loop: Loop, backend_list: BackendList, recorder: Recorder, name: str, address: tuple[str, int]
     ) -> None:
-        self.loop, self.list, self.recorder, self.name = loop, backend_list, recorder, name
+        """Listens at `address` from now on."""
+        self.loop = loop
+        self.list = backend_list
+        self.recorder = recorder
+        self.name = name
         self.recorded = True  # whether what is told goes into the trace
         self.held = backend_list.index  # version that the agent has been told
         self.cut = False
@@ -120,10 +142,10 @@
 
     def push(self, changes: Iterable[Change]) -> None:
         """Writes changes to every watch in this order, whatever their versions."""
-        lines = [(change.line, change) for change in changes]
+        lines = [PendingLine(change.line, change) for change in changes]
         for watch in list(self.watches):
             watch.pending += lines
-            if watch.waits and watch.task:
+            if watch.may_poke and watch.task:
                 self.loop.poke(watch.task)
 
     def set_cut(self, cut: bool) -> None:
@@ -141,7 +163,7 @@
             if watch.task:
                 self.loop.end(watch.task)
 
-    def tell_first(self, entries: Iterable[ListedBackend]) -> None:
+    def record_first_list(self, entries: Iterable[ListedBackend]) -> None:
         """Records the list that the coordinator's configuration holds as told."""
         now = self.loop.clock()
         for entry in entries:
@@ -152,12 +174,12 @@
             return  # a late older version tells nothing
         self.told[entry.name] = index
         self.recorder.add(
-            BackendTold(
+            BackendListed(
                 at=now,
                 coordinator=self.name,
                 backend=entry.name,
                 phase=entry.status,
-                started=entry.since_ms * MS,
+                started=entry.since_ms * MILLISECOND,
             )
         )
 
@@ -185,8 +207,8 @@
     def _answer(self, sock: socket.socket, watch: Watch) -> Wait:
         request = b""
         while b"\r\n\r\n" not in request:
-            data = yield from receive(sock, self.loop.now + REQUEST_LIMIT)
-            if not data or len(request) > REQUEST_LARGEST:
+            data = yield from receive(sock, self.loop.now + REQUEST_TIMEOUT)
+            if not data or len(request) > REQUEST_LIMIT:
                 return
             request += data
         self.recorder.count(self.name, "out", "discovery request", len(request))
@@ -195,47 +217,56 @@
         target = urlsplit(request.split(b" ", 2)[1].decode())
         query = parse_qs(target.query)
         if "watch" not in query:
-            body = self.list.whole_line()
+            body = self.list.snapshot_line()
             yield from send(sock, HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body), None)
             return
         yield from send(sock, HEAD + b"Transfer-Encoding: chunked\r\n\r\n", None)
-        after = int(query.get("after", ["0"])[0])
-        watch.pending = [(change.line, change) for change in self.list.since(after, self.held)]
+        self._open_watch(watch, int(query.get("after", ["0"])[0]))
+        yield from self._watch(sock, watch)
+
+    def _open_watch(self, watch: Watch, after: int) -> None:
+        """Begins with the changes after a version, or with the whole list."""
+        changes = self.list.since(after, self.held)
+        watch.pending = deque(PendingLine(change.line, change) for change in changes)
         self.watches.add(watch)
         if after < 1:
             # a cut agent would answer with an older list: coordinators begin with one, so none asks it then
-            watch.pending = [(self.list.whole_line(), None)]
-        yield from self._watch(sock, watch)
+            watch.pending = deque([PendingLine(self.list.snapshot_line(), None)])
 
     def _watch(self, sock: socket.socket, watch: Watch) -> Wait:
-        beat = self.loop.now + BEAT
+        heartbeat = self.loop.now + HEARTBEAT_INTERVAL
         while True:
             while watch.pending:
                 if hung_up(sock):
                     return
-                line, change = watch.pending.pop(0)
+                line, change = watch.pending.popleft()
                 yield from self._line(sock, line)
                 self._was_written(watch, line, change)
-                beat = self.loop.now + BEAT
-            if self.loop.now >= beat:
-                beat = self.loop.now + BEAT
-                if not self.cut and self.loop.now >= self.stalled_until:
-                    yield from self._line(sock, b"\n")
-                    self.recorder.count(self.name, "in", "discovery beat", len(b"\n"))
+                heartbeat = self.loop.now + HEARTBEAT_INTERVAL
+            if self.loop.now >= heartbeat:
+                heartbeat = self.loop.now + HEARTBEAT_INTERVAL
+                yield from self._heartbeat(sock)
                 continue
-            watch.waits = True
-            events = yield sock.fileno(), IN, beat
-            watch.waits = False
+            watch.may_poke = True
+            events = yield sock.fileno(), IN, heartbeat
+            watch.may_poke = False
             if events and not (yield from receive(sock, self.loop.now + SECOND)):
                 return
 
+    def _heartbeat(self, sock: socket.socket) -> Wait:
+        """An empty line, unless the agent is to be silent."""
+        if not self.cut and self.loop.now >= self.stalled_until:
+            yield from self._line(sock, b"\n")
+            self.recorder.count(self.name, "in", "discovery beat", len(b"\n"))
+
     def _line(self, sock: socket.socket, line: bytes) -> Wait:
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
         if self.loop.now < self.stalled_until and len(line) > 1:
             half = len(chunk) // 2
             yield from send(sock, chunk[:half], None)
             while self.loop.now < self.stalled_until:
-                if (yield sock.fileno(), IN, self.stalled_until) and hung_up(sock):
+                events = yield sock.fileno(), IN, self.stalled_until
+                if events and hung_up(sock):
                     raise ConnectionAbortedError(
                         "the coordinator has ended the watch in the middle of a line"
                     )
@@ -246,11 +277,13 @@
         now = self.loop.clock()
         self.recorder.count(self.name, "in", "discovery list", len(line))
         if change is None:
-            entries, index = list(self.list.entries.values()), self.held
+            entries = list(self.list.entries.values())
+            index = self.held
         else:
-            entries, index = change.entries, change.index
-        if change is not None and (index not in self.written or watch.opened <= change.at):
-            self.written[index] = now
+            entries = change.entries
+            index = change.index
+            if index not in self.written or watch.opened_at <= change.at:
+                self.written[index] = now
         for entry in entries:
             self._record(entry, index, now)
 
--- /dev/null
+++ b/granitespool/scale/events.py
@@ -0,0 +1,111 @@
+"""Plays a run's planned events, each at its time."""
+
+import signal
+from collections.abc import Callable, Generator, Sequence
+from typing import Any
+
+from granitespool.net.loop import Loop
+from granitespool.scale.coordinators import RealCoordinator
+from granitespool.scale.cut_recovery import CutRecovery
+from granitespool.scale.environment import Environment
+from granitespool.scale.faults import FaultInjector
+from granitespool.scale.hollow_fleet import HollowFleet
+from granitespool.scale.plan import Action, Planned
+from granitespool.scale.settings_changes import SettingsChanges
+from granitespool.units import SECOND
+
+POLL_INTERVAL = SECOND // 10  # ns between two looks at whether restarts have come to an end
+
+Wait = Generator[tuple[int | None, int, int | None], int, Any]
+
+
+class EventPlayer:
+    """Does what the plan says, to processes itself and to stand-ins by a `FaultInjector`."""
+
+    def __init__(
+        self, loop: Loop, environment: Environment, hollow: HollowFleet | None, failures: list[str]
+    ) -> None:
+        """What goes wrong is added to `failures`."""
+        self.loop = loop
+        self.environment = environment
+        self.hollow = hollow
+        self.failures = failures
+        self.faults = FaultInjector(environment)
+        self.settings = SettingsChanges(loop, environment, failures)
+        self.cuts = CutRecovery(loop, environment, self.faults, self.settings, failures)
+        self.ready_times: list[int] = []  # ns, of restarts
+        self._restarting = 0  # coordinators
+        self._actions: dict[Action, Callable[[Planned], Wait]] = {
+            "configure": self._configure,
+            "configure_badly": self._configure_badly,
+            "kill": self._kill,
+            "terminate": self._terminate,
+            "start": self._start,
+            "kill_hollow": self._kill_hollow,
+            "heal": self.cuts.heal,
+        }
+
+    def play(self, plan: Sequence[Planned], lasting: int) -> Wait:
+        """Plays the events and waits until `lasting` ns have passed and restarts have come to an end."""
+        begin = self.loop.now
+        for planned in plan:
+            yield from self._sleep_until(begin + planned.at)
+            action = self._actions.get(planned.action)
+            if action is None:
+                self.faults.perform(planned)
+            else:
+                yield from action(planned)
+        yield from self._sleep_until(begin + lasting)
+        while self._restarting:
+            yield from self._sleep_until(self.loop.now + POLL_INTERVAL)
+
+    def _sleep_until(self, at: int) -> Wait:
+        while self.loop.now < at:
+            yield None, 0, at
+
+    # Events on processes
+
+    def _configure(self, _: Planned) -> Wait:
+        yield from self.settings.change(usable=True)
+
+    def _configure_badly(self, _: Planned) -> Wait:
+        yield from self.settings.change(usable=False)
+
+    def _kill(self, planned: Planned) -> Wait:
+        yield from self._end(planned, signal.SIGKILL)
+
+    def _terminate(self, planned: Planned) -> Wait:
+        yield from self._end(planned, signal.SIGTERM)
+
+    def _end(self, planned: Planned, number: signal.Signals) -> Wait:
+        for coordinator in self._named(planned):
+            coordinator.end(number)
+        yield from ()
+
+    def _start(self, planned: Planned) -> Wait:
+        for coordinator in self._named(planned):
+            self._restarting += 1
+            self.loop.spawn(self._restart(coordinator))
+        yield from ()
+
+    def _kill_hollow(self, _: Planned) -> Wait:
+        if self.hollow:
+            self.hollow.kill_one()
+        yield from ()
+
+    def _named(self, planned: Planned) -> list[RealCoordinator]:
+        return [each for each in self.environment.coordinators if each.name in planned.names]
+
+    def _restart(self, coordinator: RealCoordinator) -> Wait:
+        try:
+            yield from coordinator.wait_for_exit()
+            coordinator.version = self.settings.version
+            entries = list(self.environment.list.entries.values())
+            ready = yield from coordinator.start(entries)
+            if ready:
+                self.ready_times.append(coordinator.ready_times[-1])
+                self.environment.bring_proxies_home(coordinator)
+            else:
+                self.failures.append(f"{coordinator.name} was not ready in time after its restart")
+        finally:
+            self._restarting -= 1
--- /dev/null
+++ b/granitespool/scale/faults.py
@@ -0,0 +1,132 @@
+"""What the plan does to the stand-ins: everything that needs no process of a coordinator."""
+
+from collections.abc import Callable
+
+import msgspec
+
+from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint, region_of
+from granitespool.scale.environment import Environment
+from granitespool.scale.plan import Action, Planned
+from granitespool.units import MILLISECOND
+
+
+class FaultInjector:
+    """Does what is planned to backends, discovery, collectors and the network."""
+
+    def __init__(self, environment: Environment) -> None:
+        self.environment = environment
+        self.actions: dict[Action, Callable[[Planned], None]] = {
+            "drain": self._drain,
+            "remove": self._remove,
+            "crash": self._crash,
+            "add": self._add,
+            "duplicate": self._duplicate,
+            "reorder": self._reorder,
+            "stall": self._stall,
+            "end_watches": self._end_watches,
+            "collectors_down": self._collectors_down,
+            "collectors_up": self._collectors_up,
+            "cut": self._cut,
+            "heal": self._heal,
+        }
+
+    def perform(self, planned: Planned) -> None:
+        """Does one planned thing; raises KeyError for one that needs a process."""
+        self.actions[planned.action](planned)
+
+    # Backends
+
+    def _drain(self, planned: Planned) -> None:
+        self.environment.batch += planned.entries
+
+    def _crash(self, planned: Planned) -> None:
+        for entry in planned.entries:
+            self.environment.backends.end(entry.name)
+
+    def _remove(self, planned: Planned) -> None:
+        self._crash(planned)
+        self.environment.batch += planned.entries
+
+    def _add(self, planned: Planned) -> None:
+        now = self.environment.loop.clock()
+        for entry in planned.entries:
+            started = msgspec.structs.replace(entry, since_ms=now // MILLISECOND)
+            self.environment.backends.start(started, started.since_ms * MILLISECOND)
+            self.environment.batch.append(started)
+
+    # Discovery
+
+    def _duplicate(self, planned: Planned) -> None:
+        change = self.environment.publish(list(planned.entries))
+        for agent in self.environment.list.agents:
+            agent.push([change])
+
+    def _reorder(self, planned: Planned) -> None:
+        first, second = planned.entries
+        earlier = self.environment.publish([first], told=False)
+        later = self.environment.publish([second], told=False)
+        self.environment.backends.end(second.name)
+        for agent in self.environment.list.agents:
+            agent.held = self.environment.list.index
+            agent.push([later, earlier])
+
+    def _stall(self, planned: Planned) -> None:
+        for agent in self.environment.list.agents:
+            agent.stall(self.environment.loop.now + planned.lasting)
+
+    def _end_watches(self, _: Planned) -> None:
+        for agent in self.environment.list.agents:
+            agent.end_watches()
+
+    # Collectors
+
+    def _collectors_down(self, planned: Planned) -> None:
+        for collector in self.environment.collectors:
+            collector.down = collector.down or collector.zone in planned.names
+
+    def _collectors_up(self, planned: Planned) -> None:
+        for collector in self.environment.collectors:
+            collector.down = collector.down and collector.zone not in planned.names
+
+    # Cuts
+
+    def _cut(self, planned: Planned) -> None:
+        environment = self.environment
+        environment.cut_regions = set(planned.names)
+        for coordinator in environment.cut_coordinators():
+            coordinator.agent.set_cut(True)
+        for collector in environment.collectors:
+            collector.unreachable = {
+                each.name
+                for each in environment.coordinators
+                if environment.are_cut_apart(collector.region, each.endpoint.region)
+            }
+        for stream in environment.streams:
+            region = region_of(stream.table.zone)
+            if environment.are_cut_apart(region, stream.endpoint.region):
+                stream.move(self._reachable_from(region, stream.endpoint), silently=True)
+
+    def _reachable_from(self, region: str, default: CoordinatorEndpoint) -> CoordinatorEndpoint:
+        """A coordinator that a proxy of this region can reach during the cut."""
+        environment = self.environment
+        reached = [
+            each.endpoint
+            for each in environment.coordinators
+            if not environment.are_cut_apart(region, each.endpoint.region)
+        ]
+        same = [endpoint for endpoint in reached if endpoint.region == region]
+        return environment.random.choice(same or reached or [default])
+
+    def _heal(self, _: Planned) -> None:
+        environment = self.environment
+        cut_off = environment.cut_coordinators()
+        environment.cut_regions = set()
+        for coordinator in cut_off:
+            coordinator.agent.set_cut(False)
+        for collector in environment.collectors:
+            collector.unreachable = set()
+        for stream in environment.streams:
+            stream.heal()
+            home = environment.homes[stream.number]
+            if stream.endpoint is not home and not home.down:
+                stream.move(home)
--- a/granitespool/scale/fits.py
+++ b/granitespool/scale/fits.py
@@ -12,6 +12,8 @@
 
 import msgspec
 
+from granitespool.errors import GranitespoolError
+
 NOISE_FLOOR = 0.02  # relative residual below which a better fit is no evidence for a further parameter
 PARAMETER_PENALTY = 1.5  # factor by which a further term, or size of a term, must lower the residual
 RESIDUAL_LIMIT = 0.25  # relative residual above which a form does not describe the samples
@@ -22,19 +24,19 @@
 Term = tuple[str, ...]  # names of the sizes that are multiplied; the empty term is the constant 1
 
 
-class FitError(Exception):
+class FitError(GranitespoolError):
     """The samples do not allow the fit that was asked for."""
 
 
-class TooFewSamples(FitError):
+class TooFewSamplesError(FitError):
     """There are fewer samples than a fit and a judgement of it need."""
 
 
-class SingularFit(FitError):
+class SingularFitError(FitError):
     """The samples do not determine the coefficients: a size of the form does not vary, or is always zero."""
 
 
-class FormRefused(FitError):
+class FormRejectedError(FitError):
     """No form describes the samples within the limit of the residual."""
 
     def __init__(self, best: "Fit", limit: float) -> None:
@@ -132,9 +134,11 @@
 
 
 def fit(samples: Sequence[Sample], form: Form) -> Fit:
-    """The coefficients that leave the least relative residual. Raises TooFewSamples or SingularFit."""
+    """The coefficients that leave the least relative residual.
+
+    Raises TooFewSamplesError or SingularFitError."""
     if len(samples) <= len(form.terms):
-        raise TooFewSamples(f"{len(samples)} samples for the {len(form.terms)} terms of {form.name}")
+        raise TooFewSamplesError(f"{len(samples)} samples for the {len(form.terms)} terms of {form.name}")
     weights = _weights(samples)
     rows = [
         [weight * _value(term, sample.sizes) for term in form.terms]
@@ -154,7 +158,7 @@
     """The form with the least residual after the penalty for parameters.
 
     Costs do not fall as a size grows, so a form with a negative coefficient is no candidate. Raises
-    FormRefused where the best leaves more than `limit`, TooFewSamples where nothing can be fitted.
+    FormRejectedError where the best leaves more than `limit`, TooFewSamplesError where nothing can be fitted.
     """
     fits = []
     for form in forms:
@@ -165,10 +169,10 @@
         if not _has_negative(candidate, samples):
             fits.append(candidate)
     if not fits:
-        raise TooFewSamples(f"no form can be fitted to {len(samples)} samples")
+        raise TooFewSamplesError(f"no form can be fitted to {len(samples)} samples")
     best = min(fits, key=_penalized)
     if best.residual > limit:
-        raise FormRefused(best, limit)
+        raise FormRejectedError(best, limit)
     return best
 
 
@@ -212,7 +216,7 @@
     columns = list(zip(*rows, strict=True))
     lengths = [math.sqrt(math.fsum(value * value for value in column)) for column in columns]
     if not all(lengths):
-        raise SingularFit("a term is zero in all samples")
+        raise SingularFitError("a term is zero in all samples")
     scaled = [[value / length for value in column] for column, length in zip(columns, lengths, strict=True)]
     matrix = [
         [math.fsum(a * b for a, b in zip(left, right, strict=True)) for right in scaled]
@@ -229,7 +233,7 @@
     for column in range(size):
         pivot = max(range(column, size), key=lambda row: abs(matrix[row][column]))
         if abs(matrix[pivot][column]) < PIVOT_LEAST:
-            raise SingularFit("the samples do not tell the terms apart")
+            raise SingularFitError("the samples do not tell the terms apart")
         matrix[column], matrix[pivot] = matrix[pivot], matrix[column]
         for row in range(column + 1, size):
             factor = matrix[row][column] / matrix[column][column]
--- a/granitespool/scale/fleet.py
+++ b/granitespool/scale/fleet.py
@@ -1,22 +1,23 @@
 """A made-up fleet of backends, and the configuration that a coordinator of it is started with."""
 
 from random import Random
-from typing import Any, Literal
+from typing import Any
 
 import msgspec
 
 from granitespool.scale.schema import Scenario
-from granitespool.scale.trace import Limits
+from granitespool.scale.trace import Effect, Limits, Phase
+from granitespool.units import SECOND
 
-SECOND = 1_000_000_000  # ns
-MS = 1_000_000  # ns in a millisecond
 US_PER_S = 1_000_000
 BACKEND_PORT = 8081
 COORDINATOR_PORT = 7400
 DISCOVERY_PORT = 7500
 HOSTS = 250  # addresses used of each block of 256
-COORDINATOR_BLOCK, AGENT_BLOCK, BACKEND_BLOCK = 0, 4, 8  # third byte of the loopback addresses of each
-PHASES = Literal["ready", "draining", "gone"]
+COORDINATOR_BLOCK = 0  # third byte of the loopback addresses of coordinators, and so on
+AGENT_BLOCK = 4
+BACKEND_BLOCK = 8
+EFFECTS: tuple[Effect, ...] = ("single_shot", "guarded", "free")  # of the classes in turn
 
 
 class ListedBackend(msgspec.Struct, kw_only=True):
@@ -27,7 +28,7 @@
     zone: str
     type: str
     group: int
-    status: PHASES = "ready"
+    status: Phase = "ready"
     weight: float = 1.0
     since_ms: int = 0
 
@@ -57,9 +58,11 @@
     """The backends of a scenario: uneven services, their backends spread over all zones, in racks."""
 
     def __init__(self, scenario: Scenario, network: Network, random: Random) -> None:
-        self.scenario, self.network = scenario, network
+        """`random` draws how large each service is."""
+        self.scenario = scenario
+        self.network = network
         self.zones = scenario.zones
-        self.made = 0
+        self.made = 0  # backends so far
         self.backends = [self.make(service, place) for place, service in enumerate(self._services(random))]
 
     def _services(self, random: Random) -> list[int]:
@@ -103,41 +106,19 @@
 
 
 def settings(scenario: Scenario, zone: str, index: int, version: int) -> dict[str, Any]:
-    """The settings on the wire.
-
-    Their version is in the number of proxies, which is how it is seen from outside which are in force (a
-    coordinator refuses a joining with a higher number), and in a class's benefit, which acts."""
-    channel, rules = scenario.channel, scenario.rules
-    classes = [
-        {
-            "name": f"class{number}",
-            "semantics": ("single_shot", "guarded", "free")[number % 3],
-            "aim_us": 300_000,
-            "give_up_us": 900_000,
-            "worth": 1.0 + number % 3 + (version % 10 / 100 if not number else 0),
-        }
-        for number in range(scenario.traffic.classes)
-    ]
+    """The settings of one coordinator on the wire.
+
+    Their version is in the number of proxies, which shows from outside which are in force (a coordinator
+    rejects a joining with a higher number), and in a class's benefit, which acts."""
+    rules = scenario.rules
     return {
         "balancers": scenario.coordinators.real + scenario.coordinators.hollow,
         "index": index,
         "zone": zone,
         "zones": scenario.zones,
         "membership_mode": "automatic",
-        "classes": classes,
-        "family_info": {
-            "admit": "fraction",
-            "egress_per_s": channel.lines_per_s,
-            "most_waiting": channel.backlog_lines,
-            "envelope": channel.head_lines,
-            "messages_most": channel.messages,
-            "counted_over_us": int(channel.messages_span_s * US_PER_S),
-            "report_every_us": US_PER_S,
-            "proxy_count": proxy_base(scenario) + version,
-            "bootstrap": scenario.proxies.first_table_lines,
-            "default_retry": 0,
-            "empty_for_us": int(rules.empty_limit_s * US_PER_S),
-        },
+        "classes": [_class_settings(number, version) for number in range(scenario.traffic.classes)],
+        "family_info": _family_info(scenario, version),
         "permissions": {"probes": True, "peers": False, "connect_timeout_us": 250_000},
         "rules": {
             "stop_sending_within_us": int(rules.drain_grace_s * US_PER_S),
@@ -149,16 +130,44 @@
     }
 
 
+def _class_settings(number: int, version: int) -> dict[str, Any]:
+    benefit_of_version = version % 10 / 100 if number == 0 else 0
+    return {
+        "name": f"class{number}",
+        "semantics": EFFECTS[number % len(EFFECTS)],
+        "aim_us": 300_000,
+        "give_up_us": 900_000,
+        "worth": 1.0 + number % 3 + benefit_of_version,
+    }
+
+
+def _family_info(scenario: Scenario, version: int) -> dict[str, Any]:
+    channel = scenario.channel
+    return {
+        "admit": "fraction",
+        "egress_per_s": channel.lines_per_s,
+        "most_waiting": channel.backlog_lines,
+        "envelope": channel.head_lines,
+        "messages_most": channel.messages,
+        "counted_over_us": int(channel.messages_span_s * US_PER_S),
+        "report_every_us": US_PER_S,
+        "proxy_count": proxy_base(scenario) + version,
+        "bootstrap": scenario.proxies.first_table_lines,
+        "default_retry": 0,
+        "empty_for_us": int(scenario.rules.empty_limit_s * US_PER_S),
+    }
+
+
 def limits(scenario: Scenario) -> Limits:
     """The rules' figures for the checker."""
     rules, channel = scenario.rules, scenario.channel
     return Limits(
         drain_grace=int(rules.drain_grace_s * SECOND),
         empty_limit=int(rules.empty_limit_s * SECOND),
-        fall_multiple=rules.fall_multiple,
-        fall_time=int(rules.fall_s * SECOND),
+        overload_multiple=rules.fall_multiple,
+        overload_time=int(rules.fall_s * SECOND),
         backlog_limit=channel.backlog_lines,
         messages_limit=channel.messages,
         messages_span=int(channel.messages_span_s * SECOND),
-        cold_time=int(rules.cold_s * SECOND),
+        warm_up_time=int(rules.cold_s * SECOND),
     )
--- /dev/null
+++ b/granitespool/scale/hollow/coordinator.py
@@ -0,0 +1,271 @@
+"""A hollow coordinator: the outer work of one, without its decisions.
+
+It watches discovery's list as a real one does (`granitespool.net.discovery`), listens for proxies and
+collectors, reads and counts what they send, and writes its proxies messages of the sizes and at the rates of
+a `Profile`, which was measured from a real coordinator. Its messages are the protocol's: a proxy can read,
+apply and acknowledge them; spaces after the JSON object fill a message up.
+
+What it never does: it checks no backend's health, sends no datagrams, weighs no backend and drops
+no unauthenticated peer.
+
+Each socket has one owner: the listener and each connection their coroutine, which closes it in its `finally`,
+the watch's socket `Discovery`. Times are whole nanoseconds on the loop's clock."""
+
+import errno
+import socket
+from collections.abc import Generator
+from itertools import islice
+from random import Random
+from typing import Any
+
+from granitespool.endpoints import Phase
+from granitespool.errors import InvalidInputError
+from granitespool.fields import required_number
+from granitespool.net.buffers import Pool
+from granitespool.net.discovery import Discovery
+from granitespool.net.frames import PONG, UNTYPED
+from granitespool.net.loop import IN, OUT, Loop
+from granitespool.planner.events import EndpointListUpdate, ListForm
+from granitespool.scale.hollow.connection import Connection
+from granitespool.scale.hollow.counts import Counts
+from granitespool.scale.hollow.endpoints import EndpointState, EndpointStates
+from granitespool.scale.hollow.messages import Entry, update_of
+from granitespool.scale.hollow.profile import Parts, Profile
+from granitespool.units import SECOND
+
+LOOPBACK = "127.0.0.1"
+BACKLOG = 4096  # connections that the system holds for one coordinator
+ACCEPTS_PER_TURN = 64
+BUFFERS = 1024  # receive buffers of one coordinator at most: 16 MiB
+ACCEPT_RETRY_DELAY = SECOND // 50  # ns between accepts while no descriptor is free
+ENTRY_LEAST = 8  # bytes of a table entry at least
+TICKETS = 65536  # acknowledgement tickets are whole numbers under this
+READ_KINDS = frozenset(("ping", "joined", "collector", "heard", "usage", "applied"))
+NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+ANY_ADDRESS = ""  # stands for all names in a watch that keeps none
+EMPTY_LIST = {"index": 0, "endpoints": []}  # the list of a configuration that names nobody
+
+Wait = Generator[tuple[int | None, int, int | None], int, None]
+
+
+class _WatchLog:
+    """Stands in for the log of a watch: it only counts the ends."""
+
+    def __init__(self, counts: Counts) -> None:
+        self.counts = counts
+
+    def event(self, event: str, **_: object) -> None:
+        """Takes one line of the log."""
+        self.counts.watches_ended += event == "watch_ended"
+
+    often = event
+
+
+class _Watch(Discovery):
+    """Discovery's watch, which keeps no addresses and counts the lines."""
+
+    def __init__(self, coordinator: "HollowCoordinator", discovery: tuple[str, int], seed: str) -> None:
+        self.counts = coordinator.counts
+        config = {"discovery": discovery, "known": EMPTY_LIST}
+        log = _WatchLog(coordinator.counts)
+        super().__init__(coordinator.loop, coordinator, log, config, Random(seed).uniform)
+
+    def _line(self, line: bytes) -> None:
+        self.counts.add_received("list", len(line) + 1)
+        super()._line(line)
+
+    def _address(self, _backend: str, _address: str | None) -> None:
+        self.addresses[ANY_ADDRESS] = None  # no health check: what counts is whether any was named
+
+
+class HollowCoordinator:
+    """Listens at `address` from its making until `close`; the loop is its user's to turn."""
+
+    def __init__(self, loop: Loop, name: str, discovery: tuple[str, int], profile: Profile) -> None:
+        """Raises OSError where no listening socket can be had."""
+        self.loop = loop
+        self.name = name
+        self.profile = profile
+        self.counts = Counts()
+        self.pool = Pool(BUFFERS)
+        self.connections: dict[Connection, None] = {}
+        self.proxies: dict[int, Connection] = {}  # in order of joining
+        self.awaiting_list: dict[int, None] = {}  # proxies that joined before the first list
+        self.states = EndpointStates()
+        self.joinings_played = 0
+        self.changes_played = 0
+        self.flushes_played = 0
+        self.ticket = 0  # the latest
+        self.ticket_at = -1  # ns: the turn that the latest ticket is of
+        listener = _listen()
+        self.address: tuple[str, int] = listener.getsockname()
+        self.tasks = [loop.spawn(self._accept(listener))]
+        self.refreshing = False  # whether its refreshing runs: from the first joining on
+        self.watch = _Watch(self, discovery, name)
+
+    def close(self) -> None:
+        """Ends the watch, the listening and all connections."""
+        tasks = [self.watch.task, *self.tasks, *(each.task for each in self.connections)]
+        for task in tasks:
+            self.loop.end(task)
+
+    # The list
+
+    def report(self, _now: int, update: EndpointListUpdate) -> None:
+        """Takes an endpoint list from the watch, as `Coordinator.report` does."""
+        listed = {entry.name: EndpointState(entry.phase, entry.started_at) for entry in update.entries}
+        if update.form != ListForm.CHANGES:
+            absent = [backend for backend in self.states if backend not in listed]
+            listed.update(dict.fromkeys(absent, EndpointState(Phase.GONE, 0)))
+        changed: list[Entry] = []
+        for backend, state in listed.items():
+            if self.states.take(backend, state.phase, state.started):
+                changed.append([backend, 1.0 if state.phase == Phase.READY else 0.0])
+        if changed:
+            self._write_change(changed)
+        if self.awaiting_list and self.states.any_ready():
+            self._write_first_tables()
+
+    # What is written
+
+    def _write_first_tables(self) -> None:
+        awaiting, self.awaiting_list = self.awaiting_list, {}
+        for proxy in awaiting:
+            self._write_first_table(self.proxies[proxy])
+
+    def _write_first_table(self, connection: Connection) -> None:
+        parts = self.profile.joining.parts(self.joinings_played)
+        self.joinings_played += 1
+        if parts:
+            self._write_update(connection, parts, self._ready_entries(parts), complete=True)
+
+    def _write_change(self, entries: list[Entry]) -> None:
+        for proxy, connection in list(self.proxies.items()):
+            if proxy in self.awaiting_list:
+                continue
+            parts = self.profile.change.parts(self.changes_played)
+            self.changes_played += 1
+            if parts:
+                self._write_update(connection, parts, entries)
+
+    def _refresh(self) -> Wait:
+        refresh, first = self.profile.refresh, self.loop.now
+        while True:
+            yield None, 0, first + refresh.due(self.flushes_played)
+            for position, connection in enumerate(list(self.proxies.values())):
+                parts = refresh.parts(self.flushes_played, position)
+                if parts and connection.proxy not in self.awaiting_list:
+                    self._write_update(connection, parts, self._ready_entries(parts))
+            self.flushes_played += 1
+
+    def _ready_entries(self, parts: Parts) -> list[Entry]:
+        """Entries of ready backends, as many as may fit into these parts."""
+        return [[name, 1.0] for name in islice(self.states.ready(), sum(parts) // ENTRY_LEAST)]
+
+    def _write_update(
+        self, connection: Connection, parts: Parts, entries: list[Entry], complete: bool = False
+    ) -> None:
+        """Writes one message, unless the one before was not taken: then a real one would merge the two."""
+        if connection.unsent:
+            return
+        if self.ticket_at != self.loop.now:  # all messages of one turn have one ticket
+            self.ticket = (self.ticket + 1) % TICKETS
+            self.ticket_at = self.loop.now
+        data = update_of(parts, entries, complete, self.ticket)
+        self.counts.add_sent("update", len(data))
+        connection.write(data)
+
+    # Connections
+
+    def _accept(self, listener: socket.socket) -> Wait:
+        with listener:
+            while True:
+                yield listener.fileno(), IN, None
+                if not self._accept_some(listener):
+                    yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
+
+    def _accept_some(self, listener: socket.socket) -> bool:
+        """Accepts what waits; False where no descriptor is free for it."""
+        for _ in range(ACCEPTS_PER_TURN):
+            try:
+                sock = listener.accept()[0]
+            except BlockingIOError:
+                break
+            except OSError as error:
+                return error.errno not in NO_DESCRIPTOR
+            self._take(sock)
+        return True
+
+    def _take(self, sock: socket.socket) -> None:
+        connection = Connection(self.loop, sock, self.pool)
+        self.connections[connection] = None
+        connection.task = self.loop.spawn(self._serve(connection))
+
+    def _serve(self, connection: Connection) -> Wait:
+        sock = connection.sock
+        try:
+            sock.setblocking(False)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            events = IN
+            while not events or connection.read(
+                self._handle
+            ):  # a poke brings no events: nothing is read then
+                if connection.unsent:
+                    connection.write(b"")
+                connection.reading = False
+                events = yield sock.fileno(), IN | (OUT if connection.unsent else 0), None
+        except InvalidInputError:
+            self.counts.add_received("unreadable", connection.reader.have)
+        except OSError:
+            pass  # reset by the other side
+        finally:
+            self._end(connection)
+
+    def _end(self, connection: Connection) -> None:
+        del self.connections[connection]
+        connection.close()
+        if connection.proxy is not None and self.proxies.get(connection.proxy) is connection:
+            del self.proxies[connection.proxy]
+            self.awaiting_list.pop(connection.proxy, None)
+
+    def _handle(self, connection: Connection) -> None:
+        """Takes the complete messages of what was read; raises InvalidInputError where one cannot be read."""
+        reader = connection.reader
+        before = reader.have
+        for message in reader.messages():
+            kind = message["type"]
+            if kind == UNTYPED:
+                raise InvalidInputError("a message is not an object with a type")
+            if kind == "joined":
+                self._join(connection, message)
+            self.counts.add_received(kind if kind in READ_KINDS else "other", before - reader.have)
+            before = reader.have
+            if kind == "ping":
+                self.counts.add_sent("pong", len(PONG))
+                connection.write(PONG)
+
+    def _join(self, connection: Connection, message: dict[str, Any]) -> None:
+        proxy = required_number(message, "node", int)
+        former = self.proxies.pop(proxy, None)
+        connection.proxy = proxy
+        self.proxies[proxy] = connection
+        if former and former is not connection:
+            self.loop.end(former.task)
+        if self.states.any_ready():
+            self._write_first_table(connection)
+        else:
+            self.awaiting_list[proxy] = None
+        if self.profile.refresh.flushes and not self.refreshing:
+            self.refreshing = True
+            self.tasks.append(self.loop.spawn(self._refresh()))
+
+
+def _listen() -> socket.socket:
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+    try:
+        listener.bind((LOOPBACK, 0))
+        listener.listen(BACKLOG)
+    except OSError:
+        listener.close()
+        raise
+    return listener
--- /dev/null
+++ b/granitespool/scale/hollow/messages.py
@@ -0,0 +1,41 @@
+"""Messages to proxies of a given size: valid frames of the protocol, filled up with spaces."""
+
+from collections.abc import Sequence
+
+import orjson
+
+from granitespool.net.frames import HEAD
+from granitespool.scale.hollow.profile import Parts
+
+Entry = list[str | float]  # backend and weight, as the wire has it
+
+
+def update_of(parts: Parts, entries: Sequence[Entry], complete: bool, ticket: int) -> bytes:
+    """The frames of one message: valid parts of exactly these bytes each, with as many entries as fit.
+
+    A part that is too small for the least of a message is longer than asked for."""
+    frames = []
+    rest = entries
+    for number, size in enumerate(parts):
+        fields: dict[str, object] = {"type": "update"}
+        if complete and number == 0:
+            fields["whole"] = True
+        if number < len(parts) - 1:
+            fields["more"] = True
+        else:
+            fields["ticket"] = ticket
+        body, rest = _fill(size - HEAD, fields, rest)
+        frames.append(len(body).to_bytes(HEAD, "little") + body)
+    return b"".join(frames)
+
+
+def _fill(size: int, fields: dict[str, object], entries: Sequence[Entry]) -> tuple[bytes, Sequence[Entry]]:
+    """A body of `size` bytes with the first entries that fit into it; and the entries that are left."""
+    number = len(entries)
+    body = orjson.dumps({**fields, "lines": entries})
+    while number and len(body) > size:
+        number = min(number - 1, number * size // len(body))
+        body = orjson.dumps({**fields, "lines": entries[:number]})
+    if len(body) > size:
+        body = orjson.dumps(fields)
+    return body.ljust(size), entries[number:]
--- a/granitespool/scale/hollow_process.py
+++ b/granitespool/scale/hollow/process.py
@@ -1,19 +1,23 @@
-"""A process of many hollow coordinators: `python -m granitespool.scale.hollow_process SPEC`.
+"""A process of many hollow coordinators: `python -m granitespool.scale.hollow.process SPEC`.
 
-SPEC is a JSON file that the runner writes (`Spec`). Each line on standard output is a `Told`: the first once
-all listen, then one each second, and a last one when SIGTERM ends the process."""
+SPEC is a JSON file that the runner writes (`Spec`). Each line on standard output is a `ProcessStatus`: the
+first once all listen, then one each second, and a last one when SIGTERM ends the process."""
 
 import os
 import signal
 import sys
-from collections.abc import Generator
+from collections.abc import Generator, Iterator
+from pathlib import Path
 
 import msgspec
 
-from granitespool.net.loop import SECOND, Loop
-from granitespool.scale.hollow import HollowCoordinator, Profile, Traffic
+from granitespool.net.loop import Loop
+from granitespool.scale.hollow.coordinator import HollowCoordinator
+from granitespool.scale.hollow.counts import Traffic
+from granitespool.scale.hollow.profile import Profile
+from granitespool.units import SECOND
 
-TELL_EVERY = SECOND  # ns between lines
+STATUS_INTERVAL = SECOND  # ns between lines
 
 
 class Spec(msgspec.Struct, frozen=True, kw_only=True):
@@ -24,7 +28,7 @@
     profile: Profile
 
 
-class Told(msgspec.Struct, frozen=True, kw_only=True):
+class ProcessStatus(msgspec.Struct, frozen=True, kw_only=True):
     """What all coordinators of the process have done so far."""
 
     addresses: list[tuple[str, int]]
@@ -43,13 +47,13 @@
         self.coordinators = [
             HollowCoordinator(self.loop, name, spec.discovery, spec.profile) for name in spec.names
         ]
-        self.loop.spawn(self._tell())
+        self.loop.spawn(self._write_regularly())
 
     def run(self) -> None:
-        """Until SIGTERM."""
+        """Runs until SIGTERM."""
         signal.signal(signal.SIGTERM, lambda *_: self.loop.stop())
         try:
-            self.loop.run(lambda now: None)
+            self.loop.run(lambda _: None)
             self._write()
         finally:
             self.loop.close()
@@ -58,37 +62,40 @@
         self.failures += 1
         print(f"hollow: {error!r}", file=sys.stderr)
 
-    def _tell(self) -> Generator[tuple[None, int, int], int, None]:
+    def _write_regularly(self) -> Generator[tuple[None, int, int], int, None]:
         while True:
             self._write()
-            yield None, 0, self.loop.now + TELL_EVERY
+            yield None, 0, self.loop.now + STATUS_INTERVAL
 
     def _write(self) -> None:
-        told = Told(
+        status = ProcessStatus(
             addresses=[each.address for each in self.coordinators],
             traffic=self._traffic(),
             watches_ended=sum(each.counts.watches_ended for each in self.coordinators),
-            listed=sum(any(each.states.ready()) for each in self.coordinators),
+            listed=sum(each.states.any_ready() for each in self.coordinators),
             failures=self.failures,
         )
-        os.write(sys.stdout.fileno(), msgspec.json.encode(told) + b"\n")
+        os.write(sys.stdout.fileno(), msgspec.json.encode(status) + b"\n")
 
     def _traffic(self) -> dict[str, Traffic]:
         found: dict[str, Traffic] = {}
         for coordinator in self.coordinators:
-            counts = coordinator.counts
-            for direction, kinds in (("in", counts.received), ("out", counts.sent)):
-                for kind, traffic in kinds.items():
-                    both = found.setdefault(f"{direction} {kind}", Traffic())
-                    both.messages += traffic.messages
-                    both.bytes += traffic.bytes
+            for kind, traffic in _by_direction(coordinator):
+                found.setdefault(kind, Traffic()).add_all(traffic)
         return found
 
 
-def main(words: list[str]) -> int:
+def _by_direction(coordinator: HollowCoordinator) -> Iterator[tuple[str, Traffic]]:
+    """What a coordinator has counted, by direction and kind, as "in joined"."""
+    for received, traffic in coordinator.counts.received.items():
+        yield f"in {received}", traffic
+    for sent, traffic in coordinator.counts.sent.items():
+        yield f"out {sent}", traffic
+
+
+def main(arguments: list[str]) -> int:
     """Reads the spec and runs; the exit code is 1 where a coroutine failed."""
-    with open(words[0], "rb") as file:
-        spec = msgspec.json.decode(file.read(), type=Spec)
+    spec = msgspec.json.decode(Path(arguments[0]).read_bytes(), type=Spec)
     process = HollowProcess(spec)
     process.run()
     return 1 if process.failures else 0
--- a/granitespool/scale/hollow_fleet.py
+++ b/granitespool/scale/hollow_fleet.py
@@ -7,22 +7,26 @@
 
 import msgspec
 
-from granitespool.emulator.world import Proxy
-from granitespool.net.loop import SECOND
+from granitespool.scale.coordinator_endpoint import ChannelQueue, CoordinatorEndpoint
 from granitespool.scale.coordinators import RealCoordinator
-from granitespool.scale.fleet import MS, proxy_base
-from granitespool.scale.hollow import Profile, Traffic
-from granitespool.scale.hollow_process import Spec, Told
+from granitespool.scale.environment import Environment
+from granitespool.scale.fleet import proxy_base
+from granitespool.scale.hollow.counts import Traffic
+from granitespool.scale.hollow.measurement import measure_profile
+from granitespool.scale.hollow.process import ProcessStatus, Spec
+from granitespool.scale.hollow.profile import Profile
 from granitespool.scale.processes import MEGABYTE, Child, Sample, lines_of, sample, write_json
-from granitespool.scale.proxies import ChannelQueue, CoordinatorPlace, ProxyStream
+from granitespool.scale.proxy_stream import ProxyStream
 from granitespool.scale.recorder import Recorder
-from granitespool.scale.report import HollowRow, KindTraffic, share_between
-from granitespool.scale.trace import BackendTold, ProxyJoined, ProxyLeft
-from granitespool.scale.world import World
+from granitespool.scale.report import HollowRow, KindTraffic
+from granitespool.scale.samples import share_of
+from granitespool.scale.trace import BackendListed, ProxyJoined, ProxyLeft
+from granitespool.simulation.proxy_table import ProxyTable
+from granitespool.units import SECOND
 
-LOOK = SECOND // 20  # ns between two looks
+POLL_INTERVAL = SECOND // 20  # ns between two looks
 SOCKETS_EACH = 8  # descriptors of one hollow coordinator: its listener, its watch, some streams
-SOCKETS_BASE = 64
+SOCKETS_BASE = 64  # descriptors of a process beside those
 
 Wait = Generator[tuple[int | None, int, int | None], int, Any]
 
@@ -33,41 +37,52 @@
     events = [
         event
         for event in recorder.events
-        if isinstance(event, (ProxyJoined, ProxyLeft, BackendTold)) and event.coordinator == name
+        if isinstance(event, (ProxyJoined, ProxyLeft, BackendListed)) and event.coordinator == name
     ]
     both = sorted([*events, *recorder.updates.get(name, ())], key=lambda event: event.at)
-    return Profile.measured(both, until)
+    return measure_profile(both, until)
 
 
 class HollowProcess:
     """One process of hollow coordinators, as its parent sees it."""
 
     def __init__(self, names: list[str], path: Path, agent_index: int) -> None:
-        self.names, self.path, self.agent_index = names, path, agent_index
+        """Its spec is written to `path`; its agent is that of this index."""
+        self.names = names
+        self.path = path
+        self.agent_index = agent_index
         self.child: Child | None = None
-        self.told: Told | None = None
+        self.status: ProcessStatus | None = None  # the latest
         self.samples: list[Sample] = []
-        self.places: list[CoordinatorPlace] = []
+        self.endpoints: list[CoordinatorEndpoint] = []
         self.killed = False
 
-    def hear(self, line: dict[str, Any]) -> None:
+    @property
+    def ready(self) -> bool:
+        """Whether all its coordinators hold a list."""
+        return self.status is not None and self.status.listed == len(self.names)
+
+    def take_line(self, line: dict[str, Any]) -> None:
         """Takes a line of its output."""
-        self.told = msgspec.convert(line, Told)
+        self.status = msgspec.convert(line, ProcessStatus)
 
 
 class HollowFleet:
     """All hollow coordinators; they are started once a real one was measured."""
 
-    def __init__(self, world: World, folder: Path) -> None:
-        self.world = world
-        coordinators = world.scenario.coordinators
+    def __init__(self, environment: Environment, folder: Path) -> None:
+        """The processes' specs are written to `folder`."""
+        self.environment = environment
+        self.scenario = environment.scenario
+        self.loop = environment.loop
+        coordinators = self.scenario.coordinators
         names = [f"h{number:03}" for number in range(coordinators.hollow)]
         count = coordinators.hollow_processes
         self.processes = [
             HollowProcess(names[number::count], folder / f"hollow{number}.json", number)
             for number in range(count)
         ]
-        self.recorder = Recorder(world.loop.clock, traced=False)
+        self.recorder = Recorder(self.loop.clock, traced=False)
         self.streams: list[ProxyStream] = []
         self.failures: list[str] = []
 
@@ -78,60 +93,57 @@
 
     def start(self, measured: RealCoordinator) -> Wait:
         """Starts them with the profile of a real coordinator, and waits until all hold a list."""
-        loop, times = self.world.loop, self.world.scenario.times
-        profile = profile_of(self.world.recorder, measured, loop.clock() + 1)  # after all that was seen
+        profile = profile_of(
+            self.environment.recorder, measured, self.loop.clock() + 1
+        )  # after all that was seen
         for process in self.processes:
             self._start(process, profile)
-        until = loop.now + int(times.ready_s * SECOND)
-        while loop.now < until and not all(
-            each.told and each.told.listed == len(each.names) for each in self.processes
-        ):
-            yield None, 0, loop.now + LOOK
+        until = self.loop.now + int(self.scenario.times.ready_s * SECOND)
+        while self.loop.now < until and not all(process.ready for process in self.processes):
+            yield None, 0, self.loop.now + POLL_INTERVAL
         for process in self.processes:
-            if not process.told or process.told.listed < len(process.names):
-                self.failures.append(f"hollow process {process.agent_index} had no list in time")
+            if process.ready and process.status:
+                self._join(process, process.status)
             else:
-                self._join(process)
+                self.failures.append(f"hollow process {process.agent_index} had no list in time")
 
     def _start(self, process: HollowProcess, profile: Profile) -> None:
-        agent = self.world.hollow_agents[process.agent_index]
+        agent = self.environment.hollow_agents[process.agent_index]
         spec = Spec(names=process.names, discovery=agent.listener_address, profile=profile)
         write_json(process.path, msgspec.to_builtins(spec))
-        command = ["-m", "granitespool.scale.hollow_process", str(process.path)]
+        command = ["-m", "granitespool.scale.hollow.process", str(process.path)]
         process.child = Child(command, None, SOCKETS_BASE + SOCKETS_EACH * len(process.names))
-        self.world.loop.spawn(lines_of(self.world.loop, process.child, process.hear))
+        self.loop.spawn(lines_of(process.child, process.take_line))
 
-    def _join(self, process: HollowProcess) -> None:
+    def _join(self, process: HollowProcess, status: ProcessStatus) -> None:
         process.samples.clear()  # what the start took is not what it costs
-        channel = self.world.scenario.channel
-        for name, address in zip(process.names, process.told.addresses):
-            queue = ChannelQueue(
-                self.recorder, name, channel.lines_per_s, channel.head_lines, int(channel.delay_ms * MS)
-            )
-            place = CoordinatorPlace(self.recorder, name, self.world.scenario.zones[0], address, queue)
-            process.places.append(place)
-            self._proxies(place)
-        everyone = [place for each in self.processes for place in each.places]
-        for place in everyone:
-            place.others = everyone
-
-    def _proxies(self, place: CoordinatorPlace) -> None:
-        world = self.world
-        for _ in range(world.scenario.proxies.per_hollow):
-            number = proxy_base(world.scenario) - 1 - len(self.streams)  # real ones' proxies count from 0
-            table = Proxy(number, world.scenario.zones[number % len(world.scenario.zones)], {})
-            random = Random(f"{world.scenario.scale.seed} proxy {number}")
-            stream = ProxyStream(world.loop, self.recorder, table, place, world.ever_listed, random)
-            stream.rate = world.scenario.traffic.proxy_requests_per_s
+        for name, address in zip(process.names, status.addresses, strict=True):
+            channel = ChannelQueue(self.recorder, name, self.scenario.channel)
+            endpoint = CoordinatorEndpoint(self.recorder, name, self.scenario.zones[0], address, channel)
+            process.endpoints.append(endpoint)
+            self._make_proxies(endpoint)
+        every = [endpoint for each in self.processes for endpoint in each.endpoints]
+        for endpoint in every:
+            endpoint.others = every
+
+    def _make_proxies(self, endpoint: CoordinatorEndpoint) -> None:
+        scenario, environment = self.scenario, self.environment
+        for _ in range(scenario.proxies.per_hollow):
+            number = proxy_base(scenario) - 1 - len(self.streams)  # real ones' proxies count from 0
+            table = ProxyTable(number, scenario.zones[number % len(scenario.zones)], {})
+            random = Random(f"{scenario.scale.seed} proxy {number}")
+            stream = ProxyStream(self.loop, self.recorder, table, endpoint, environment.ever_listed, random)
+            stream.rate = scenario.traffic.proxy_requests_per_s
             self.streams.append(stream)
 
     def kill_one(self) -> None:
         """The last process dies at once; its proxies go to the coordinators of the others."""
         process = self.processes[-1]
+        assert process.child is not None
         process.killed = True
         process.child.process.kill()
-        for place in process.places:
-            place.ended = True
+        for endpoint in process.endpoints:
+            endpoint.down = True
 
     def take_samples(self) -> None:
         """Notes what the processes have used."""
@@ -141,23 +153,25 @@
             if process.child.ended:
                 process.killed = True
                 self.failures.append(f"hollow process {process.agent_index} ended by itself")
-            elif found := sample(process.child.pid, self.world.loop.clock()):
+            elif found := sample(process.child.pid, self.loop.clock()):
                 process.samples.append(found)
 
     def check(self) -> None:
         """Notes what is not as it should be at the end of a run, before the processes are ended."""
         for process in self.processes:
-            watches = len(self.world.hollow_agents[process.agent_index].watches)
-            if not process.killed and process.told and watches < len(process.names):
-                self.failures.append(f"only {watches} of {len(process.names)} hollow watches are open")
-            if process.told and process.told.failures:
-                self.failures.append(
-                    f"hollow process {process.agent_index}: {process.told.failures} failures"
-                )
+            if process.status is not None:
+                self._check_process(process, process.status)
         unserved = sum(not stream.joined for stream in self.streams)
         if unserved and len(self.processes) > 1:
             self.failures.append(f"{unserved} proxies of hollow coordinators have no stream")
 
+    def _check_process(self, process: HollowProcess, status: ProcessStatus) -> None:
+        watches = len(self.environment.hollow_agents[process.agent_index].watches)
+        if not process.killed and watches < len(process.names):
+            self.failures.append(f"only {watches} of {len(process.names)} hollow watches are open")
+        if status.failures:
+            self.failures.append(f"hollow process {process.agent_index}: {status.failures} failures")
+
     def close(self) -> None:
         """Ends the proxies; the processes are ended with the others."""
         for stream in self.streams:
@@ -165,29 +179,28 @@
 
     def row(self) -> HollowRow:
         """Their part of the report."""
-        traffic: dict[str, Traffic] = {}
-        for process in self.processes:
-            for kind, each in process.told.traffic.items() if process.told else ():
-                both = traffic.setdefault(kind, Traffic())
-                both.messages += each.messages
-                both.bytes += each.bytes
-        shares = [
-            share_between(first.at, last.at, last.processor - first.processor)
-            for first, last in (
-                (each.samples[0], each.samples[-1]) for each in self.processes if each.samples
-            )
-        ]
+        shares = [share_of(each.samples[0], each.samples[-1]) for each in self.processes if each.samples]
         known = [share for share in shares if share is not None]
-        resident = sum(max((s.resident for s in each.samples), default=0) for each in self.processes)
+        resident = sum(
+            max((used.resident for used in process.samples), default=0) for process in self.processes
+        )
         return HollowRow(
-            coordinators=self.world.scenario.coordinators.hollow,
+            coordinators=self.scenario.coordinators.hollow,
             processes=len(self.processes),
             resident_mb=round(resident / MEGABYTE, 1),
             share=round(sum(known), 4) if known else None,
-            connected=sum(len(agent.watches) for agent in self.world.hollow_agents),
+            connected=sum(len(agent.watches) for agent in self.environment.hollow_agents),
             streams=sum(stream.joined for stream in self.streams),
-            traffic={
-                kind: KindTraffic(messages=each.messages, bytes=each.bytes)
-                for kind, each in sorted(traffic.items())
-            },
+            traffic=self._traffic(),
         )
+
+    def _traffic(self) -> dict[str, KindTraffic]:
+        """Messages and bytes of all of them, by direction and kind."""
+        sums: dict[str, Traffic] = {}
+        for process in self.processes:
+            if process.status is not None:
+                for kind, traffic in process.status.traffic.items():
+                    sums.setdefault(kind, Traffic()).add_all(traffic)
+        return {
+            kind: KindTraffic(messages=each.messages, bytes=each.bytes) for kind, each in sorted(sums.items())
+        }
--- a/granitespool/scale/plan.py
+++ b/granitespool/scale/plan.py
@@ -1,13 +1,16 @@
 """What happens in a scenario and when, drawn once from the seed before anything is started."""
 
-from collections.abc import Iterable
+import hashlib
+from collections.abc import Callable, Iterable, Sequence
 from random import Random
 from typing import Literal
 
 import msgspec
 
-from granitespool.scale.fleet import SECOND, ListedBackend, MadeFleet
+from granitespool.scale.fleet import ListedBackend, MadeFleet
 from granitespool.scale.schema import Event, Scenario
+from granitespool.scale.trace import Phase
+from granitespool.units import SECOND
 
 Action = Literal[
     "drain",  # discovery tells that backends drain
@@ -31,6 +34,9 @@
 ]
 STALL_LEAD = SECOND // 20  # ns from a stall to the change that it breaks off
 PARTITION_CHANGE = 0.4  # part of a cut after which a change is made on the other side of it
+PARTITION_DRAINS = 4  # backends that drain during a cut
+RENAMED_SHARE = 1 / 2  # of the replaced backends, those that come back under another name
+DIGEST_LENGTH = 16  # characters
 
 
 class Planned(msgspec.Struct, frozen=True, kw_only=True):
@@ -43,6 +49,18 @@
     lasting: int = 0  # ns
 
 
+def plan_digest(plan: Iterable[Planned]) -> str:
+    """A short text that is the same for the same planned events, whatever the run's addresses are."""
+    without_addresses = [
+        msgspec.structs.replace(
+            planned,
+            entries=tuple(msgspec.structs.replace(entry, address="") for entry in planned.entries),
+        )
+        for planned in plan
+    ]
+    return hashlib.sha256(msgspec.json.encode(without_addresses)).hexdigest()[:DIGEST_LENGTH]
+
+
 def coordinator_zones(scenario: Scenario) -> list[str]:
     """The zone of each real coordinator: regions in turn."""
     regions, zones = scenario.fleet.regions, scenario.fleet.zones_per_region
@@ -61,14 +79,35 @@
     """Draws the events of a scenario; `planned` has them in order of time."""
 
     def __init__(self, scenario: Scenario, fleet: MadeFleet, random: Random) -> None:
-        self.scenario, self.fleet, self.random = scenario, fleet, random
+        """`random` is used from here on: one order of calls gives one plan."""
+        self.scenario = scenario
+        self.fleet = fleet
+        self.random = random
         self.untouched = list(fleet.backends)  # backends that no event has yet
         random.shuffle(self.untouched)
         self.found: list[Planned] = []
+        planners = self._planners()
         for _, event in sorted(scenario.events.items()):
-            getattr(self, "_" + event.kind)(event)
+            planners[event.kind](event)
         self.planned = sorted(self.found, key=lambda planned: planned.at)
 
+    def _planners(self) -> dict[str, Callable[[Event], None]]:
+        """What plans the events of each kind."""
+        return {
+            "replace": self._replace,
+            "fail": self._fail,
+            "configure": self._configure,
+            "rack": self._rack,
+            "zone": self._zone,
+            "partition": self._partition,
+            "restart": self._restart,
+            "stall": self._stall,
+            "duplicate": self._duplicate,
+            "reorder": self._reorder,
+            "end_watches": self._end_watches,
+            "kill_hollow": self._kill_hollow,
+        }
+
     @property
     def end(self) -> int:
         """When the last of them happens, in ns."""
@@ -93,7 +132,8 @@
         )
 
     def _take(self, count: int) -> list[ListedBackend]:
-        taken, self.untouched = self.untouched[:count], self.untouched[count:]
+        taken = self.untouched[:count]
+        self.untouched = self.untouched[count:]
         return taken
 
     def _spread(self, event: Event) -> list[float]:
@@ -101,20 +141,21 @@
         return [event.at_s + event.for_s * number / event.count for number in range(event.count)]
 
     def _replace(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count)):
+        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
             self._drain_and_remove(at, [backend], event.drain_s)
-            after = backend if self.random.random() < 1 / 2 else self.fleet.like(backend)
-            self._at(at + event.drain_s + event.back_s, "add", [_as(after, "ready")])
+            renamed = self.random.random() >= RENAMED_SHARE
+            successor = self.fleet.like(backend) if renamed else backend
+            self._at(at + event.drain_s + event.back_s, "add", [_as(successor, "ready")])
 
-    def _drain_and_remove(self, at: float, backends: list[ListedBackend], drain_s: float) -> None:
+    def _drain_and_remove(self, at: float, backends: Sequence[ListedBackend], drain_s: float) -> None:
         self._at(at, "drain", [_as(backend, "draining") for backend in backends])
         self._at(at + drain_s, "remove", [_as(backend, "gone") for backend in backends])
 
     def _fail(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count)):
+        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
             self._lost(event, at, [backend], event.back_s)
 
-    def _lost(self, event: Event, at: float, backends: list[ListedBackend], back_s: float) -> None:
+    def _lost(self, event: Event, at: float, backends: Sequence[ListedBackend], back_s: float) -> None:
         """Backends end without a word, discovery notices, and they come back cold."""
         self._at(at, "crash", [_as(backend, "gone") for backend in backends])
         noticed = at + event.noticed_s
@@ -135,22 +176,24 @@
 
     def _zone(self, event: Event) -> None:
         zones = coordinator_zones(self.scenario)
-        for zone in self.random.sample(sorted(set(zones)), min(event.count, len(set(zones)))):
+        inhabited = sorted(set(zones))
+        for zone in self.random.sample(inhabited, min(event.count, len(inhabited))):
             inside = [backend for backend in self.untouched if backend.zone == zone]
             self.untouched = [backend for backend in self.untouched if backend.zone != zone]
             names = [coordinator_name(index) for index, each in enumerate(zones) if each == zone]
             self._at(event.at_s, "kill", names=names)
             self._at(event.at_s, "collectors_down", names=[zone])
             self._lost(event, event.at_s, inside, event.for_s)
-            self._at(event.at_s + event.noticed_s + event.for_s, "collectors_up", names=[zone])
-            self._at(event.at_s + event.noticed_s + event.for_s, "start", names=names)
+            back_at = event.at_s + event.noticed_s + event.for_s
+            self._at(back_at, "collectors_up", names=[zone])
+            self._at(back_at, "start", names=names)
 
     def _partition(self, event: Event) -> None:
         regions = sorted({zone.partition("-")[0] for zone in coordinator_zones(self.scenario)})
         cut = self.random.sample(regions, min(event.count, len(regions)))
         self._at(event.at_s, "cut", names=cut)
         change = event.at_s + PARTITION_CHANGE * event.for_s
-        drained = self._take(4)
+        drained = self._take(PARTITION_DRAINS)
         self._at(change, "drain", [_as(backend, "draining") for backend in drained])
         self._at(change, "configure")
         self._at(event.at_s + event.for_s, "heal", names=cut)
@@ -169,12 +212,12 @@
         self._drain_and_remove(event.at_s + lead, self._take(event.count), event.drain_s)
 
     def _duplicate(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count)):
+        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
             self._at(at, "duplicate", [_as(backend, "draining")])
             self._at(at + event.drain_s, "remove", [_as(backend, "gone")])
 
     def _reorder(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count)):
+        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
             self._at(at, "reorder", [_as(backend, "draining"), _as(backend, "gone")])
 
     def _end_watches(self, event: Event) -> None:
@@ -185,5 +228,5 @@
         self._at(event.at_s, "kill_hollow")
 
 
-def _as(backend: ListedBackend, status: str) -> ListedBackend:
+def _as(backend: ListedBackend, status: Phase) -> ListedBackend:
     return msgspec.structs.replace(backend, status=status)
--- a/granitespool/scale/plot.py
+++ b/granitespool/scale/plot.py
@@ -1,29 +1,19 @@
 """Plots of runs: what a coordinator costs, against the size of the fleet."""
 
-import importlib.util
+from collections.abc import Sequence
+from typing import Any
 
-from granitespool.errors import InvalidInputError
 from granitespool.scale.report import Report
+from granitespool.simulation.plotting import load_pyplot
 
 PHASES = (("idle", "idle_share"), ("reports", "reports_share"), ("worst second", "worst_second_share"))
 
 
-def require() -> None:
-    """Ends in InvalidInputError where matplotlib is not there."""
-    if importlib.util.find_spec("matplotlib") is None:
-        raise InvalidInputError("a plot needs the extra `plot` (pip install granitespool[plot])")
-
-
-def plot(reports: list[Report], path: str) -> None:
-    """Writes a plot (PNG, SVG or PDF); ends in InvalidInputError where matplotlib is not there.
+def plot(reports: Sequence[Report], path: str) -> None:
+    """Writes a plot (PNG, SVG or PDF); raises InvalidInputError where matplotlib is not there.
 
     Each point is one real coordinator of one run, at the run's number of backends."""
-    require()
-    import matplotlib  # noqa: PLC0415 an extra, and slow to import
-
-    matplotlib.use("Agg")
-    from matplotlib import pyplot  # noqa: PLC0415
-
+    pyplot = load_pyplot()
     points = [(report.sizes["backends"], row) for report in reports for row in report.coordinators]
     figure, (processor, memory, traffic) = pyplot.subplots(1, 3, figsize=(13, 3.8))
     for label, field in PHASES:
@@ -43,6 +33,11 @@
     pyplot.close(figure)
 
 
-def _scatter(axis: object, points: list[tuple[int, float | None]], factor: float, label: str) -> None:
+def _scatter(
+    axis: Any,  # noqa: ANN401 of matplotlib
+    points: Sequence[tuple[int, float | None]],
+    factor: float,
+    label: str,
+) -> None:
     known = [(size, value * factor) for size, value in points if value is not None]
     axis.scatter([size for size, _ in known], [value for _, value in known], s=14, label=label)
--- a/granitespool/scale/processes.py
+++ b/granitespool/scale/processes.py
@@ -1,32 +1,33 @@
 """Processes of a run: coordinators and hollow ones, each started, measured and ended by its parent."""
 
 import ctypes
-import json
 import os
 import resource
 import signal
 import subprocess
 import sys
 import time
-from collections.abc import Callable, Generator
+from collections.abc import Callable, Generator, Sequence
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import IO, Any
 
 import msgspec
 import orjson
 
 import granitespool
-from granitespool.net.loop import IN, SECOND, Loop
+from granitespool.net.loop import IN
+from granitespool.units import SECOND
 
 PAGE = resource.getpagesize()
 TICK = SECOND // os.sysconf("SC_CLK_TCK")  # ns of one tick of /proc/PID/stat
 PR_SET_PDEATHSIG = 1  # prctl: the signal that a child gets when its parent ends
-ENDS = signal.SIGTERM, signal.SIGINT, signal.SIGHUP  # that end a run in good order
-END_LIMIT = 5.0  # s from SIGTERM to SIGKILL
-READ = 65_536
+ENDING_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)  # that end a run in good order
+EXIT_TIMEOUT = 5.0  # s from SIGTERM to SIGKILL
+READ_SIZE = 65_536
 MEGABYTE = 1 << 20
 
+SignalMask = set[int | signal.Signals]
 Wait = Generator[tuple[int | None, int, int | None], int, None]
 
 
@@ -43,7 +44,7 @@
     """What a process has used by now (ns); None where it has ended."""
     try:
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-        return Sample(now, _processor(pid), pages * PAGE, len(os.listdir(f"/proc/{pid}/fd")))
+        return Sample(now, _processor(pid), pages * PAGE, len(list(Path(f"/proc/{pid}/fd").iterdir())))
     except (OSError, IndexError, ValueError):
         return None
 
@@ -59,35 +60,23 @@
     """One process; it is ended with its parent, also where the parent is killed."""
 
     def __init__(self, command: list[str], memory_mb: int | None, sockets: int | None) -> None:
-        parent = os.getpid()
-        prctl = ctypes.CDLL(None, use_errno=True).prctl
+        """Starts Python with these arguments; `memory_mb` and `sockets` limit it, None: no limit."""
         # A signal that ends the parent waits until the child is known, or nobody would end that in good order
-        former = signal.pthread_sigmask(signal.SIG_BLOCK, ENDS)
-
-        def prepare() -> None:  # in the child, before it becomes another program
-            prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-            if os.getppid() != parent:
-                os._exit(1)
-            if sockets:
-                resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
-            if memory_mb:
-                resource.setrlimit(resource.RLIMIT_DATA, (memory_mb * MEGABYTE, memory_mb * MEGABYTE))
-            signal.pthread_sigmask(signal.SIG_SETMASK, former)
-
+        former = signal.pthread_sigmask(signal.SIG_BLOCK, ENDING_SIGNALS)
         root = str(Path(granitespool.__file__).parent.parent)
         try:
             self.process = subprocess.Popen(
                 [sys.executable, *command],
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
-                preexec_fn=prepare,  # noqa: PLW1509 this program has one thread
+                preexec_fn=_preparation(former, memory_mb, sockets),  # noqa: PLW1509 one thread runs
                 env={**os.environ, "PYTHONPATH": root},
             )
-            os.set_blocking(self.process.stdout.fileno(), False)
+            os.set_blocking(self.output.fileno(), False)
         finally:
             self._unblock(former)
 
-    def _unblock(self, former: set[signal.Signals]) -> None:
+    def _unblock(self, former: SignalMask) -> None:
         """Lets signals come again; one that ends the parent now ends the child first."""
         try:
             signal.pthread_sigmask(signal.SIG_SETMASK, former)
@@ -96,6 +85,12 @@
                 self.close(0)
             raise
 
+    @property
+    def output(self) -> IO[bytes]:
+        """Its standard output."""
+        assert self.process.stdout is not None
+        return self.process.stdout
+
     @property
     def pid(self) -> int:
         """Its process id."""
@@ -106,12 +101,12 @@
         """Whether it has ended."""
         return self.process.poll() is not None
 
-    def signal(self, number: int) -> None:
+    def signal(self, number: signal.Signals) -> None:
         """Sends a signal, if it still runs."""
         if not self.ended:
             self.process.send_signal(number)
 
-    def close(self, limit: float = END_LIMIT) -> int:
+    def close(self, limit: float = EXIT_TIMEOUT) -> int:
         """Ends it, by SIGKILL after `limit` s at the latest; returns its exit code."""
         self.signal(signal.SIGTERM)
         try:
@@ -122,11 +117,29 @@
         return self.process.returncode
 
 
-def close_all(children: list[Child]) -> None:
+def _preparation(signal_mask: SignalMask, memory_mb: int | None, sockets: int | None) -> Callable[[], None]:
+    """What a child does before it becomes another program: it dies with its parent and keeps its limits."""
+    parent = os.getpid()
+    prctl = ctypes.CDLL(None, use_errno=True).prctl
+
+    def prepare() -> None:
+        prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
+        if os.getppid() != parent:
+            os._exit(1)
+        if sockets:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
+        if memory_mb:
+            resource.setrlimit(resource.RLIMIT_DATA, (memory_mb * MEGABYTE, memory_mb * MEGABYTE))
+        signal.pthread_sigmask(signal.SIG_SETMASK, signal_mask)
+
+    return prepare
+
+
+def close_all(children: Sequence[Child]) -> None:
     """Ends several at once: all are asked before any is waited for."""
     for child in children:
         child.signal(signal.SIGTERM)
-    until = time.monotonic() + END_LIMIT
+    until = time.monotonic() + EXIT_TIMEOUT
     for child in children:
         with suppress(subprocess.TimeoutExpired):
             child.process.wait(max(0.0, until - time.monotonic()))
@@ -134,14 +147,15 @@
         child.close()
 
 
-def lines_of(loop: Loop, child: Child, heard: Callable[[dict[str, Any]], None]) -> Wait:
+def lines_of(child: Child, take: Callable[[dict[str, Any]], None]) -> Wait:
     """A coroutine that reads a child's JSON lines until its output ends; it owns that end of the pipe."""
-    fd, waiting = child.process.stdout.fileno(), b""
+    fd = child.output.fileno()
+    waiting = b""
     try:
         while True:
             yield fd, IN, None
             try:
-                data = os.read(fd, READ)
+                data = os.read(fd, READ_SIZE)
             except BlockingIOError:
                 continue
             if not data:
@@ -149,9 +163,9 @@
             *lines, waiting = (waiting + data).split(b"\n")
             for line in lines:
                 with suppress(ValueError):
-                    heard(orjson.loads(line))
+                    take(orjson.loads(line))
     finally:
-        child.process.stdout.close()
+        child.output.close()
 
 
 def write_json(path: Path, value: dict[str, Any]) -> int:
@@ -161,8 +175,3 @@
     new.write_bytes(data)
     new.replace(path)
     return len(data)
-
-
-def read_spec(path: str) -> dict[str, Any]:
-    """What `write_json` wrote."""
-    return json.loads(Path(path).read_text(encoding="utf-8"))
--- /dev/null
+++ b/granitespool/scale/propagation.py
@@ -0,0 +1,59 @@
+"""How long it takes until no proxy holds a backend open that drains or is gone."""
+
+from collections.abc import Callable, Sequence
+
+import msgspec
+
+from granitespool.scale.discovery import Change
+from granitespool.scale.proxy_stream import ProxyStream
+
+
+class _Pending(msgspec.Struct, frozen=True):
+    """A backend that no proxy is to hold open any more, and who still does."""
+
+    since: int  # ns
+    holders: set[int]  # proxies
+    during_cut: bool
+
+
+class PropagationTracker:
+    """Follows each removal of a backend from the list until the last proxy has applied it."""
+
+    def __init__(self, clock: Callable[[], int], streams: Sequence[ProxyStream]) -> None:
+        """`clock` gives ns; `streams` may grow."""
+        self.clock = clock
+        self.streams = streams
+        self.durations: list[int] = []  # ns, of removals that reached the last proxy
+        self.durations_cut: list[int] = []  # the same of those made during a cut
+        self._pending: dict[str, _Pending] = {}
+
+    def published(self, change: Change, during_cut: bool) -> None:
+        """Discovery has published a change."""
+        for entry in change.entries:
+            if entry.status == "ready":
+                self._pending.pop(entry.name, None)
+            elif entry.name not in self._pending:
+                self._follow(entry.name, during_cut)
+
+    def _follow(self, backend: str, during_cut: bool) -> None:
+        holders = {stream.number for stream in self.streams if stream.table.may_use(backend)}
+        if holders:
+            self._pending[backend] = _Pending(self.clock(), holders, during_cut)
+
+    def applied(self, stream: ProxyStream) -> None:
+        """A proxy has applied a message."""
+        now = self.clock()
+        for backend, pending in list(self._pending.items()):
+            if stream.number in pending.holders and not stream.table.may_use(backend):
+                pending.holders.discard(stream.number)
+                if not pending.holders:
+                    del self._pending[backend]
+                    self._finished(pending, now)
+
+    def _finished(self, pending: _Pending, now: int) -> None:
+        durations = self.durations_cut if pending.during_cut else self.durations
+        durations.append(now - pending.since)
+
+    def unfinished(self, during_cut: bool) -> int:
+        """Removals that some proxy has not applied yet."""
+        return sum(pending.during_cut == during_cut for pending in self._pending.values())
--- /dev/null
+++ b/granitespool/scale/proxy_message.py
@@ -0,0 +1,64 @@
+"""One message to a proxy, put together from its parts on the wire."""
+
+from typing import Any
+
+from granitespool.errors import InvalidInputError
+from granitespool.simulation.proxy_table import AdmissionLevel, AdmissionUpdate, TableUpdate, WeightUpdate
+
+
+class IncomingMessage:
+    """A message of which some parts may still be missing."""
+
+    def __init__(self) -> None:
+        self.sizes: list[int] = []  # bytes of each part, the length before it counted
+        self.entries = 0  # as the protocol page counts them, without the head
+        self.weights: list[WeightUpdate] = []
+        self.admission: list[AdmissionUpdate] = []
+        self.excluded: list[str] = []
+        self.readmitted: list[str] = []
+        self.ticket: int | None = None
+
+    def add(self, part: dict[str, Any], size: int) -> None:
+        """Takes one part of so many bytes, its length with them; raises InvalidInputError."""
+        try:
+            self._add(part)
+        except (TypeError, ValueError, KeyError) as error:
+            raise InvalidInputError(f"a part of a message cannot be used: {error!r:.80}") from None
+        self.sizes.append(size)
+
+    def _add(self, part: dict[str, Any]) -> None:
+        complete = bool(part.get("whole"))
+        weights = [(name, weight) for name, weight in part.get("lines", ())]
+        excluded, readmitted = part.get("out", ()), part.get("back", ())
+        if complete or weights:
+            self.weights.append(WeightUpdate(complete, weights))
+        if "level" in part:
+            level = AdmissionLevel(float(part["level"]), int(part["retry"]))
+            self.admission.append(AdmissionUpdate(part.get("classes"), level))
+        self.excluded += excluded
+        self.readmitted += readmitted
+        self.ticket = part.get("ticket", self.ticket)
+        fields = ("level" in part, "ticket" in part, complete)
+        self.entries += len(weights) + len(excluded) + len(readmitted) + sum(fields)
+
+    def update(self) -> TableUpdate:
+        """What it changes in the proxy's table."""
+        return TableUpdate(
+            weights=self.weights,
+            admission=self.admission,
+            excluded=self.excluded,
+            readmitted=self.readmitted,
+        )
+
+    def weighted_backends(self) -> list[str]:
+        """The backends that it gives a weight."""
+        return [name for change in self.weights for name, _ in change.weights]
+
+    def backends(self) -> list[str]:
+        """All backends that it names."""
+        return [*self.weighted_backends(), *self.excluded, *self.readmitted]
+
+    @property
+    def changes_table(self) -> bool:
+        """Whether it changes which backends the proxy may use."""
+        return bool(self.weights or self.excluded or self.readmitted)
--- /dev/null
+++ b/granitespool/scale/proxy_stream.py
@@ -0,0 +1,285 @@
+"""Stand-ins of proxies: each keeps a stream to a coordinator, applies its messages and acknowledges them.
+
+A coordinator's messages pass a stand-in of the platform's channel; a message acts on the proxy once the
+channel has carried it."""
+
+import socket
+from collections import deque
+from collections.abc import Callable, Container, Generator
+from random import Random
+from typing import Any
+
+import msgspec
+
+from granitespool.errors import InvalidInputError
+from granitespool.net.buffers import Pool
+from granitespool.net.client import dial, send
+from granitespool.net.frames import HEAD, LARGEST, Reader, frame
+from granitespool.net.loop import IN, Loop, Task
+from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint
+from granitespool.scale.proxy_message import IncomingMessage
+from granitespool.scale.recorder import Recorder
+from granitespool.scale.trace import MessageWritten, ProxyJoined, ProxyLeft, TableHeld, UpdateReceived
+from granitespool.simulation.proxy_table import ProxyTable
+from granitespool.units import MILLISECOND, SECOND
+
+DIAL_TIMEOUT = SECOND  # ns for a connection to come up
+RECONNECT_DELAY = SECOND // 5  # ns from a stream's end to the next dialling, by chance half less or more
+USAGE_INTERVAL = SECOND  # ns between reports of usage
+APPLY_TIME = 5 * MILLISECOND  # ns in which a proxy applies a message that has arrived
+BUFFERS = 1 << 16  # of a stream's reader
+
+Wait = Generator[tuple[int | None, int, int | None], int, None]
+
+
+class _Arrival(msgspec.Struct, frozen=True):
+    """A complete message that the channel still carries."""
+
+    acts_at: int  # ns
+    received_at: int  # ns
+    message: IncomingMessage
+
+
+class ProxyStream:
+    """One proxy, on the stream that it has just now."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        recorder: Recorder,
+        table: ProxyTable,
+        home: CoordinatorEndpoint,
+        known_backends: Container[str],
+        random: Random,
+    ) -> None:
+        """`known_backends`: all that discovery has ever listed; a message that names another is an error."""
+        self.loop = loop
+        self.recorder = recorder
+        self.table = table
+        self.endpoint = home
+        self.known_backends = known_backends
+        self.random = random
+        self.rate = 0.0  # requests a second
+        self.classes: tuple[str, ...] = ()
+        self.without_table = True  # it holds no table that a coordinator gave it
+        self.resets = 0  # streams that it ended because it could not use what came
+        self.joined = False
+        self.weighted_at: dict[str, int] = {}  # backend -> when a message gave it its weight last, ns
+        self.on_applied: Callable[[ProxyStream], None] = _ignore
+        self.silent: list[socket.socket] = []  # streams that a cut has left open
+        self.sock: socket.socket | None = None
+        self.task: Task = loop.spawn(self._run())
+
+    @property
+    def number(self) -> int:
+        """The proxy's number among all."""
+        return self.table.number
+
+    def move(self, endpoint: CoordinatorEndpoint, silently: bool = False) -> None:
+        """Goes to another coordinator; `silently` leaves the old stream open, as a cut does."""
+        self.loop.end(self.task)
+        if silently and self.sock is not None:
+            self.silent.append(self.sock)
+        elif self.sock is not None:
+            self.sock.close()
+        self.sock = None
+        self.endpoint = endpoint
+        self.task = self.loop.spawn(self._run())
+
+    def heal(self) -> None:
+        """Resets the streams that a cut had left open."""
+        while self.silent:
+            self.silent.pop().close()
+
+    def close(self) -> None:
+        """Ends the proxy."""
+        self.loop.end(self.task)
+        self.heal()
+        if self.sock is not None:
+            self.sock.close()
+
+    # Streams
+
+    def _run(self) -> Wait:
+        yield None, 0, self.loop.now + int(self.random.random() * RECONNECT_DELAY)
+        while True:
+            yield from self._connect(self.endpoint)
+            if self.sock is not None:
+                self.sock.close()
+                self.sock = None
+            if self.endpoint.down:
+                self.endpoint = self.endpoint.successor()
+            yield None, 0, self.loop.now + int(RECONNECT_DELAY * (0.5 + self.random.random()))
+
+    def _connect(self, endpoint: CoordinatorEndpoint) -> Wait:
+        """Keeps one stream until it ends, and records its end."""
+        by_coordinator = False
+        try:
+            yield from self._stream(endpoint)
+            by_coordinator = True  # its end came from the other side
+        except InvalidInputError:
+            self.resets += 1
+            by_coordinator = True
+        except OSError:
+            by_coordinator = self.joined
+        finally:
+            if self.joined:
+                self._record_end(endpoint, by_coordinator and not endpoint.down)
+
+    def _record_end(self, endpoint: CoordinatorEndpoint, by_coordinator: bool) -> None:
+        self.joined = False
+        self.recorder.add(
+            ProxyLeft(
+                at=self.loop.clock(),
+                proxy=self.number,
+                coordinator=endpoint.name,
+                by_coordinator=by_coordinator,
+            )
+        )
+
+    def _stream(self, endpoint: CoordinatorEndpoint) -> Wait:
+        self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        yield from dial(sock, endpoint.address, self.loop.now + DIAL_TIMEOUT)
+        joining = self._joining()
+        yield from send(sock, joining, self.loop.now + DIAL_TIMEOUT)
+        endpoint.recorder.count(endpoint.name, "in", "joined", len(joining))
+        self._record_table()
+        self.joined = True
+        self.recorder.add(ProxyJoined(at=self.loop.clock(), proxy=self.number, coordinator=endpoint.name))
+        reader = Reader(Pool(BUFFERS), LARGEST)
+        try:
+            yield from self._serve(sock, endpoint, reader)
+        finally:
+            reader.close()
+
+    def _joining(self) -> bytes:
+        return frame(
+            {
+                "type": "joined",
+                "node": self.number,
+                "locality": self.table.zone,
+                "w": self.rate,
+                "cold": self.without_table,
+            }
+        )
+
+    def _record_table(self) -> None:
+        excluded = frozenset(self.table.excluded)
+        self.recorder.add(
+            TableHeld(
+                at=self.loop.clock(), proxy=self.number, weights=self.table.weighted(), excluded=excluded
+            )
+        )
+
+    def _serve(self, sock: socket.socket, endpoint: CoordinatorEndpoint, reader: Reader) -> Wait:
+        message = IncomingMessage()
+        arrivals: deque[_Arrival] = deque()
+        usage_due = self.loop.now + int(self.random.random() * USAGE_INTERVAL)
+        while True:
+            due = min(usage_due, arrivals[0].acts_at) if arrivals else usage_due
+            events = yield sock.fileno(), IN, due
+            while arrivals and arrivals[0].acts_at <= self.loop.now:
+                yield from self._apply(sock, endpoint, arrivals.popleft())
+            if self.loop.now >= usage_due:
+                usage_due += USAGE_INTERVAL
+                yield from self._report_usage(sock, endpoint)
+            if not events:
+                continue
+            size = sock.recv_into(reader.room())
+            if not size:
+                return
+            reader.received(size)
+            message = self._take_parts(endpoint, reader, message, arrivals)
+
+    # Messages
+
+    def _take_parts(
+        self,
+        endpoint: CoordinatorEndpoint,
+        reader: Reader,
+        message: IncomingMessage,
+        arrivals: deque[_Arrival],
+    ) -> IncomingMessage:
+        """Takes the parts that were read; returns the message that the next part belongs to."""
+        before = reader.have
+        for part in reader.messages():
+            size = before - reader.have
+            before = reader.have
+            endpoint.recorder.count(endpoint.name, "out", str(part["type"]), size)
+            if part["type"] != "update":
+                continue
+            message.add(part, size)
+            if not part.get("more"):
+                arrivals.append(self._complete(endpoint, message))
+                message = IncomingMessage()
+        return message
+
+    def _complete(self, endpoint: CoordinatorEndpoint, message: IncomingMessage) -> _Arrival:
+        """Records a complete message and has the channel carry it."""
+        for name in message.backends():
+            if name not in self.known_backends:
+                raise InvalidInputError(f"a message names the unknown backend {name!r:.40}")
+        now = self.loop.clock()
+        self.recorder.add(
+            MessageWritten(
+                at=now,
+                coordinator=endpoint.name,
+                proxy=self.number,
+                entries=message.entries,
+                parts=len(message.sizes),
+                largest_part=max(message.sizes) - HEAD,
+            )
+        )
+        received = UpdateReceived(at=now, proxy=self.number, parts=tuple(message.sizes))
+        self.recorder.add_update(endpoint.name, received)
+        return _Arrival(endpoint.channel.enter(now, message.entries) + APPLY_TIME, now, message)
+
+    def _apply(self, sock: socket.socket, endpoint: CoordinatorEndpoint, arrival: _Arrival) -> Wait:
+        message = arrival.message
+        self.table.apply(message.update())
+        now = self.loop.clock()
+        self.weighted_at.update((name, now) for name in message.weighted_backends())
+        self.without_table = self.without_table and not message.weights
+        if message.changes_table:
+            self._record_table()
+            self.on_applied(self)
+        if message.ticket is not None:
+            latency = (self.loop.clock() - arrival.received_at) / MILLISECOND
+            yield from self._acknowledge(sock, endpoint, message.ticket, latency)
+
+    def _acknowledge(
+        self, sock: socket.socket, endpoint: CoordinatorEndpoint, ticket: int, latency_ms: float
+    ) -> Wait:
+        fields: dict[str, Any] = {
+            "type": "applied",
+            "node": self.number,
+            "nonce": ticket,
+            "latency": latency_ms,
+        }
+        acknowledgement = frame(fields)
+        yield from send(sock, acknowledgement, None)
+        endpoint.recorder.count(endpoint.name, "in", "applied", len(acknowledgement))
+
+    def _report_usage(self, sock: socket.socket, endpoint: CoordinatorEndpoint) -> Wait:
+        if not endpoint.wants_reports or not self.classes:
+            return
+        mean = self.rate / len(self.classes)
+        reports = b"".join(self._usage(name, mean) for name in self.classes)
+        yield from send(sock, reports, None)
+        endpoint.recorder.count(endpoint.name, "in", "usage", len(reports), len(self.classes))
+
+    def _usage(self, class_name: str, mean: float) -> bytes:
+        return frame(
+            {
+                "type": "usage",
+                "node": self.number,
+                "route": class_name,
+                "total": int(mean) + (self.random.random() < mean % 1),
+                "errors": 0,
+                "interval": USAGE_INTERVAL / MILLISECOND,
+            }
+        )
+
+
+def _ignore(_: ProxyStream) -> None:
+    """Takes a message that nobody follows."""
--- a/granitespool/scale/report.py
+++ b/granitespool/scale/report.py
@@ -1,11 +1,14 @@
-"""The result of a run: typed, as a table for the terminal and as JSON."""
+"""The result of a run: typed, as a table for a terminal and as JSON.
+
+The fields' names are the keys of the JSON, which docs hold figures of."""
 
 import statistics
+from collections.abc import Sequence
 
 import msgspec
 
 from granitespool.scale.checker import Violation
-from granitespool.scale.fleet import MS, SECOND
+from granitespool.units import MILLISECOND
 
 VIOLATIONS_KEPT = 20  # in a report
 VIOLATIONS_PRINTED = 5
@@ -20,14 +23,14 @@
     unfinished: int = 0  # that had not come to an end when the run ended
 
 
-def times(durations: list[int], unfinished: int = 0) -> Times:
-    """Sums durations (ns) up."""
+def times(durations: Sequence[int], unfinished: int = 0) -> Times:
+    """Sums durations (ns) up; `unfinished` had not come to an end."""
     if not durations:
         return Times(count=0, unfinished=unfinished)
     return Times(
         count=len(durations),
-        median_ms=round(statistics.median(durations) / MS, 1),
-        worst_ms=round(max(durations) / MS, 1),
+        median_ms=round(statistics.median(durations) / MILLISECOND, 1),
+        worst_ms=round(max(durations) / MILLISECOND, 1),
         unfinished=unfinished,
     )
 
@@ -150,34 +153,34 @@
 def table(report: Report) -> list[str]:
     """The report as lines for a terminal."""
     head = ["coordinator", "zone", "idle", "reports", "worst s", "memory", "fds", "in", "out", "ready"]
-    rows = [
-        [
-            row.name,
-            row.zone,
-            _share(row.idle_share),
-            _share(row.reports_share),
-            _share(row.worst_second_share),
-            f"{row.resident_mb:.0f} MB",
-            str(row.descriptors),
-            f"{row.in_bytes_per_s / 1000:.1f} kB/s",
-            f"{row.out_bytes_per_s / 1000:.1f} kB/s",
-            " ".join(f"{ms / 1000:.2f} s" for ms in row.ready_ms),
-        ]
-        for row in report.coordinators
-    ]
     sizes = ", ".join(f"{count} {what}" for what, count in report.sizes.items())
     machine = report.machine
     return [
         f"{report.title} (simulated servers and proxies; seed {report.seed}; {sizes})",
         f"machine: {machine.cores} cores, load {machine.load_before:.1f} before and "
         f"{machine.load_after:.1f} after",
-        *_columns([head, *rows]),
+        *_columns([head, *(_coordinator(row) for row in report.coordinators)]),
         *(_kinds(report, direction) for direction in ("in", "out")),
         *_fleet(report),
         *_verdict(report),
     ]
 
 
+def _coordinator(row: CoordinatorRow) -> list[str]:
+    return [
+        row.name,
+        row.zone,
+        _share(row.idle_share),
+        _share(row.reports_share),
+        _share(row.worst_second_share),
+        f"{row.resident_mb:.0f} MB",
+        str(row.descriptors),
+        f"{row.in_bytes_per_s / 1000:.1f} kB/s",
+        f"{row.out_bytes_per_s / 1000:.1f} kB/s",
+        " ".join(f"{ms / 1000:.2f} s" for ms in row.ready_ms),
+    ]
+
+
 def _kinds(report: Report, direction: str) -> str:
     """One line: bytes a second by kind, means over the real coordinators, the largest first."""
     sums: dict[str, float] = {}
@@ -191,38 +194,49 @@
 
 
 def _fleet(report: Report) -> list[str]:
-    lines = []
-    if report.hollow:
-        hollow = report.hollow
-        lines.append(
-            f"hollow: {hollow.coordinators} in {hollow.processes} processes, {hollow.connected} watches and "
-            f"{hollow.streams} streams open, "
-            f"{hollow.resident_mb:.0f} MB, {_share(hollow.share)} of a core"
+    lines = [_hollow(report.hollow)] if report.hollow else []
+    lines += [
+        _duration(what, found)
+        for what, found in (
+            ("list to last proxy", report.list_to_last_proxy),
+            ("list to last proxy, cut", report.list_to_last_proxy_cut),
+            ("list to last watch", report.list_to_last_watch),
+            ("settings to last coordinator", report.settings_to_last),
+            ("ready after a restart", report.ready),
         )
-    for what, found in (
-        ("list to last proxy", report.list_to_last_proxy),
-        ("list to last proxy, cut", report.list_to_last_proxy_cut),
-        ("list to last watch", report.list_to_last_watch),
-        ("settings to last coordinator", report.settings_to_last),
-        ("ready after a restart", report.ready),
-    ):
-        if found.count or found.unfinished:
-            worst = "none ended" if found.worst_ms is None else f"{found.worst_ms / 1000:.3f} s worst"
-            median = "" if found.median_ms is None else f", {found.median_ms / 1000:.3f} s median"
-            lines.append(f"{what}: {worst}{median}, {found.count} changes, {found.unfinished} unfinished")
-    lines.append(
-        f"backends in tables of real coordinators' proxies: {report.backends_used}, the most laden has "
-        + ("no work" if report.load_largest is None else f"{report.load_largest:.1f} times the mean of them")
+        if found.count or found.unfinished
+    ]
+    largest = (
+        "no work" if report.load_largest is None else f"{report.load_largest:.1f} times the mean of them"
     )
-    for row in report.cut:
-        lines.append(
-            f"cut {row.coordinator}: held list {row.list_held} of {row.list_newest}, settings "
-            f"{row.settings_held} of {row.settings_newest}; right again after {_ms(row.list_right_ms)} "
-            f"and {_ms(row.settings_right_ms)}"
-        )
+    used = f"backends in tables of real coordinators' proxies: {report.backends_used}"
+    lines.append(f"{used}, the most laden has {largest}")
+    lines += [_cut(row) for row in report.cut]
     return lines
 
 
+def _hollow(hollow: HollowRow) -> str:
+    return (
+        f"hollow: {hollow.coordinators} in {hollow.processes} processes, {hollow.connected} watches and "
+        f"{hollow.streams} streams open, "
+        f"{hollow.resident_mb:.0f} MB, {_share(hollow.share)} of a core"
+    )
+
+
+def _duration(what: str, found: Times) -> str:
+    worst = "none ended" if found.worst_ms is None else f"{found.worst_ms / 1000:.3f} s worst"
+    median = "" if found.median_ms is None else f", {found.median_ms / 1000:.3f} s median"
+    return f"{what}: {worst}{median}, {found.count} changes, {found.unfinished} unfinished"
+
+
+def _cut(row: CutRow) -> str:
+    return (
+        f"cut {row.coordinator}: held list {row.list_held} of {row.list_newest}, settings "
+        f"{row.settings_held} of {row.settings_newest}; right again after {_ms(row.list_right_ms)} "
+        f"and {_ms(row.settings_right_ms)}"
+    )
+
+
 def _verdict(report: Report) -> list[str]:
     lines = [
         f"requests followed: {report.requests}, without an answer {report.requests_unserved}; "
@@ -248,9 +262,3 @@
 
 def _ms(duration: float | None) -> str:
     return "never" if duration is None else f"{duration / 1000:.3f} s"
-
-
-def share_between(first_ns: int, last_ns: int, processor_ns: int) -> float | None:
-    """The share of a core that so much processor time is of a span; None where there is no span."""
-    span = last_ns - first_ns
-    return round(processor_ns / span, 4) if span > SECOND // 2 else None
--- /dev/null
+++ b/granitespool/scale/run.py
@@ -0,0 +1,230 @@
+"""One run of a scenario: starts the processes, goes through the phases, measures, and ends everything."""
+
+import os
+import secrets
+import tempfile
+from collections import Counter
+from collections.abc import Callable, Generator
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from granitespool.errors import InvalidInputError
+from granitespool.net.loop import Loop
+from granitespool.scale.environment import Environment
+from granitespool.scale.events import EventPlayer
+from granitespool.scale.fleet import MadeFleet, Network
+from granitespool.scale.hollow_fleet import HollowFleet
+from granitespool.scale.plan import Plan, plan_digest
+from granitespool.scale.processes import close_all
+from granitespool.scale.recorder import TrafficKey
+from granitespool.scale.report import HollowRow
+from granitespool.scale.samples import Span
+from granitespool.scale.schema import Scenario
+from granitespool.scale.signals import exit_on_signals
+from granitespool.scale.size_check import check_size
+from granitespool.units import SECOND
+
+NETWORKS = range(64, 254)  # numbers of loopback networks that a run draws its own from
+TIME_TO_SPARE = 60 * SECOND  # ns beyond the planned time after which a run is given up
+FAILURES_LIMIT = 50  # failures of stand-ins after which a run is given up
+STARTS_TOGETHER = 4  # coordinators that are expected to start in the time that one may take
+
+Wait = Generator[tuple[int | None, int, int | None], int, Any]
+Progress = Callable[[str], None]
+
+
+class Run:
+    """Plays a scenario once, by `play`, and leaves no process behind; then holds all that was measured."""
+
+    def __init__(self, scenario: Scenario, progress: Progress) -> None:
+        """Plans the events. Raises InvalidInputError where the scenario does not fit the machine."""
+        check_size(scenario)
+        self.scenario = scenario
+        self.progress = progress
+        self.failures: list[str] = []
+        self.loop = Loop(self._coroutine_failed)
+        self.load_before = os.getloadavg()[0]
+        self.network = Network(NETWORKS.start + secrets.randbelow(len(NETWORKS)))
+        self.made = MadeFleet(scenario, self.network, Random(scenario.scale.seed))
+        self.plan = Plan(scenario, self.made, Random(scenario.scale.seed)).planned
+        self.digest = plan_digest(self.plan)
+        self.environment: Environment
+        self.events: EventPlayer
+        self.hollow: HollowFleet | None = None
+        self.hollow_row: HollowRow | None = None  # as it was before the processes were ended
+        self.idle = Span()
+        self.reported = Span()
+        self.measured = Span()
+        self.bytes_before: Counter[TrafficKey] = Counter()  # before the measuring began
+        self._started = False
+        self._done = False
+
+    def play(self) -> None:
+        """Plays it to its end."""
+        with tempfile.TemporaryDirectory(prefix="granitespool-scale-") as folder, exit_on_signals():
+            try:
+                self._start(Path(folder))
+                self.loop.run(lambda _: None)
+                self.hollow_row = self.hollow.row() if self.hollow else None
+            finally:
+                self._close()
+
+    def _start(self, folder: Path) -> None:
+        self.environment = Environment(self.scenario, self.made, self.network, self.loop, folder)
+        self._started = True
+        if self.scenario.coordinators.hollow:
+            self.hollow = HollowFleet(self.environment, folder)
+        self.events = EventPlayer(self.loop, self.environment, self.hollow, self.failures)
+        self.loop.spawn(self._timeline())
+        self.loop.spawn(self._give_up())
+
+    def _coroutine_failed(self, error: Exception) -> None:
+        self.failures.append(f"a stand-in failed: {error!r:.200}")
+        if len(self.failures) > FAILURES_LIMIT:
+            self.loop.stop()
+
+    def _close(self) -> None:
+        hollow = self.hollow.children if self.hollow else []
+        if not self._started:
+            self.loop.close()
+            return
+        real = [each.child for each in self.environment.coordinators if each.child]
+        close_all([*real, *hollow])
+        self._note_exit_codes()
+        self.environment.close()
+        if self.hollow:
+            self.hollow.close()
+        self.loop.close()
+
+    def _note_exit_codes(self) -> None:
+        for coordinator in self.environment.coordinators:
+            if coordinator.child:
+                code = coordinator.child.process.returncode
+                coordinator.exit_codes.append(code)
+                if code and not coordinator.endpoint.down:
+                    self.failures.append(f"{coordinator.name} ended with {code}")
+
+    # Phases
+
+    def _give_up(self) -> Wait:
+        """Ends the run where it takes much longer than planned."""
+        times = self.scenario.times
+        seconds = times.warm_s + times.idle_s + times.reports_s + times.events_s + times.settle_s
+        starts = times.ready_s * (1 + self.scenario.coordinators.real / STARTS_TOGETHER)
+        last = self.plan[-1].at if self.plan else 0
+        yield None, 0, self.loop.now + int((seconds + starts) * SECOND) + last + TIME_TO_SPARE
+        if not self._done:
+            self.failures.append("the run's time ran out")
+            self.loop.stop()
+
+    def _timeline(self) -> Wait:
+        try:
+            yield from self._phases()
+        except InvalidInputError as error:
+            self.failures.append(str(error))
+        finally:
+            self._done = True
+            self.loop.stop()
+
+    def _phases(self) -> Wait:
+        times = self.scenario.times
+        yield from self._start_coordinators()
+        self.loop.spawn(self._take_samples())
+        yield from self._sleep(times.warm_s)
+        self._begin_measuring()
+        self.progress("idle")
+        yield from self._measure_span(self.idle, times.idle_s)
+        self.environment.send_reports(True)
+        self.progress("reports")
+        yield from self._measure_reports()
+        if self.hollow:
+            yield from self._start_hollow(self.hollow)
+        self.progress("events")
+        self.loop.spawn(self._watch_settings())
+        yield from self.events.play(self.plan, int(times.events_s * SECOND))
+        yield from self._sleep(times.settle_s)
+        yield from self._check_end()
+        self.measured.end = self.loop.clock()
+
+    def _begin_measuring(self) -> None:
+        self.measured.begin = self.loop.clock()
+        self.bytes_before = Counter(self.environment.recorder.bytes)
+        for coordinator in self.environment.coordinators:
+            coordinator.log.lines = 0
+
+    def _measure_reports(self) -> Wait:
+        if self.hollow:
+            self.environment.show_change(back=False)
+        yield from self._measure_span(self.reported, self.scenario.times.reports_s)
+
+    def _start_hollow(self, hollow: HollowFleet) -> Wait:
+        self.progress("hollow coordinators")
+        self.environment.show_change(back=True)
+        yield from self._sleep(1)
+        yield from hollow.start(self.environment.coordinators[0])
+
+    def _sleep(self, seconds: float) -> Wait:
+        until = self.loop.now + int(seconds * SECOND)
+        while self.loop.now < until:
+            yield None, 0, until
+
+    def _measure_span(self, span: Span, seconds: float) -> Wait:
+        self._take_sample()
+        span.begin = self.loop.clock()
+        yield from self._sleep(seconds)
+        self._take_sample()
+        span.end = self.loop.clock()
+
+    def _start_coordinators(self) -> Wait:
+        for coordinator in self.environment.coordinators:
+            entries = list(self.environment.list.entries.values())
+            ready = yield from coordinator.start(entries)
+            if not ready:
+                raise InvalidInputError(f"{coordinator.name} was not ready in time")
+            self.progress(f"{coordinator.name} is ready")
+        for coordinator in self.environment.coordinators:
+            self.environment.join_proxies(coordinator)
+
+    # Looks
+
+    def _take_samples(self) -> Wait:
+        due = self.loop.now
+        while True:
+            self._take_sample()
+            due += SECOND
+            yield None, 0, due
+
+    def _take_sample(self) -> None:
+        for coordinator in self.environment.coordinators:
+            coordinator.take_sample()
+            child = coordinator.child
+            if child and child.ended and not coordinator.endpoint.down:
+                code = child.process.returncode
+                self.failures.append(f"{coordinator.name} ended by itself with {code}")
+                coordinator.endpoint.down = True
+        if self.hollow:
+            self.hollow.take_samples()
+
+    def _watch_settings(self) -> Wait:
+        """Looks each second whether a coordinator has older settings than it was seen to have."""
+        while True:
+            yield from self._sleep(1)
+            for coordinator in self.environment.coordinators:
+                if coordinator.serves:
+                    yield from coordinator.has_settings(coordinator.in_force)
+
+    def _check_end(self) -> Wait:
+        """Notes which coordinators lack the newest settings or the newest list at the end."""
+        newest = self.environment.list.index
+        for coordinator in self.environment.coordinators:
+            if not coordinator.serves:
+                continue
+            in_force = yield from coordinator.has_settings(self.events.settings.version)
+            if in_force is not True:
+                self.failures.append(f"{coordinator.name} has not the newest settings at the end")
+            held = coordinator.log.list_index
+            if held < newest:
+                self.failures.append(f"{coordinator.name} has the list {held} at the end, not {newest}")
+        if self.hollow:
+            self.hollow.check()
--- /dev/null
+++ b/granitespool/scale/samples.py
@@ -0,0 +1,55 @@
+"""What processes used over time, and the shares of a core that follow from it."""
+
+from collections.abc import Sequence
+
+import msgspec
+
+from granitespool.scale.processes import Sample
+from granitespool.units import SECOND
+
+SPAN_LEAST = SECOND // 2  # ns: a shorter span gives no share
+SECOND_PART = 0.9  # part of a second that two samples have to be apart, to show one
+EDGE = SECOND // 10  # ns by which a sample may lie outside a span that it counts for
+
+
+class Span(msgspec.Struct):
+    """A phase of the run, in ns."""
+
+    begin: int = 0
+    end: int = 0
+
+
+def share_between(first_ns: int, last_ns: int, processor_ns: int) -> float | None:
+    """The share of a core that so much processor time is of a span; None where there is no span."""
+    span = last_ns - first_ns
+    return round(processor_ns / span, 4) if span > SPAN_LEAST else None
+
+
+def share_of(first: Sample, last: Sample) -> float | None:
+    """The share of a core that a process used between two samples."""
+    return share_between(first.at, last.at, last.processor - first.processor)
+
+
+def share_in(samples: Sequence[Sample], span: Span) -> float | None:
+    """The share of a core that a process used in a phase."""
+    inside = [sample for sample in samples if span.begin - EDGE <= sample.at <= span.end + EDGE]
+    return share_of(inside[0], inside[-1]) if len(inside) >= 2 else None
+
+
+def worst_second(samples: Sequence[Sample], begin: int) -> float | None:
+    """The largest share of a core of one process in a second (the shortest span of samples over one).
+
+    Samples from before `begin` (ns) do not count."""
+    worst = None
+    for position, first in enumerate(samples):
+        last = _second_later(samples[position:])
+        if first.at < begin or last is None or last.processor < first.processor:
+            continue  # before the measuring, at its end, or of two processes
+        worst = max(worst or 0.0, share_of(first, last) or 0.0)
+    return worst
+
+
+def _second_later(samples: Sequence[Sample]) -> Sample | None:
+    """The first sample that is about a second after the first of all."""
+    first, least = samples[0], SECOND * SECOND_PART
+    return next((sample for sample in samples if sample.at - first.at >= least), None)
--- a/granitespool/scale/schema.py
+++ b/granitespool/scale/schema.py
@@ -1,21 +1,20 @@
 """What a scenario's INI file may say; every key has its unit in its name."""
 
-import importlib.resources
-import os
 from collections.abc import Iterable
+from pathlib import Path
 from typing import Annotated, Literal
 
 import msgspec
 from msgspec import Meta
 
 from granitespool import ini
-from granitespool.emulator.schema import changed
 from granitespool.errors import InvalidInputError
+from granitespool.simulation import ini_files
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 EVENT = "event."  # what the name of an event's section begins with
-FOLDER = "granitespool.scale"
+PACKAGE = "granitespool.scale"  # whose folder holds the scenarios that come with the program
 
 
 class Scale(msgspec.Struct, frozen=True, kw_only=True):
@@ -127,7 +126,7 @@
     back_s: Seconds = 2.0  # from a backend's end until it is back, or another is there in its place
 
 
-SECTIONS = {
+SECTIONS: dict[str, type[msgspec.Struct]] = {
     "scale": Scale,
     "fleet": Fleet,
     "coordinators": Coordinators,
@@ -165,53 +164,31 @@
 
 def names() -> list[str]:
     """The scenarios that come with the program."""
-    folder = importlib.resources.files(FOLDER) / "experiments"
-    return sorted(entry.name[: -len(".ini")] for entry in folder.iterdir() if entry.name.endswith(".ini"))
+    return ini_files.names(PACKAGE)
 
 
-def load(told: str, changes: Iterable[str] = ()) -> Scenario:
+def load(name: str, changes: Iterable[str] = ()) -> Scenario:
     """The scenario of a file or of a name that `names` has, with other values for some keys.
 
-    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key.
-
-    Raises InvalidInputError."""
-    known = names()
-    if told in known and not os.path.exists(told):
-        path = f"{told}.ini"
-        text = (importlib.resources.files(FOLDER) / "experiments" / path).read_text()
-    else:
-        path = told
-        try:
-            with open(path, encoding="utf-8") as file:
-                text = file.read()
-        except (OSError, UnicodeDecodeError) as error:
-            raise InvalidInputError(
-                f"{told}: no such scenario ({', '.join(known)} come with the program), and as a file it "
-                f"cannot be read: {getattr(error, 'strerror', error)}"
-            ) from None
+    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key. Raises
+    InvalidInputError."""
+    path, text = ini_files.read(PACKAGE, name, "scenario")
     for change in changes:
-        text = changed(text, _with_section(change))
-    read = ini.parse(path, text, {**SECTIONS, EVENT + "*": Event})
-    if "scale" not in read:
+        text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
+    sections = ini.parse(path, text, {**SECTIONS, f"{EVENT}*": Event})
+    if "scale" not in sections:
         raise InvalidInputError(f"{path}: it lacks the section [scale]")
-    events = {name.removeprefix(EVENT): read.pop(name) for name in list(read) if name.startswith(EVENT)}
-    name = os.path.basename(told).removesuffix(".ini")
-    return Scenario(name=name, **read, events=events)
+    event_sections = [section for section in sections if section.startswith(EVENT)]
+    events = {section.removeprefix(EVENT): sections.pop(section) for section in event_sections}
+    return Scenario(name=Path(name).name.removesuffix(ini_files.SUFFIX), **sections, events=events)
 
 
-def _with_section(change: str) -> str:
+def _with_section(change: ini_files.Change) -> ini_files.Change:
     """The change with the section that alone has its key."""
-    key, equals, value = change.partition("=")
-    if not equals:
-        raise InvalidInputError(f"--set {change!r:.60} is no KEY=VALUE")
-    if "." in key:
+    if change.section:
         return change
-    having = [
-        section
-        for section, struct in SECTIONS.items()
-        if key.strip() in (field.name for field in msgspec.structs.fields(struct))
-    ]
-    if len(having) != 1:
-        what = "no section has this key" if not having else f"sections {', '.join(having)} have it"
-        raise InvalidInputError(f"--set {key!r:.60}: {what}; name one as SECTION.KEY")
-    return f"{having[0]}.{key.strip()}={value}"
+    having = ini_files.sections_with(change.key, SECTIONS)
+    if len(having) == 1:
+        return change._replace(section=having[0])
+    problem = f"sections {', '.join(having)} have it" if having else "no section has this key"
+    raise InvalidInputError(f"--set {change.key!r:.60}: {problem}; name one as SECTION.KEY")
--- a/granitespool/scale/trace.py
+++ b/granitespool/scale/trace.py
@@ -1,14 +1,16 @@
-"""What stand-ins observe of coordinators and of each other, as typed events in order of time.
+"""What the stand-ins of a run observe of coordinators and of each other, as typed events in order of time.
 
-A trace is the only input of the checker of the rules (`granitespool.scale.checker`). It holds what the
-parties saw, never what a coordinator believes, and it shares no code with the planner. Times are whole
-nanoseconds of one clock that all parties read; weights have the unit of the tables on the wire.
-"""
+A trace is the only input of the checker of the rules (`granitespool.scale.checker`). It holds what was seen
+from outside, never what a coordinator believes, and shares no code with the planner. Times are whole
+nanoseconds of one clock that all stand-ins read; weights have the unit of the tables on the wire."""
 
 from typing import Literal
 
 import msgspec
 
+Phase = Literal["ready", "draining", "gone"]
+Effect = Literal["free", "guarded", "single_shot"]  # as the settings on the wire have it
+
 
 class Event(msgspec.Struct, frozen=True, kw_only=True, tag=True):
     """Anything that was observed at one time."""
@@ -16,12 +18,12 @@
     at: int  # ns
 
 
-class BackendTold(Event, frozen=True, kw_only=True):
+class BackendListed(Event, frozen=True, kw_only=True):
     """Discovery has written a backend's phase to one coordinator."""
 
     coordinator: str
     backend: str
-    phase: Literal["ready", "draining", "gone"]
+    phase: Phase
     started: int = 0  # ns; 0: long ago
 
 
@@ -56,46 +58,46 @@
     """What a proxy holds from now on, after it has applied a message."""
 
     proxy: int
-    lines: dict[str, float]  # backend -> weight above 0
-    shut_out: frozenset[str] = frozenset()
+    weights: dict[str, float]  # by backend, above 0
+    excluded: frozenset[str] = frozenset()
 
 
 class RequestExecuted(Event, frozen=True, kw_only=True):
-    """A backend has carried out one try of a request."""
+    """A backend has carried out one attempt of a request."""
 
     request: int
     backend: str
-    effect: Literal["free", "guarded", "single_shot"]
+    effect: Effect
 
 
 class BackendLoad(Event, frozen=True, kw_only=True):
-    """The work that reaches a backend from now on, as a multiple of what it can do at its present age."""
+    """The work that reaches a backend from now on."""
 
     backend: str
-    multiple: float
-    cold: bool
-    knowing: float = 1.0  # share of it from proxies whose tables were made with knowledge of its start
+    multiple: float  # of what it can do at its present age
+    warming_up: bool
+    informed_share: float = 1.0  # of the work, that from proxies whose tables were made knowing of its start
 
 
 class MessageWritten(Event, frozen=True, kw_only=True):
-    """A coordinator has written one whole message to a proxy."""
+    """A coordinator has written one complete message to a proxy."""
 
     coordinator: str
     proxy: int
-    lines: int  # as the protocol page counts them, without the head
+    entries: int  # as the protocol page counts them, without the head
     parts: int
     largest_part: int  # bytes
 
 
-class ChannelWaiting(Event, frozen=True, kw_only=True):
-    """Lines that wait in a coordinator's channel from now on, heads counted."""
+class ChannelBacklog(Event, frozen=True, kw_only=True):
+    """Table entries that wait in a coordinator's channel from now on, heads counted."""
 
     coordinator: str
-    lines: float
+    entries: float
 
 
 AnyEvent = (
-    BackendTold
+    BackendListed
     | CoordinatorStarted
     | CoordinatorEnded
     | ProxyJoined
@@ -104,23 +106,30 @@
     | RequestExecuted
     | BackendLoad
     | MessageWritten
-    | ChannelWaiting
+    | ChannelBacklog
 )
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """The rules' figures, as the settings tell them; times in ns."""
+    """The rules' figures, as the settings give them; times in ns."""
 
     drain_grace: int
     empty_limit: int
-    fall_multiple: float  # of what a cold backend can do at its age
-    fall_time: int
-    backlog_limit: float  # lines, heads counted
-    messages_limit: int  # to one proxy in `messages_span`
+    overload_multiple: float  # of what a backend that warms up can do at its age
+    overload_time: int
+    backlog_limit: float  # table entries, heads counted
+    messages_limit: int  # to one proxy in `messages_span`; 0: any number
     messages_span: int
-    slack: int = 300_000_000  # added to the drain's, the empty table's and the cold backend's time
-    from_start: int = 1_000_000_000  # no time limit begins sooner after a coordinator's first answer
+    slack: int = 300_000_000  # added to the drain's, the empty table's and the overloaded backend's time
+    start_grace: int = 1_000_000_000  # no time limit begins sooner after a coordinator's first answer
     parts_limit: int = 64
     part_bytes: int = 1 << 20
-    cold_time: int = 0  # since its start until a backend is warm: only a warm one must be in every table
-    drain_needs_entry: bool = False  # a backend that is gone without having drained binds nobody
+    warm_up_time: int = 0  # from a backend's start on; only a warm one must be in every table
+    only_draining_binds: bool = False  # a backend that is gone without having drained may still be held
+
+
+class UpdateReceived(Event, frozen=True, kw_only=True):
+    """A proxy has received one complete message; for the measurement of a profile, not for the checker."""
+
+    proxy: int
+    parts: tuple[int, ...]  # bytes of each part, the length before it counted
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -1,30 +1,23 @@
-"""Made-up requests: the work that tables bring to backends, followed requests, and collectors' reports.
+"""Made-up requests: the work that tables bring to backends, and requests that are followed one by one.
 
 No request is sent on a socket. The work of a backend follows from the tables that proxies hold; a few
-requests of each proxy are followed one by one, with their tries again. All chance comes from one seed."""
+requests of each proxy are followed, with their retries. All chance comes from one seed."""
 
-import socket
-from collections.abc import Callable, Generator
+from collections.abc import Generator, Sequence, Set
 from random import Random
 
-from granitespool.net.client import dial, send
-from granitespool.net.frames import frame
-from granitespool.net.loop import IN, SECOND, Loop
+from granitespool.net.loop import Loop
 from granitespool.scale.backends import Backends
-from granitespool.scale.fleet import MS
-from granitespool.scale.proxies import CoordinatorPlace, ProxyStream
+from granitespool.scale.fleet import EFFECTS
+from granitespool.scale.proxy_stream import ProxyStream
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.schema import Scenario
-from granitespool.scale.trace import BackendLoad, RequestExecuted
+from granitespool.scale.trace import BackendLoad, Effect, RequestExecuted
+from granitespool.units import SECOND
 
 TICK = SECOND // 4  # ns between two looks at the work of backends
-REPORT_EVERY = SECOND  # ns between a collector's reports
-AGAIN = SECOND // 2  # ns between a collector's diallings
-DIAL = SECOND  # ns for a connection to come up
-READ = 4096
-EFFECTS = ("single_shot", "guarded", "free")  # of the classes in turn, as the settings tell them
-NEVER_RAN = 1  # the manner of trying again that allows only what provably never ran; higher ones allow more
-ANSWER_LOST = 0.05  # share of the tries that a backend carried out whose answer does not arrive
+NEVER_RAN = 1  # the manner of retrying that allows only what provably never ran; higher ones allow more
+ANSWER_LOST_SHARE = 0.05  # of the attempts that a backend carried out, those whose answer does not arrive
 
 Wait = Generator[tuple[int | None, int, int | None], int, None]
 
@@ -37,14 +30,20 @@
         loop: Loop,
         recorder: Recorder,
         scenario: Scenario,
-        streams: list[ProxyStream],
+        streams: Sequence[ProxyStream],
         backends: Backends,
         random: Random,
     ) -> None:
-        self.loop, self.recorder, self.scenario = loop, recorder, scenario
-        self.streams, self.backends, self.random = streams, backends, random
-        self.requests = self.unserved = 0  # that were followed; of those, without an answer
-        self.cold: set[str] = set()  # backends whose last load was told as a cold one's
+        """`streams` may grow."""
+        self.loop = loop
+        self.recorder = recorder
+        self.scenario = scenario
+        self.streams = streams
+        self.backends = backends
+        self.random = random
+        self.requests = 0  # that were followed
+        self.unserved = 0  # of those, without an answer
+        self.warming_up: set[str] = set()  # backends whose last load was recorded as such
         loop.spawn(self._ticks())
 
     def _ticks(self) -> Wait:
@@ -52,177 +51,108 @@
         while True:
             tick += TICK
             yield None, 0, tick
-            self._loads()
-            self._follow()
+            self._record_loads()
+            self._follow_requests()
 
-    def _loads(self) -> None:
-        cold_time = int(self.scenario.rules.cold_s * SECOND)
+    # The work of backends that warm up
+
+    def _record_loads(self) -> None:
         now = self.loop.clock()
-        started = self.backends.started
-        cold = {name for name in self.backends.living if started[name] and now - started[name] < cold_time}
-        if cold or self.cold:
-            work, knowing = self._work(cold)
-            able = self._able()
-            for name in sorted(cold):
-                age = (now - started[name]) / cold_time
-                share = self.scenario.rules.cold_share
-                part = share + (1 - share) * age
-                self.recorder.add(
-                    BackendLoad(
-                        at=self.loop.clock(),
-                        backend=name,
-                        multiple=work.get(name, 0.0) / (able * part),
-                        cold=True,
-                        knowing=knowing.get(name, 0.0) / work[name] if work.get(name) else 1.0,
-                    )
+        warming_up = {name for name in self.backends.living if self._is_warming_up(name, now)}
+        if warming_up:
+            work, informed = self._work(warming_up)
+            capacity = self._capacity()
+            for name in sorted(warming_up):
+                load = BackendLoad(
+                    at=self.loop.clock(),
+                    backend=name,
+                    multiple=work[name] / (capacity * self._share_able(name, now)),
+                    warming_up=True,
+                    informed_share=informed[name] / work[name] if work[name] else 1.0,
                 )
-        for name in sorted(self.cold - cold):
-            self.recorder.add(BackendLoad(at=self.loop.clock(), backend=name, multiple=0.0, cold=False))
-        self.cold = cold
+                self.recorder.add(load)
+        for name in sorted(self.warming_up - warming_up):
+            load = BackendLoad(at=self.loop.clock(), backend=name, multiple=0.0, warming_up=False)
+            self.recorder.add(load)
+        self.warming_up = warming_up
+
+    @property
+    def _warm_up_time(self) -> int:
+        """From a backend's start until it is warm, in ns."""
+        return int(self.scenario.rules.cold_s * SECOND)
 
-    def _able(self) -> float:
+    def _is_warming_up(self, name: str, now: int) -> bool:
+        started = self.backends.started[name]
+        return started > 0 and now - started < self._warm_up_time
+
+    def _share_able(self, name: str, now: int) -> float:
+        """The share of its warm work that a backend which warms up can do now (ns)."""
+        share = self.scenario.rules.cold_share
+        age = (now - self.backends.started[name]) / self._warm_up_time
+        return share + (1 - share) * age
+
+    def _capacity(self) -> float:
         """Requests a second that a warm backend can do."""
         rate = sum(stream.rate for stream in self.streams)
         return rate / self.scenario.traffic.load / max(1, len(self.backends.living))
 
-    def _work(self, cold: set[str]) -> tuple[dict[str, float], dict[str, float]]:
-        """Requests a second that reach each cold backend; of those, from proxies told since its start."""
-        work: dict[str, float] = dict.fromkeys(cold, 0.0)
-        knowing: dict[str, float] = dict.fromkeys(cold, 0.0)
+    def _work(self, backends: Set[str]) -> tuple[dict[str, float], dict[str, float]]:
+        """Requests a second that reach each of the backends; of those, from proxies told since its start."""
+        work: dict[str, float] = dict.fromkeys(backends, 0.0)
+        informed: dict[str, float] = dict.fromkeys(backends, 0.0)
         for stream in self.streams:
-            table, shut = stream.table.table, stream.table.shut
-            mine = cold.intersection(table).difference(shut)
+            table = stream.table
+            mine = (backends & table.weights.keys()) - table.excluded
             if not mine:
                 continue
-            total = sum(weight for name, weight in table.items() if name not in shut)
+            total = sum(weight for name, weight in table.weights.items() if name not in table.excluded)
             for name in mine:
-                rate = stream.rate * table[name] / total if total else 0.0
+                rate = stream.rate * table.weights[name] / total if total else 0.0
                 work[name] += rate
-                if stream.set_at.get(name, 0) >= self.backends.started[name]:
-                    knowing[name] += rate
-        return work, knowing
+                if stream.weighted_at.get(name, 0) >= self.backends.started[name]:
+                    informed[name] += rate
+        return work, informed
 
     def spread(self) -> dict[str, float]:
         """Requests a second that the tables bring to each backend that gets any."""
         work: dict[str, float] = {}
         for stream in self.streams:
-            table, shut = stream.table.table, stream.table.shut
-            lines = {name: weight for name, weight in table.items() if weight > 0 and name not in shut}
-            total = sum(lines.values())
-            for name, weight in lines.items():
+            weights = stream.table.open_weights()
+            total = sum(weights.values())
+            for name, weight in weights.items():
                 work[name] = work.get(name, 0.0) + stream.rate * weight / total
         return work
 
-    def _follow(self) -> None:
+    # Requests that are followed
+
+    def _follow_requests(self) -> None:
         share = self.scenario.traffic.sampled_per_s * TICK / SECOND
         for stream in self.streams:
             if stream.joined and self.random.random() < share:
-                self._request(stream)
+                self._follow_request(stream)
 
-    def _request(self, stream: ProxyStream) -> None:
-        """Plays one request with its tries again, all at one time."""
+    def _follow_request(self, stream: ProxyStream) -> None:
+        """Follows one request with its retries, all at one time."""
         number = self.random.randrange(self.scenario.traffic.classes)
-        effect = EFFECTS[number % len(EFFECTS)]
-        level, manner = stream.table.level(f"class{number}")
-        if self.random.random() >= level:
+        level = stream.table.admission_level(f"class{number}")
+        if self.random.random() >= level.share:
             return
         self.requests += 1
-        for _ in range(2 if manner else 1):
+        if not self._attempt(stream, EFFECTS[number % len(EFFECTS)], level.retries):
+            self.unserved += 1
+
+    def _attempt(self, stream: ProxyStream, effect: Effect, retries: int) -> bool:
+        """Attempts a request, and again in this manner of retrying; True where an answer arrived."""
+        for _ in range(2 if retries else 1):
             name = stream.table.pick(self.random)
             if name is None or name not in self.backends.living:
-                continue  # it provably never ran, so every manner but none allows a further try
-            self.recorder.add(
-                RequestExecuted(at=self.loop.clock(), request=self.requests, backend=name, effect=effect)
+                continue  # it provably never ran, so every manner but none allows a retry
+            executed = RequestExecuted(
+                at=self.loop.clock(), request=self.requests, backend=name, effect=effect
             )
-            if self.random.random() >= ANSWER_LOST:
-                return
-            if manner <= NEVER_RAN:
-                break
-        self.unserved += 1
-
-
-class Collector:
-    """A zone's collector: a connection to each coordinator, and on it what the zone's proxies met."""
-
-    def __init__(
-        self,
-        loop: Loop,
-        recorder: Recorder,
-        scenario: Scenario,
-        zone: str,
-        streams: Callable[[], list[ProxyStream]],
-        backends: Backends,
-        random: Random,
-    ) -> None:
-        self.loop, self.recorder, self.scenario, self.zone = loop, recorder, scenario, zone
-        self.streams, self.backends, self.random = streams, backends, random
-        self.unreachable: set[str] = set()  # coordinators that a cut keeps it from
-        self.down = False
-
-    @property
-    def region(self) -> str:
-        """The region of its zone."""
-        return self.zone.partition("-")[0]
-
-    def report_to(self, place: CoordinatorPlace) -> None:
-        """Connects to a coordinator from now on."""
-        self.loop.spawn(self._run(place))
-
-    def _run(self, place: CoordinatorPlace) -> Wait:
-        yield None, 0, self.loop.now + int(self.random.random() * AGAIN)
-        while True:
-            if not place.ended and not self.down:
-                try:
-                    with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
-                        yield from self._stream(sock, place)
-                except OSError:
-                    pass  # dialled again
-            yield None, 0, self.loop.now + AGAIN
-
-    def _stream(self, sock: socket.socket, place: CoordinatorPlace) -> Wait:
-        yield from dial(sock, place.address, self.loop.now + DIAL)
-        hello = frame({"type": "collector", "locality": self.zone})
-        yield from send(sock, hello, self.loop.now + DIAL)
-        place.recorder.count(place.name, "in", "collector", len(hello))
-        due = self.loop.now + int(self.random.random() * REPORT_EVERY)
-        while not self.down:
-            events = yield sock.fileno(), IN, due
-            if events and not sock.recv(READ):
-                return
-            if self.loop.now < due:
-                continue
-            due += REPORT_EVERY
-            if place.reports and place.name not in self.unreachable:
-                reports = self._reports()
-                data = b"".join(reports)
-                yield from send(sock, data, None)
-                place.recorder.count(place.name, "in", "heard", len(data), len(reports))
-
-    def _reports(self) -> list[bytes]:
-        """What a second brought, on links of this zone drawn by chance from what its proxies hold."""
-        wanted = self.scenario.traffic.links_per_s / len(self.scenario.zones)
-        count = int(wanted) + (self.random.random() < wanted % 1)
-        mine = [stream for stream in self.streams() if stream.table.zone == self.zone and stream.table.table]
-        if not mine:
-            return []
-        names = {stream.table.pick(self.random) for stream in self.random.choices(mine, k=count)}
-        return [self._heard(name) for name in sorted(name for name in names if name is not None)]
-
-    def _heard(self, name: str) -> bytes:
-        more = self.scenario.traffic.tries_per_report - 1
-        total = 1 + (round(self.random.expovariate(1 / more)) if more else 0)
-        living = name in self.backends.living
-        failing = self.scenario.traffic.failing_share if living else 1.0
-        errors = sum(self.random.random() < failing for _ in range(total))
-        rtt = self.scenario.traffic.service_ms * (0.8 + 0.4 * self.random.random())
-        return frame(
-            {
-                "type": "heard",
-                "locality": self.zone,
-                "endpoint": name,
-                "total": total,
-                "errors": errors,
-                "rtt": rtt if errors < total else 0.0,
-                "interval": REPORT_EVERY / MS,
-            }
-        )
+            self.recorder.add(executed)
+            if self.random.random() >= ANSWER_LOST_SHARE:
+                return True
+            if retries <= NEVER_RAN:
+                return False
+        return False
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -54,7 +54,7 @@
 
 def test_a_wrong_form_is_refused_with_its_residual():
     product = samples(lambda s: 0.5 * s["backends"] * s["zones"])
-    with pytest.raises(fits.FormRefused) as refused:
+    with pytest.raises(fits.FormRejectedError) as refused:
         fits.choose(product, [fits.constant(), fits.linear("backends")])
     assert refused.value.best.residual > refused.value.limit
     assert "linear in backends" in str(refused.value) or "constant" in str(refused.value)
@@ -62,18 +62,18 @@
 
 def test_a_cost_that_falls_with_its_size_is_no_form_of_a_cost():
     falling = samples(lambda s: 1000 - s["backends"])
-    with pytest.raises(fits.FormRefused):
+    with pytest.raises(fits.FormRejectedError):
         fits.choose(falling, FORMS)
 
 
 def test_a_size_that_does_not_vary_cannot_be_told_from_the_constant():
     still = samples(lambda s: 4.0, [{"backends": 100.0, "zones": 4.0}] * 5)
-    with pytest.raises(fits.SingularFit):
+    with pytest.raises(fits.SingularFitError):
         fits.fit(still, fits.linear("backends"))
 
 
 def test_too_few_samples_are_an_error():
-    with pytest.raises(fits.TooFewSamples):
+    with pytest.raises(fits.TooFewSamplesError):
         fits.fit(samples(lambda s: 1.0)[:2], fits.linear("backends"))
 
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -8,12 +8,14 @@
 import msgspec
 import pytest
 
-from granitespool.scale import checker
+import granitespool.errors
+import granitespool.scale.checker
+import granitespool.scale.trace
 from granitespool.scale.checker import EventOrderError, UnknownEventError, check
 from granitespool.scale.trace import (
+    BackendListed,
     BackendLoad,
-    BackendTold,
-    ChannelWaiting,
+    ChannelBacklog,
     CoordinatorEnded,
     CoordinatorStarted,
     Limits,
@@ -29,12 +31,12 @@
 LIMITS = Limits(
     drain_grace=7 * SECOND,
     empty_limit=5 * SECOND,
-    fall_multiple=4.0,
-    fall_time=2 * SECOND,
+    overload_multiple=4.0,
+    overload_time=2 * SECOND,
     backlog_limit=1000.0,
     messages_limit=3,
     messages_span=10 * SECOND,
-    cold_time=20 * SECOND,
+    warm_up_time=20 * SECOND,
 )
 BEGIN = 100 * SECOND  # the first answer; time limits run from a second later on
 
@@ -47,8 +49,8 @@
     return CoordinatorEnded(at=at, coordinator=coordinator)
 
 
-def told(at, backend, phase="ready", coordinator="c0", start=0):
-    return BackendTold(at=at, coordinator=coordinator, backend=backend, phase=phase, started=start)
+def listed(at, backend, phase="ready", coordinator="c0", start=0):
+    return BackendListed(at=at, coordinator=coordinator, backend=backend, phase=phase, started=start)
 
 
 def joined(at, proxy=1, coordinator="c0"):
@@ -59,27 +61,29 @@
     return ProxyLeft(at=at, proxy=proxy, coordinator=coordinator, by_coordinator=by_coordinator)
 
 
-def held(at, *backends, proxy=1, shut_out=()):
-    lines = dict.fromkeys(backends, 1.0)
-    return TableHeld(at=at, proxy=proxy, lines=lines, shut_out=frozenset(shut_out))
+def held(at, *backends, proxy=1, excluded=()):
+    weights = dict.fromkeys(backends, 1.0)
+    return TableHeld(at=at, proxy=proxy, weights=weights, excluded=frozenset(excluded))
 
 
 def executed(at, request, backend="s1", effect="single_shot"):
     return RequestExecuted(at=at, request=request, backend=backend, effect=effect)
 
 
-def load(at, multiple, cold=True, backend="s1", knowing=1.0):
-    return BackendLoad(at=at, backend=backend, multiple=multiple, cold=cold, knowing=knowing)
+def load(at, multiple, warming_up=True, backend="s1", informed_share=1.0):
+    return BackendLoad(
+        at=at, backend=backend, multiple=multiple, warming_up=warming_up, informed_share=informed_share
+    )
 
 
 def written(at, coordinator="c0", proxy=1, parts=1, largest_part=100):
     return MessageWritten(
-        at=at, coordinator=coordinator, proxy=proxy, lines=3, parts=parts, largest_part=largest_part
+        at=at, coordinator=coordinator, proxy=proxy, entries=3, parts=parts, largest_part=largest_part
     )
 
 
-def waiting(at, lines, coordinator="c0"):
-    return ChannelWaiting(at=at, coordinator=coordinator, lines=lines)
+def waiting(at, entries, coordinator="c0"):
+    return ChannelBacklog(at=at, coordinator=coordinator, entries=entries)
 
 
 def until(at):
@@ -90,8 +94,8 @@
 def opening(coordinator="c0"):
     """A coordinator that was told of two backends, with one proxy that holds both."""
     return [
-        told(BEGIN, "s1", coordinator=coordinator),
-        told(BEGIN, "s2", coordinator=coordinator),
+        listed(BEGIN, "s1", coordinator=coordinator),
+        listed(BEGIN, "s2", coordinator=coordinator),
         started(coordinator=coordinator),
         joined(BEGIN, coordinator=coordinator),
         held(BEGIN, "s1", "s2"),
@@ -105,7 +109,7 @@
 NONE = []
 GRACE = LIMITS.drain_grace + SLACK
 EMPTY = LIMITS.empty_limit + SLACK
-FALL = LIMITS.fall_time + SLACK
+FALL = LIMITS.overload_time + SLACK
 LATER = BEGIN + 60 * SECOND
 
 
@@ -117,11 +121,11 @@
         executed(BEGIN + 2, 2, "s2", effect="guarded"),
         executed(BEGIN + 3, 3, "s2"),
         written(BEGIN + 4, parts=64, largest_part=1 << 20),
-        told(LATER, "s1", "draining"),
+        listed(LATER, "s1", "draining"),
         held(LATER + 3 * SECOND, "s2"),
-        told(LATER + 4 * SECOND, "s1", "gone"),
+        listed(LATER + 4 * SECOND, "s1", "gone"),
         load(LATER + 4 * SECOND, 3.9),
-        told(LATER + 5 * SECOND, "s1", start=LATER + 5 * SECOND),
+        listed(LATER + 5 * SECOND, "s1", start=LATER + 5 * SECOND),
         held(LATER + 6 * SECOND, "s1", "s2"),
         waiting(LATER + 7 * SECOND, 1000.0),
         ended(LATER + 8 * SECOND),
@@ -149,9 +153,9 @@
     assert found(*trace) == ([("no_backend", "proxy 1", LATER + EMPTY)] if over else NONE)
 
 
-def test_a_table_whose_backends_are_all_shut_out_or_without_weight_is_empty():
-    shut = [*opening(), held(LATER, "s1", "s2", shut_out=("s1", "s2")), until(LATER + EMPTY + 1)]
-    weightless = TableHeld(at=LATER, proxy=1, lines={"s1": 0.0})
+def test_a_table_whose_backends_are_all_excluded_or_without_weight_is_empty():
+    shut = [*opening(), held(LATER, "s1", "s2", excluded=("s1", "s2")), until(LATER + EMPTY + 1)]
+    weightless = TableHeld(at=LATER, proxy=1, weights={"s1": 0.0})
     assert found(*shut) == [("no_backend", "proxy 1", LATER + EMPTY)]
     assert found(*opening(), weightless, until(LATER + EMPTY + 1)) == found(*shut)
 
@@ -169,28 +173,28 @@
 
 
 def test_who_is_empty_while_nothing_is_listed_breaks_nothing_until_something_is():
-    nothing = [told(LATER, "s1", "gone"), told(LATER, "s2", "draining"), held(LATER)]
+    nothing = [listed(LATER, "s1", "gone"), listed(LATER, "s2", "draining"), held(LATER)]
     back = LATER + 30 * SECOND
     assert found(*opening(), *nothing, until(LATER + 90 * SECOND)) == NONE
-    late = [*opening(), *nothing, told(back, "s1"), until(back + 1)]
+    late = [*opening(), *nothing, listed(back, "s1"), until(back + 1)]
     assert found(*late) == [("no_backend", "proxy 1", back)]
 
 
 def test_only_a_warm_backend_in_the_list_counts():
-    cold = [told(LATER, "s2", "gone"), told(LATER, "s1", start=LATER), held(LATER)]
-    warm = LATER + LIMITS.cold_time
+    cold = [listed(LATER, "s2", "gone"), listed(LATER, "s1", start=LATER), held(LATER)]
+    warm = LATER + LIMITS.warm_up_time
     assert found(*opening(), *cold, until(warm)) == NONE
     assert found(*opening(), *cold, until(warm + 1)) == [("no_backend", "proxy 1", warm)]
 
 
 @pytest.mark.parametrize("over", [0, 1])
 def test_an_empty_table_at_the_start_has_a_second_more(over):
-    trace = [told(BEGIN, "s1"), started(), joined(BEGIN), until(BEGIN + SECOND + EMPTY + over)]
+    trace = [listed(BEGIN, "s1"), started(), joined(BEGIN), until(BEGIN + SECOND + EMPTY + over)]
     assert found(*trace) == ([("no_backend", "proxy 1", BEGIN + SECOND + EMPTY)] if over else NONE)
 
 
 def test_who_left_may_be_empty_and_counts_anew_from_its_next_joining():
-    there = [told(BEGIN, "s1", coordinator="c1"), started(coordinator="c1")]
+    there = [listed(BEGIN, "s1", coordinator="c1"), started(coordinator="c1")]
     away = [*there, *opening(), held(LATER), left(LATER + EMPTY)]
     assert found(*away, until(LATER + 90 * SECOND)) == NONE
     back = LATER + 20 * SECOND
@@ -202,7 +206,7 @@
     sent_away = left(LATER + SECOND, by_coordinator=True)
     trace = [*opening(), held(LATER), sent_away, joined(LATER + 2 * SECOND), until(LATER + EMPTY + 1)]
     assert found(*trace) == [("no_backend", "proxy 1", LATER + EMPTY)]
-    there = [told(BEGIN, "s1", coordinator="c1"), started(coordinator="c1"), *opening()]
+    there = [listed(BEGIN, "s1", coordinator="c1"), started(coordinator="c1"), *opening()]
     elsewhere = [*there, held(LATER), sent_away, joined(LATER + 2 * SECOND, coordinator="c1")]
     assert found(*elsewhere, until(LATER + 2 * SECOND + EMPTY)) == NONE
 
@@ -233,31 +237,31 @@
 @pytest.mark.parametrize("over", [0, 1])
 @pytest.mark.parametrize("phase", ["draining", "gone"])
 def test_a_drained_backend_that_is_held_is_found_just_past_the_grace(phase, over):
-    trace = [*opening(), told(LATER, "s1", phase), until(LATER + GRACE + over)]
+    trace = [*opening(), listed(LATER, "s1", phase), until(LATER + GRACE + over)]
     assert found(*trace) == ([("drain", "proxy 1, backend s1", LATER + GRACE)] if over else NONE)
 
 
 @pytest.mark.parametrize("over", [0, 1])
-@pytest.mark.parametrize("shut_out", [(), ("s1",)])
-def test_who_lets_go_of_it_in_time_keeps_the_rule(shut_out, over):
-    lets_go = held(LATER + GRACE + over, *shut_out, "s2", shut_out=shut_out)
-    trace = [*opening(), told(LATER, "s1", "draining"), lets_go, until(LATER + 90 * SECOND)]
+@pytest.mark.parametrize("excluded", [(), ("s1",)])
+def test_who_lets_go_of_it_in_time_keeps_the_rule(excluded, over):
+    lets_go = held(LATER + GRACE + over, *excluded, "s2", excluded=excluded)
+    trace = [*opening(), listed(LATER, "s1", "draining"), lets_go, until(LATER + 90 * SECOND)]
     assert found(*trace) == ([("drain", "proxy 1, backend s1", LATER + GRACE)] if over else NONE)
 
 
 def test_a_drain_is_told_once_and_counts_from_when_it_was_told_first():
-    again = [told(LATER + 5 * SECOND, "s1", "draining"), told(LATER + 6 * SECOND, "s1", "gone")]
-    trace = [*opening(), told(LATER, "s1", "draining"), *again, held(LATER + 7 * SECOND, "s1", "s2")]
+    again = [listed(LATER + 5 * SECOND, "s1", "draining"), listed(LATER + 6 * SECOND, "s1", "gone")]
+    trace = [*opening(), listed(LATER, "s1", "draining"), *again, held(LATER + 7 * SECOND, "s1", "s2")]
     assert found(*trace, until(LATER + 90 * SECOND)) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
 
 
 def test_a_backend_that_is_taken_up_again_past_the_grace_is_found_at_once():
     back = LATER + 30 * SECOND
-    drain = [told(LATER, "s1", "draining"), held(LATER + SECOND, "s2"), held(back, "s1", "s2")]
+    drain = [listed(LATER, "s1", "draining"), held(LATER + SECOND, "s2"), held(back, "s1", "s2")]
     assert found(*opening(), *drain) == [("drain", "proxy 1, backend s1", back)]
     let_back = [
-        told(LATER, "s1", "draining"),
-        held(LATER + SECOND, "s1", "s2", shut_out=("s1",)),
+        listed(LATER, "s1", "draining"),
+        held(LATER + SECOND, "s1", "s2", excluded=("s1",)),
         held(back, "s1", "s2"),
         held(back, "s2"),
     ]
@@ -266,7 +270,12 @@
 
 def test_a_backend_that_is_ready_again_may_be_held_and_its_next_drain_counts_anew():
     ready = LATER + GRACE
-    trace = [*opening(), told(LATER, "s1", "draining"), told(ready, "s1"), told(ready + SECOND, "s1", "gone")]
+    trace = [
+        *opening(),
+        listed(LATER, "s1", "draining"),
+        listed(ready, "s1"),
+        listed(ready + SECOND, "s1", "gone"),
+    ]
     assert found(*trace, until(ready + SECOND + GRACE)) == NONE
     expected = [("drain", "proxy 1, backend s1", ready + SECOND + GRACE)]
     assert found(*trace, until(ready + SECOND + GRACE + 1)) == expected
@@ -275,68 +284,68 @@
 @pytest.mark.parametrize("over", [0, 1])
 def test_who_joins_after_the_drain_was_told_has_the_grace_from_its_joining(over):
     late = LATER + 50 * SECOND
-    drain = [*opening(), told(LATER, "s1", "draining"), held(LATER + SECOND, "s2")]
+    drain = [*opening(), listed(LATER, "s1", "draining"), held(LATER + SECOND, "s2")]
     trace = [*drain, held(late, "s1", proxy=2), joined(late, proxy=2), until(late + GRACE + over)]
     assert found(*trace) == ([("drain", "proxy 2, backend s1", late + GRACE)] if over else NONE)
 
 
 @pytest.mark.parametrize("over", [0, 1])
 def test_no_drain_counts_sooner_than_a_second_after_the_first_answer(over):
-    first = [told(BEGIN, "s1", "draining"), told(BEGIN, "s2"), started()]
+    first = [listed(BEGIN, "s1", "draining"), listed(BEGIN, "s2"), started()]
     trace = [*first, joined(BEGIN), held(BEGIN, "s1"), until(BEGIN + SECOND + GRACE + over)]
     assert found(*trace) == ([("drain", "proxy 1, backend s1", BEGIN + SECOND + GRACE)] if over else NONE)
 
 
 def test_a_drain_binds_only_proxies_of_a_coordinator_that_was_told():
-    other = [told(BEGIN, "s1", coordinator="c1"), started(coordinator="c1"), joined(BEGIN, 2, "c1")]
-    trace = [*other, held(BEGIN, "s1", "s2", proxy=2), *opening(), told(LATER, "s1", "draining")]
+    other = [listed(BEGIN, "s1", coordinator="c1"), started(coordinator="c1"), joined(BEGIN, 2, "c1")]
+    trace = [*other, held(BEGIN, "s1", "s2", proxy=2), *opening(), listed(LATER, "s1", "draining")]
     assert found(*trace, until(LATER + 90 * SECOND)) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
     late = LATER + 20 * SECOND
-    told_too = [*trace, held(LATER + 1, "s2"), told(late, "s1", "gone", "c1"), until(late + GRACE + 1)]
+    told_too = [*trace, held(LATER + 1, "s2"), listed(late, "s1", "gone", "c1"), until(late + GRACE + 1)]
     assert found(*told_too) == [("drain", "proxy 2, backend s1", late + GRACE)]
 
 
 def test_a_stream_that_was_lost_counts_as_left():
-    drain = [*opening(), told(LATER, "s1", "draining"), left(LATER + GRACE)]
+    drain = [*opening(), listed(LATER, "s1", "draining"), left(LATER + GRACE)]
     assert found(*drain, until(LATER + 90 * SECOND)) == NONE
 
 
 def test_a_coordinator_that_ended_has_no_proxies_and_its_successor_only_what_it_was_told():
-    down = [*opening(), told(LATER, "s1", "draining"), ended(LATER + SECOND)]
+    down = [*opening(), listed(LATER, "s1", "draining"), ended(LATER + SECOND)]
     assert found(*down, until(LATER + 90 * SECOND)) == NONE
     up = LATER + 3 * SECOND
-    unaware = [*down, told(up, "s2"), started(up), joined(up)]
+    unaware = [*down, listed(up, "s2"), started(up), joined(up)]
     assert found(*unaware, until(up + 90 * SECOND)) == NONE
-    aware = [*down, told(up, "s2"), told(up, "s1", "draining"), started(up), joined(up)]
+    aware = [*down, listed(up, "s2"), listed(up, "s1", "draining"), started(up), joined(up)]
     expected = [("drain", "proxy 1, backend s1", up + SECOND + GRACE)]
     assert found(*aware, until(up + SECOND + GRACE + 1)) == expected
 
 
 def test_a_coordinator_that_was_only_cut_off_still_knows_its_list():
     back = LATER + 30 * SECOND
-    trace = [*opening(), told(LATER, "s1", "draining"), ended(LATER + SECOND), joined(back)]
+    trace = [*opening(), listed(LATER, "s1", "draining"), ended(LATER + SECOND), joined(back)]
     assert found(*trace, until(back + GRACE + 1)) == [("drain", "proxy 1, backend s1", back + GRACE)]
 
 
 def test_the_late_end_of_a_former_stream_is_no_leaving():
-    there = [told(BEGIN, "s1", "draining", "c1"), started(coordinator="c1"), *opening()]
+    there = [listed(BEGIN, "s1", "draining", "c1"), started(coordinator="c1"), *opening()]
     trace = [*there, joined(LATER, coordinator="c1"), left(LATER + SECOND), until(LATER + GRACE + 1)]
     assert found(*trace) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
 
 
 def test_who_was_sent_away_has_no_grace_anew_where_it_was_before():
     sent_away = left(LATER + SECOND, by_coordinator=True)
-    trace = [*opening(), told(LATER, "s1", "draining"), sent_away, joined(LATER + 2 * SECOND)]
+    trace = [*opening(), listed(LATER, "s1", "draining"), sent_away, joined(LATER + 2 * SECOND)]
     assert found(*trace, until(LATER + GRACE + 1)) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
-    lost = [*opening(), told(LATER, "s1", "draining"), left(LATER + SECOND), joined(LATER + 2 * SECOND)]
+    lost = [*opening(), listed(LATER, "s1", "draining"), left(LATER + SECOND), joined(LATER + 2 * SECOND)]
     assert found(*lost, until(LATER + 2 * SECOND + GRACE)) == NONE
 
 
 def test_where_only_drains_bind_a_backend_that_is_merely_gone_may_be_held():
-    soft = msgspec.structs.replace(LIMITS, drain_needs_entry=True)
-    gone = [*opening(), told(LATER, "s1", "gone")]
+    soft = msgspec.structs.replace(LIMITS, only_draining_binds=True)
+    gone = [*opening(), listed(LATER, "s1", "gone")]
     assert found(*gone, until(LATER + 90 * SECOND), limits=soft) == NONE
-    drained = [*gone, told(LATER + SECOND, "s1", "draining"), told(LATER + 2 * SECOND, "s1", "gone")]
+    drained = [*gone, listed(LATER + SECOND, "s1", "draining"), listed(LATER + 2 * SECOND, "s1", "gone")]
     expected = [("drain", "proxy 1, backend s1", LATER + SECOND + GRACE)]
     assert found(*drained, until(LATER + 90 * SECOND), limits=soft) == expected
 
@@ -350,13 +359,17 @@
     assert found(*trace) == ([("cold_overload", "backend s1", LATER + FALL)] if over else NONE)
 
 
-@pytest.mark.parametrize("relief", [load(LATER + FALL, 4.0), load(LATER + FALL, 9.0, cold=False)])
+@pytest.mark.parametrize("relief", [load(LATER + FALL, 4.0), load(LATER + FALL, 9.0, warming_up=False)])
 def test_a_cold_backend_that_is_relieved_or_warm_in_time_is_none(relief):
     assert found(*opening(), load(LATER, 4.1), relief, until(LATER + 90 * SECOND)) == NONE
 
 
 def test_what_is_just_at_the_multiple_or_warm_or_made_by_who_could_not_know_is_none():
-    for harmless in (load(LATER, 4.0), load(LATER, 40.0, cold=False), load(LATER, 40.0, knowing=0.66)):
+    for harmless in (
+        load(LATER, 4.0),
+        load(LATER, 40.0, warming_up=False),
+        load(LATER, 40.0, informed_share=0.66),
+    ):
         assert found(*opening(), harmless, until(LATER + 90 * SECOND)) == NONE
 
 
@@ -451,8 +464,8 @@
 def test_violations_come_in_order_of_time_with_one_sentence_and_figures():
     trace = [
         *opening(),
-        told(LATER, "s1", "draining"),
-        held(LATER + SECOND, "s1", shut_out=("s1",)),
+        listed(LATER, "s1", "draining"),
+        held(LATER + SECOND, "s1", excluded=("s1",)),
         executed(LATER + SECOND, 7),
     ]
     violations = check([*trace, executed(LATER + 9 * SECOND, 7), until(LATER + 90 * SECOND)], LIMITS)
@@ -463,10 +476,22 @@
     )
 
 
-def test_the_checker_shares_no_code_with_the_planner():
-    names = [
-        getattr(node, "module", None) or node.names[0].name
-        for node in ast.walk(ast.parse(Path(checker.__file__).read_text()))
+def imported_by(path):
+    """Modules of granitespool that a file imports, as written, names with them."""
+    return {
+        module
+        for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Import | ast.ImportFrom)
-    ]
-    assert [name for name in names if name.startswith("granitespool")] == ["granitespool.scale.trace"]
+        for module in [getattr(node, "module", None) or node.names[0].name]
+        if module.startswith("granitespool")
+    }
+
+
+def test_the_checker_shares_no_code_with_the_planner():
+    package = Path(granitespool.scale.checker.__file__).parent
+    modules = sorted(package.glob("*.py"))
+    imported = set().union(*map(imported_by, modules))
+    own = {f"granitespool.scale.checker.{path.stem}" for path in modules}
+    assert imported - own == {"granitespool.scale.trace", "granitespool.errors"}
+    for outside in (granitespool.scale.trace, granitespool.errors):
+        assert not imported_by(Path(outside.__file__)), outside
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -16,8 +16,11 @@
 from granitespool.net.frames import HEAD, LARGEST, Reader, frame
 from granitespool.net.loop import SECOND, Loop
 from granitespool.net.service import Service
-from granitespool.scale.hollow import HollowCoordinator, Profile, Traffic, UpdateSeen, update_of
-from granitespool.scale.trace import BackendTold, ProxyJoined, ProxyLeft
+from granitespool.scale.hollow.coordinator import HollowCoordinator
+from granitespool.scale.hollow.counts import Traffic
+from granitespool.scale.hollow.measurement import measure_profile
+from granitespool.scale.hollow.messages import update_of
+from granitespool.scale.trace import BackendListed, ProxyJoined, ProxyLeft, UpdateReceived
 from granitespool.settings import RequestClass, Settings
 
 EPOCH = 10**18  # ns: the clock begins here
@@ -155,7 +158,7 @@
             for each in entries:
                 started = each["since_ms"] * 1_000_000
                 told = {"backend": each["name"], "phase": each["status"], "started": started}
-                self.events.append(BackendTold(at=self.now, coordinator="c", **told))
+                self.events.append(BackendListed(at=self.now, coordinator="c", **told))
 
     def pump(self):
         """Answers what has come; True where anything did."""
@@ -202,7 +205,7 @@
         parts = self.parts.pop(proxy)
         self.got["update"].add(sum(parts))
         self.received[proxy].append(parts)
-        self.events.append(UpdateSeen(at=self.now, proxy=proxy, parts=parts))
+        self.events.append(UpdateReceived(at=self.now, proxy=proxy, parts=parts))
         if "ticket" in message:
             self.say(self.proxies[proxy], type="applied", node=proxy, nonce=message["ticket"], latency=10.0)
 
@@ -269,7 +272,7 @@
 
 
 def profile_of(stand_in):
-    return Profile.measured(stand_in.events, stand_in.now)
+    return measure_profile(stand_in.events, stand_in.now)
 
 
 def hollow_day(stack, profile, proxies):
@@ -314,8 +317,8 @@
 
 
 def only_joinings(*parts):
-    return Profile.measured(
-        [ProxyJoined(at=0, proxy=0, coordinator="c"), UpdateSeen(at=1, proxy=0, parts=parts)], SECOND
+    return measure_profile(
+        [ProxyJoined(at=0, proxy=0, coordinator="c"), UpdateReceived(at=1, proxy=0, parts=parts)], SECOND
     )
 
 
@@ -434,11 +437,11 @@
 
 def test_a_proxy_that_reads_nothing_is_not_written_to_again_until_it_has():
     with ExitStack() as stack:
-        profile = Profile.measured(
+        profile = measure_profile(
             [
                 ProxyJoined(at=0, proxy=0, coordinator="c"),
-                UpdateSeen(at=1, proxy=0, parts=(1 << 19,) * 60),
-                UpdateSeen(at=SECOND, proxy=0, parts=(100,)),
+                UpdateReceived(at=1, proxy=0, parts=(1 << 19,) * 60),
+                UpdateReceived(at=SECOND, proxy=0, parts=(100,)),
             ],
             SECOND + 1,
         )
@@ -476,20 +479,20 @@
 
 def test_a_profile_tells_joinings_changes_and_times_apart():
     events = [
-        BackendTold(at=0, coordinator="c", backend="s1", phase="ready"),
+        BackendListed(at=0, coordinator="c", backend="s1", phase="ready"),
         ProxyJoined(at=0, proxy=1, coordinator="c"),
-        UpdateSeen(at=1, proxy=1, parts=(100, 50)),
+        UpdateReceived(at=1, proxy=1, parts=(100, 50)),
         ProxyJoined(at=2, proxy=2, coordinator="c"),
-        BackendTold(at=SECOND, coordinator="c", backend="s1", phase="ready"),  # as it was: no change
-        BackendTold(at=SECOND, coordinator="c", backend="s1", phase="draining"),
-        BackendTold(at=SECOND, coordinator="c", backend="s2", phase="ready"),  # the same message
-        UpdateSeen(at=SECOND, proxy=1, parts=(40,)),
-        UpdateSeen(at=SECOND + 5, proxy=1, parts=(30,)),
-        BackendTold(at=5 * SECOND, coordinator="c", backend="s1", phase="gone"),
-        UpdateSeen(at=7 * SECOND, proxy=1, parts=(31,)),
+        BackendListed(at=SECOND, coordinator="c", backend="s1", phase="ready"),  # as it was: no change
+        BackendListed(at=SECOND, coordinator="c", backend="s1", phase="draining"),
+        BackendListed(at=SECOND, coordinator="c", backend="s2", phase="ready"),  # the same message
+        UpdateReceived(at=SECOND, proxy=1, parts=(40,)),
+        UpdateReceived(at=SECOND + 5, proxy=1, parts=(30,)),
+        BackendListed(at=5 * SECOND, coordinator="c", backend="s1", phase="gone"),
+        UpdateReceived(at=7 * SECOND, proxy=1, parts=(31,)),
         ProxyLeft(at=8 * SECOND, proxy=1, coordinator="c"),
     ]
-    profile = Profile.measured(events, 10 * SECOND)
+    profile = measure_profile(events, 10 * SECOND)
     assert profile.joining.occasions == ((100, 50), None)
     assert profile.joining.rate == 0.5
     assert profile.change.occasions == ((40,), None)
@@ -500,6 +503,6 @@
     assert profile.refresh.rate == 2 * SECOND / (8 * SECOND + 10 * SECOND - 2)
     assert profile.refresh.due(3) == 17 * SECOND
     with pytest.raises(ValueError, match="8000000000"):
-        Profile.measured(events, 8 * SECOND)
+        measure_profile(events, 8 * SECOND)
     with pytest.raises(TypeError):
-        Profile.measured(["an event"], SECOND)
+        measure_profile(["an event"], SECOND)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -14,8 +14,8 @@
 from granitespool.planner.weights import EntryWeights
 from granitespool.scale.checker import check
 from granitespool.scale.trace import (
+    BackendListed,
     BackendLoad,
-    BackendTold,
     CoordinatorEnded,
     CoordinatorStarted,
     MessageWritten,
@@ -135,14 +135,14 @@
             if isinstance(each, kind) and all(getattr(each, key) == told for key, told in fields.items())
         ]
 
-    assert len(some(BackendTold, phase="draining")) >= 9
-    assert len(some(BackendTold, phase="gone")) >= 9
+    assert len(some(BackendListed, phase="draining")) >= 9
+    assert len(some(BackendListed, phase="gone")) >= 9
     assert len(some(ProxyLeft)) >= 11
     assert len(some(CoordinatorEnded)) == 1
     assert len(some(CoordinatorStarted)) == 4
-    assert max(each.multiple for each in some(BackendLoad, cold=True)) > 0.5
+    assert max(each.multiple for each in some(BackendLoad, warming_up=True)) > 0.5
     assert {storm.name for storm in fleet.storms} == {each.coordinator for each in some(MessageWritten)}
-    held = {name for each in some(TableHeld) for name in each.lines}
+    held = {name for each in some(TableHeld) for name in each.weights}
     assert {f"s{number}" for number in range(1, 24)} <= held  # the first ones and those that came later
     assert len(some(RequestExecuted)) > 1000
 
