--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,15 +16,22 @@
 from granitespool.errors import InvalidInputError
 from granitespool.net.config import checked
 from granitespool.net.discovery import Discovery
-from granitespool.net.loop import SECOND, Loop
+from granitespool.net.loop import Loop
 from granitespool.scale import fleet, report, runner, schema
+from granitespool.scale.coordinator_endpoint import ChannelQueue
 from granitespool.scale.discovery import Agent, BackendList
-from granitespool.scale.fleet import MS, ListedBackend, MadeFleet, Network
-from granitespool.scale.plan import Plan, coordinator_zones
+from granitespool.scale.fleet import ListedBackend, MadeFleet, Network
+from granitespool.scale.plan import Plan, coordinator_zones, plan_digest
 from granitespool.scale.processes import Child, Sample
-from granitespool.scale.proxies import ChannelQueue, Message, number_allowed
+from granitespool.scale.proxy_message import IncomingMessage
+from granitespool.scale.questions import proxy_allowed
 from granitespool.scale.recorder import Recorder
-from granitespool.scale.trace import BackendTold, ChannelWaiting, TableHeld
+from granitespool.scale.run import Run
+from granitespool.scale.samples import worst_second
+from granitespool.scale.schema import Channel
+from granitespool.scale.size_check import check_size
+from granitespool.scale.trace import BackendListed, ChannelBacklog, TableHeld
+from granitespool.units import MILLISECOND, SECOND
 
 NETWORK = Network(77)
 
@@ -43,7 +50,7 @@
         scenario = schema.load(name)
         plan = planned(scenario)
         assert scenario.scale.title and plan == sorted(plan, key=lambda each: each.at)
-        runner.check_size(scenario)
+        check_size(scenario)
 
 
 def test_a_day_has_the_failures_and_replacements_of_the_plan():
@@ -57,7 +64,7 @@
 
 def test_the_same_seed_plans_the_same_events_and_another_seed_others():
     scenario = schema.load("ci")
-    digests = [runner.plan_digest(planned(scenario, seed)) for seed in (1, 1, 2)]
+    digests = [plan_digest(planned(scenario, seed)) for seed in (1, 1, 2)]
     assert digests[0] == digests[1] != digests[2]
 
 
@@ -90,7 +97,7 @@
 
 def test_a_scenario_over_half_of_the_memory_or_too_many_processes_is_refused():
     with pytest.raises(InvalidInputError, match="half of the machine's memory"):
-        runner.check_size(schema.load("ci", ["memory_mb=65536", "real=64"]))
+        check_size(schema.load("ci", ["memory_mb=65536", "real=64"]))
     with pytest.raises(InvalidInputError, match="no such scenario"):
         schema.load("no-such")
 
@@ -111,10 +118,10 @@
 
 
 def test_a_message_counts_its_lines_as_the_protocol_does():
-    message = Message()
+    message = IncomingMessage()
     message.add({"type": "update", "whole": True, "lines": [["a", 1.0], ["b", 0]], "more": True}, 90)
     message.add({"type": "update", "level": 0.5, "retry": 1, "out": ["c"], "back": ["d"], "ticket": 7}, 70)
-    assert message.lines == 1 + 2 + 1 + 1 + 1 + 1 and message.sizes == [90, 70] and message.ticket == 7
+    assert message.entries == 1 + 2 + 1 + 1 + 1 + 1 and message.sizes == [90, 70] and message.ticket == 7
     assert message.backends() == ["a", "b", "c", "d"]
     with pytest.raises(InvalidInputError):
         message.add({"type": "update", "lines": [["a"]]}, 30)
@@ -124,21 +131,21 @@
 
 def test_a_channel_carries_its_pace_and_tells_what_waits():
     recorder = Recorder(lambda: 0)
-    channel = ChannelQueue(recorder, "c", 1000.0, 4, 30 * MS)
-    assert channel.enter(0, 96) == 100 * MS + 30 * MS
-    assert channel.enter(50 * MS, 96) == 200 * MS + 30 * MS
-    assert [event.lines for event in recorder.events] == pytest.approx([100, 150])
-    assert all(isinstance(event, ChannelWaiting) for event in recorder.events)
+    channel = ChannelQueue(recorder, "c", Channel(lines_per_s=1000.0, head_lines=4, delay_ms=30))
+    assert channel.enter(0, 96) == 100 * MILLISECOND + 30 * MILLISECOND
+    assert channel.enter(50 * MILLISECOND, 96) == 200 * MILLISECOND + 30 * MILLISECOND
+    assert [event.entries for event in recorder.events] == pytest.approx([100, 150])
+    assert all(isinstance(event, ChannelBacklog) for event in recorder.events)
 
 
 def test_a_refusal_tells_whether_a_number_was_allowed():
     def answer(why, kind="refused"):
         return b"0000" + json.dumps({"type": kind, "why": why}).encode()
 
-    assert not number_allowed(answer("a 'joined' names the unknown proxy 7"))
-    assert number_allowed(answer("the field 'locality' of a 'joined' names the unknown '-'"))
+    assert not proxy_allowed(answer("a 'joined' names the unknown proxy 7"))
+    assert proxy_allowed(answer("the field 'locality' of a 'joined' names the unknown '-'"))
     with pytest.raises(InvalidInputError):
-        number_allowed(answer("", "pong"))
+        proxy_allowed(answer("", "pong"))
 
 
 class Watched:
@@ -181,7 +188,7 @@
         return self.list.publish([entry])
 
     def told(self):
-        return [(e.backend, e.phase) for e in self.recorder.events if isinstance(e, BackendTold)]
+        return [(e.backend, e.phase) for e in self.recorder.events if isinstance(e, BackendListed)]
 
 
 @pytest.fixture
@@ -303,21 +310,21 @@
         Sample(at=k * SECOND, processor=used, resident=1)
         for k, used in enumerate((0, SECOND, SECOND + SECOND // 2, 0, SECOND // 4))
     ]
-    assert runner.worst_second(samples, 0) == 1.0
-    assert runner.worst_second(samples, SECOND) == 0.5
-    assert runner.worst_second(samples, 2 * SECOND) == 0.25
-    assert runner.worst_second(samples, 4 * SECOND) is None
+    assert worst_second(samples, 0) == 1.0
+    assert worst_second(samples, SECOND) == 0.5
+    assert worst_second(samples, 2 * SECOND) == 0.25
+    assert worst_second(samples, 4 * SECOND) is None
 
 
 # The whole, small
 
 
-class Played(runner.Run):
-    """A run that keeps what it saw."""
+class Played(Run):
+    """A run that was played, with its report."""
 
     def __init__(self, *changes):
         super().__init__(schema.load("ci", changes), lambda words: None)
-        self.result = self.play()
+        self.result = runner.play_run(self)
 
 
 @pytest.fixture(scope="module")
@@ -328,13 +335,13 @@
 def test_the_small_scenario_passes_and_leaves_no_process(played):
     assert played.result.passed, (played.result.failures, played.result.violations[:3])
     assert played.result.planned == len(played.plan) > 20
-    for coordinator in played.world.coordinators:
+    for coordinator in played.environment.coordinators:
         assert coordinator.child.ended and coordinator.exit_codes[-1] == 0
     assert all(child.ended for child in played.hollow.children)
 
 
 def test_every_real_coordinator_is_measured(played):
-    assert 0 < played.result.backends_used <= len(played.world.list.entries)
+    assert 0 < played.result.backends_used <= len(played.environment.list.entries)
     assert played.result.load_largest >= 1
     for row in played.result.coordinators:
         assert 0 < row.idle_share < 1 and 0 < row.reports_share < 1 and row.worst_second_share > 0
@@ -351,17 +358,17 @@
 
 
 def test_stalls_and_changes_out_of_order_were_met_and_nothing_of_the_list_is_missing(played):
-    newest = played.world.list.index
-    for coordinator in played.world.coordinators:
-        assert coordinator.log_events["watch_ended"] >= 1 and coordinator.list_index == newest
-        assert coordinator.log_events["list_older"] == 1
+    newest = played.environment.list.index
+    for coordinator in played.environment.coordinators:
+        assert coordinator.log.fault_events["watch_ended"] >= 1 and coordinator.log.list_index == newest
+        assert coordinator.log.fault_events["list_older"] == 1
     assert played.result.older_lists == 0 and played.result.list_to_last_proxy.unfinished == 0
 
 
 def test_a_refused_configuration_changes_nothing_and_the_others_are_in_force(played):
     assert played.result.settings_refused == 3 and played.result.settings_refusal_kept
     assert played.result.settings_to_last.count == 6 and played.result.settings_to_last.unfinished == 0
-    assert [each.in_force for each in played.world.coordinators] == [6, 6, 6]
+    assert [each.in_force for each in played.environment.coordinators] == [6, 6, 6]
 
 
 def test_who_was_cut_off_held_what_it_had_and_was_right_soon_after(played):
@@ -373,18 +380,20 @@
 
 
 def test_a_restarted_coordinator_is_ready_and_has_its_proxies_again(played):
-    first = played.world.coordinators[0]
+    first = played.environment.coordinators[0]
     assert len(first.ready_times) == 2 and played.result.ready.count == 1
-    assert all(stream.place is played.world.homes[stream.number] for stream in played.world.streams)
-    assert all(stream.joined or stream.table.table for stream in played.world.streams)
+    assert all(
+        stream.endpoint is played.environment.homes[stream.number] for stream in played.environment.streams
+    )
+    assert all(stream.joined or stream.table.weights for stream in played.environment.streams)
 
 
 def test_the_trace_holds_what_proxies_hold(played):
-    last = {e.proxy: e for e in played.world.recorder.events if isinstance(e, TableHeld)}
-    for stream in played.world.streams:
-        held = {name: weight for name, weight in stream.table.table.items() if weight > 0}
-        assert last[stream.number].lines == held and last[stream.number].shut_out == stream.table.shut
-    times = [event.at for event in played.world.recorder.events]
+    last = {e.proxy: e for e in played.environment.recorder.events if isinstance(e, TableHeld)}
+    for stream in played.environment.streams:
+        assert last[stream.number].weights == stream.table.weighted()
+        assert last[stream.number].excluded == stream.table.excluded
+    times = [event.at for event in played.environment.recorder.events]
     assert times == sorted(times)
 
 
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -13,15 +13,17 @@
 from support import recordings
 from test_interleavings import BUSY, fitting, played
 
-from granitespool.emulator.world import Proxy
 from granitespool.net.loop import SECOND
-from granitespool.scale import fleet, report, runner, schema
+from granitespool.scale import fleet, report, schema
 from granitespool.scale.checker import check
+from granitespool.scale.collector import Collector
 from granitespool.scale.fleet import MadeFleet, Network
-from granitespool.scale.plan import Plan, coordinator_name, coordinator_zones
+from granitespool.scale.plan import Plan, coordinator_name, coordinator_zones, plan_digest
 from granitespool.scale.recorder import Recorder
+from granitespool.scale.run_report import sizes
 from granitespool.scale.trace import BackendLoad, TableHeld
-from granitespool.scale.traffic import Collector, Traffic
+from granitespool.scale.traffic import Traffic
+from granitespool.simulation.proxy_table import AdmissionLevel, AdmissionUpdate, ProxyTable, TableUpdate
 
 NETWORK = Network(77)
 WHOLE = "ci", "partition", "zone"  # scenarios whose plans are recorded whole; of the others a digest
@@ -44,9 +46,9 @@
     found = {
         "end": plan.end,
         "events": len(plan.planned),
-        "digest": runner.plan_digest(plan.planned),
+        "digest": plan_digest(plan.planned),
         "backends": hashlib.sha256(msgspec.json.encode(made.backends)).hexdigest(),
-        "sizes": runner.sizes(scenario),
+        "sizes": sizes(scenario),
     }
     if name in WHOLE:
         found["planned"] = [
@@ -111,8 +113,8 @@
     """Stands in for a proxy's stream: the table that it holds."""
 
     def __init__(self, number, zone, table):
-        self.number, self.joined, self.rate, self.set_at = number, True, 1.0 + number, {}
-        self.table = Proxy(number, zone, table)
+        self.number, self.joined, self.rate, self.weighted_at = number, True, 1.0 + number, {}
+        self.table = ProxyTable(number, zone, table)
 
 
 def traffic_of():
@@ -127,22 +129,21 @@
         for number in range(4)
     ]
     for number, stream in enumerate(streams):
-        stream.table.levels = {"class0": (1.0, number), None: (0.7, 3 - number)}
+        first, others = AdmissionLevel(1.0, number), AdmissionLevel(0.7, 3 - number)
+        admission = [AdmissionUpdate(["class0"], first), AdmissionUpdate(None, others)]
+        stream.table.apply(TableUpdate(admission=admission))
     traffic = Traffic(loop, recorder, scenario, streams, backends, Random(3))
-    collector = Collector(
-        loop, recorder, scenario, scenario.zones[0], lambda: streams, backends, Random("collector")
-    )
+    collector = Collector(loop, recorder, scenario, scenario.zones[0], streams, backends, Random("collector"))
     reports = []
     for second in range(8):
         loop.run(loop.now + SECOND)
-        reports.append([json.loads(each[4:]) for each in collector._reports()])
+        reports.append([json.loads(each[4:]) for each in collector.load_reports()])
         if second == 1:
             backends.started["s4"] = loop.now
-            streams[1].set_at["s4"] = loop.now
+            streams[1].weighted_at["s4"] = loop.now
         if second == 2:
             del backends.living["s5"]
-            streams[0].table.shut = {"s5"}
-            streams[0].table.choices = None
+            streams[0].table.apply(TableUpdate(excluded=["s5"]))
     return recordings.as_recorded(
         {
             "events": [[type(each).__name__, *msgspec.structs.astuple(each)] for each in recorder.events],
@@ -155,10 +156,10 @@
 
 STRICT = {  # limits so strict that an innocent trace breaks them
     "as told": {},
-    "drain": {"drain_grace": SECOND // 10, "slack": 0, "from_start": 0},
-    "drain needs entry": {"drain_grace": SECOND // 10, "slack": 0, "drain_needs_entry": True},
-    "no backend": {"empty_limit": 0, "slack": 0, "from_start": 0, "cold_time": 0},
-    "cold": {"fall_multiple": 0.3, "fall_time": SECOND, "slack": 0},
+    "drain": {"drain_grace": SECOND // 10, "slack": 0, "start_grace": 0},
+    "drain needs entry": {"drain_grace": SECOND // 10, "slack": 0, "only_draining_binds": True},
+    "no backend": {"empty_limit": 0, "slack": 0, "start_grace": 0, "warm_up_time": 0},
+    "cold": {"overload_multiple": 0.3, "overload_time": SECOND, "slack": 0},
     "channel": {"backlog_limit": 100.0, "messages_limit": 4, "parts_limit": 1, "part_bytes": 300},
 }
 
@@ -177,17 +178,19 @@
     trace = day.events()
     doubled = sorted([*trace, *(each for each in trace[::97] if hasattr(each, "effect"))], key=lambda e: e.at)
     emptied = [
-        msgspec.structs.replace(each, lines={}) if isinstance(each, TableHeld) and number % 11 == 0 else each
+        msgspec.structs.replace(each, weights={})
+        if isinstance(each, TableHeld) and number % 11 == 0
+        else each
         for number, each in enumerate(trace)
     ]
     short = msgspec.structs.replace(day.limits(), empty_limit=SECOND)
     known_late = [
-        msgspec.structs.replace(each, knowing=(each.at // 10**8 // 7 % 10) / 10)
+        msgspec.structs.replace(each, informed_share=(each.at // 10**8 // 7 % 10) / 10)
         if isinstance(each, BackendLoad)
         else each
         for each in trace
     ]
-    pressed = msgspec.structs.replace(day.limits(), fall_multiple=0.1, fall_time=SECOND // 2, slack=0)
+    pressed = msgspec.structs.replace(day.limits(), overload_multiple=0.1, overload_time=SECOND // 2, slack=0)
     found = {
         name: [
             msgspec.to_builtins(each)
--- a/tests/traced_fleet.py
+++ b/tests/traced_fleet.py
@@ -16,9 +16,9 @@
 from granitespool.coordinator import PROBES, Coordinator
 from granitespool.net.frames import HEAD, updates
 from granitespool.scale.trace import (
+    BackendListed,
     BackendLoad,
-    BackendTold,
-    ChannelWaiting,
+    ChannelBacklog,
     CoordinatorEnded,
     CoordinatorStarted,
     Limits,
@@ -130,8 +130,8 @@
             self.told[name] = phase
             if started and self.starts_told.get(name, (0, 0))[0] != started:
                 self.starts_told[name] = started, self.now
-            told = {"backend": name, "phase": phase, "started": started}
-            self.fleet.saw(BackendTold(at=self.now, coordinator=self.name, **told))
+            listed = {"backend": name, "phase": phase, "started": started}
+            self.fleet.saw(BackendListed(at=self.now, coordinator=self.name, **listed))
         super().lists(form, entries)
 
     def catch_up(self):
@@ -213,7 +213,7 @@
                 at=self.now,
                 coordinator=self.name,
                 proxy=proxy,
-                lines=lines,
+                entries=lines,
                 parts=parts,
                 largest_part=largest,
             )
@@ -224,7 +224,7 @@
     def _saw_waiting(self):
         if self.waits != self.saw_waiting:
             self.saw_waiting = self.waits
-            self.fleet.saw(ChannelWaiting(at=self.now, coordinator=self.name, lines=self.waits))
+            self.fleet.saw(ChannelBacklog(at=self.now, coordinator=self.name, entries=self.waits))
 
     def _arrive(self):
         arrived = [each for each in self.on_the_way if each[0] <= self.now]
@@ -314,19 +314,19 @@
 
     def saw_table(self, proxy, now):
         shut_out = frozenset(proxy.shut_out)
-        self.saw(TableHeld(at=now, proxy=proxy.number, lines=dict(proxy.lines), shut_out=shut_out))
+        self.saw(TableHeld(at=now, proxy=proxy.number, weights=dict(proxy.lines), excluded=shut_out))
 
     def limits(self):
         """The rules' figures; the times grow by the factor that the channels are slower than told."""
         return Limits(
             drain_grace=self.slowed * self.channel.drain_grace,
             empty_limit=self.slowed * SETTINGS["empty_table_limit"],
-            fall_multiple=SETTINGS["overload_multiple"],
-            fall_time=self.slowed * SETTINGS["overload_time"],
+            overload_multiple=SETTINGS["overload_multiple"],
+            overload_time=self.slowed * SETTINGS["overload_time"],
             backlog_limit=self.channel.backlog_limit,
             messages_limit=SETTINGS["messages_limit"],
             messages_span=SETTINGS["messages_span"],
-            cold_time=COLD_TIME,
+            warm_up_time=COLD_TIME,
         )
 
     def events(self):
@@ -493,8 +493,8 @@
                         at=self.now,
                         backend=backend.name,
                         multiple=work / backend.can(self.now),
-                        cold=backend.cold(self.now),
-                        knowing=knowing / work if work else 0.0,
+                        warming_up=backend.cold(self.now),
+                        informed_share=knowing / work if work else 0.0,
                     )
                 )
 
