--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from bench.capacity import page, process, scales, sweep
-from bench.capacity.fleet import Sizes
 from bench.capacity.point import Request
+from bench.capacity.sizes import Sizes
 
 USAGE = """Usage: capacity [--json=FILE] [--page=FILE] [--before=FILE] [--from=FILE] [--before-text=DIR]
                 [--base=SIZES] [--sizes=SWEEPS] [--scales=NAMES] [--seed=N] [--repeats=N] [--quiet]
--- a/bench/capacity/coordinator_rows.py
+++ b/bench/capacity/coordinator_rows.py
@@ -4,9 +4,10 @@
 
 import orjson
 
-from bench.capacity.fleet import DRAIN_GRACE_MS, PACE, Sizes, configuration
 from bench.capacity.row_spec import BUDGET, ORDINARY_DAY, RowSpec, cost, list_entries, of_costs, of_sizes
 from bench.capacity.scales import Costs
+from bench.capacity.sizes import Sizes
+from bench.capacity.wire import DRAIN_GRACE_MS, PACE, configuration
 from granitespool.scale.budget import DAY, LoweredBy, Origin
 
 SOCKET_LIMIT = 1024  # descriptors that the configuration of the measured points allows
--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""A synthetic fleet before one real coordinator in virtual time, driven through the facade alone.
+"""A synthetic fleet before one real coordinator in virtual time, driven through its three calls alone.
 
 The fleet stands in for discovery, collectors, proxies and their channel. Processor time is counted around the
 calls of the coordinator and of the codec; what the stand-ins themselves cost is not in it.
@@ -13,62 +13,23 @@
 import msgspec
 import orjson
 
+from bench.capacity.sizes import Sizes
+from bench.capacity.wire import MESSAGE_HEAD, PACE, backend_name, row_of, wire_settings
 from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
 from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
 from granitespool.net.frames import HEAD, frame, parsed, updates
 from granitespool.settings import settings_from_wire
-from granitespool.units import MILLISECOND
+from granitespool.units import MILLISECOND, SECOND
 
-SECOND = 1_000_000_000  # ns
 TURNS = 10  # turns of the loop in a virtual second
 TURN = SECOND // TURNS  # ns
 BEGAN = 1_000_000 * SECOND  # ns: the virtual clock begins here
-PACE = 4000  # lines a second of the channel (assumed: no page tells it for the plan)
-BACKLOG = 20_000  # lines that the channel holds (assumed)
-MESSAGE_HEAD = 3  # lines that a message's head counts as (assumed)
-DRAIN_GRACE_MS = 7000  # ms within which a drained backend must be out of all tables (assumed)
-RACK = 40  # backends of one rack (assumed)
-KINDS = 4  # machine types
 MEAN_MS = 40.0  # ms that a backend takes to answer
 MEAN_NOISE = 0.1  # relative deviation of a mean that is reported
-FAILED_PART = 0.002  # part of tries that fail
+FAILED_SHARE = 0.002  # of the attempts
 POISSON_MOST = 30.0  # mean above which a Poisson draw is taken as normal
 
 
-class Sizes(msgspec.Struct, frozen=True, kw_only=True):
-    """The sizes that drive a coordinator's costs."""
-
-    backends: int
-    zones: int
-    proxies: int  # of this coordinator
-    classes: int  # routes, in the plan's words
-    tenants: int
-    requests: float  # a second, of the whole fleet
-    planners: int  # coordinators of the fleet
-
-    @property
-    def links(self) -> int:
-        """Pairs of a backend and a zone."""
-        return self.backends * self.zones
-
-    @property
-    def heard_share(self) -> float:
-        """Share of links that a second's requests reach at least once, where they fall by chance."""
-        return 1 - math.exp(-self.requests / self.links)
-
-    def variables(self) -> dict[str, float]:
-        """The sizes as the fits name them."""
-        return {
-            "backends": float(self.backends),
-            "zones": float(self.zones),
-            "proxies": float(self.proxies),
-            "classes": float(self.classes),
-            "tenants": float(self.tenants),
-            "heard_share": self.heard_share,
-            "planners": float(self.planners),
-        }
-
-
 class Sent(msgspec.Struct):
     """What the coordinator wrote to proxies, counted."""
 
@@ -86,90 +47,6 @@
     written_at: int  # ns
 
 
-def backend_name(number: int) -> str:
-    """The name of a backend, as long as the platform's."""
-    return f"s-{number:08x}"
-
-
-def row_of(number: int, zones: int, status: str = "ready", since_ms: int = 0) -> dict[str, object]:
-    """A backend's entry in discovery's list."""
-    return {
-        "name": backend_name(number),
-        "address": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8081",
-        "zone": f"z{number % zones}",
-        "type": f"m{number % KINDS}",
-        "group": number // RACK,
-        "status": status,
-        "weight": 1.0,
-        "since_ms": since_ms,
-    }
-
-
-def route_of(number: int) -> dict[str, object]:
-    """A class of the settings, with every field that the settings may tell of one."""
-    return {
-        "name": f"route-{number:05d}",
-        "semantics": ("free", "guarded", "single_shot")[number % 3],
-        "key_scope": "all",
-        "window_us": 60_000_000,
-        "aim_us": 1_000_000,
-        "give_up_us": 3_000_000,
-        "worth": 1.0 + number % 5,
-        "late_share": 0.2,
-    }
-
-
-def wire_settings(sizes: Sizes, index: int = 0) -> dict[str, object]:
-    """The settings as the platform writes them, for the coordinator with this index among its peers."""
-    return {
-        "zones": [f"z{zone}" for zone in range(sizes.zones)],
-        "balancers": sizes.planners,
-        "index": index,
-        "permissions": {"probes": True},
-        "classes": [route_of(number) for number in range(sizes.classes)],
-        "family_info": {
-            "egress_per_s": PACE,
-            "most_waiting": BACKLOG,
-            "envelope": MESSAGE_HEAD,
-            "proxy_count": sizes.planners * sizes.proxies,
-            "admit": "fraction",
-            "bootstrap": 5,
-        },
-        "rules": {
-            "stop_sending_within_us": DRAIN_GRACE_MS * 1000,
-            "cold_us": 10_000_000,
-            "cold_from": 0.2,
-            "fall_multiple": 4,
-            "fall_us": 3_000_000,
-        },
-    }
-
-
-def configuration(
-    sizes: Sizes, listen: str = "127.0.0.1:0", discovery: str = "127.0.0.1:9"
-) -> dict[str, object]:
-    """The configuration file of one coordinator, as an object.
-
-    Tenants have no field in the settings; they stand as a list that the program reads over, so that their
-    cost in the file is measured and not assumed.
-    """
-    return {
-        "name": "capacity",
-        "listen": listen,
-        "discovery": discovery,
-        "seed": "1",
-        "limits": {"sockets": 1024, "memory_mb": 256},
-        "peers": [f"10.128.{n // 250}.{n % 250}:7946" for n in range(sizes.planners)],
-        "tenants": [{"name": f"tenant-{n:06d}", "route": n % sizes.classes} for n in range(sizes.tenants)],
-        "known": {
-            "index": 1,
-            "snapshot": True,
-            "endpoints": [row_of(number, sizes.zones) for number in range(sizes.backends)],
-        },
-        "settings": wire_settings(sizes),
-    }
-
-
 def lines_of(data: bytes) -> int:
     """Lines of one message as the protocol counts them, without its head."""
     lines = 0
@@ -274,7 +151,7 @@
                 tries = self._poisson(rate)
                 if not tries:
                     continue
-                failed = sum(chance.random() < FAILED_PART for _ in range(min(tries, 100)))
+                failed = sum(chance.random() < FAILED_SHARE for _ in range(min(tries, 100)))
                 frames.append(
                     frame(
                         {
--- a/bench/capacity/messages.py
+++ b/bench/capacity/messages.py
@@ -5,9 +5,10 @@
 import msgspec
 
 from bench.capacity import sweep
-from bench.capacity.fleet import RACK, Sizes
 from bench.capacity.row_spec import ORDINARY_DAY, Formula, constant, cost, list_entries, of_costs, of_sizes
 from bench.capacity.scales import Costs
+from bench.capacity.sizes import Sizes
+from bench.capacity.wire import RACK
 from granitespool.scale.budget import DAY
 
 PING_BYTES = 100  # bytes of a health check's request, as the program writes it, or of a ping; rounded up
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -9,9 +9,9 @@
 import orjson
 
 from bench.capacity import rows, sweep
-from bench.capacity.fleet import Sizes
 from bench.capacity.messages import KINDS, STALE, Kind, Stale
 from bench.capacity.scales import PLAN_SCALES, ROUTES, TITLES, Scale, scales_of
+from bench.capacity.sizes import Sizes
 from granitespool.errors import GranitespoolError
 from granitespool.scale import fits
 from granitespool.scale.budget import DAY, LoweredBy, Origin, Row, Value, by_factor
--- a/bench/capacity/point.py
+++ b/bench/capacity/point.py
@@ -13,9 +13,12 @@
 import msgspec
 import orjson
 
-from bench.capacity.fleet import RACK, SECOND, TURNS, Fleet, Sizes, configuration, row_of
+from bench.capacity.fleet import TURNS, Fleet
+from bench.capacity.sizes import Sizes
+from bench.capacity.wire import RACK, configuration, row_of
 from granitespool.net import config
 from granitespool.net.frames import frame
+from granitespool.units import SECOND
 
 MB = 1 << 20
 NS_PER_MS = 1_000_000
--- a/bench/capacity/process.py
+++ b/bench/capacity/process.py
@@ -14,7 +14,8 @@
 import msgspec
 import orjson
 
-from bench.capacity.fleet import Sizes, configuration
+from bench.capacity.sizes import Sizes
+from bench.capacity.wire import configuration
 from granitespool.errors import GranitespoolError
 from granitespool.net.frames import frame
 
--- a/bench/capacity/row_spec.py
+++ b/bench/capacity/row_spec.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from bench.capacity import sweep
-from bench.capacity.fleet import Sizes
 from bench.capacity.scales import Costs, Scale
+from bench.capacity.sizes import Sizes
 from granitespool.scale.budget import Budget, Day, LoweredBy, Origin, Row, Value
 
 BUDGET = Budget()
--- a/bench/capacity/scales.py
+++ b/bench/capacity/scales.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from bench.capacity import process, sweep
-from bench.capacity.fleet import Sizes
+from bench.capacity.sizes import Sizes
 
 ROUTES = "plan_routes"
 TITLES = {
--- a/bench/capacity/sweep.py
+++ b/bench/capacity/sweep.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from bench.capacity import process
-from bench.capacity.fleet import Sizes
 from bench.capacity.point import Request
+from bench.capacity.sizes import Sizes
 from bench.state import played
 from granitespool.scale import fits
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,8 +8,8 @@
 
 from bench.capacity import page, process, scales, sweep
 from bench.capacity.__main__ import main
-from bench.capacity.fleet import Sizes
 from bench.capacity.point import Request, measure
+from bench.capacity.sizes import Sizes
 from granitespool.scale import budget, fits
 
 SIZES = ({"backends": float(b), "zones": float(z)} for b in (100, 200, 400, 800) for z in (2, 4, 8))
