--- /dev/null
+++ b/tests/support/traced_backends.py
@@ -0,0 +1,148 @@
+"""The backends of a traced fleet: the truth about each, what happens to them, and the endpoint list."""
+
+from typing import NamedTuple
+
+from granitespool.units import SECOND
+from support.proxy_fleet import START, Entry
+
+WARM_UP_TIME = 17 * SECOND  # ns
+WARM_UP_START_SHARE = 0.2
+SPARED_SHARE = (
+    2 / 3
+)  # of the first backends that stay ready and warm at least: with less no capacity is planned
+STOPS_AFTER = 8 * SECOND  # ns from a backend's drain to its end
+RESTART_DRAIN = 2 * SECOND  # ns from the drain of a backend that is restarted to its end
+BACK_AFTER = 4 * SECOND  # ns from a backend's end to its return
+
+
+class Clock:
+    """The time that all parts of a fleet share."""
+
+    def __init__(self) -> None:
+        self.now = START  # ns
+
+
+class TracedBackend:
+    """The truth about one backend."""
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.phase = "ready"
+        self.started = 0  # ns; 0: long ago
+
+    def capacity_share(self, now: int) -> float:
+        """The share of its warm work that it can do."""
+        age = 1.0 if not self.started else min(1.0, (now - self.started) / WARM_UP_TIME)
+        return WARM_UP_START_SHARE + (1 - WARM_UP_START_SHARE) * age
+
+    def warms_up(self, now: int) -> bool:
+        """Whether it can do less than its whole work."""
+        return bool(self.started) and now - self.started < WARM_UP_TIME
+
+    def entry(self) -> Entry:
+        """Its entry in the list."""
+        return self.name, self.phase, self.started
+
+
+class ListChange(NamedTuple):
+    """One change of the list."""
+
+    at: int  # ns
+    entries: list[Entry]
+
+
+class _Planned(NamedTuple):
+    """What will happen to a backend."""
+
+    at: int  # ns
+    phase: str
+    backend: str
+
+
+class TracedBackends:
+    """All backends, by name, and every change of the list."""
+
+    def __init__(self, clock: Clock, count: int) -> None:
+        """So many backends, which have been ready for long."""
+        self.clock = clock
+        self.by_name = {f"s{number}": TracedBackend(f"s{number}") for number in range(1, count + 1)}
+        self.first_count = count
+        self.made = count
+        self.first_list = self.current_list()
+        self.changes: list[ListChange] = []
+        self._planned: list[_Planned] = []
+
+    def current_list(self) -> list[Entry]:
+        """The entries of those who are listed now."""
+        return [backend.entry() for backend in self.by_name.values() if backend.phase != "gone"]
+
+    def list_after(self, changes: int) -> list[Entry]:
+        """The entries of those who are listed after so many changes."""
+        listed = {entry[0]: entry for entry in self.first_list}
+        for change in self.changes[:changes]:
+            listed.update((entry[0], entry) for entry in change.entries)
+        return [entry for entry in listed.values() if entry[1] != "gone"]
+
+    def ready(self) -> list[TracedBackend]:
+        """Those that take requests."""
+        return [backend for backend in self.by_name.values() if backend.phase == "ready"]
+
+    def can_spare(self, number: int) -> list[TracedBackend]:
+        """So many of the ready backends, longest there first, where enough warm ones stay."""
+        warm = [backend for backend in self.ready() if not backend.warms_up(self.clock.now)]
+        number = min(number, len(warm) - int(SPARED_SHARE * self.first_count) - 1)
+        return warm[: max(0, number)]
+
+    def release(self, number: int) -> None:
+        """New backends come, and the old ones that they replace drain and end."""
+        old = self.can_spare(number)
+        new = [self._make() for _ in old]
+        self._drain(old, new)
+        self._plan(STOPS_AFTER, "gone", old)
+
+    def restart(self, number: int) -> None:
+        """Backends drain, end, and come back cold under their names."""
+        old = self.can_spare(number)
+        self._drain(old, [])
+        self._plan(RESTART_DRAIN, "gone", old)
+        self._plan(RESTART_DRAIN + BACK_AFTER, "ready", old)
+
+    def crash(self, number: int) -> None:
+        """Backends end at once, and come back cold."""
+        lost = self.can_spare(number)
+        for backend in lost:
+            backend.phase = "gone"
+        if lost:
+            self._change(lost)
+        self._plan(BACK_AFTER, "ready", lost)
+
+    def advance(self) -> None:
+        """Does what is due."""
+        due = [planned for planned in self._planned if planned.at <= self.clock.now]
+        self._planned = [planned for planned in self._planned if planned.at > self.clock.now]
+        for planned in due:
+            backend = self.by_name[planned.backend]
+            backend.phase = planned.phase
+            if planned.phase == "ready":
+                backend.started = self.clock.now
+            self._change([backend])
+
+    def _make(self) -> TracedBackend:
+        self.made += 1
+        backend = TracedBackend(f"s{self.made}")
+        backend.started = self.clock.now
+        self.by_name[backend.name] = backend
+        return backend
+
+    def _drain(self, old: list[TracedBackend], new: list[TracedBackend]) -> None:
+        for backend in old:
+            backend.phase = "draining"
+        if old:
+            self._change([*old, *new])
+
+    def _change(self, backends: list[TracedBackend]) -> None:
+        self.changes.append(ListChange(self.clock.now, [backend.entry() for backend in backends]))
+
+    def _plan(self, delay: int, phase: str, backends: list[TracedBackend]) -> None:
+        at = self.clock.now + delay
+        self._planned += [_Planned(at, phase, backend.name) for backend in backends]
--- /dev/null
+++ b/tests/support/traced_fleet.py
@@ -0,0 +1,232 @@
+"""Several real coordinators in virtual time before the same backends and proxies, who record what they see.
+
+Built on `ProxyFleet`, which counts and paces what one coordinator writes. What is added: proxies that keep
+their tables and exclusions when they go from one coordinator to another and hold only what has arrived;
+backends that drain, die and come back cold; a list that each coordinator is told later or sooner, or twice;
+load reports past an intake; requests whose effect must happen once. All of it is recorded as events of
+`granitespool.scale.trace`, for the checker of the rules. Chance is one seeded generator."""
+
+from random import Random
+from typing import NamedTuple
+
+import msgspec
+
+from granitespool.scale.trace import AnyEvent, CoordinatorStarted, Limits, TableHeld
+from granitespool.units import SECOND
+from support.proxy_fleet import TURN
+from support.traced_backends import (
+    SPARED_SHARE,
+    WARM_UP_START_SHARE,
+    WARM_UP_TIME,
+    Clock,
+    TracedBackends,
+)
+from support.traced_coordinator import TracedCoordinator, TracedProxy
+from support.traced_traffic import TracedTraffic
+
+SETTINGS = {
+    "message_header": 3.0,
+    "messages_limit": 30,
+    "messages_span": 10 * SECOND,
+    "empty_table_limit": 5 * SECOND,
+    "warm_up_time": WARM_UP_TIME,
+    "warm_up_start_share": WARM_UP_START_SHARE,
+    "overload_multiple": 4.0,
+    "overload_time": 2 * SECOND,
+    "bootstrap_entries": 5,
+    "default_retries": 0,
+    "health_checks_allowed": True,
+}
+FIRST_TABLE = 5  # backends that a proxy knows at the start
+TABLE_OVERHEAD = 7  # entries of a message beside those of backends: its head, ticket, `whole` and levels
+DRAIN_OVERHEAD = 4  # the same of a message that takes backends out: its head and ticket
+GRACE_LEAST = 3_300_000_000  # ns
+BACKLOG_TIME = 2  # s at the told pace that a full channel holds at least
+DIAL_TIME = SECOND // 2  # ns until a proxy that lost its stream has joined elsewhere, or twice as long
+LOADS_EVERY = 5  # turns
+
+
+class ChannelSettings(msgspec.Struct, frozen=True):
+    """What a fleet's settings tell of its channels, and of the drains that must pass them."""
+
+    pace: float  # entries a second
+    backlog_limit: float  # entries
+    drain_grace: int  # ns
+
+    @classmethod
+    def fitting(cls, coordinators: int, proxies: int, backends: int, table_takes: float) -> "ChannelSettings":
+        """As the platform sets it: what cannot be put off fits twice, with all proxies on one coordinator.
+
+        Here that is the drains of all that may drain at a time. `table_takes`: seconds that a channel takes
+        for one complete table."""
+        pace = (backends + TABLE_OVERHEAD) / table_takes
+        drains = coordinators * proxies * (int((1 - SPARED_SHARE) * backends) + DRAIN_OVERHEAD)
+        grace = max(GRACE_LEAST, round(2 * drains / pace * SECOND))
+        return cls(pace, max(2 * drains, BACKLOG_TIME * pace), grace)
+
+
+class _Dialling(NamedTuple):
+    """A proxy that is about to join a coordinator."""
+
+    at: int  # ns
+    proxy: TracedProxy
+    coordinator: TracedCoordinator
+
+
+class TracedFleet:
+    """Coordinators, proxies and backends; `events` gives what was recorded.
+
+    `proxies` are each coordinator's, `intake` is load reports a second, `slowdown` how many times slower the
+    channels are than told."""
+
+    def __init__(
+        self,
+        channel: ChannelSettings,
+        coordinators: int,
+        proxies: int,
+        backends: int,
+        intake: int = 1000,
+        slowdown: float = 1,
+        seed: int = 1,
+    ) -> None:
+        """The coordinators run and all proxies have joined."""
+        self.random = Random(seed)
+        self.channel = channel
+        self.intake = intake
+        self.slowdown = slowdown
+        self.trace: list[AnyEvent] = []
+        self.clock = Clock()
+        self.turns = 0
+        self.backends = TracedBackends(self.clock, backends)
+        self.traffic = TracedTraffic(self, self.random, SETTINGS["default_retries"])
+        self.dialling: list[_Dialling] = []
+        self.proxies = {
+            number: TracedProxy(number, number % coordinators) for number in range(coordinators * proxies)
+        }
+        self.coordinators = [self._make_coordinator(number, coordinators) for number in range(coordinators)]
+        for coordinator in self.coordinators:
+            self.record(CoordinatorStarted(at=self.now, coordinator=coordinator.name))
+        for proxy in self.proxies.values():
+            self._join_first(proxy, min(FIRST_TABLE, backends))
+
+    def _make_coordinator(self, number: int, coordinators: int) -> TracedCoordinator:
+        settings = {
+            **SETTINGS,
+            "entries_per_s": self.channel.pace,
+            "backlog_limit": self.channel.backlog_limit,
+            "drain_grace": self.channel.drain_grace,
+            "proxies_expected": len(self.proxies),
+            "coordinators": coordinators,
+        }
+        return TracedCoordinator(self, f"c{number}", slowdown=self.slowdown, **settings)
+
+    def _join_first(self, proxy: TracedProxy, known: int) -> None:
+        names = self.random.sample(sorted(self.backends.by_name), known)
+        proxy.weights = dict.fromkeys(names, 1.0)
+        self.record_table(proxy, self.now)
+        self.coordinators[proxy.home].take(proxy)
+
+    @property
+    def now(self) -> int:
+        """The time in ns."""
+        return self.clock.now
+
+    # The trace
+
+    def record(self, event: AnyEvent) -> None:
+        """Adds to the trace."""
+        self.trace.append(event)
+
+    def record_table(self, proxy: TracedProxy, now: int) -> None:
+        """Adds the table that a proxy holds from now (ns) on."""
+        excluded = frozenset(proxy.excluded)
+        held = TableHeld(at=now, proxy=proxy.number, weights=dict(proxy.weights), excluded=excluded)
+        self.record(held)
+
+    def limits(self) -> Limits:
+        """The rules' figures; the times grow by the factor that the channels are slower than told."""
+        return Limits(
+            drain_grace=self.slowdown * self.channel.drain_grace,
+            empty_limit=self.slowdown * SETTINGS["empty_table_limit"],
+            overload_multiple=SETTINGS["overload_multiple"],
+            overload_time=self.slowdown * SETTINGS["overload_time"],
+            backlog_limit=self.channel.backlog_limit,
+            messages_limit=SETTINGS["messages_limit"],
+            messages_span=SETTINGS["messages_span"],
+            warm_up_time=WARM_UP_TIME,
+        )
+
+    def events(self) -> list[AnyEvent]:
+        """The trace in order of time; events of one time stay in the order in which they were recorded."""
+        return sorted(self.trace, key=lambda event: event.at)
+
+    # Coordinators and proxies
+
+    def running(self) -> list[TracedCoordinator]:
+        """The coordinators that run."""
+        return [coordinator for coordinator in self.coordinators if coordinator.up]
+
+    def end_coordinator(self, number: int, downtime: int) -> None:
+        """A coordinator ends for so long (ns); its proxies join the others and stay there.
+
+        The last one is spared."""
+        coordinator = self.coordinators[number % len(self.coordinators)]
+        if coordinator.up and len(self.running()) > 1:
+            leaving = [self.proxies[each] for each in coordinator.joined]
+            coordinator.end(downtime)
+            for proxy in leaving:
+                self._dial(proxy)
+
+    def lose_streams(self, number: int) -> None:
+        """So many proxies lose their streams, and join anew where they may."""
+        joined = [proxy for proxy in self.proxies.values() if proxy.coordinator]
+        for proxy in self.random.sample(joined, min(number, len(joined))):
+            proxy.coordinator.lose(proxy)
+            self._dial(proxy)
+
+    def go_home(self) -> None:
+        """Who is elsewhere goes back to its own coordinator, where that runs."""
+        for proxy in self.proxies.values():
+            home = self.coordinators[proxy.home]
+            if home.up and proxy.coordinator not in (None, home):
+                proxy.coordinator.lose(proxy)
+                self.dialling.append(_Dialling(self.now + DIAL_TIME, proxy, home))
+
+    def _dial(self, proxy: TracedProxy) -> None:
+        coordinator = self.random.choice(self.running())
+        at = self.now + DIAL_TIME + self.random.randrange(DIAL_TIME)
+        self.dialling.append(_Dialling(at, proxy, coordinator))
+
+    def _join(self) -> None:
+        due = [each for each in self.dialling if each.at <= self.now]
+        self.dialling = [each for each in self.dialling if each.at > self.now]
+        for each in due:
+            if each.coordinator.up:
+                each.coordinator.take(each.proxy)
+            else:
+                self._dial(each.proxy)
+
+    # Time
+
+    def turn(self) -> None:
+        """One turn of all, in step."""
+        self.backends.advance()
+        for coordinator in self.coordinators:
+            if coordinator.up_at is not None and coordinator.up_at <= self.now:
+                coordinator.start()
+        self._join()
+        if self.turns % LOADS_EVERY == 0:
+            self.traffic.record_loads()
+        if self.now % SECOND == 0:
+            self.traffic.report()
+            self.traffic.execute_requests()
+        for coordinator in self.coordinators:
+            coordinator.turn()
+        self.turns += 1
+        self.clock.now += TURN
+
+    def run(self, seconds: float) -> None:
+        """Turns for so long."""
+        end = self.now + round(seconds * SECOND)
+        while self.now < end:
+            self.turn()
--- /dev/null
+++ b/tests/support/traced_traffic.py
@@ -0,0 +1,148 @@
+"""The requests of a traced fleet: the work that tables bring to backends, and requests with one effect."""
+
+from collections import defaultdict
+from random import Random
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from granitespool.planner.events import UsageReport
+from granitespool.scale.trace import BackendLoad, RequestExecuted
+from granitespool.units import SECOND
+from support.traced_coordinator import StartTold, TracedProxy
+
+if TYPE_CHECKING:
+    from support.traced_backends import TracedBackend
+    from support.traced_fleet import TracedFleet
+
+LOAD = 0.6  # of what the first backends can do warm
+ANSWER_TIME = SECOND // 10  # ns that a backend takes which is not overloaded
+ATTEMPTS = 20.0  # a second and proxy
+REQUESTS = 2  # with an effect that must happen once, a second and proxy
+LOST_SHARE = 0.05  # of those, whose answer is lost after the effect
+LONGEST_QUEUE = 4.0  # times the work that it can do by which a backend gets slower at most
+ATTEMPTS_BY_RETRIES = {0: 1, 1: 2, 2: 2, 3: 3}  # manner of retrying -> attempts in all
+AFTER_ANY_FAILURE = 2  # the first manner of retrying that does not need proof that the attempt never ran
+CLASS = "b"  # of the requests
+
+
+class Work(msgspec.Struct):
+    """Work that reaches a backend, 1 for what one can do warm."""
+
+    total: float = 0.0
+    informed: float = 0.0  # of it, from proxies that know of the backend's start
+
+
+class TracedTraffic:
+    """The requests of all proxies."""
+
+    def __init__(self, fleet: "TracedFleet", random: Random, default_retries: int) -> None:
+        self.fleet = fleet
+        self.random = random
+        self.default_retries = default_retries
+        self.requests = 0
+
+    def _shares(self, proxy: TracedProxy) -> dict[str, float]:
+        """Backend -> share of a proxy's attempts, retries counted.
+
+        What a backend rejects that takes nothing new is tried once elsewhere, where it may be retried."""
+        weights = proxy.open_weights()
+        total = sum(weights.values())
+        if not total:
+            return {}
+        shares = {name: weight / total for name, weight in weights.items()}
+        backends = self.fleet.backends.by_name
+        taken = {name: share for name, share in shares.items() if backends[name].phase == "ready"}
+        rejected = 1 - sum(taken.values())
+        if taken and rejected > 0 and any(proxy.retries.values()):
+            more = rejected / sum(taken.values())
+            shares.update({name: share * (1 + more) for name, share in taken.items()})
+        return shares
+
+    def _is_informed(self, proxy: TracedProxy, backend: "TracedBackend") -> bool:
+        """Whether the work that a proxy sends to a backend counts as sent with knowledge of its start."""
+        told = proxy.starts_told.get(backend.name, StartTold(0, 0))
+        if told.started == backend.started and proxy.written_at >= told.told_at:
+            return True
+        if proxy.coordinator is None:
+            known = StartTold(0, 0)
+        else:
+            known = proxy.coordinator.starts_told.get(backend.name, StartTold(0, 0))
+        grace = self.fleet.channel.drain_grace
+        return known.started == backend.started and self.fleet.now - known.told_at >= grace
+
+    def work(self) -> dict[str, Work]:
+        """The work that reaches each backend."""
+        found: dict[str, Work] = defaultdict(Work)
+        each = LOAD * self.fleet.backends.first_count / len(self.fleet.proxies)
+        for proxy in self.fleet.proxies.values():
+            for name, share in self._shares(proxy).items():
+                found[name].total += each * share
+                informed = self._is_informed(proxy, self.fleet.backends.by_name[name])
+                found[name].informed += each * share * informed
+        return found
+
+    def record_loads(self) -> None:
+        """Records the work of each backend that did not start long ago."""
+        work, now = self.work(), self.fleet.now
+        for backend in self.fleet.backends.ready():
+            if not backend.started:
+                continue
+            reached = work.get(backend.name, Work())
+            load = BackendLoad(
+                at=now,
+                backend=backend.name,
+                multiple=reached.total / backend.capacity_share(now),
+                warming_up=backend.warms_up(now),
+                informed_share=reached.informed / reached.total if reached.total else 0.0,
+            )
+            self.fleet.record(load)
+
+    def report(self) -> None:
+        """What each coordinator's proxies saw in a second reaches it, as far as its intake goes."""
+        work = self.work()
+        for coordinator in self.fleet.running():
+            by_link: dict[tuple[str, str], float] = defaultdict(float)
+            for number in coordinator.joined:
+                proxy = self.fleet.proxies[number]
+                for name, share in self._shares(proxy).items():
+                    by_link[proxy.zone, name] += ATTEMPTS * share
+                usage = UsageReport(
+                    proxy=number,
+                    request_class=CLASS,
+                    requests=round(ATTEMPTS),
+                    unanswered=0,
+                    window=SECOND,
+                )
+                coordinator.coordinator.report(self.fleet.now, usage)
+            for (zone, name), attempts in by_link.items():
+                failed_share, mean = self._answers(name, work)
+                coordinator.report_later(zone, name, attempts, attempts * failed_share, mean)
+            coordinator.take_in(self.fleet.intake)
+
+    def _answers(self, name: str, work: dict[str, Work]) -> tuple[float, float]:
+        """The share of attempts that fail at a backend, and the mean time (ns) of the others."""
+        backend = self.fleet.backends.by_name[name]
+        pressure = work[name].total / backend.capacity_share(self.fleet.now)
+        failed_share = 1.0 if backend.phase != "ready" else max(0.0, 1 - 1 / max(1.0, pressure))
+        return failed_share, ANSWER_TIME * (1 + min(LONGEST_QUEUE, pressure))
+
+    def execute_requests(self) -> None:
+        """Requests whose effect must happen once, retried as their proxy was told."""
+        for proxy in self.fleet.proxies.values():
+            for _ in range(REQUESTS if proxy.coordinator else 0):
+                self.requests += 1
+                retries = proxy.retries.get(CLASS, self.default_retries)
+                self._execute(self.requests, proxy.open_weights(), retries)
+
+    def _execute(self, request: int, weights: dict[str, float], retries: int) -> None:
+        for _ in range(min(ATTEMPTS_BY_RETRIES[retries], len(weights))):
+            name = self.random.choices(list(weights), list(weights.values()))[0]
+            weights = {each: weight for each, weight in weights.items() if each != name}
+            if self.fleet.backends.by_name[name].phase != "ready":
+                continue  # rejected: it provably never ran
+            executed = RequestExecuted(at=self.fleet.now, request=request, backend=name, effect="single_shot")
+            self.fleet.record(executed)
+            lost = self.random.random() < LOST_SHARE
+            if not lost or retries < AFTER_ANY_FAILURE:
+                return
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -3,11 +3,12 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from storm import SECOND, Storm
+from support.proxy_fleet import ProxyFleet
 
 from granitespool.planner.budget import PUBLICATION_LAG_MAX
 from granitespool.planner.in_flight import BARRIER_SEQUENCES, LOST_BARRIER_FACTOR, InFlightAccount
 from granitespool.settings import Settings
+from granitespool.units import SECOND
 
 
 def account(limit=1000.0, pace=1000.0, head=3.0):
@@ -20,56 +21,58 @@
     proxies, backends, replaced, standing
 ):
     # Booked as likely as a standing table holds one, 46,692 written lines were 13,403 in the account
-    storm = Storm(backends, 3, backlog_limit=12000.0, drain_grace=13 * SECOND)
+    storm = ProxyFleet(backends, 3, backlog_limit=12000.0, drain_grace=13 * SECOND)
     for proxy in range(proxies):
         storm.join(proxy, standing)
     storm.run(1)
-    storm.release(replaced)
+    storm.replace_backends(replaced)
     storm.run(3)
-    storm.gone([f"s{n + 1}" for n in range(replaced)])
+    storm.remove_backends([f"s{n + 1}" for n in range(replaced)])
     storm.run(20)
-    assert storm.most > 0.3  # the storm was one
+    assert storm.largest_backlog_share > 0.3  # the storm was one
 
 
 def test_names_that_return_are_let_back_within_the_account():
-    storm = Storm(40, 2)
+    storm = ProxyFleet(40, 2)
     for proxy in range(20):
         storm.join(proxy)
     storm.run(5)
     for _ in range(4):
-        storm.release(20, renamed=False)
+        storm.replace_backends(20, renamed=False)
         for proxy in range(20, 60):
             storm.join(proxy)
         storm.run(6)
-    assert any(not out for _, out in storm.holds.values())
+    assert any(not out for _, out in storm.tables.values())
 
 
 def test_a_list_told_again_lets_nobody_back():
-    storm = Storm(40, 2, backlog_limit=50000.0, entries_per_s=50000.0)
+    storm = ProxyFleet(40, 2, backlog_limit=50000.0, entries_per_s=50000.0)
     started = storm.now - SECOND
-    storm.lists("whole", [(name, "ready", started) for name in storm.ready])
-    storm.lists("whole", [(name, "ready", started) for name in storm.ready])
+    storm.send_list("complete", [(name, "ready", started) for name in storm.ready])
+    storm.send_list("complete", [(name, "ready", started) for name in storm.ready])
     assert len(storm.coordinator.suspects) == 40  # it may have been shut out before it started
-    storm = Storm(40, 2)
-    storm.lists("whole", [(name, "ready", 0) for name in storm.ready])
+    storm = ProxyFleet(40, 2)
+    storm.send_list("complete", [(name, "ready", 0) for name in storm.ready])
     assert not storm.coordinator.suspects
 
 
 @pytest.mark.parametrize("slowed", [1.0, 4.0, 10.0])
 def test_marks_of_a_full_slow_channel_stay_booked(slowed):
     # A full queue of 28 s: after 16 s marks that waited counted as lost, others took their room
-    storm = Storm(100, 3, slowed=slowed, entries_per_s=180.0, backlog_limit=5000.0, drain_grace=30 * SECOND)
+    storm = ProxyFleet(
+        100, 3, slowdown=slowed, entries_per_s=180.0, backlog_limit=5000.0, drain_grace=30 * SECOND
+    )
     for proxy in range(200):
         storm.join(proxy)
     storm.run(60)
-    storm.release(50)
+    storm.replace_backends(50)
     storm.run(40)
     # Each flush that was asked for earlier left the later one standing: after 20 s 860 timers ran for one
     assert len(storm.coordinator.timers) < 10
 
 
 def test_who_is_silent_stays_in_the_account_until_it_leaves():
-    storm = Storm(50, 1)
+    storm = ProxyFleet(50, 1)
     for proxy in range(30):
         storm.join(proxy)
     storm.turn(0)
@@ -116,11 +119,11 @@
     steps, backends, zones, pace, full, slowed, messages
 ):
     limit = max(pace * full, 250.0)
-    storm = Storm(
+    storm = ProxyFleet(
         backends,
         zones,
-        planners=3,
-        slowed=slowed,
+        coordinators=3,
+        slowdown=slowed,
         entries_per_s=pace,
         backlog_limit=limit,
         drain_grace=int((limit / pace + 2) * SECOND),
@@ -130,18 +133,18 @@
     for what, number, more in steps:
         if what == "join":
             for proxy in range(number, number + more):
-                storm.join(proxy, standing=more % 2 == 0)
+                storm.join(proxy, bootstrap=more % 2 == 0)
         elif what == "leave":
             for proxy in range(number, number + more):
                 if proxy in storm.joined:
                     storm.leave(proxy)
         elif what == "release":
-            storm.release(number, more)
+            storm.replace_backends(number, more)
         elif what == "gone" and len(storm.ready) > number:
             names, storm.ready = storm.ready[:number], storm.ready[number:]
-            storm.gone(names)
+            storm.remove_backends(names)
         elif what == "hear":
-            storm.hear(number * SECOND // 1000, more)
+            storm.report_load(number * SECOND // 1000, more)
         elif what == "run":
             storm.run(number)
         storm.turn()
@@ -171,17 +174,17 @@
 
 def test_on_a_slow_channel_ordinary_changes_leave_the_way_free_for_a_drain():
     # join+vast 992765718771: 2,800 lines of ordinary changes were before a release's, 10 s of that channel
-    storm = Storm(40, 2, slowed=4.0, bootstrap_entries=40, backlog_limit=12000.0)
+    storm = ProxyFleet(40, 2, slowdown=4.0, bootstrap_entries=40, backlog_limit=12000.0)
     for proxy in range(40):
         storm.join(proxy)
     storm.run(30)
     waits = []
     for second in range(30):
         for backend in range(40):
-            storm.means[backend] = (20 + 15 * ((second // 3 + backend * 7) % 5)) * SECOND // 1000
-        storm.hear(None)
+            storm.response_times[backend] = (20 + 15 * ((second // 3 + backend * 7) % 5)) * SECOND // 1000
+        storm.report_load(None)
         storm.run(1)
-        waits.append(storm.waits / 250)
+        waits.append(storm.backlog / 250)
     assert max(waits[10:]) < 2 * PUBLICATION_LAG_MAX / SECOND
 
 
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -12,10 +12,11 @@
 
 import pytest
 from stage import framed
-from storm import SECOND, Storm
+from support.proxy_fleet import ProxyFleet
 
 from granitespool.net import config
 from granitespool.net.service import Service
+from granitespool.units import SECOND
 
 STREAMS = 4096
 
@@ -168,14 +169,14 @@
 
 def work_for_a_mark(proxies):
     """Steps for one answer among so many who wait to be bound, with no room to bind one."""
-    storm = Storm(
+    storm = ProxyFleet(
         200,
         3,
         entries_per_s=800.0,
         backlog_limit=28000.0,
         drain_grace=36 * SECOND,
         proxies_expected=proxies,
-        planners=5,
+        coordinators=5,
     )
     for proxy in range(proxies):
         storm.join(proxy)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -5,8 +5,8 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from storm import SECOND
-from traced_fleet import SETTINGS, Channel, Fleet, TracedStorm
+from support.traced_coordinator import TracedCoordinator
+from support.traced_fleet import SETTINGS, ChannelSettings, TracedFleet
 
 from granitespool.coordinator import Coordinator
 from granitespool.planner.candidates import CandidateSelection
@@ -23,6 +23,7 @@
     RequestExecuted,
     TableHeld,
 )
+from granitespool.units import SECOND
 
 CALM = 25  # s after the last step, in which all must come right; more where the channels are slow
 COORDINATOR = st.integers(0, 4)
@@ -35,7 +36,7 @@
         st.tuples(st.just("replaced"), COORDINATOR),  # the same, back after one second
         st.tuples(st.just("loses"), st.integers(1, 10)),  # so many proxies lose their streams
         st.tuples(st.just("go_home"), st.just(0)),  # who is elsewhere goes back
-        st.tuples(st.just("whole"), COORDINATOR),  # a whole list, which skips what was not told
+        st.tuples(st.just("complete"), COORDINATOR),  # a complete list, which skips what was not told
         st.tuples(st.just("again"), COORDINATOR),  # the last change is told twice
         st.tuples(st.just("late"), st.tuples(COORDINATOR, st.integers(0, 5))),  # its list is so many s old
         st.tuples(st.just("wait"), st.integers(1, 8)),
@@ -46,26 +47,37 @@
 
 
 def take(fleet, kind, value):
-    if kind in ("release", "restart", "crash", "loses"):
-        getattr(fleet, kind)(value)
+    """Does one step."""
+    if kind in ("release", "restart", "crash"):
+        getattr(fleet.backends, kind)(value)
+    elif kind == "loses":
+        fleet.lose_streams(value)
     elif kind in ("dies", "replaced"):
-        fleet.dies(value, (6 if kind == "dies" else 1) * SECOND)
+        fleet.end_coordinator(value, (6 if kind == "dies" else 1) * SECOND)
     elif kind == "go_home":
         fleet.go_home()
     elif kind == "wait":
         fleet.run(value)
     elif kind == "late":
         number, seconds = value
-        fleet.storms[number % len(fleet.storms)].delay = seconds * SECOND
+        fleet.coordinators[number % len(fleet.coordinators)].list_delay = seconds * SECOND
     else:
-        storm = fleet.storms[value % len(fleet.storms)]
-        if storm.up:
-            getattr(storm, kind)()
+        send_list_again(fleet.coordinators[value % len(fleet.coordinators)], kind)
+
+
+def send_list_again(coordinator, kind):
+    """A complete list, or the last change once more, for a coordinator that runs."""
+    if not coordinator.up:
+        return
+    if kind == "complete":
+        coordinator.send_complete_list()
+    else:
+        coordinator.repeat_change()
 
 
 def fitting(coordinators, proxies, backends, table_takes=0.1, **more):
-    channel = Channel.fitting(coordinators, proxies, backends, table_takes)
-    return Fleet(channel, coordinators, proxies, backends, **more)
+    channel = ChannelSettings.fitting(coordinators, proxies, backends, table_takes)
+    return TracedFleet(channel, coordinators, proxies, backends, **more)
 
 
 def played(steps, fleet):
@@ -73,7 +85,7 @@
     for kind, value in steps:
         take(fleet, kind, value)
         fleet.run(1)
-    fleet.run(CALM * fleet.slowed)
+    fleet.run(CALM * fleet.slowdown)
     return fleet
 
 
@@ -92,7 +104,7 @@
     proxies=st.integers(2, 10),  # of each coordinator
     backends=st.integers(6, 30),
     intake=st.sampled_from((5, 50, 1000)),  # reports a second; what is more adds up and comes late
-    slowed=st.sampled_from((1, 1, 3)),  # times that the channels are slower than told
+    slowdown=st.sampled_from((1, 1, 3)),  # times that the channels are slower than told
     table_takes=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for one whole table
 )
 def test_the_five_rules_hold_over_all_coordinators_in_any_order(steps, **drawn):
@@ -102,8 +114,8 @@
 def test_a_drain_has_its_time_where_a_full_queue_takes_longer_than_the_grace():
     # Found by drawing channels whose queue takes 10 s, three times the drains' grace: twenty joiners' tables
     # fill a third of it, all of the grace, before a drain that needs half of the grace for a line to each.
-    channel = Channel(pace=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
-    assert not broken(played([("release", 1)], Fleet(channel, 1, 20, 12)))
+    channel = ChannelSettings(pace=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
+    assert not broken(played([("release", 1)], TracedFleet(channel, 1, 20, 12)))
 
 
 # What the interleavings are made of is there, and a program that breaks a rule is found
@@ -115,7 +127,7 @@
     ("again", 1),
     ("wait", 4),
     ("restart", 3),
-    ("whole", 2),
+    ("complete", 2),
     ("loses", 5),
     ("wait", 8),
     ("crash", 2),
@@ -141,7 +153,9 @@
     assert len(some(CoordinatorEnded)) == 1
     assert len(some(CoordinatorStarted)) == 4
     assert max(each.multiple for each in some(BackendLoad, warming_up=True)) > 0.5
-    assert {storm.name for storm in fleet.storms} == {each.coordinator for each in some(MessageWritten)}
+    assert {coordinator.name for coordinator in fleet.coordinators} == {
+        each.coordinator for each in some(MessageWritten)
+    }
     held = {name for each in some(TableHeld) for name in each.weights}
     assert {f"s{number}" for number in range(1, 24)} <= held  # the first ones and those that came later
     assert len(some(RequestExecuted)) > 1000
@@ -158,12 +172,12 @@
     assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
 
 
-def test_one_whose_orders_come_too_late_is_found(monkeypatch):
-    monkeypatch.setattr(TracedStorm, "_arrive", lambda self: None)
+def test_one_whose_messages_come_too_late_is_found(monkeypatch):
+    monkeypatch.setattr(TracedCoordinator, "deliver", lambda self: None)
     assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
 
 
-def test_one_that_has_uncertain_tries_repeated_is_found(monkeypatch):
+def test_one_that_has_uncertain_attempts_retried_is_found(monkeypatch):
     level = Coordinator.set_admission
 
     def repeats(self, table, classes, share, retries):
@@ -184,13 +198,13 @@
     assert rules_broken(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
 
 
-def test_one_that_shuts_everybody_out_is_found():
+def test_one_that_excludes_every_backend_is_found():
     fleet = fitting(2, 4, 12)
     fleet.run(3)
-    coordinator = fleet.storms[1].coordinator
-    for proxy in fleet.storms[1].joined:
-        coordinator.planner.outbox.reserve(fleet.now, proxy, len(fleet.backends))
-    for name in fleet.backends:
+    coordinator = fleet.coordinators[1].coordinator
+    for proxy in fleet.coordinators[1].joined:
+        coordinator.planner.outbox.reserve(fleet.now, proxy, len(fleet.backends.by_name))
+    for name in fleet.backends.by_name:
         coordinator.exclude(name, True)
     fleet.run(8)
     found = check(fleet.events(), fleet.limits())
@@ -201,11 +215,11 @@
 def test_one_that_writes_more_messages_than_may_be_is_found():
     fleet = fitting(2, 2, 8)
     fleet.run(3)
-    storm = fleet.storms[0]
+    traced = fleet.coordinators[0]
     for _ in range(SETTINGS["messages_limit"] + 1):
-        planner = storm.coordinator.planner
-        for proxy in storm.joined:
+        planner = traced.coordinator.planner
+        for proxy in traced.joined:
             planner.in_flight.reserve(fleet.now, proxy, 0)
-        storm.coordinator.request_acknowledgement(planner.in_flight.sequence, True)
+        traced.coordinator.request_acknowledgement(planner.in_flight.sequence, True)
         fleet.turn()
     assert rules_broken(fleet) == {"channel"}
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from storm import SECOND, Storm
+from support.proxy_fleet import ProxyFleet
 
 from granitespool.planner.admission_levels import (
     LEVELS_MAX,
@@ -17,6 +17,7 @@
     admitted_shares,
 )
 from granitespool.settings import RequestClass
+from granitespool.units import SECOND
 
 
 def classes_of(number, random):
@@ -71,7 +72,7 @@
 @pytest.mark.parametrize("classes", [3, 300, 3100])
 def test_joiners_are_bound_in_one_turn_whatever_the_number_of_classes(classes, usual_retry):
     # 70 joiners before 60 backends: with a line a class and proxy one turn bound 21, 8 and one of them
-    storm = Storm(60, 3, entries_per_s=4000.0, backlog_limit=16000.0, **told(classes, usual_retry))
+    storm = ProxyFleet(60, 3, entries_per_s=4000.0, backlog_limit=16000.0, **told(classes, usual_retry))
     for proxy in range(70):
         storm.join(proxy)
     storm.turn()
@@ -80,13 +81,13 @@
 
 
 def test_a_strain_of_three_thousand_classes_costs_a_few_lines_a_proxy():
-    storm = Storm(60, 3, entries_per_s=4000.0, backlog_limit=16000.0, **told(3100, 1))
+    storm = ProxyFleet(60, 3, entries_per_s=4000.0, backlog_limit=16000.0, **told(3100, 1))
     for proxy in range(70):
         storm.join(proxy)
     storm.run(5)
     before = storm.coordinator.planner.in_flight.total_entries
     for _ in range(6):  # all is slow, and much is asked for
-        storm.hear(mean=9 * SECOND // 10, failed=0.3)
+        storm.report_load(mean=9 * SECOND // 10, failed_share=0.3)
         for name in ("r1", "r2", "r3"):
             storm.coordinator.report(
                 storm.now, "arrivals", proxy=0, grade=name, number=900, unanswered=0, window=SECOND
@@ -101,13 +102,13 @@
 def test_three_thousand_classes_are_started_with_in_seconds():
     # 300 took 12 s of processor, going by their square
     began = time.process_time()
-    storm = Storm(
+    storm = ProxyFleet(
         600,
         10,
         entries_per_s=4000.0,
         backlog_limit=20000.0,
         proxies_expected=47600,
-        planners=680,
+        coordinators=680,
         **told(3100, 0),
     )
     for proxy in range(70):
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -7,11 +7,12 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from storm import SECOND, Storm
+from support.proxy_fleet import ProxyFleet
 from support.records import settings_of
 
 from granitespool.planner.in_flight import InFlightAccount
 from granitespool.planner.subsets import RESPLIT_FACTOR, SUBSET_SIZE_MIN, UNEVEN_FACTOR, Subsets
+from granitespool.units import SECOND
 
 SLOW = {
     "entries_per_s": 800.0,
@@ -173,7 +174,7 @@
 
 def slow_fleet(proxies, backends=200):
     kinds = [{"name": "a", "latency_objective": SECOND, "priority_weight": 1.0}]
-    storm = Storm(backends, 3, **{**SLOW, "classes": kinds})
+    storm = ProxyFleet(backends, 3, **{**SLOW, "classes": kinds})
     for proxy in range(proxies):
         storm.join(proxy)
     return storm
@@ -184,7 +185,7 @@
     storm = slow_fleet(300)
     storm.run(13)
     assert not storm.coordinator.planner.assignment.unassigned
-    held = [set(table) for table, _ in storm.holds.values()]
+    held = [set(table) for table, _ in storm.tables.values()]
     assert set().union(*held) == set(storm.ready) and max(map(len, held)) <= 200 // 12 + 1
 
 
@@ -199,11 +200,11 @@
         "coordinators": 5,
         "drain_grace": 62 * SECOND // 10,
     }
-    storm = Storm(
+    storm = ProxyFleet(
         200, 3, **told, classes=[{"name": "a", "latency_objective": SECOND, "priority_weight": 1.0}]
     )
     for proxy in range(48):
-        storm.join(proxy, standing=False)
+        storm.join(proxy, bootstrap=False)
     storm.run(6)
     assert not storm.coordinator.planner.assignment.unassigned
 
@@ -212,11 +213,11 @@
     storm = slow_fleet(300)
     storm.run(15)
     for _ in range(5):
-        storm.release(24)
+        storm.replace_backends(24)
         storm.run(4)
     storm.run(40)
     old = {f"s{n + 1}" for n in range(120)}
-    for table, _ in storm.holds.values():
+    for table, _ in storm.tables.values():
         assert len(table) >= 5 and not old & set(table)
 
 
@@ -224,9 +225,9 @@
     # 1,200 more at once: shutting 24 drained servers out of each would alone be 42 s of the channel
     storm = slow_fleet(300)
     storm.run(13)
-    storm.release(24)
+    storm.replace_backends(24)
     for proxy in range(300, 1500):
-        storm.join(proxy, standing=False)
+        storm.join(proxy, bootstrap=False)
     storm.run(36)
     assert len(storm.coordinator.planner.assignment.unassigned) < 150
     storm.run(8)
@@ -235,7 +236,7 @@
 
 def written(storm, proxy):
     """When the last of what was ordered of a proxy leaves the channel."""
-    return max((leaves for leaves, _, holder, *_ in storm.queue if holder == proxy), default=storm.now)
+    return max((leaves for leaves, _, holder, *_ in storm.channel if holder == proxy), default=storm.now)
 
 
 def test_joiners_that_wait_long_are_bound_before_newer_drains_are_ordered():
@@ -243,11 +244,11 @@
     # waited since before it: the last had their tables 8.5 s after joining, past the grace.
     grace = 59 * SECOND // 10
     told = {"entries_per_s": 900.0, "backlog_limit": 4400.0, "proxies_expected": 240, "coordinators": 5}
-    storm = Storm(200, 3, **told, drain_grace=grace)
+    storm = ProxyFleet(200, 3, **told, drain_grace=grace)
     for proxy in range(57):
         storm.join(proxy)
     storm.run(8)
-    storm.release(30)
+    storm.replace_backends(30)
     storm.run(2)
     start, joiners, owed, slowest = storm.now, iter(range(57, 240)), {}, 0
     batches = [start + tenths * SECOND // 10 for tenths in (3, 28, 38, 48)]
@@ -258,14 +259,14 @@
         if batches and storm.now >= batches[0]:
             del batches[0]
             drained = storm.ready[:30]
-            storm.release(30)
+            storm.replace_backends(30)
             holders = [
-                (proxy, name) for proxy, held in storm.holds.items() for name in drained if name in held[0]
+                (proxy, name) for proxy, held in storm.tables.items() for name in drained if name in held[0]
             ]
             owed |= dict.fromkeys(holders, storm.now)
         storm.turn()
         for proxy, name in list(owed):
-            table, _ = storm.holds.get(proxy, ({}, set()))
+            table, _ = storm.tables.get(proxy, ({}, set()))
             if table and name not in table:
                 slowest = max(slowest, written(storm, proxy) - owed.pop((proxy, name)))
     assert not owed and slowest <= grace, slowest
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -3,7 +3,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from storm import SECOND, Storm
+from support.proxy_fleet import ProxyFleet
+
+from granitespool.units import SECOND
 
 COORDINATORS, PROXIES, BACKENDS, STEP = 5, 24, 40, 12  # proxies are each coordinator's
 LOAD = 0.7  # of what the warm fleet can do
@@ -13,7 +15,7 @@
 
 
 class Fleet:
-    def __init__(self, slowed=1.0):
+    def __init__(self, slowdown=1.0):
         settings = {
             "entries_per_s": 900.0,
             "backlog_limit": 11600.0,
@@ -25,7 +27,8 @@
             "proxies_expected": COORDINATORS * PROXIES,
         }
         self.storms = [
-            Storm(BACKENDS, 3, planners=COORDINATORS, slowed=slowed, **settings) for _ in range(COORDINATORS)
+            ProxyFleet(BACKENDS, 3, coordinators=COORDINATORS, slowdown=slowdown, **settings)
+            for _ in range(COORDINATORS)
         ]
         self.since = dict.fromkeys(self.storms[0].ready, 0)
         for storm in self.storms:
@@ -40,7 +43,7 @@
         """{backend: its load, 1 for what it can do warm}, from the tables that all proxies hold."""
         met = {}
         for storm in self.storms:
-            for table, out in storm.holds.values():
+            for table, out in storm.tables.values():
                 open_ = {name: weight for name, weight in table.items() if name not in out}
                 assert open_, "a proxy without a backend"
                 for name, weight in open_.items():
@@ -73,7 +76,7 @@
 
     def release(self):
         for storm in self.storms:
-            storm.release(STEP)
+            storm.replace_backends(STEP)
             self.since.update({name: storm.now for name in storm.ready if name not in self.since})
 
 
@@ -131,10 +134,10 @@
 def test_whatever_order_losses_lists_and_late_reports_come_in(steps, coordinators, proxies, backends):
     # Each turn checks that what waits is booked and within the limit, and that no planner failed
     storms = [
-        Storm(
+        ProxyFleet(
             backends,
             3,
-            planners=coordinators,
+            coordinators=coordinators,
             entries_per_s=900.0,
             backlog_limit=6000.0,
             health_checks_allowed=True,
@@ -153,29 +156,29 @@
             count = min(number, len(storms[0].ready) - 1)
             gone += storms[0].ready[:count]
             for storm in storms:
-                storm.release(count)
+                storm.replace_backends(count)
                 answered(storm, storm.ready[-count:])
         elif kind == "back":
             for name in gone[-number:]:
                 for storm in storms:
-                    storm.lists("changes", [(name, "ready", storm.now)])
+                    storm.send_list("changes", [(name, "ready", storm.now)])
                     answered(storm, [name])
                     storm.ready.append(name)
             del gone[-number:]
         elif kind == "short":
             storm = storms[number % coordinators]
-            storm.lists("whole", [(name, "ready", 0) for name in storm.ready[number:]])
+            storm.send_list("complete", [(name, "ready", 0) for name in storm.ready[number:]])
         elif kind == "whole":
             storm = storms[number % coordinators]
-            storm.lists("whole", [(name, "ready", 0) for name in storm.ready])
+            storm.send_list("complete", [(name, "ready", 0) for name in storm.ready])
         elif kind == "dies":
             lost, heir = storms[number % coordinators], storms[(number + 1) % coordinators]
             for proxy in list(lost.joined):
-                held = lost.holds.get(proxy)
+                held = lost.tables.get(proxy)
                 lost.leave(proxy)
-                heir.join(proxy, standing=False)
+                heir.join(proxy, bootstrap=False)
                 if held:
-                    heir.holds[proxy] = held
+                    heir.tables[proxy] = held
         else:
             for storm in storms:
                 for name in storm.ready[:number] + gone[:2]:
@@ -193,12 +196,12 @@
         for storm in storms:
             storm.run(1)
     for storm in storms:
-        storm.lists("whole", [(name, "ready", 0) for name in storm.ready])
+        storm.send_list("complete", [(name, "ready", 0) for name in storm.ready])
         answered(storm, storm.ready)
         storm.run(30)
         assert not storm.coordinator.planner.assignment.unassigned
         for proxy in storm.joined:
-            table, out = storm.holds[proxy]
+            table, out = storm.tables[proxy]
             assert set(table) - out, "a proxy without a backend"
             assert not set(table) - out - set(storm.ready), "a drained backend is held"
 
@@ -206,7 +209,7 @@
 def test_reports_past_the_intake_add_up_and_decide_as_all_of_them_would():
     # A third of the reports comes each second, the rest with what adds up meanwhile: nobody is judged by who
     # came first, and three seconds late is no change of weights
-    whole, part = (Storm(30, 1, entries_per_s=1e6, backlog_limit=1e6) for _ in range(2))
+    whole, part = (ProxyFleet(30, 1, entries_per_s=1e6, backlog_limit=1e6) for _ in range(2))
     for storm in (whole, part):
         storm.join(0)
     for second in range(45):
@@ -227,7 +230,7 @@
                     mean=SECOND // 10 * (1 + number % 4),
                 )
             storm.run(1)
-    (met, _), (expected, _) = part.holds[0], whole.holds[0]
+    (met, _), (expected, _) = part.tables[0], whole.tables[0]
     assert set(met) == set(expected) == set(whole.ready)
     for name, weight in expected.items():
         assert met[name] == pytest.approx(weight, rel=0.15), name
