--- /dev/null
+++ b/tests/support/service_thread.py
@@ -0,0 +1,197 @@
+"""A whole service with its management listeners, in a thread and in real time, for clients that block."""
+
+import json
+import os
+import secrets
+import socket
+import threading
+import time
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+from granitespool.cli.keys import make
+from granitespool.emulator.managers import Manager
+from granitespool.net import config
+from granitespool.net.service import Service
+from granitespool.operator_settings import Netconf, Operator, State, Tls, User
+from support.records import told_settings
+
+LOOPBACK = "127.0.0.1"
+PORTS = range(20_000, 32_000)  # under the range that the system gives to whoever dials
+STATE_INTERVAL_MS = 200
+JOIN_TIMEOUT = 10  # s that a thread has for its end
+RELOAD_TIMEOUT = 5  # s until a reload has to be answered in the log
+POLL_INTERVAL = 0.01  # s
+INTERNAL_ERRORS = ("failed", "remark")  # log events that no test expects
+RELOADED = ("reloaded", "reload_refused")  # log events that answer a SIGHUP
+LINES_SHOWN = 8  # of the log, where a line does not come
+SETTINGS = {
+    "zones": ["n", "s"],
+    "classes": [
+        {"name": "pay", "semantics": "single_shot", "aim_us": 300_000, "give_up_us": 900_000, "worth": 5.0}
+    ],
+    "family_info": {"proxy_count": 16, "egress_per_s": 1000.0, "most_waiting": 2000.0, "envelope": 2},
+    "rules": {"stop_sending_within_us": 3_000_000},
+}
+KNOWN = [
+    {
+        "name": f"s-{number}",
+        "address": "127.0.0.1:9",
+        "zone": "n",
+        "type": "m",
+        "status": "ready",
+        "weight": 1.0,
+        "since_ms": 0,
+    }
+    for number in range(6)
+]
+
+
+def free_port() -> int:
+    """A port that nobody takes meanwhile, as it is not among those that the system gives to who dials."""
+    while True:
+        port = PORTS.start + secrets.randbelow(len(PORTS))
+        with suppress(OSError), socket.create_server((LOOPBACK, port)):
+            return port
+
+
+def keys(folder: Path) -> str:
+    """Makes a set of keys; `operations` may write all, `reader` nothing, `pacer` the channel."""
+    make(str(folder), [LOOPBACK], ["operations", "reader", "pacer", "stranger"], "5")
+    return str(folder)
+
+
+class ServiceThread:
+    """`with ServiceThread(path, keys_folder) as service`; what is written to the log is in `lines`."""
+
+    def __init__(
+        self,
+        path: Path,
+        keys_folder: str,
+        state: bool = False,
+        known: list[dict[str, Any]] = KNOWN,
+        limits: dict[str, int] | None = None,
+        **netconf: Any,
+    ) -> None:
+        """`state`: whether it keeps a state folder; `netconf` are keys of the operator's section."""
+        self.path = path
+        self.keys = keys_folder
+        self.lines: list[dict[str, Any]] = []
+        self.known = known
+        self.limits = limits or {}
+        self.file = path / "config.json"
+        self.reading: dict[str, Any] = dict(SETTINGS)  # the settings in the file
+        self.where = LOOPBACK, free_port()
+        self.operator = self._operator(state, netconf)
+        self.write()
+
+    def _operator(self, state: bool, netconf: dict[str, Any]) -> Operator:
+        _, port = self.where
+        tls = Tls(
+            certificate=f"{self.keys}/server.pem",
+            key=f"{self.keys}/server.key",
+            authorities=f"{self.keys}/ca.pem",
+        )
+        return Operator(
+            tls=tls,
+            netconf=Netconf(listen=f"{LOOPBACK}:{port}", **netconf),
+            state=State(folder=str(self.path / "state"), every_ms=STATE_INTERVAL_MS) if state else None,
+            users={
+                "operations": User(certificate="cn:operations", write="*"),
+                "reader": User(certificate="cn:reader"),
+                "pacer": User(certificate="cn:pacer", write="channel"),
+            },
+        )
+
+    def write(self, **changes: Any) -> None:
+        """Writes the configuration's file, with other settings."""
+        self.reading.update(changes)
+        configuration = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:9",
+            "seed": "1f",
+            "limits": self.limits,
+            "known": {"index": 1, "endpoints": self.known},
+            "settings": self.reading,
+        }
+        self.file.write_text(json.dumps(configuration))
+
+    def read(self) -> dict[str, Any]:
+        """The configuration as the service reads it."""
+        return {**config.load(str(self.file)), "operator": self.operator}
+
+    def __enter__(self) -> "ServiceThread":
+        read_end, self.log_end = os.pipe()
+        self.service = Service(self.read(), self.log_end, reread=self.read)
+        self.thread = threading.Thread(target=self.service.run)
+        self.log_reader = threading.Thread(target=self._read_log, args=(read_end,))
+        self.log_reader.start()
+        self.thread.start()
+        return self
+
+    def _read_log(self, descriptor: int) -> None:
+        with os.fdopen(descriptor, "rb") as file:
+            for line in file:
+                self.lines.append(json.loads(line))
+
+    def __exit__(self, *_: object) -> None:
+        self.service.stop()
+        self.thread.join(JOIN_TIMEOUT)
+        os.close(self.log_end)
+        self.log_reader.join(JOIN_TIMEOUT)
+        assert not [line for line in self.lines if line["event"] in INTERNAL_ERRORS], self.lines
+
+    def logged(self, event: str, seconds: float = 5.0, **fields: Any) -> dict[str, Any]:
+        """Waits for a line of the log whose fields contain these texts."""
+        end = time.monotonic() + seconds
+        while time.monotonic() < end:
+            for line in list(self.lines):
+                if line["event"] == event and all(
+                    str(value) in str(line[key]) for key, value in fields.items()
+                ):
+                    return line
+            time.sleep(POLL_INTERVAL)
+        raise AssertionError((event, fields, self.lines[-LINES_SHOWN:]))
+
+    def reload(self, **changes: Any) -> dict[str, Any]:
+        """SIGHUP with other settings; returns the line of the log that answers it."""
+        before = len(self.lines)
+        self.write(**changes)
+        self.service.reload()
+        end = time.monotonic() + RELOAD_TIMEOUT
+        while time.monotonic() < end:
+            for line in self.lines[before:]:
+                if line["event"] in RELOADED:
+                    return line
+            time.sleep(POLL_INTERVAL)
+        raise AssertionError(self.lines[-LINES_SHOWN:])
+
+    def manager(self, user: str = "operations", **more: Any) -> Manager:
+        """A NETCONF session of a user."""
+        return Manager(self.where, self.keys, user, **more)
+
+    def settings(self) -> dict[str, Any]:
+        """The planner's settings, as they act."""
+        return told_settings(self.service.coordinator.planner.settings)
+
+    def proxy(self, number: int = 1, zone: str = "n") -> socket.socket:
+        """A joined proxy's plain socket, after its first table."""
+        sock = socket.create_connection(self.service.streams.listener.getsockname(), timeout=5)
+        joining = {"type": "joined", "node": number, "locality": zone, "w": 5.0, "cold": True}
+        body = json.dumps(joining).encode()
+        sock.sendall(len(body).to_bytes(4, "little") + body)
+        assert b"lines" in sock.recv(1 << 16)
+        return sock
+
+
+def alive(sock: socket.socket) -> bool:
+    """Whether a proxy's ping is answered on its stream."""
+    sock.sendall(b'\x0f\0\0\0{"type":"ping"}')
+    data = b""
+    while b"pong" not in data:
+        piece = sock.recv(1 << 16)
+        assert piece, "the stream ended"
+        data += piece
+    return True
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -12,7 +12,7 @@
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.events import ConnectionTerminated, DataReceived, ResponseReceived, StreamReset
-from house import House, alive, free_port, keys
+from support.service_thread import ServiceThread, alive, free_port, keys
 
 from granitespool.emulator.managers import client_context, tag_of
 from granitespool.gnmi import gnmi_pb2 as pb
@@ -40,7 +40,7 @@
     return keys(tmp_path_factory.mktemp("keys"))
 
 
-class Gnmis(House):
+class Gnmis(ServiceThread):
     """A house with both doors, and gNMI clients."""
 
     def __init__(self, path_, keys_folder, **more):
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -10,11 +10,11 @@
 import time
 
 import pytest
-from house import House, alive, keys
 from lxml import etree
 from ncclient import manager as ncclient_manager
 from ncclient.operations import RPCError
 from support.records import told_settings
+from support.service_thread import ServiceThread, alive, keys
 
 from granitespool.emulator.managers import HELLO, Ended, Manager, tag_of, top
 from granitespool.netconf import framing
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def house(tmp_path, folder):
-    with House(tmp_path, folder) as house:
+    with ServiceThread(tmp_path, folder) as house:
         yield house
 
 
@@ -242,7 +242,7 @@
 
 
 def test_schema_defaults_copies_and_startup(tmp_path, folder):
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         schema = one.ask(
             '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
@@ -449,7 +449,7 @@
 
 
 def test_a_commit_is_answered_after_its_sync_and_outlasts_sigkill(tmp_path, folder):
-    house = House(tmp_path, folder, state=True)
+    house = ServiceThread(tmp_path, folder, state=True)
     operator = tmp_path / "operator.ini"
     operator.write_text(
         f"[state]\nfolder = state\nevery_ms = 100\n[tls]\ncertificate = {folder}/server.pem\n"
@@ -490,13 +490,13 @@
 
 
 def test_what_waits_for_a_restart_is_put_into_startup_and_acts_after_it(tmp_path, folder):
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit("<class><name>late</name></class>")) == "ok"
         assert "put it into startup" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
         assert tag_of(one.edit("<class><name>late</name></class>", "startup")) == "ok"
         assert "late" not in one.config() and len(house.settings()["classes"]) == 1
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         assert [kind["name"] for kind in house.settings()["classes"]] == ["pay", "late"]
         assert "late" in house.manager().config()
 
@@ -510,7 +510,7 @@
 
 def test_a_disk_that_does_not_take_it_refuses_the_commit(tmp_path, folder, monkeypatch):
     monkeypatch.setattr("granitespool.net.management_service.KEEP_MOST", 300_000_000)
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit(PACE.format("500"))) == "ok"
         house.service.keeper.writer.folder.sync = lambda name: time.sleep(0.6)
@@ -522,7 +522,9 @@
         assert tag_of(one.receive()) == "resource-denied"
         writer = house.service.keeper.writer
     writer.thread.join(10)  # this process held the folder for as long as its disk hung
-    with House(tmp_path, folder, state=True) as house:  # what was refused does not come back with a restart
+    with ServiceThread(
+        tmp_path, folder, state=True
+    ) as house:  # what was refused does not come back with a restart
         assert house.settings()["entries_per_s"] == 1000 and len(house.settings()["classes"]) == 1
 
 
@@ -626,7 +628,7 @@
 
 
 def test_hundreds_of_half_open_handshakes_keep_nobody_out(tmp_path, folder):
-    with House(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
+    with ServiceThread(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
         assert house.service.streams.admission.connections_limit == 256 - 16 - 32 - (6 + 3 + 1)
         proxy = house.proxy()
         held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
@@ -639,7 +641,7 @@
 
 
 def test_there_are_only_so_many_sessions_and_a_silent_one_is_ended_unless_it_subscribed(tmp_path, folder):
-    with House(tmp_path, folder, sessions=2, idle_s=1.0) as house:
+    with ServiceThread(tmp_path, folder, sessions=2, idle_s=1.0) as house:
         one, two = house.manager(), house.manager()
         with pytest.raises((Ended, ConnectionError)):
             house.manager().ask("<get/>")
@@ -665,7 +667,7 @@
         }
         for k in range(800)
     ]
-    with House(tmp_path, folder, known=known) as house:
+    with ServiceThread(tmp_path, folder, known=known) as house:
         proxy, one, two = house.proxy(), house.manager(), house.manager()
         for _ in range(14):
             one.send("<get/>")
@@ -682,7 +684,7 @@
 
 def test_keys_are_read_anew_without_dropping_sessions_and_a_wrong_file_changes_nothing(tmp_path, folder):
     own = keys(tmp_path / "keys")
-    with House(tmp_path, own) as house:
+    with ServiceThread(tmp_path, own) as house:
         one = house.manager()
         fresh = keys(tmp_path / "fresh")
         for name in os.listdir(own):
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 import pytest
-from house import free_port
 from stage import framed, joining
+from support.service_thread import free_port
 from test_full_size import told
 
 from bench.ready import restarts
