--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -10,11 +10,11 @@
 import time
 
 import pytest
-from house import House, alive, keys
 from lxml import etree
 from ncclient import manager as ncclient_manager
 from ncclient.operations import RPCError
 from support.records import told_settings
+from support.service_thread import ServiceThread, alive, keys
 
 from granitespool.emulator.managers import HELLO, Ended, Manager, tag_of, top
 from granitespool.netconf.errors import FramingError, MalformedMessageError
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def house(tmp_path, folder):
-    with House(tmp_path, folder) as house:
+    with ServiceThread(tmp_path, folder) as house:
         yield house
 
 
@@ -242,7 +242,7 @@
 
 
 def test_schema_defaults_copies_and_startup(tmp_path, folder):
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         schema = one.ask(
             '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
@@ -449,7 +449,7 @@
 
 
 def test_a_commit_is_answered_after_its_sync_and_outlasts_sigkill(tmp_path, folder):
-    house = House(tmp_path, folder, state=True)
+    house = ServiceThread(tmp_path, folder, state=True)
     operator = tmp_path / "operator.ini"
     operator.write_text(
         f"[state]\nfolder = state\nevery_ms = 100\n[tls]\ncertificate = {folder}/server.pem\n"
@@ -490,13 +490,13 @@
 
 
 def test_what_waits_for_a_restart_goes_to_startup_and_takes_effect_after_it(tmp_path, folder):
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit("<class><name>late</name></class>")) == "ok"
         assert "put it into startup" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
         assert tag_of(one.edit("<class><name>late</name></class>", "startup")) == "ok"
         assert "late" not in one.config() and len(house.settings()["classes"]) == 1
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         assert [kind["name"] for kind in house.settings()["classes"]] == ["pay", "late"]
         assert "late" in house.manager().config()
 
@@ -510,7 +510,7 @@
 
 def test_a_commit_is_rejected_where_the_disk_does_not_take_it(tmp_path, folder, monkeypatch):
     monkeypatch.setattr("granitespool.net.management_service.KEEP_MOST", 300_000_000)
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit(PACE.format("500"))) == "ok"
         house.service.keeper.writer.folder.sync = lambda name: time.sleep(0.6)
@@ -522,7 +522,9 @@
         assert tag_of(one.receive()) == "resource-denied"
         writer = house.service.keeper.writer
     writer.join(10)  # this process held the folder for as long as its disk hung
-    with House(tmp_path, folder, state=True) as house:  # what was refused does not come back with a restart
+    with ServiceThread(
+        tmp_path, folder, state=True
+    ) as house:  # what was refused does not come back with a restart
         assert house.settings()["entries_per_s"] == 1000 and len(house.settings()["classes"]) == 1
 
 
@@ -625,7 +627,7 @@
 
 
 def test_hundreds_of_half_open_handshakes_block_nobody(tmp_path, folder):
-    with House(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
+    with ServiceThread(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
         assert house.service.streams.admission.connections_limit == 256 - 16 - 32 - (6 + 3 + 1)
         proxy = house.proxy()
         held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
@@ -638,7 +640,7 @@
 
 
 def test_sessions_are_limited_and_an_idle_one_is_ended_unless_it_subscribed(tmp_path, folder):
-    with House(tmp_path, folder, sessions=2, idle_s=1.0) as house:
+    with ServiceThread(tmp_path, folder, sessions=2, idle_s=1.0) as house:
         one, two = house.manager(), house.manager()
         with pytest.raises((Ended, ConnectionError)):
             house.manager().ask("<get/>")
@@ -664,7 +666,7 @@
         }
         for k in range(800)
     ]
-    with House(tmp_path, folder, known=known) as house:
+    with ServiceThread(tmp_path, folder, known=known) as house:
         proxy, one, two = house.proxy(), house.manager(), house.manager()
         for _ in range(14):
             one.send("<get/>")
@@ -681,7 +683,7 @@
 
 def test_keys_are_reloaded_without_ending_sessions_and_a_wrong_file_changes_nothing(tmp_path, folder):
     own = keys(tmp_path / "keys")
-    with House(tmp_path, own) as house:
+    with ServiceThread(tmp_path, own) as house:
         one = house.manager()
         fresh = keys(tmp_path / "fresh")
         for name in os.listdir(own):
