--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -15,9 +15,21 @@
 
 from bench.capacity.sizes import Sizes
 from bench.capacity.wire import MESSAGE_HEAD, PACE, backend_name, row_of, wire_settings
-from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
 from granitespool.net.frames import HEAD, frame, parsed, updates
+from granitespool.outgoing import HealthCheckRequest, InternalError, ProxyUpdate, Queue
+from granitespool.planner.events import (
+    Acknowledged,
+    EndpointListUpdate,
+    Event,
+    HealthCheckOutcome,
+    HealthCheckResult,
+    ListForm,
+    LoadReport,
+    ProxyJoined,
+    UsageReport,
+)
 from granitespool.settings import settings_from_wire
 from granitespool.units import MILLISECOND, SECOND
 
@@ -89,9 +101,13 @@
     def tell(self, form: str, rows: Iterable[dict[str, object]]) -> None:
         """Discovery tells a list or changes of it."""
         entries = [endpoint_from_wire(row, SOCKET_ENTRY) for row in rows]
-        self._timed(lambda: self.coordinator.report(self.now, "list_news", form=form, entries=entries))
+        self._timed(
+            lambda: self.coordinator.report(
+                self.now, EndpointListUpdate(form=ListForm(form), entries=entries)
+            )
+        )
 
-    def tell_whole(self, form: str = "whole") -> None:
+    def tell_whole(self, form: str = "complete") -> None:
         """Discovery tells the list of all that are ready."""
         self.tell(form, [row_of(number, self.sizes.zones) for number in self.ready])
 
@@ -122,17 +138,13 @@
         """All proxies join in this turn."""
         rate = self.sizes.requests / self.sizes.planners / max(1, self.sizes.proxies)
         for proxy in range(self.sizes.proxies):
-            joining = {
-                "proxy": proxy,
-                "zone": f"z{proxy % self.sizes.zones}",
-                "standing": False,
-                "rate": rate,
-            }
-            self._timed(lambda met=joining: self.coordinator.report(self.now, "joined", **met))
+            zone = f"z{proxy % self.sizes.zones}"
+            joined = ProxyJoined(proxy=proxy, zone=zone, bootstrap=False, rate=rate)
+            self._timed(lambda event=joined: self.coordinator.report(self.now, event))
 
     def unbound(self) -> int:
         """Proxies that have joined and hold no table of this coordinator yet."""
-        return self.coordinator.figures()["unbound"]
+        return self.coordinator.metrics().planner.unassigned
 
     def change_settings(self) -> None:
         """A configuration with another figure and the same classes comes into force."""
@@ -202,11 +214,11 @@
         messages = [parsed(body[HEAD:]) for body in frames]
         self.read_ns += time.process_time_ns() - began
         self.read_bytes += sum(map(len, frames))
-        met = [_met(message) for message in messages]
+        events = [_event(message) for message in messages]
         report, now = self.coordinator.report, self.now
         began = time.process_time_ns()
-        for what, words in met:
-            report(now, what, **words)
+        for event in events:
+            report(now, event)
         self.planned_ns += time.process_time_ns() - began
 
     def turn(self) -> None:
@@ -224,24 +236,27 @@
         for backend in probed:
             self._timed(
                 lambda name=backend: coordinator.report(
-                    self.now, "probed", backend=name, status="ok", took=2 * MILLISECOND, load={}
+                    self.now,
+                    HealthCheckResult(
+                        backend=name, outcome=HealthCheckOutcome.OK, latency=2 * MILLISECOND, load={}
+                    ),
                 )
             )
         while self.waiting and self.waiting[0].leaves_at <= self.now:
             self._answer(self.waiting.popleft())
 
-    def _write(self, proxy: int, order: dict) -> None:
+    def _write(self, proxy: int, update: ProxyUpdate) -> None:
         began = time.process_time_ns()
-        data = updates(order)
+        data = updates(update)
         self.written_ns += time.process_time_ns() - began
         lines = lines_of(data)
-        for _, _, table in order["tables"]:
-            self.named.update(name for name, weight in table if weight)
+        for table in update.tables:
+            self.named.update(name for name, weight in table.entries.items() if weight)
         self.sent.messages += 1
         self.sent.lines += lines
         self.sent.bytes += len(data)
         self.free_at = max(self.free_at, self.now) + (lines + MESSAGE_HEAD) / PACE * SECOND
-        self.waiting.append(Waiting(self.free_at, proxy, order["mark"], self.now))
+        self.waiting.append(Waiting(self.free_at, proxy, update.barrier, self.now))
 
     def _answer(self, done: Waiting) -> None:
         self.last_applied_at = self.now
@@ -250,19 +265,19 @@
         took = self.now - done.written_at
         self._timed(
             lambda: self.coordinator.report(
-                self.now, "applied", proxy=done.proxy, serial=done.mark, took=took
+                self.now, Acknowledged(proxy=done.proxy, sequence=done.mark, latency=took)
             )
         )
 
     def _queues(self) -> list[str]:
         """Empties the queues of what is for others than proxies; returns the backends to probe."""
         probed = []
-        for queue in (PROBES, PEERS, REMARKS, GONE):
+        for queue in Queue:
             while (item := self.coordinator.pick(queue)) is not None:
-                if queue == REMARKS:
-                    raise RuntimeError(f"the planner failed: {item}")
-                if queue == PROBES:
-                    probed.append(item)
+                if isinstance(item, InternalError):
+                    raise RuntimeError(f"the planner failed: {item.text}")
+                if isinstance(item, HealthCheckRequest):
+                    probed.append(item.backend)
         return probed
 
     def second(self, frames: list[bytes] | None = None) -> int:
@@ -280,22 +295,23 @@
         return self.planned_ns + self.written_ns + self.read_ns
 
 
-def _met(message: dict) -> tuple[str, dict[str, object]]:
-    """A report in the words of the facade."""
+def _event(message: dict) -> Event:
+    """A report as the streams hand it on."""
+    window = int(message["interval"] * MILLISECOND)
     if message["type"] == "usage":
-        return "arrivals", {
-            "proxy": message["node"],
-            "grade": message["route"],
-            "number": message["total"],
-            "unanswered": message["errors"],
-            "window": int(message["interval"] * MILLISECOND),
-        }
-    return "heard", {
-        "zone": message["locality"],
-        "backend": message["endpoint"],
-        "tries": message["total"],
-        "failed": message["errors"],
-        "mean": int(message["rtt"] * MILLISECOND),
-        "window": int(message["interval"] * MILLISECOND),
-        "load": message["metrics"],
-    }
+        return UsageReport(
+            proxy=message["node"],
+            request_class=message["route"],
+            requests=message["total"],
+            unanswered=message["errors"],
+            window=window,
+        )
+    return LoadReport(
+        zone=message["locality"],
+        backend=message["endpoint"],
+        attempts=message["total"],
+        failures=message["errors"],
+        mean=int(message["rtt"] * MILLISECOND),
+        window=window,
+        load=message["metrics"],
+    )
--- a/bench/manage.py
+++ b/bench/manage.py
@@ -165,7 +165,7 @@
         zone = ZONES[number % len(ZONES)]
         coordinator.report(now, ProxyJoined(proxy=number, zone=zone, bootstrap=False, rate=1.0))
     coordinator.tick(now)
-    coordinator.waiting.clear()
+    coordinator.updates.waiting.clear()
 
 
 def _reports(service: Service, backends: Sequence[str]) -> Iterator[Any]:
@@ -177,7 +177,7 @@
             for backend in backends[part::PARTS_PER_SECOND]:
                 for zone in ZONES:
                     coordinator.report(loop.now, _load_report(zone, backend))
-            coordinator.waiting.clear()
+            coordinator.updates.waiting.clear()
             yield None, 0, loop.now + SECOND // PARTS_PER_SECOND
 
 
--- a/bench/state.py
+++ b/bench/state.py
@@ -19,6 +19,7 @@
 from granitespool.endpoints import Endpoint, Phase
 from granitespool.net.loop import Loop
 from granitespool.operator_settings import State
+from granitespool.planner.events import EndpointListUpdate, ListForm, LoadReport
 from granitespool.settings import RequestClass, Settings
 from granitespool.state import record, restore_policy
 from granitespool.state.disk import StateFolder
@@ -65,7 +66,7 @@
 
     def list(self, coordinator, now):
         coordinator.report(
-            now, "list_news", form="restored", entries=[self.entry(name) for name in self.names]
+            now, EndpointListUpdate(form=ListForm.RESTORED, entries=[self.entry(name) for name in self.names])
         )
 
     def report(self, coordinator, now, part=slice(None)):
@@ -76,14 +77,15 @@
                 failed = sum(self.random.random() < 0.1 for _ in range(tries)) if fails else 0
                 coordinator.report(
                     now,
-                    "heard",
-                    zone=zone,
-                    backend=name,
-                    tries=tries,
-                    failed=failed,
-                    mean=int(mean * self.random.gauss(1, 0.1)),
-                    window=SECOND,
-                    load={},
+                    LoadReport(
+                        zone=zone,
+                        backend=name,
+                        attempts=tries,
+                        failures=failed,
+                        mean=int(mean * self.random.gauss(1, 0.1)),
+                        window=SECOND,
+                        load={},
+                    ),
                 )
 
 
@@ -113,9 +115,10 @@
             del fleet.names[old]
             coordinator.report(
                 now,
-                "list_news",
-                form="changes",
-                entries=[{**fleet.entry(new), "started": now}, fleet.entry(old, "gone")],
+                EndpointListUpdate(
+                    form=ListForm.CHANGES,
+                    entries=[{**fleet.entry(new), "started": now}, fleet.entry(old, "gone")],
+                ),
             )
         fleet.report(coordinator, now)
         for half in (now, now + SECOND // 2):
@@ -149,12 +152,13 @@
         listed = time.perf_counter()
         coordinator.report(
             now,
-            "list_news",
-            form="restored",
-            entries=[
-                Endpoint(each["name"], each["zone"], each["type"], 0, Phase.READY, 1.0, 0)
-                for each in known["endpoints"]
-            ],
+            EndpointListUpdate(
+                form=ListForm.RESTORED,
+                entries=[
+                    Endpoint(each["name"], each["zone"], each["type"], 0, Phase.READY, 1.0, 0)
+                    for each in known["endpoints"]
+                ],
+            ),
         )
         told = time.perf_counter()
         restored = recovery.restore(coordinator, now, Clocks(now, now))
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -5,13 +5,13 @@
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from random import Random
-from typing import Any
 
-from granitespool.coordinator import PROBES, REMARKS, Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.emulator.backend import Backend
 from granitespool.emulator.channel import BATCH_TIME, Channel
 from granitespool.emulator.clock import VirtualClock
 from granitespool.endpoints import Endpoint, Phase
+from granitespool.outgoing import HealthCheckRequest, InternalError, OutgoingMessage, Party, ProxyUpdate
 from granitespool.planner.events import (
     Acknowledged,
     EndpointListUpdate,
@@ -116,7 +116,7 @@
             return {}
         weights: dict[str, float] = {}
         for table in self.coordinator.planner.subsets.tables.get(zone, ()):
-            weights.update(self.coordinator.tables.get(table, {}))
+            weights.update(self.coordinator.updates.tables.get(table, {}))
         return weights
 
     def _endpoints(self) -> list[Endpoint]:
@@ -178,12 +178,12 @@
         scheduled = self._next_wake
         return scheduled is None or due < scheduled or scheduled <= self.clock.now
 
-    def _handle(self, party: int | str, message: Any) -> None:  # noqa: ANN401 as `pick` gives it
-        if party == PROBES:
-            self._check_health(message)
-        elif party == REMARKS:
-            self.internal_errors.append(message)
-        elif isinstance(party, int):
+    def _handle(self, party: Party, message: OutgoingMessage) -> None:
+        if isinstance(message, HealthCheckRequest):
+            self._check_health(message.backend)
+        elif isinstance(message, InternalError):
+            self.internal_errors.append(message.text)
+        elif isinstance(party, int) and isinstance(message, ProxyUpdate):
             self._send(self.proxies[party], message)
 
     def _check_health(self, name: str) -> None:
@@ -195,11 +195,11 @@
 
     # Messages to proxies
 
-    def _send(self, proxy: ProxyTable, message: dict[str, Any]) -> None:
+    def _send(self, proxy: ProxyTable, message: ProxyUpdate) -> None:
         update = table_update(message)
         arrives_at = self._channel.send(self.clock.now, entry_count(message))
         sent_at = self.clock.now
-        self.clock.at(arrives_at, self._apply, self.incarnation, proxy, update, message["mark"], sent_at)
+        self.clock.at(arrives_at, self._apply, self.incarnation, proxy, update, message.barrier, sent_at)
 
     def _apply(
         self, incarnation: int, proxy: ProxyTable, update: TableUpdate, mark: int | None, sent_at: int
@@ -219,21 +219,21 @@
             self._schedule_turn()
 
 
-def table_update(message: Mapping[str, Any]) -> TableUpdate:
+def table_update(message: ProxyUpdate) -> TableUpdate:
     """A message to a proxy, as `Coordinator.pick` gives it, as an update of its table."""
     return TableUpdate(
-        weights=[WeightUpdate(complete, weights) for _, complete, weights in message["tables"]],
+        weights=[WeightUpdate(table.complete, table.entries.items()) for table in message.tables],
         admission=[
-            AdmissionUpdate(classes, AdmissionLevel(share, retries))
-            for classes, share, retries in message["levels"]
+            AdmissionUpdate(level.classes, AdmissionLevel(level.share, level.retries))
+            for level in message.levels
         ],
-        excluded=message["out"],
-        readmitted=message["back"],
+        excluded=message.excluded,
+        readmitted=message.readmitted,
     )
 
 
-def entry_count(message: Mapping[str, Any]) -> int:
+def entry_count(message: ProxyUpdate) -> int:
     """Table entries that a message counts as in the channel."""
-    weights = sum(len(entries) + complete for _, complete, entries in message["tables"])
-    exclusions = len(message["out"]) + len(message["back"])
-    return UPDATE_OVERHEAD + int(weights) + len(message["levels"]) + exclusions
+    weights = sum(len(table.entries) + table.complete for table in message.tables)
+    exclusions = len(message.excluded) + len(message.readmitted)
+    return UPDATE_OVERHEAD + int(weights) + len(message.levels) + exclusions
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -7,31 +7,30 @@
 Each backend is as it is when its step comes; what changes meanwhile shows in the next reading."""
 
 from collections.abc import Iterator, Mapping
-from typing import Any, NamedTuple, Protocol, TypeAlias
+from typing import NamedTuple, Protocol
 
+from granitespool.coordinator_status import CoordinatorBackendStatus, CoordinatorStatus, ZoneStatus
+from granitespool.endpoints import Phase
 from granitespool.management.data_tree import Tree
 from granitespool.management.mapping import decimal_text
+from granitespool.planner.status import EntryStatus, PlannerStatus
 from granitespool.units import MICROSECOND
 
 LINKS_PER_STEP = 40  # backend and zone pairs taken in one step: half a millisecond
 MAX_FIGURE = 1e9  # the module's largest
 MAX_COST = 10**15  # us, the module's largest
 
-Facts: TypeAlias = Mapping[str, Any]
-Views: TypeAlias = Mapping[str, tuple[float, float | None, bool, bool]]
-"""By zone: weight in its table, cost in ns, whether it is ejected there, and whether it is excluded."""
-
 
 class Coordinator(Protocol):
     """What is read of a coordinator."""
 
-    def pictured_fleet(self) -> Facts:
-        """Figures of the fleet and of each table."""
+    def status(self) -> CoordinatorStatus:
+        """Figures of the fleet and of each zone's tables."""
 
     def listed(self) -> Mapping[str, object]:
         """The names of all backends that are known."""
 
-    def pictured(self, backend: str) -> tuple[Facts, Views] | None:
+    def backend_status(self, name: str) -> CoordinatorBackendStatus | None:
         """What is known of a backend, and how the zones see it; None where it is not known."""
 
 
@@ -66,22 +65,22 @@
 
     def steps(self) -> Iterator[None]:
         """Reads a part and yields, until the tree is complete."""
-        fleet = self.coordinator.pictured_fleet()
+        status = self.coordinator.status()
         self.tree.update(_service_tree(self.facts))
-        self.tree.update(_fleet_tree(fleet))
+        self.tree.update(_fleet_tree(status.planner))
         self.tree["counters"] = {"commits": self.facts.commits, "refused": self.facts.rejected}
         if self.facts.folder:
             self.tree["state-folder"] = _folder_tree(self.facts.folder)
-        if fleet["tables"]:
-            self.tree["table"] = [_table_tree(*table) for table in fleet["tables"]]
+        if status.zones:
+            self.tree["table"] = [_table_tree(zone) for zone in status.zones]
         backends = []
-        backends_per_step = max(1, LINKS_PER_STEP // max(1, len(fleet["tables"])))
+        backends_per_step = max(1, LINKS_PER_STEP // max(1, len(status.zones)))
         for number, name in enumerate(list(self.coordinator.listed())):
             if number % backends_per_step == 0:
                 yield
-            known = self.coordinator.pictured(name)
+            known = self.coordinator.backend_status(name)
             if known is not None:  # it may have been forgotten meanwhile
-                backends.append(_backend_tree(name, *known))
+                backends.append(_backend_tree(name, known))
         if backends:
             self.tree["backend"] = backends
         yield
@@ -99,17 +98,17 @@
     }
 
 
-def _fleet_tree(fleet: Facts) -> Tree:
+def _fleet_tree(status: PlannerStatus) -> Tree:
     return {
-        "proxies": {"joined": fleet["joined"], "waiting": fleet["unbound"]},
+        "proxies": {"joined": status.joined, "waiting": status.unassigned},
         "channel": {
-            "waiting": str(max(0, int(fleet["waiting"]))),
-            "lag": str(int(fleet["lag"]) // MICROSECOND),
+            "waiting": str(max(0, int(status.in_flight))),
+            "lag": str(int(status.acknowledgement_latency) // MICROSECOND),
         },
         "fleet": {
-            "strained": fleet["strained"],
-            "let-in": decimal_text(fleet["room"]),
-            "answered": decimal_text(min(1.0, max(0.0, fleet["through"]))),
+            "strained": status.is_overloaded,
+            "let-in": decimal_text(status.admitted_share),
+            "answered": decimal_text(min(1.0, max(0.0, status.success_ratio))),
         },
     }
 
@@ -119,46 +118,50 @@
     return {"written": str(written), "batches": batches, "failing": failing}
 
 
-def _table_tree(zone: str, entries: int, levels: Mapping[str, tuple[float, int]]) -> Tree:
-    table: Tree = {"zone": zone, "lines": entries}
-    if levels:
+def _table_tree(zone: ZoneStatus) -> Tree:
+    table: Tree = {"zone": zone.zone, "lines": zone.entries}
+    if zone.levels:
         table["level"] = [
-            {"class": name, "share": decimal_text(min(share, MAX_FIGURE)), "retry": retry}
-            for name, (share, retry) in levels.items()
+            {
+                "class": name,
+                "share": decimal_text(min(level.share, MAX_FIGURE)),
+                "retry": level.retries,
+            }
+            for name, level in zone.levels.items()
         ]
     return table
 
 
-def _backend_tree(name: str, facts: Facts, views: Views) -> Tree:
-    backend: Tree = {"name": name, "phase": facts["phase"], "proven": facts["proven"]}
-    for leaf in ("zone", "kind"):
-        if isinstance(facts[leaf], str):
-            backend[leaf] = facts[leaf]
-    if views:
-        backend["seen-from"] = [_view_tree(facts, zone, *view) for zone, view in views.items()]
+def _backend_tree(name: str, status: CoordinatorBackendStatus) -> Tree:
+    known = status.planner
+    backend: Tree = {"name": name, "phase": str(known.phase), "proven": known.verified}
+    if isinstance(known.zone, str):
+        backend["zone"] = known.zone
+    if isinstance(known.machine_type, str):
+        backend["kind"] = known.machine_type
+    if known.entries:
+        backend["seen-from"] = [_view_tree(status, zone, entry) for zone, entry in known.entries.items()]
     return backend
 
 
-def _view_tree(
-    facts: Facts, zone: str, weight: float, cost: float | None, ejected: bool, excluded: bool
-) -> Tree:
-    view: Tree = {"zone": zone, "cut": ejected}
-    reason = _absence_reason(facts, ejected, excluded)
-    if weight:
-        view["weight"] = decimal_text(min(weight, MAX_FIGURE))
+def _view_tree(status: CoordinatorBackendStatus, zone: str, entry: EntryStatus) -> Tree:
+    view: Tree = {"zone": zone, "cut": entry.is_ejected}
+    reason = _absence_reason(status, entry)
+    if entry.weight:
+        view["weight"] = decimal_text(min(entry.weight, MAX_FIGURE))
     elif reason:
         view["out"] = reason
-    if cost is not None:
-        view["cost"] = str(min(int(cost) // MICROSECOND, MAX_COST))
+    if entry.cost is not None:
+        view["cost"] = str(min(int(entry.cost) // MICROSECOND, MAX_COST))
     return view
 
 
-def _absence_reason(facts: Facts, ejected: bool, excluded: bool) -> str | None:
+def _absence_reason(status: CoordinatorBackendStatus, entry: EntryStatus) -> str | None:
     """Why a backend without a weight has none; None where its entry has only not been sent yet."""
-    if facts["phase"] != "ready":
+    if status.planner.phase != Phase.READY:
         return "not-ready"
-    if not facts["proven"]:
+    if not status.planner.verified:
         return "unproven"
-    if ejected:
+    if entry.is_ejected:
         return "cut"
-    return "shut-out" if excluded else None
+    return "shut-out" if status.is_excluded else None
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -14,6 +14,7 @@
 from granitespool.net.loop import Loop
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames, Message
+from granitespool.planner.events import Acknowledged, LoadReport, UsageReport
 
 PENDING = Role.PENDING  # a module's own name costs less than an enum's member, and each message asks
 UNSENT_MAX = 64 * 1024  # bytes of answers that wait for one peer: who asks more and reads none is cut off
@@ -96,34 +97,38 @@
             # It has answered some mark, at least the oldest: else its lines stay in the planner's account
             # until that mark counts as lost. What else it holds for: answers of another version. Harm: who
             # answers what it never applied makes its own lines count as gone too soon.
-            self.coordinator.report(self.loop.now, "applied", proxy=connection.proxy, serial=None, took=None)
+            self.coordinator.report(
+                self.loop.now, Acknowledged(proxy=connection.proxy, sequence=None, latency=None)
+            )
             raise
         self.coordinator.report(
-            self.loop.now, "applied", proxy=connection.proxy, serial=applied.mark, took=applied.took
+            self.loop.now, Acknowledged(proxy=connection.proxy, sequence=applied.mark, latency=applied.took)
         )
 
     def _report_link(self, _: Connection, message: Message) -> None:
         report = messages.link_report(message, self.names)
         self.coordinator.report(
             self.loop.now,
-            "heard",
-            zone=report.zone,
-            backend=report.backend,
-            tries=report.tries,
-            failed=report.failed,
-            mean=report.mean,
-            window=report.window,
-            load=report.load,
+            LoadReport(
+                zone=report.zone,
+                backend=report.backend,
+                attempts=report.tries,
+                failures=report.failed,
+                mean=report.mean,
+                window=report.window,
+                load=report.load,
+            ),
         )
 
     def _report_usage(self, connection: Connection, message: Message) -> None:
         report = messages.usage_report(message, self.names, connection.proxy)
         self.coordinator.report(
             self.loop.now,
-            "arrivals",
-            proxy=report.proxy,
-            grade=report.request_class,
-            number=report.requests,
-            unanswered=report.unanswered,
-            window=report.window,
+            UsageReport(
+                proxy=report.proxy,
+                request_class=report.request_class,
+                requests=report.requests,
+                unanswered=report.unanswered,
+                window=report.window,
+            ),
         )
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -1,15 +1,19 @@
 """Frames of the streams: four bytes of length, least significant first, and one JSON object."""
 
 import json
+from collections.abc import Iterable, Iterator
+from typing import Any
 
 import orjson
 
 from granitespool.errors import InvalidInputError
+from granitespool.outgoing import LevelUpdate, ProxyUpdate, TableUpdate
 
 LARGEST = 1 << 20  # bytes of a message at most: the protocol's
 PARTS = 64  # parts of a message at most: the protocol's
 PART_LINES = 2048  # lines in one part: 500 bytes a line keep it under the largest message
 HEAD = 4  # bytes of length
+UPDATE = "update"  # type of a message to a proxy
 UNTYPED = ""  # type of a message that is no object, or has no type that can be read
 
 
@@ -91,29 +95,39 @@
         self.first = self.have = 0
 
 
-def updates(order):
-    """The frames of one message to a proxy, from an order in our words."""
-    parts = []
-    for classes, whole, lines in order["tables"]:
-        for at in range(0, len(lines) or 1, PART_LINES):
-            part = {"type": "update", "lines": lines[at : at + PART_LINES]}
-            if classes is not None:
-                part["classes"] = classes
-            if whole and not at:
-                part["whole"] = True
-            parts.append(part)
-    for classes, share, retries in order["levels"]:
-        part = {"type": "update", "level": share, "retry": retries}
-        if classes is not None:
-            part["classes"] = classes
-        parts.append(part)
-    last = {key: order[key] for key in ("out", "back") if order[key]}
-    if order["mark"] is not None:
-        last["ticket"] = order["mark"]
+def updates(update: ProxyUpdate) -> bytes:
+    """The frames of one message to a proxy."""
+    parts = [*_table_parts(update.tables), *_level_parts(update.levels)]
     if not parts:
-        parts.append({"type": "update"})
-    parts[-1].update(last)
+        parts.append({"type": UPDATE})
     assert len(parts) <= PARTS, len(parts)
+    last = parts[-1]
+    if update.excluded:
+        last["out"] = update.excluded
+    if update.readmitted:
+        last["back"] = update.readmitted
+    if update.barrier is not None:
+        last["ticket"] = update.barrier
     for part in parts[:-1]:
         part["more"] = True
     return b"".join(map(frame, parts))
+
+
+def _table_parts(tables: Iterable[TableUpdate]) -> Iterator[dict[str, Any]]:
+    for table in tables:
+        lines = list(table.entries.items())
+        for start in range(0, len(lines) or 1, PART_LINES):
+            part = {"type": UPDATE, "lines": lines[start : start + PART_LINES]}
+            if table.classes is not None:
+                part["classes"] = table.classes
+            if table.complete and start == 0:
+                part["whole"] = True
+            yield part
+
+
+def _level_parts(levels: Iterable[LevelUpdate]) -> Iterator[dict[str, Any]]:
+    for level in levels:
+        part = {"type": UPDATE, "level": level.share, "retry": level.retries}
+        if level.classes is not None:
+            part["classes"] = level.classes
+        yield part
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -4,10 +4,11 @@
 
 import h11
 
-from granitespool.coordinator import PROBES
 from granitespool.endpoints import load_metrics
 from granitespool.net.client import ask, dial, receive
 from granitespool.net.loop import SECOND
+from granitespool.outgoing import Queue
+from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult
 
 ANSWER = SECOND // 2  # ns from the start to the answer: half the planner's period
 DIAL = SECOND // 4  # ns for a connection to come up, where the settings name no time
@@ -25,8 +26,8 @@
 
     def start(self):
         """Starts what is asked for, as far as there is room."""
-        while self.flying < self.most and (backend := self.coordinator.pick(PROBES)) is not None:
-            self.loop.spawn(self._probe(backend))
+        while self.flying < self.most and (request := self.coordinator.pick(Queue.HEALTH_CHECKS)) is not None:
+            self.loop.spawn(self._probe(request.backend))
 
     def _probe(self, backend):
         # "error" while nothing was asked yet: that no descriptor was free says nothing of the backend
@@ -51,7 +52,13 @@
             "health_check", backend=backend, status=status, duration_ms=(self.loop.now - started) // 1_000_000
         )
         self.coordinator.report(
-            self.loop.now, "probed", backend=backend, status=status, took=self.loop.now - started, load=load
+            self.loop.now,
+            HealthCheckResult(
+                backend=backend,
+                outcome=HealthCheckOutcome(status),
+                latency=self.loop.now - started,
+                load=load,
+            ),
         )
 
     @staticmethod
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -163,7 +163,7 @@
         impact_check.check(
             config,
             self.service.config,
-            coordinator.pictured_fleet()["joined"],
+            coordinator.status().planner.joined,
             coordinator.joined_zones(),
             waits,
         )
@@ -289,12 +289,12 @@
                 self.cuts = {}
                 continue
             coordinator = self.service.coordinator
-            fleet = coordinator.pictured_fleet()
-            if fleet["strained"] != self.strained:
-                self.strained = fleet["strained"]
+            status = coordinator.status()
+            if status.planner.is_overloaded != self.strained:
+                self.strained = status.planner.is_overloaded
                 self.notify("strain", strained=self.strained)
             levels = {
-                (zone, name): level for zone, _, of in fleet["tables"] for name, (level, _) in of.items()
+                (zone.zone, name): level.share for zone in status.zones for name, level in zone.levels.items()
             }
             for (zone, name), share in levels.items():
                 # What nothing was ordered of is let in whole
@@ -305,11 +305,11 @@
             self.levels = levels
             seen = {}
             for number, name in enumerate(list(coordinator.listed()), 1):
-                facts = coordinator.pictured(name)
-                for zone, (_, _, cut, _) in (facts[1] if facts else {}).items():
-                    seen[name, zone] = cut
-                    if self.cuts.get((name, zone), False) != cut:
-                        self.notify("backend-cut", backend=name, zone=zone, cut=cut)
+                backend = coordinator.backend_status(name)
+                for zone, entry in (backend.planner.entries if backend else {}).items():
+                    seen[name, zone] = entry.is_ejected
+                    if self.cuts.get((name, zone), False) != entry.is_ejected:
+                        self.notify("backend-cut", backend=name, zone=zone, cut=entry.is_ejected)
                 if number % LOOK_PIECE == 0:
                     yield None, 0, self.loop.now
             self.cuts = seen
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -10,6 +10,7 @@
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
 from granitespool.net.messages import ProxyJoining
+from granitespool.planner.events import ProxyJoined, ProxyLeft
 
 
 class Membership:
@@ -42,11 +43,9 @@
         )
         self.coordinator.report(
             self.loop.now,
-            "joined",
-            proxy=joining.proxy,
-            zone=joining.zone,
-            standing=joining.standing,
-            rate=joining.rate,
+            ProxyJoined(
+                proxy=joining.proxy, zone=joining.zone, bootstrap=joining.standing, rate=joining.rate
+            ),
         )
         if former:  # it has moved on: the old stream carries nothing more
             self.loop.end(former.task)
@@ -57,7 +56,7 @@
             del self.proxies[connection.proxy]
             # What we end ourselves has not left by the protocol: what waits for it stays in the account
             self.coordinator.report(
-                self.loop.now, "left", proxy=connection.proxy, silent=connection.ended_by_us
+                self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=connection.ended_by_us)
             )
             connection.leaving_reported = True
 
@@ -69,7 +68,7 @@
         connection.away = True
         connection.awaiting_since = None
         self.log.event("unreachable", peer=connection.peer, proxy=connection.proxy)
-        self.coordinator.report(self.loop.now, "left", proxy=connection.proxy, silent=True)
+        self.coordinator.report(self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=True))
 
     def mark_back(self, connection: Connection) -> None:
         """A proxy that was away has spoken: it counts as joined anew, with the tables that it was written."""
@@ -78,10 +77,7 @@
         self.log.event("reachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(
             self.loop.now,
-            "joined",
-            again=True,
-            proxy=joining.proxy,
-            zone=joining.zone,
-            standing=False,
-            rate=joining.rate,
+            ProxyJoined(
+                resumed=True, proxy=joining.proxy, zone=joining.zone, bootstrap=False, rate=joining.rate
+            ),
         )
--- a/granitespool/net/metrics.py
+++ b/granitespool/net/metrics.py
@@ -8,7 +8,7 @@
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop, Waits
 from granitespool.operator_settings import Figures
-from granitespool.planner.status import Outlier, PlannerMetrics
+from granitespool.planner.status import Outlier
 from granitespool.units import MICROSECOND, MILLISECOND
 
 SHARE_DIGITS = 3  # digits of a share, a rate or a number of entries in the log
@@ -40,9 +40,9 @@
             self.longest_turn = 0
 
     def _write_line(self) -> None:
-        inspection = self.coordinator.planner.inspection
-        metrics: PlannerMetrics = inspection.metrics()
-        outliers = inspection.outliers(self.coordinator.now, self.options.backends)
+        coordinator_metrics = self.coordinator.metrics()
+        metrics = coordinator_metrics.planner
+        outliers = self.coordinator.outliers(self.options.backends)
         self.log.event(
             "metrics",
             joined=metrics.joined,
@@ -57,7 +57,7 @@
             admitted_share=round(metrics.admitted_share, SHARE_DIGITS),
             success_ratio=round(metrics.success_ratio, SHARE_DIGITS),
             subsets=metrics.subsets,
-            total_reports=self.coordinator.reports,
+            total_reports=coordinator_metrics.load_reports,
             ejected_links=metrics.ejected_links,
             last_resort_links=metrics.last_resort_links,
             list_index=self.discovery.index,
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -4,7 +4,7 @@
 import traceback
 from random import Random
 
-from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
 from granitespool.net.buffers import Pool
 from granitespool.net.connection import LINGER_TIMEOUT
@@ -14,6 +14,7 @@
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
 from granitespool.net.streams import Streams
+from granitespool.outgoing import Queue
 
 FIXED = "name", "listen", "peer_listen"  # what a new configuration cannot change while the service runs
 
@@ -128,7 +129,7 @@
             from granitespool.operator_settings import restart_names  # noqa: PLC0415
 
             waits += restart_names(self.operator, operator)
-        return waits + self.coordinator.waits(config["settings"])
+        return waits + self.coordinator.fixed_settings_changed(config["settings"])
 
     def take(self, config):
         """Each part takes what is its own of a configuration that was checked; returns what waits for a
@@ -178,18 +179,18 @@
         return due
 
     def _write(self, party):
-        if party == PROBES:
+        if party is Queue.HEALTH_CHECKS:
             self.probes.start()
-        elif party == PEERS:
-            while (words := self.coordinator.pick(PEERS)) is not None:
+        elif party is Queue.GOSSIP:
+            while (message := self.coordinator.pick(Queue.GOSSIP)) is not None:
                 if self.peers:
-                    self.peers.send(*words)
-        elif party == GONE:
-            while (backend := self.coordinator.pick(GONE)) is not None:
-                self.discovery.forget(backend)
-        elif party == REMARKS:
-            while (text := self.coordinator.pick(REMARKS)) is not None:
-                self.log.event("internal_error", detail=text)
+                    self.peers.send(message.peer, message.payload)
+        elif party is Queue.FORGOTTEN:
+            while (forgotten := self.coordinator.pick(Queue.FORGOTTEN)) is not None:
+                self.discovery.forget(forgotten.backend)
+        elif party is Queue.INTERNAL_ERRORS:
+            while (error := self.coordinator.pick(Queue.INTERNAL_ERRORS)) is not None:
+                self.log.event("internal_error", detail=error.text)
         else:
             self.streams.send(party)
 
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -98,15 +98,15 @@
         connection = self.membership.proxies.get(proxy)
         if connection is None or connection.unsent:
             return
-        order = self.coordinator.pick(proxy)
-        if order is None:
+        update = self.coordinator.pick(proxy)
+        if update is None:
             return
-        data = updates(order)
+        data = updates(update)
         try:
             connection.write(data)
         except OSError:
             connection.unsent = data  # the coroutine meets the same end, or where it is none goes on with it
-        if order["mark"] is not None and connection.awaiting_since is None:
+        if update.barrier is not None and connection.awaiting_since is None:
             connection.awaiting_since = self.loop.now
         self.loop.poke(connection.task)  # it waits anew, for the socket or for the answer
 
--- a/granitespool/simulation/proxy_table.py
+++ b/granitespool/simulation/proxy_table.py
@@ -29,7 +29,7 @@
 class AdmissionUpdate(msgspec.Struct, frozen=True):
     """A new level for some classes."""
 
-    classes: Sequence[str] | None  # None: every class without a level of its own
+    classes: Sequence[str | None] | None  # None: every class without a level of its own
     level: AdmissionLevel
 
 
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -11,10 +11,9 @@
 from granitespool import __version__
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
-from granitespool.net.connection import Waits
 from granitespool.net.discovery import Discovery
 from granitespool.net.log import Log
-from granitespool.net.loop import Loop
+from granitespool.net.loop import Loop, Waits
 from granitespool.operator_settings import State
 from granitespool.settings import Settings
 from granitespool.state import record as records
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -12,10 +12,11 @@
 
 from support.records import endpoint, settings_of
 
-from granitespool.coordinator import REMARKS, Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
 from granitespool.net.config import shares
 from granitespool.net.service import Service
+from granitespool.outgoing import Queue
 from granitespool.planner import events
 from granitespool.planner.planner import Planner
 from granitespool.planner.records import MinimumRtt
@@ -280,7 +281,8 @@
         self.now = end
 
     def end(self):
-        assert not self.facade.queues[REMARKS], self.facade.queues[REMARKS]
+        errors = self.facade.queues[Queue.INTERNAL_ERRORS]
+        assert not errors, errors
 
     def do_host(self, call, *words):
         getattr(self.begin().facade, ACTIONS[call])(*map(value, words))
@@ -299,17 +301,18 @@
                 [
                     "whole" if whole else "lines",
                     *([",".join(classes)] if classes is not None else []),
-                    *(f"{b}={w:g}" for b, w in lines),
+                    *(f"{b}={w:g}" for b, w in entries.items()),
                 ]
             )
-            for classes, whole, lines in order["tables"]
+            for classes, whole, entries in order.tables
         ]
         parts += [
             f"level {','.join(classes) if classes is not None else 'all'} {share:g} {retries}"
-            for classes, share, retries in order["levels"]
+            for classes, share, retries in order.levels
         ]
-        parts += [f"{key} {' '.join(order[key])}" for key in ("out", "back") if order[key]]
-        return " | ".join([*parts, *(["mark"] if order["mark"] is not None else [])])
+        exclusions = {"out": order.excluded, "back": order.readmitted}
+        parts += [f"{key} {' '.join(names)}" for key, names in exclusions.items() if names]
+        return " | ".join([*parts, *(["mark"] if order.barrier is not None else [])])
 
 
 class Full:
@@ -385,7 +388,11 @@
         self.do_feed()
         if self.service:
             self.service.close()
-            left = self.service.streams.pool.out, self.service.loop.all, self.service.coordinator.proxies
+            left = (
+                self.service.streams.pool.out,
+                self.service.loop.all,
+                self.service.coordinator.updates.proxies,
+            )
             assert left == (0, set(), {}), left
         for sock in (
             self.discovery,
@@ -713,7 +720,7 @@
         self.reads = True
 
     def do_joined(self, *numbers):
-        self.until(lambda: sorted(self.service.coordinator.proxies) == [*map(int, numbers)], numbers)
+        self.until(lambda: sorted(self.service.coordinator.updates.proxies) == [*map(int, numbers)], numbers)
 
     def do_asked(self, *words):  # discovery was asked this since it was last looked at
         self.until(lambda: " ".join(words) in self.asked, (words, self.asked))
@@ -771,20 +778,20 @@
         sizes = {
             "addresses": service.discovery.addresses,
             "backends": facade.planner.fleet.backends,
-            "suspects": facade.suspects,
-            "loose": facade.loose,
-            "withdrawn": facade.withdrawn,
+            "possibly_excluded": facade.updates.possibly_excluded,
+            "unassigned": facade.updates.unassigned,
+            "excluded": facade.updates.excluded,
             "timers": service.loop.timers,
             "tasks": service.loop.all,
             "watched": service.loop.tasks,
-            "wakes": facade.timers,
+            "planner_timers": facade.timers,
             "connections": service.streams.connections,
             "pending": service.streams.pending,
             "marks": facade.planner.in_flight._batches,
             "booked": facade.planner.in_flight._batches_of,
             **facade.queues,
-            **facade.tables,
-            **{f"shut at {proxy}": held.told for proxy, held in facade.proxies.items()},
+            **facade.updates.tables,
+            **{f"told {proxy}": each.told for proxy, each in facade.updates.proxies.items()},
         }
         over = {name: len(kept) for name, kept in sizes.items() if len(kept) > int(most)}
         assert not over, over
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -13,6 +13,14 @@
 from granitespool.cli.keys import make
 from granitespool.net import config
 from granitespool.net.service import Service
+from granitespool.planner.events import (
+    Acknowledged,
+    EndpointListUpdate,
+    ListForm,
+    LoadReport,
+    ProxyJoined,
+    UsageReport,
+)
 from granitespool.state.snapshotter import StateMetrics
 from support.records import endpoint
 
@@ -173,8 +181,8 @@
     def __exit__(self, *_):
         self.service.close()
 
-    def report(self, what, **fields):
-        self.coordinator.report(self.loop.now, what, **fields)
+    def report(self, event):
+        self.coordinator.report(self.loop.now, event)
 
     def turn(self, after=0):
         """Ends a turn, takes what is ordered, and goes on after so many ns."""
@@ -187,20 +195,20 @@
         """A cut link, a draining, a gone and a new backend, an overload, proxies on tables and others that
         wait for theirs."""
         for proxy in range(PROXIES):
-            self.report("joined", proxy=proxy, zone="ns"[proxy % 2], standing=False, rate=50.0)
+            self.report(ProxyJoined(proxy=proxy, zone="ns"[proxy % 2], bootstrap=False, rate=50.0))
         for second in range(SECONDS):
             self.second(second)
             marks = {
-                party: order["mark"]
+                party: order.barrier
                 for party, order in self.turn(SECOND // 10).items()
                 if party in range(PROXIES)
             }
             for proxy, mark in marks.items():
                 if mark is not None:
-                    self.report("applied", proxy=proxy, serial=mark, took=SECOND // 10)
+                    self.report(Acknowledged(proxy=proxy, sequence=mark, latency=SECOND // 10))
             self.turn(SECOND - SECOND // 10)
         for proxy in range(PROXIES, PROXIES + JOINERS):
-            self.report("joined", proxy=proxy, zone="n", standing=True, rate=5.0)
+            self.report(ProxyJoined(proxy=proxy, zone="n", bootstrap=True, rate=5.0))
 
     def second(self, second):
         overloaded = second >= 6
@@ -210,18 +218,21 @@
             for zone in "ns":
                 fails = number == 1 and zone == "n" and second >= 2
                 self.report(
-                    "heard",
-                    zone=zone,
-                    backend=f"s-{number}",
-                    tries=40,
-                    failed=40 if fails else 1,
-                    mean=0 if fails else (260 if overloaded else 40 + 5 * number) * SECOND // 1000,
-                    window=SECOND,
-                    load={},
+                    LoadReport(
+                        zone=zone,
+                        backend=f"s-{number}",
+                        attempts=40,
+                        failures=40 if fails else 1,
+                        mean=0 if fails else (260 if overloaded else 40 + 5 * number) * SECOND // 1000,
+                        window=SECOND,
+                        load={},
+                    ),
                 )
         for proxy in range(PROXIES):
             for name, number in (("pay", 30), ("ask", 50)):
-                self.report("arrivals", proxy=proxy, grade=name, number=number, unanswered=1, window=SECOND)
+                self.report(
+                    UsageReport(proxy=proxy, request_class=name, requests=number, unanswered=1, window=SECOND)
+                )
         for at, backend, phase in LIST_CHANGES:
             if at == second:
                 self.list_change(backend, phase)
@@ -229,7 +240,7 @@
     def list_change(self, backend, phase):
         started_at = self.loop.now - SECOND if backend == "s-8" else 0
         entry = endpoint(backend, machine_type="big", phase=phase, started_at=started_at)
-        self.report("list_news", form="changes", entries=[entry])
+        self.report(EndpointListUpdate(form=ListForm.CHANGES, entries=[entry]))
 
     def user(self, name):
         return next(user for user in self.managing.users if user.name == name)
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -5,13 +5,14 @@
 really waits must be no more than what the coordinator has booked, and no more than the limit."""
 
 from collections import deque
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable
 from typing import Any, NamedTuple
 
 import orjson
 
-from granitespool.coordinator import REMARKS, Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.net.frames import HEAD, updates
+from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner.events import (
     Acknowledged,
     EndpointListUpdate,
@@ -199,7 +200,7 @@
     def turn(self, ahead: int = TURN) -> None:
         """Ends the turn, writes, and lets the channel run for a while (ns)."""
         self.due = self.coordinator.tick(self.now)
-        for proxy in list(self.coordinator.waiting):
+        for proxy in list(self.coordinator.updates.waiting):
             self._write(proxy, self.coordinator.pick(proxy))
         self._check()
         self.now += ahead
@@ -212,23 +213,23 @@
         while self.now < end:
             self.turn()
 
-    def _write(self, proxy: int, message: Any) -> None:
+    def _write(self, proxy: int, message: ProxyUpdate) -> None:
         size = size_of(updates(message))
         assert size.parts <= PARTS_LIMIT
         entries = size.entries + self.settings.message_header
         pace = self.settings.entries_per_s / self.slowdown / SECOND
         self.free_at = max(self.free_at, self.now) + entries / pace
-        self.channel.append(InChannel(self.free_at, entries, proxy, message["mark"], self.now))
+        self.channel.append(InChannel(self.free_at, entries, proxy, message.barrier, self.now))
         self.backlog += entries
         self._hold(proxy, message)
         self.on_written(proxy, message, size)
 
-    def on_written(self, proxy: int, message: Any, size: MessageSize) -> None:
+    def on_written(self, proxy: int, message: ProxyUpdate, size: MessageSize) -> None:
         """A message was written; for those who build on this."""
 
     def _check(self) -> None:
         booked = self.coordinator.planner.in_flight.in_flight
-        errors: Sequence[str] = self.coordinator.queues[REMARKS]
+        errors = self.coordinator.queues[Queue.INTERNAL_ERRORS]
         assert not errors, errors[0]
         assert self.backlog <= booked + ROUNDING, f"{self.backlog} entries wait and {booked} are booked"
         assert self.backlog <= self.settings.backlog_limit, f"{self.backlog} entries wait"
@@ -242,13 +243,13 @@
             acknowledged = Acknowledged(proxy=message.proxy, sequence=message.barrier, latency=latency)
             self.coordinator.report(self.now, acknowledged)
 
-    def _hold(self, proxy: int, message: Any) -> None:
+    def _hold(self, proxy: int, message: ProxyUpdate) -> None:
         table = self.tables.setdefault(proxy, HeldTable({}, set()))
-        for _, complete, weights in message["tables"]:
+        for _, complete, weights in message.tables:
             if complete:
                 table.weights.clear()
             table.weights.update(weights)
         for name in [name for name, weight in table.weights.items() if not weight]:
             del table.weights[name]
-        table.excluded.update(message["out"])
-        table.excluded.difference_update(message["back"])
+        table.excluded.update(message.excluded)
+        table.excluded.difference_update(message.readmitted)
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -5,8 +5,9 @@
 
 import msgspec
 
-from granitespool.coordinator import PROBES, Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.net.frames import HEAD, updates
+from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult, LoadReport
 from granitespool.scale.trace import (
     BackendListed,
@@ -55,17 +56,17 @@
         """The backends that it may pick."""
         return {name: weight for name, weight in self.weights.items() if name not in self.excluded}
 
-    def apply(self, message: Any) -> None:
+    def apply(self, message: ProxyUpdate) -> None:
         """Applies a message of a coordinator."""
-        for _, complete, weights in message["tables"]:
+        for _, complete, weights in message.tables:
             if complete:
                 self.weights, self.retries = {}, {}
             self.weights.update(weights)
         self.weights = {name: weight for name, weight in self.weights.items() if weight}
-        for classes, _, retries in message["levels"]:
+        for classes, _, retries in message.levels:
             self.retries.update(dict.fromkeys(classes if classes is not None else ("a", "b"), retries))
-        self.excluded |= set(message["out"])
-        self.excluded -= set(message["back"])
+        self.excluded |= set(message.excluded)
+        self.excluded -= set(message.readmitted)
         self.has_table = True
 
 
@@ -196,8 +197,8 @@
             self.now += ahead
             return
         self.catch_up()
-        while (name := self.coordinator.pick(PROBES)) is not None:
-            self._check_health(name)
+        while (request := self.coordinator.pick(Queue.HEALTH_CHECKS)) is not None:
+            self._check_health(request.backend)
         super().turn(ahead)
         self._record_backlog()
         self.deliver()
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -6,6 +6,7 @@
 from support.proxy_fleet import ProxyFleet
 
 from granitespool.planner.budget import PUBLICATION_LAG_MAX
+from granitespool.planner.events import ProxyJoined, ProxyLeft
 from granitespool.planner.in_flight import BARRIER_SEQUENCES, LOST_BARRIER_FACTOR, InFlightAccount
 from granitespool.settings import Settings
 from granitespool.units import SECOND
@@ -50,10 +51,12 @@
     started = storm.now - SECOND
     storm.send_list("complete", [(name, "ready", started) for name in storm.ready])
     storm.send_list("complete", [(name, "ready", started) for name in storm.ready])
-    assert len(storm.coordinator.suspects) == 40  # it may have been shut out before it started
+    assert (
+        len(storm.coordinator.updates.possibly_excluded) == 40
+    )  # it may have been shut out before it started
     storm = ProxyFleet(40, 2)
     storm.send_list("complete", [(name, "ready", 0) for name in storm.ready])
-    assert not storm.coordinator.suspects
+    assert not storm.coordinator.updates.possibly_excluded
 
 
 @pytest.mark.parametrize("slowed", [1.0, 4.0, 10.0])
@@ -79,15 +82,15 @@
     channel = storm.coordinator.planner.in_flight
     booked = channel.in_flight
     for proxy in range(30):
-        storm.coordinator.report(storm.now, "left", proxy=proxy, silent=True)
+        storm.coordinator.report(storm.now, ProxyLeft(proxy=proxy, unreachable=True))
     assert channel.in_flight == booked > 0
     for proxy in range(10):  # it speaks: the same stream, on which the old orders still are
         storm.coordinator.report(
-            storm.now, "joined", proxy=proxy, zone="z0", standing=False, rate=1.0, again=True
+            storm.now, ProxyJoined(proxy=proxy, zone="z0", bootstrap=False, rate=1.0, resumed=True)
         )
     assert channel.in_flight >= booked
     for proxy in range(30):
-        storm.coordinator.report(storm.now, "left", proxy=proxy)
+        storm.coordinator.report(storm.now, ProxyLeft(proxy=proxy))
     assert channel.in_flight == 0 and not channel._batches and not channel._batches_of
 
 
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -16,6 +16,7 @@
 
 from granitespool.net import config
 from granitespool.net.service import Service
+from granitespool.planner.events import Acknowledged
 from granitespool.units import SECOND
 
 STREAMS = 4096
@@ -187,7 +188,7 @@
     proxy = next(iter(batch.entries))
     return steps(
         lambda: storm.coordinator.report(
-            storm.now, "applied", proxy=proxy, serial=batch.sequence, took=SECOND
+            storm.now, Acknowledged(proxy=proxy, sequence=batch.sequence, latency=SECOND)
         )
     )
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -16,6 +16,7 @@
     admission_entries_max,
     admitted_shares,
 )
+from granitespool.planner.events import UsageReport
 from granitespool.settings import RequestClass
 from granitespool.units import SECOND
 
@@ -90,7 +91,7 @@
         storm.report_load(mean=9 * SECOND // 10, failed_share=0.3)
         for name in ("r1", "r2", "r3"):
             storm.coordinator.report(
-                storm.now, "arrivals", proxy=0, grade=name, number=900, unanswered=0, window=SECOND
+                storm.now, UsageReport(proxy=0, request_class=name, requests=900, unanswered=0, window=SECOND)
             )
         storm.run(1)
     planner = storm.coordinator.planner
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -8,6 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from support.records import settings_of
 
+from granitespool.coordinator_status import CoordinatorBackendStatus, CoordinatorStatus, ZoneStatus
+from granitespool.endpoints import Phase
 from granitespool.management import authorization, impact_check, mapping
 from granitespool.management.confirmation import CommitOptions
 from granitespool.management.datastores import Datastores
@@ -18,6 +20,8 @@
 from granitespool.management.settings_trees import CANDIDATE, RUNNING, STARTUP
 from granitespool.net import config
 from granitespool.operator_settings import Operator, State
+from granitespool.planner.admission_levels import AdmissionLevel
+from granitespool.planner.status import BackendStatus, EntryStatus, PlannerStatus
 from granitespool.settings import RequestClass
 
 MODEL = Model()
@@ -415,25 +419,33 @@
 
 def test_the_operational_state_is_valid_by_the_module():
     class Coordinator:
-        def pictured_fleet(self):
-            return {
-                "joined": 2,
-                "unbound": 1,
-                "waiting": -3,
-                "lag": 5000,
-                "strained": True,
-                "room": 0.5,
-                "through": 1.2,
-                "tables": [("n", 2, {"pay": (0.5, 1)}), ("s", 0, {})],
-            }
+        def status(self):
+            planner = PlannerStatus(
+                joined=2,
+                unassigned=1,
+                in_flight=-3,
+                acknowledgement_latency=5000,
+                is_overloaded=True,
+                admitted_share=0.5,
+                success_ratio=1.2,
+            )
+            zones = [ZoneStatus("n", 2, {"pay": AdmissionLevel(0.5, 1)}), ZoneStatus("s", 0, {})]
+            return CoordinatorStatus(planner, zones)
 
         def listed(self):
             return {"a": None, "b": None, "gone": None}
 
-        def pictured(self, name):
-            facts = {"phase": "ready", "zone": "n", "kind": None, "proven": name == "a"}
-            seen = {"n": (0.0, 1e20, name == "a", False), "s": (2.0, None, False, 0)}
-            return None if name == "gone" else (facts, seen)
+        def backend_status(self, name):
+            if name == "gone":
+                return None
+            entries = {
+                "n": EntryStatus(weight=0.0, cost=1e20, is_ejected=name == "a"),
+                "s": EntryStatus(weight=2.0, cost=None, is_ejected=False),
+            }
+            planner = BackendStatus(
+                phase=Phase.READY, zone="n", machine_type=None, verified=name == "a", entries=entries
+            )
+            return CoordinatorBackendStatus(planner, is_excluded=False)
 
     facts = ServiceFacts(
         name="c",
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -20,6 +20,7 @@
 from granitespool.netconf.errors import FramingError, MalformedMessageError
 from granitespool.netconf.framing import END_OF_MESSAGE, MessageReader, frame
 from granitespool.netconf.xmltree import parse_message
+from granitespool.planner.events import LoadReport
 
 PACE = "<channel><lines-per-second>{}</lines-per-second></channel>"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -421,14 +422,7 @@
     for _ in range(2):
         house.service.coordinator.report(
             house.service.loop.now,
-            "heard",
-            zone="n",
-            backend="s-1",
-            tries=9,
-            failed=9,
-            mean=0,
-            window=10**9,
-            load={},
+            LoadReport(zone="n", backend="s-1", attempts=9, failures=9, mean=0, window=10**9, load={}),
         )
     assert "<backend>s-1</backend>" in two.note("backend-cut")
     one.edit(PACE.format("0.1"))
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -457,7 +457,7 @@
                 if not streams.connections:
                     break
             assert not streams.connections and not streams.pending, cut
-            assert streams.pool.out == 0 and not service.coordinator.proxies, cut
+            assert streams.pool.out == 0 and not service.coordinator.updates.proxies, cut
         assert "failed" not in service.text()
 
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -22,7 +22,12 @@
 from support.records import endpoint
 
 from granitespool.coordinator import Coordinator
+from granitespool.endpoints import Phase
 from granitespool.net.frames import updates
+from granitespool.outgoing import ProxyUpdate, Queue
+from granitespool.planner import events
+from granitespool.planner.records import MinimumRtt
+from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
 from granitespool.settings import settings_from_wire
 
 RECORDINGS = sorted((pathlib.Path(__file__).parent / "data" / "coordinator").glob("*.jsonl.gz"))
@@ -59,21 +64,136 @@
     )
 
 
-def report(coordinator, now, event, fields):
+EVENTS = {  # the recordings' words -> the event, and its fields by the words of the recording
+    "heard": (
+        events.LoadReport,
+        {
+            "zone": "zone",
+            "backend": "backend",
+            "tries": "attempts",
+            "failed": "failures",
+            "mean": "mean",
+            "window": "window",
+            "load": "load",
+        },
+    ),
+    "arrivals": (
+        events.UsageReport,
+        {
+            "proxy": "proxy",
+            "grade": "request_class",
+            "number": "requests",
+            "unanswered": "unanswered",
+            "window": "window",
+        },
+    ),
+    "joined": (
+        events.ProxyJoined,
+        {"proxy": "proxy", "zone": "zone", "standing": "bootstrap", "rate": "rate", "again": "resumed"},
+    ),
+    "left": (events.ProxyLeft, {"proxy": "proxy", "silent": "unreachable"}),
+    "applied": (events.Acknowledged, {"proxy": "proxy", "serial": "sequence", "took": "latency"}),
+    "peer_said": (events.GossipReceived, {"sender": "peer", "contents": "payload"}),
+    "slice_given": (events.SliceAssigned, {"table": "table", "ours": "owned"}),
+    "slice_line": (events.SliceEntry, {"table": "table", "backend": "backend", "weight": "weight"}),
+    "slice_load": (
+        events.SliceLoad,
+        {
+            "table": "table",
+            "grade": "request_class",
+            "number": "requests",
+            "unanswered": "unanswered",
+            "window": "window",
+        },
+    ),
+}
+FORMS = {"whole": "complete"}  # of a list, where they differ
+QUEUES = {
+    Queue.HEALTH_CHECKS: "probes",
+    Queue.GOSSIP: "peers",
+    Queue.INTERNAL_ERRORS: "remarks",
+    Queue.FORGOTTEN: "gone",
+}
+REASONS = {  # why a backend is an outlier, where the words differ
+    "removal_unconfirmed": "missing",
+    "unverified": "unproven",
+    "ejected": "cut",
+    "warming_up": "cold",
+    "recovering": "returning",
+}
+
+
+def event_of(event, fields):
     if event == "list_news":
-        fields = {**fields, "entries": [entry_of(each) for each in fields["entries"]]}
-    coordinator.report(now, event, **fields)
+        form = events.ListForm(FORMS.get(fields["form"], fields["form"]))
+        return events.EndpointListUpdate(form, [entry_of(each) for each in fields["entries"]])
+    if event == "probed":
+        outcome = events.HealthCheckOutcome(fields["status"])
+        return events.HealthCheckResult(fields["backend"], outcome, fields["took"], fields["load"])
+    if event == "recalled":
+        backends = {name: backend_of(*each) for name, each in fields["backends"].items()}
+        return events.Restored(fleet_of(fields["fleet"]), backends)
+    kind, names = EVENTS[event]
+    return kind(**{names[name]: value for name, value in fields.items()})
+
+
+def fleet_of(recorded):
+    return FleetSnapshot(
+        is_overloaded=recorded["strained"],
+        admitted_share=recorded["room"],
+        success_ratio=recorded["through"],
+        demand=recorded["asked"],
+    )
+
+
+def backend_of(recorded, links):
+    return BackendSnapshot(
+        phase=Phase(recorded["phase"]),
+        zone=recorded["zone"],
+        machine_type=recorded["kind"],
+        configured_weight=recorded["listed"],
+        started_at=recorded["started"],
+        left_ready_at=recorded["gone_at"],
+        slow_start_since=recorded["ramp_from"],
+        verified=recorded["proven"],
+        removal_unconfirmed=recorded["missing"],
+        links={zone: link_of(link) for zone, link in links.items()},
+    )
+
+
+def link_of(recorded):
+    return LinkSnapshot(
+        attempts=recorded["tries"],
+        failures=recorded["failed"],
+        successes=recorded["answered"],
+        response_time=recorded["time"],
+        overloaded_reports=recorded["over"],
+        consecutive_failures=recorded["streak"],
+        ejected_at=recorded["cut_at"],
+        slow_start_since=recorded["ramp_from"],
+        minimum_rtt=MinimumRtt(*recorded["low"]) if recorded["low"] else None,
+    )
+
+
+def report(coordinator, now, event, fields):
+    coordinator.report(now, event_of(event, fields))
 
 
 def call_action(coordinator, name, arguments):
     getattr(coordinator, ACTIONS.get(name, name))(*arguments)
 
 
-def picked(coordinator, party):
-    message = coordinator.pick(party)
-    if isinstance(party, int) and message is not None:
+def party_of(recorded):
+    return next((queue for queue, name in QUEUES.items() if name == recorded), recorded)
+
+
+def picked(coordinator, recorded_party):
+    message = coordinator.pick(party_of(recorded_party))
+    if isinstance(message, ProxyUpdate):
         return updates(message).decode("latin-1")
-    return plain(message)
+    if message is None or len(message) > 1:
+        return plain(message)
+    return message[0]  # a queue's message of one field
 
 
 def status(coordinator):
@@ -81,12 +201,116 @@
     return {
         "listed": {name: (each.phase, each.started_at) for name, each in coordinator.listed().items()},
         "zones": sorted(coordinator.joined_zones()),
-        "snapshot": coordinator.learnt(names),
-        "fleet": coordinator.pictured_fleet(),
-        "backends": {name: coordinator.pictured(name) for name in [*names, "unknown"]},
-        "metrics": coordinator.figures(),
-        "outliers": coordinator.unusual(3),
+        "snapshot": snapshot_words(coordinator.snapshot(names)),
+        "fleet": status_words(coordinator.status()),
+        "backends": {name: backend_words(coordinator.backend_status(name)) for name in [*names, "unknown"]},
+        "metrics": metrics_words(coordinator.metrics()),
+        "outliers": outliers_words(coordinator.outliers(3)),
+    }
+
+
+def snapshot_words(snapshot):
+    fleet = snapshot.fleet
+    return (
+        {
+            "strained": fleet.is_overloaded,
+            "room": fleet.admitted_share,
+            "through": fleet.success_ratio,
+            "asked": fleet.demand,
+        },
+        {name: snapshot_backend_words(each) for name, each in snapshot.backends.items()},
+    )
+
+
+def snapshot_backend_words(backend):
+    return (
+        {
+            "phase": backend.phase,
+            "zone": backend.zone,
+            "kind": backend.machine_type,
+            "listed": backend.configured_weight,
+            "started": backend.started_at,
+            "gone_at": backend.left_ready_at,
+            "ramp_from": backend.slow_start_since,
+            "proven": backend.verified,
+            "missing": backend.removal_unconfirmed,
+        },
+        {zone: link_words(link) for zone, link in backend.links.items()},
+    )
+
+
+def link_words(link):
+    return {
+        "low": link.minimum_rtt,
+        "tries": link.attempts,
+        "failed": link.failures,
+        "answered": link.successes,
+        "time": link.response_time,
+        "over": link.overloaded_reports,
+        "streak": link.consecutive_failures,
+        "cut_at": link.ejected_at,
+        "ramp_from": link.slow_start_since,
+    }
+
+
+def status_words(status):
+    return {
+        "joined": status.planner.joined,
+        "unbound": status.planner.unassigned,
+        "waiting": status.planner.in_flight,
+        "lag": status.planner.acknowledgement_latency,
+        "strained": status.planner.is_overloaded,
+        "room": status.planner.admitted_share,
+        "through": status.planner.success_ratio,
+        "tables": [(zone.zone, zone.entries, zone.levels) for zone in status.zones],
+    }
+
+
+def backend_words(status):
+    if status is None:
+        return None
+    known = status.planner
+    return (
+        {
+            "phase": known.phase,
+            "zone": known.zone,
+            "kind": known.machine_type,
+            "proven": known.verified,
+        },
+        {
+            zone: (entry.weight, entry.cost, entry.is_ejected, status.is_excluded)
+            for zone, entry in known.entries.items()
+        },
+    )
+
+
+def metrics_words(metrics):
+    planner = metrics.planner
+    return {
+        "joined": planner.joined,
+        "unbound": planner.unassigned,
+        "waiting": planner.in_flight,
+        "limit": planner.in_flight_limit,
+        "pace": planner.configured_rate,
+        "met": planner.observed_rate,
+        "ordered": planner.total_entries,
+        "lag": planner.acknowledgement_latency,
+        "strained": planner.is_overloaded,
+        "room": planner.admitted_share,
+        "through": planner.success_ratio,
+        "subsets": planner.subsets,
+        "reports": metrics.load_reports,
+        "cut": planner.ejected_links,
+        "last_resort": planner.last_resort_links,
+    }
+
+
+def outliers_words(outliers):
+    found = {
+        name: (REASONS.get(each.reason, each.reason), each.attempts, each.failures, each.weight)
+        for name, each in outliers.backends.items()
     }
+    return found, outliers.omitted
 
 
 class Replay:
@@ -109,7 +333,8 @@
 
     def tick(self, now, due, parties):
         assert self.coordinator.tick(now) == due
-        assert self.coordinator.parties() == parties
+        found = self.coordinator.parties()
+        assert [QUEUES.get(party, party) for party in found] == parties
 
     def pick(self, party, message):
         assert picked(self.coordinator, party) == message
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -12,7 +12,8 @@
 from granitespool.coordinator_status import EndpointState
 from granitespool.endpoints import Phase
 from granitespool.operator_settings import State
-from granitespool.planner.events import EndpointListUpdate, ListForm, Restored
+from granitespool.outgoing import Queue
+from granitespool.planner.events import EndpointListUpdate, ListForm, LoadReport, Restored
 from granitespool.planner.records import MinimumRtt
 from granitespool.settings import RequestClass, Settings
 from granitespool.state import record, restore_policy
@@ -238,9 +239,9 @@
     )
     coordinator.report(
         W,
-        "list_news",
-        form="restored",
-        entries=[endpoint(name, machine_type="m") for name in "abcd"],
+        EndpointListUpdate(
+            form=ListForm.RESTORED, entries=[endpoint(name, machine_type="m") for name in "abcd"]
+        ),
     )
     record_ = kept(
         fleet(admitted_share=room, success_ratio=through),
@@ -254,19 +255,12 @@
     for second in range(1, 5):
         coordinator.report(
             W + second * S,
-            "heard",
-            zone="n",
-            backend="a",
-            tries=9,
-            failed=0,
-            mean=4 * 10**7,
-            window=S,
-            load={},
+            LoadReport(zone="n", backend="a", attempts=9, failures=0, mean=4 * 10**7, window=S, load={}),
         )
         coordinator.tick(W + second * S)
-    assert not coordinator.queues["remarks"], coordinator.queues["remarks"]
+    assert not coordinator.queues[Queue.INTERNAL_ERRORS], coordinator.queues[Queue.INTERNAL_ERRORS]
     for table in (0, 1):
-        lines = coordinator.tables[table]
+        lines = coordinator.updates.tables[table]
         assert lines and all(math.isfinite(weight) and weight > 0 for weight in lines.values())
         assert len(lines) >= 3  # at most a third of four is one
 
@@ -279,7 +273,7 @@
     entries = [endpoint(name, machine_type="m") for name in "abcd"]
     coordinator.report(W, EndpointListUpdate(ListForm.RESTORED, entries))
     coordinator.report(W, Restored(belief.fleet, belief.backends))
-    assert not coordinator.queues["remarks"]
+    assert not coordinator.queues[Queue.INTERNAL_ERRORS]
 
 
 def test_what_is_written_again_is_what_would_change_a_start():
@@ -321,19 +315,20 @@
         return [endpoint(name, machine_type="m") for name in "abcdef"]
 
     first = life(W)
-    first.report(W, "list_news", form="restored", entries=entries())
+    first.report(W, EndpointListUpdate(form=ListForm.RESTORED, entries=entries()))
     for second in range(1, 20):
         for name in "abcdef":
             first.report(
                 W + second * S,
-                "heard",
-                zone="n",
-                backend=name,
-                tries=20,
-                failed=20 if name == "f" else 0,
-                mean=(16 if name == "a" else 4) * 10**7 if name != "f" else 0,
-                window=S,
-                load={},
+                LoadReport(
+                    zone="n",
+                    backend=name,
+                    attempts=20,
+                    failures=20 if name == "f" else 0,
+                    mean=(16 if name == "a" else 4) * 10**7 if name != "f" else 0,
+                    window=S,
+                    load={},
+                ),
             )
         first.tick(W + second * S)
     now = W + 20 * S
@@ -354,9 +349,17 @@
         record.FORMAT_VERSION, held
     )
     second = life(now + S)
-    second.report(now + S, "list_news", form="restored", entries=entries())
+    second.report(now + S, EndpointListUpdate(form=ListForm.RESTORED, entries=entries()))
     belief = recovery.restore(second, now + S, Clocks(now + S, now + S))
-    assert belief.ejected_count == 1 and "f" not in second.tables[0] and "f" not in first.tables[0]
-    for name, weight in first.tables[0].items():
-        assert second.tables[0][name] == pytest.approx(weight, rel=0.12), (name, first.tables, second.tables)
+    assert (
+        belief.ejected_count == 1
+        and "f" not in second.updates.tables[0]
+        and "f" not in first.updates.tables[0]
+    )
+    for name, weight in first.updates.tables[0].items():
+        assert second.updates.tables[0][name] == pytest.approx(weight, rel=0.12), (
+            name,
+            first.updates.tables,
+            second.updates.tables,
+        )
     assert msgspec.structs.asdict(recovery.change_filter.written[None][record.FLEET_KEY])["list_index"] == 7
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -23,6 +23,7 @@
 from granitespool.errors import InvalidInputError
 from granitespool.net.service import Service
 from granitespool.operator_settings import Operator, State
+from granitespool.planner.events import LoadReport
 from granitespool.state import framing, record
 from granitespool.state.disk import StateFolder
 from granitespool.state.framing import FrameKind
@@ -228,14 +229,15 @@
         for backend, mean in means.items():
             self.service.coordinator.report(
                 self.now,
-                "heard",
-                zone="n",
-                backend=backend,
-                tries=20,
-                failed=0 if mean else 20,
-                mean=mean * 10**6,
-                window=S,
-                load={},
+                LoadReport(
+                    zone="n",
+                    backend=backend,
+                    attempts=20,
+                    failures=0 if mean else 20,
+                    mean=mean * 10**6,
+                    window=S,
+                    load={},
+                ),
             )
 
     def learn(self, **means):
@@ -246,7 +248,7 @@
         assert until(lambda: self.turn(0) or self.service.keeper.writer.batches_written >= 2)
 
     def table(self):
-        return dict(self.service.coordinator.tables[0])
+        return dict(self.service.coordinator.updates.tables[0])
 
     def _shut(self):
         for fd in self.pipe:
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -5,6 +5,7 @@
 from hypothesis import strategies as st
 from support.proxy_fleet import ProxyFleet
 
+from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult, LoadReport
 from granitespool.units import SECOND
 
 COORDINATORS, PROXIES, BACKENDS, STEP = 5, 24, 40, 12  # proxies are each coordinator's
@@ -62,14 +63,15 @@
                 for zone in ("z0", "z1", "z2"):
                     storm.coordinator.report(
                         storm.now,
-                        "heard",
-                        zone=zone,
-                        backend=name,
-                        tries=20,
-                        failed=int(20 * (1 - done)),
-                        mean=SECOND // 10,
-                        window=SECOND,
-                        load={},
+                        LoadReport(
+                            zone=zone,
+                            backend=name,
+                            attempts=20,
+                            failures=int(20 * (1 - done)),
+                            mean=SECOND // 10,
+                            window=SECOND,
+                            load={},
+                        ),
                     )
             storm.run(1)
         return met
@@ -126,7 +128,9 @@
 
 def answered(storm, names):
     for name in names:
-        storm.coordinator.report(storm.now, "probed", backend=name, status="ok", took=10**6, load={})
+        storm.coordinator.report(
+            storm.now, HealthCheckResult(backend=name, outcome=HealthCheckOutcome.OK, latency=10**6, load={})
+        )
 
 
 @settings(max_examples=20, deadline=None, derandomize=True)
@@ -184,14 +188,15 @@
                 for name in storm.ready[:number] + gone[:2]:
                     storm.coordinator.report(
                         storm.now,
-                        "heard",
-                        zone="z0",
-                        backend=name,
-                        tries=9,
-                        failed=number % 10,
-                        mean=SECOND // 5,
-                        window=9 * SECOND,
-                        load={},
+                        LoadReport(
+                            zone="z0",
+                            backend=name,
+                            attempts=9,
+                            failures=number % 10,
+                            mean=SECOND // 5,
+                            window=9 * SECOND,
+                            load={},
+                        ),
                     )
         for storm in storms:
             storm.run(1)
@@ -220,14 +225,15 @@
                 times = 3 if storm is part else 1
                 storm.coordinator.report(
                     storm.now,
-                    "heard",
-                    zone="z0",
-                    backend=name,
-                    tries=20 * times,
-                    window=times * SECOND,
-                    load={},
-                    failed=(number % 5 == 0) * 2 * times,
-                    mean=SECOND // 10 * (1 + number % 4),
+                    LoadReport(
+                        zone="z0",
+                        backend=name,
+                        attempts=20 * times,
+                        window=times * SECOND,
+                        load={},
+                        failures=(number % 5 == 0) * 2 * times,
+                        mean=SECOND // 10 * (1 + number % 4),
+                    ),
                 )
             storm.run(1)
     (met, _), (expected, _) = part.tables[0], whole.tables[0]
--- a/tests/test_worklist.py
+++ b/tests/test_worklist.py
@@ -9,6 +9,7 @@
 from twins import SECOND, Twins
 
 from granitespool.planner.cost import CostTable, ObservedCost
+from granitespool.planner.events import LoadReport, ProxyJoined, Restored, SliceAssigned, SliceEntry
 from granitespool.planner.in_flight import InFlightAccount
 from granitespool.planner.load_reports import DECAY_FACTOR
 from granitespool.planner.records import EXACT_PERIODS_MAX, Backend, Link
@@ -96,13 +97,10 @@
 def test_a_recalled_life_is_decided_on_as_by_the_reference(seed):
     former = played(Twins(seed, 20, 3, 8, 2000.0), 15)
     former.hear(1.0)
-    fleet, backends = former.changed.learnt(list(former.entries))
+    snapshot = former.changed.snapshot(list(former.entries))
     later = Twins(seed + 1, 20, 3, 8, 2000.0)
-    later.report(
-        "recalled",
-        fleet=fleet,
-        backends={name: each for name, each in backends.items() if name in later.entries},
-    )
+    backends = {name: each for name, each in snapshot.backends.items() if name in later.entries}
+    later.report(Restored(snapshot.fleet, backends))
     later.run(5)
     assert played(later, 10).ordered
 
@@ -111,8 +109,8 @@
 def test_slices_are_kept_as_by_the_reference(seed):
     twins = Twins(seed, 10, 2, 5, 2000.0, slices=4, one_owner=bool(seed))
     for table in range(3):
-        twins.report("slice_given", table=table, ours=True)
-        twins.report("slice_line", table=table, backend=f"s{table + 1}", weight=1.0)
+        twins.report(SliceAssigned(table=table, owned=True))
+        twins.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
     assert played(twins, 12).ordered
 
 
@@ -164,7 +162,9 @@
     twins = quiet_fleet(200, 8)
 
     def hear():
-        twins.report("heard", zone="z1", backend="s7", tries=9, failed=0, mean=10**7, window=SECOND, load={})
+        twins.report(
+            LoadReport(zone="z1", backend="s7", attempts=9, failures=0, mean=10**7, window=SECOND, load={})
+        )
         twins.run(12)  # a round is among them
 
     assert 1 <= looked_at(twins, monkeypatch, hear) <= 20
@@ -185,7 +185,7 @@
     unused = next(zone for zone in twins.zones if zone not in twins.proxies.values())
 
     def join():
-        twins.report("joined", proxy=9, zone=unused, standing=True, rate=1.0)
+        twins.report(ProxyJoined(proxy=9, zone=unused, bootstrap=True, rate=1.0))
         twins.run(30)
 
     assert 60 <= looked_at(twins, monkeypatch, join) <= 3 * 60
--- a/tests/twins.py
+++ b/tests/twins.py
@@ -9,7 +9,19 @@
 from reference.adapter import ReferencePlanner
 from support.records import endpoint, settings_of
 
-from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
+from granitespool.coordinator import Coordinator
+from granitespool.outgoing import HealthCheckRequest, ProxyUpdate, Queue
+from granitespool.planner.events import (
+    Acknowledged,
+    EndpointListUpdate,
+    HealthCheckOutcome,
+    HealthCheckResult,
+    ListForm,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+    UsageReport,
+)
 
 SECOND = 10**9  # ns
 TURN = SECOND // 10
@@ -100,12 +112,12 @@
         for proxy in range(proxies):
             self.join(proxy)
 
-    def report(self, what, **met):
+    def report(self, event):
         for each in self.both:
-            each.report(self.now, what, **met)
+            each.report(self.now, event)
 
     def list(self, form, entries):
-        self.report("list_news", form=form, entries=[endpoint(**each) for each in entries])
+        self.report(EndpointListUpdate(form=ListForm(form), entries=[endpoint(**each) for each in entries]))
 
     def new_backend(self, started=0):
         self.names += 1
@@ -123,17 +135,18 @@
     def join(self, proxy):
         self.proxies[proxy] = self.random.choice(self.zones)
         self.report(
-            "joined",
-            proxy=proxy,
-            zone=self.proxies[proxy],
-            standing=self.random.random() < 0.5,
-            rate=self.random.random() * 10,
+            ProxyJoined(
+                proxy=proxy,
+                zone=self.proxies[proxy],
+                bootstrap=self.random.random() < 0.5,
+                rate=self.random.random() * 10,
+            ),
         )
 
     def leave(self, proxy):
         del self.proxies[proxy]
         self.answers = [each for each in self.answers if each[1] != proxy]
-        self.report("left", proxy=proxy)
+        self.report(ProxyLeft(proxy=proxy))
 
     def turn(self):
         """One turn of both, compared; then marks are answered, and probes, after a while."""
@@ -143,29 +156,33 @@
             [each for each in self.answers if each[0] > self.now],
         )
         for _, proxy, mark, took in due:
-            self.report("applied", proxy=proxy, serial=mark, took=took)
+            self.report(Acknowledged(proxy=proxy, sequence=mark, latency=took))
         for each in self.both:
             each.tick(self.now)
         self.check()
         for party in self.changed.parties():
             orders = [each.pick(party) for each in self.both]
-            while party in (PROBES, PEERS, GONE) and orders[0] is not None:
-                if party == PROBES:
-                    self._probed(orders[0])
+            while isinstance(party, Queue) and orders[0] is not None:
+                if isinstance(orders[0], HealthCheckRequest):
+                    self._probed(orders[0].backend)
                 orders = [each.pick(party) for each in self.both]
-            if party in self.proxies and orders[0] is not None:
+            if party in self.proxies and isinstance(orders[0], ProxyUpdate):
                 took = self.random.randint(TURN, 12 * TURN)
-                self.answers.append((self.now + took, party, orders[0]["mark"], took))
+                self.answers.append((self.now + took, party, orders[0].barrier, took))
 
     def _probed(self, backend):
         dead = self.failing.get(backend, 0.0) >= 1.0 and self.random.random() < 0.5
         status = "timeout" if dead else self.random.choice(("ok", "ok", "ok", "full", "error"))
-        self.report("probed", backend=backend, status=status, took=SECOND // 100, load={})
+        self.report(
+            HealthCheckResult(
+                backend=backend, outcome=HealthCheckOutcome(status), latency=SECOND // 100, load={}
+            )
+        )
 
     def check(self):
         changed, reference = self.both
-        assert not changed.queues[REMARKS], changed.queues[REMARKS][0]
-        assert not reference.queues[REMARKS], reference.queues[REMARKS][0]
+        assert not changed.queues[Queue.INTERNAL_ERRORS], changed.queues[Queue.INTERNAL_ERRORS][0]
+        assert not reference.queues[Queue.INTERNAL_ERRORS], reference.queues[Queue.INTERNAL_ERRORS][0]
         assert changed.calls == reference.calls, first_difference(changed.calls, reference.calls)
         self.ordered += len(changed.calls)
         for name, (part, attribute) in COMPARED.items():
@@ -188,17 +205,18 @@
                 lost = sum(self.random.random() < part for _ in range(tries))
                 mean = int(self.mean * scale * self.random.uniform(0.6, 1.6)) if lost < tries else 0
                 self.report(
-                    "heard",
-                    zone=zone,
-                    backend=name,
-                    tries=tries,
-                    failed=lost,
-                    mean=mean,
-                    window=SECOND,
-                    load={},
+                    LoadReport(
+                        zone=zone,
+                        backend=name,
+                        attempts=tries,
+                        failures=lost,
+                        mean=mean,
+                        window=SECOND,
+                        load={},
+                    ),
                 )
         for grade in ("a", "b"):
-            self.report("arrivals", proxy=0, grade=grade, number=50, unanswered=0, window=SECOND)
+            self.report(UsageReport(proxy=0, request_class=grade, requests=50, unanswered=0, window=SECOND))
 
     def list_changes(self, count):
         """Drawn changes of the list: drains, ends, restarts, new ones, other weights, kinds and zones."""
@@ -244,7 +262,7 @@
         left_out = self.random.random() < 0.3 and self.random.choice(list(self.entries))
         if left_out and len(self.entries) > 3:
             del self.entries[left_out]
-        self.list("whole", list(self.entries.values()))
+        self.list("complete", list(self.entries.values()))
 
     def new_settings(self, **changes):
         self.settings = {**self.settings, **changes}
