--- a/granitespool/net/buffers.py
+++ b/granitespool/net/buffers.py
@@ -1,21 +1,30 @@
-"""Buffers of one size, taken from a pool and given back to it."""
+"""Receive buffers of one size, taken from a pool and given back to it.
 
-SIZE = 16 * 1024  # bytes of a buffer: a usual second of one party's reports in one read
-KEPT = 32  # free buffers kept for use again, 512 KiB: more only stand by after a burst
+The pool owns the limit on buffers that are out; whoever takes a buffer owns it until it is given back."""
+
+BUFFER_SIZE = 16 * 1024  # bytes: a usual second of one peer's reports in one read
+FREE_MAX = 32  # free buffers kept for use again, 512 KiB: more are only needed after a burst
 
 
 class Pool:
-    def __init__(self, most, size=SIZE):
-        self.size, self.most, self.out, self.free = size, most, 0, []
+    """A pool of buffers; `limit` may change, and a lower one takes no buffer back."""
+
+    def __init__(self, limit: int, size: int = BUFFER_SIZE) -> None:
+        """`limit` is a number of buffers, `size` the bytes of each."""
+        self.size = size
+        self.limit = limit
+        self.taken = 0
+        self.free: list[bytearray] = []
 
-    def take(self):
+    def take(self) -> bytearray | None:
         """A buffer, or None when too many are out; whoever takes one gives it back."""
-        if self.out >= self.most:
+        if self.taken >= self.limit:
             return None
-        self.out += 1
+        self.taken += 1
         return self.free.pop() if self.free else bytearray(self.size)
 
-    def give(self, buffer):
-        self.out -= 1
-        if len(self.free) < KEPT:
+    def give(self, buffer: bytearray) -> None:
+        """Takes a buffer back."""
+        self.taken -= 1
+        if len(self.free) < FREE_MAX:
             self.free.append(buffer)
--- a/granitespool/net/client.py
+++ b/granitespool/net/client.py
@@ -1,58 +1,71 @@
-"""Steps that coroutines share: dialling a party, asking it by HTTP, taking what it sends."""
+"""Steps that coroutines share on a non-blocking socket: connecting, sending, an HTTP GET, receiving.
+
+Each is a coroutine of the loop, used by `yield from`. The caller owns the socket."""
 
 import errno
 import socket
+from collections.abc import Generator
 
 import h11
 
-from granitespool.net.loop import IN, OUT
+from granitespool.net.loop import IN, OUT, Wait
+
+RECEIVE_SIZE = 16 * 1024  # bytes received at once
 
-READ = 16 * 1024  # bytes taken from an HTTP party at once
 
+def dial(sock: socket.socket, address: tuple[str, int], deadline: int | None) -> Generator[Wait, int, None]:
+    """Connects until `deadline` (ns).
 
-def dial(sock, address, due):
-    """Connects; ends in TimeoutError, or in the OSError that the network tells."""
+    Raises TimeoutError past it, or the OSError that the network tells."""
     code = sock.connect_ex(address)
     if code == errno.EINPROGRESS:
-        if not (yield sock.fileno(), OUT, due):
+        if not (yield sock.fileno(), OUT, deadline):
             raise TimeoutError("no connection in time")
         code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
         raise OSError(code, errno.errorcode.get(code, str(code)))
 
 
-def send(sock, data, due):
+def send(sock: socket.socket, data: bytes, deadline: int | None) -> Generator[Wait, int, None]:
+    """Sends all of `data`; raises TimeoutError where it is not taken until `deadline` (ns), or OSError."""
     while data:
         try:
             data = data[sock.send(data) :]
         except BlockingIOError:
-            if not (yield sock.fileno(), OUT, due):
+            if not (yield sock.fileno(), OUT, deadline):
                 raise TimeoutError("not taken in time") from None
 
 
-def ask(sock, where, target, due, *headers):
-    """Sends a GET; returns the h11 connection that is to read the answer."""
+def ask(
+    sock: socket.socket,
+    address: tuple[str, int],
+    target: str,
+    deadline: int | None,
+    *headers: tuple[str, str],
+) -> Generator[Wait, int, h11.Connection]:
+    """Sends a GET of `target` and returns the h11 connection that is to read the answer.
+
+    Raises TimeoutError where it is not taken until `deadline` (ns), or OSError."""
+    host, port = address
     http = h11.Connection(h11.CLIENT)
-    yield from send(
-        sock,
-        http.send(
-            h11.Request(method="GET", target=target, headers=[("Host", "{}:{}".format(*where)), *headers])
-        ),
-        due,
-    )
+    request = h11.Request(method="GET", target=target, headers=[("Host", f"{host}:{port}"), *headers])
+    yield from send(sock, http.send(request) or b"", deadline)
     http.send(h11.EndOfMessage())
     return http
 
 
-def receive(sock, due):
-    """Some bytes, b"" at the end of the connection. Who sends without end leaves the others their turns."""
+def receive(sock: socket.socket, deadline: int | None) -> Generator[Wait, int, bytes]:
+    """Some bytes, b"" at the end of the connection.
+
+    Raises TimeoutError where none come until `deadline` (ns), or OSError. A peer that sends without end
+    leaves the others their turns: after a full read the caller goes on in the next turn."""
     while True:
         try:
-            data = sock.recv(READ)
+            data = sock.recv(RECEIVE_SIZE)
         except BlockingIOError:
-            if not (yield sock.fileno(), IN, due):
+            if not (yield sock.fileno(), IN, deadline):
                 raise TimeoutError("silent") from None
             continue
-        if len(data) == READ:
-            yield sock.fileno(), OUT, due
+        if len(data) == RECEIVE_SIZE:
+            yield sock.fileno(), OUT, deadline
         return data
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -4,7 +4,7 @@
 
 from granitespool.errors import InvalidInputError
 from granitespool.fields import required_field, required_number
-from granitespool.net.buffers import SIZE
+from granitespool.net.buffers import BUFFER_SIZE
 from granitespool.settings import settings_from_wire
 
 SOCKETS = 1024  # descriptors where no limit is told: the platform's largest
@@ -38,7 +38,7 @@
         "sockets": sockets,
         "probes": max(1, probes),
         "connections": max(8, sockets - OTHERS - probes),
-        "buffers": int(required_number(limits, "memory_mb")) * (1 << 20) // BUFFERS_PART // SIZE,
+        "buffers": int(required_number(limits, "memory_mb")) * (1 << 20) // BUFFERS_PART // BUFFER_SIZE,
     }
 
 
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -82,7 +82,7 @@
         except Exception as error:
             # Against a fault of ours that some message wakes: it must not cost its sender the connection,
             # and with a collector all of its zone's reports. Harm: the fault shows in the log alone.
-            self.loop.failed(error)
+            self.loop.report_failure(error)
 
     def _drop(self, connection: Connection, reason: str) -> None:
         log_message_dropped(self.log, peer=connection.peer, reason=reason, proxy=connection.proxy)
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -5,6 +5,7 @@
 
 import socket
 from collections.abc import Mapping
+from contextlib import suppress
 from typing import Any
 
 from granitespool.coordinator import Coordinator
@@ -45,10 +46,8 @@
         address = self._address(peer)
         if address is None or len(data) > DATAGRAM_MAX:
             return
-        try:
+        with suppress(OSError):  # lost on the way, like any datagram
             self.sock.sendto(data, address)
-        except OSError:
-            pass  # lost on the way, like any datagram
 
     def _address(self, peer: int) -> tuple[str, int] | None:
         if peer < 0:
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -245,4 +245,4 @@
         for session in list(self.woken):
             self.woken.pop(session, None)
             if session.task is not None:
-                self.loop.poke(session.task)
+                self.loop.resume(session.task)
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -132,7 +132,7 @@
         return getattr(session, "number", 0)
 
     def failed(self, error):
-        self.loop.failed(error)
+        self.loop.report_failure(error)
 
     def _undone(self, error):
         if error:
@@ -170,7 +170,7 @@
         try:
             waits = self.service.take(config)
         except Exception as error:
-            self.loop.failed(error)
+            self.loop.report_failure(error)
             raise Refused(
                 "operation-failed", "a part could not take its settings, and all have their former ones again"
             ) from None
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -151,7 +151,7 @@
         self.coordinator.new_settings(self.loop.now, config["settings"])
         for part in (self.discovery, self.probes, self.streams, *([self.peers] if self.peers else ())):
             part.new_config(config)
-        self.pool.most = config["buffers"]
+        self.pool.limit = config["buffers"]
 
     def _end_of_turn(self, now):
         if self.rereads:
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -108,14 +108,14 @@
             connection.unsent = data  # the coroutine meets the same end, or where it is none goes on with it
         if order["mark"] is not None and connection.awaiting_since is None:
             connection.awaiting_since = self.loop.now
-        self.loop.poke(connection.task)  # it waits anew, for the socket or for the answer
+        self.loop.resume(connection.task)  # it waits anew, for the socket or for the answer
 
     def finish(self) -> None:
         """No more are taken; each is told the end after what waits for it, and all have ended soon."""
         self.loop.end(self.acceptor.task)
         self.finishing = True
         for connection in list(self.connections):
-            self.loop.poke(connection.task)
+            self.loop.resume(connection.task)
 
     def _open(self, sock: socket.socket, peer: str) -> None:
         """Serves a socket that was accepted; raises OSError where it is reset already."""
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -124,7 +124,7 @@
         for watch in list(self.watches):
             watch.pending += lines
             if watch.waits and watch.task:
-                self.loop.poke(watch.task)
+                self.loop.resume(watch.task)
 
     def set_cut(self, cut: bool) -> None:
         """Cuts the agent off from the list, or connects it again."""
--- a/granitespool/scale/hollow.py
+++ b/granitespool/scale/hollow.py
@@ -433,7 +433,7 @@
             sent = 0
         connection.unsent = data[sent:]
         if connection.unsent and not connection.reading:
-            self.loop.poke(connection.task)
+            self.loop.resume(connection.task)
 
     # Connections
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -385,7 +385,7 @@
         self.do_feed()
         if self.service:
             self.service.close()
-            left = self.service.streams.pool.out, self.service.loop.all, self.service.coordinator.proxies
+            left = self.service.streams.pool.taken, self.service.loop.tasks, self.service.coordinator.proxies
             assert left == (0, set(), {}), left
         for sock in (
             self.discovery,
@@ -541,7 +541,7 @@
 
     def do_exhausts(self, left):  # so many buffers are left
         pool = self.service.streams.pool
-        pool.most = pool.out + int(left)
+        pool.limit = pool.taken + int(left)
 
     def do_spans(self, name):  # a buffer full of pings, and the beginning of one more
         ping = framed(['{"type":"ping"}'])
@@ -689,7 +689,7 @@
         self.service.streams.send = lambda proxy: (self.send(name, framed(words)), real(proxy))
         self.do_host("weigh", "0", "a", "2.5")
         self.service.streams.send = real
-        assert not self.service.log.waiting, self.service.log.waiting
+        assert not self.service.log.unread, self.service.log.unread
         assert self.log.count('"message_dropped"') == before, self.log
 
     def do_peer_gets(self, text):
@@ -775,8 +775,8 @@
             "loose": facade.loose,
             "withdrawn": facade.withdrawn,
             "timers": service.loop.timers,
-            "tasks": service.loop.all,
-            "watched": service.loop.tasks,
+            "tasks": service.loop.tasks,
+            "watched": service.loop.watching,
             "wakes": facade.timers,
             "connections": service.streams.connections,
             "pending": service.streams.pending,
@@ -798,4 +798,4 @@
         self.turn()
 
     def do_memory(self, most):  # buffers out at most
-        assert self.service.streams.pool.out <= int(most), self.service.streams.pool.out
+        assert self.service.streams.pool.taken <= int(most), self.service.streams.pool.taken
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -92,8 +92,8 @@
 
     def close(self):
         self.coordinator.close()
-        assert not self.loop.all
-        assert self.coordinator.pool.out == 0
+        assert not self.loop.tasks
+        assert self.coordinator.pool.taken == 0
         assert not self.coordinator.connections
         self.loop.close()
 
@@ -426,10 +426,10 @@
         while sum(each.counts.sent["pong"].messages for each in many if each.counts.sent) < 20:
             loop.turn(lambda now: None, PAUSE)
         many.pop().close()
-        assert len(loop.all) == 19 * 3
+        assert len(loop.tasks) == 19 * 3
         for each in many:
             each.close()
-        assert not loop.all
+        assert not loop.tasks
 
 
 def test_a_proxy_that_reads_nothing_is_not_written_to_again_until_it_has():
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -27,18 +27,18 @@
     thread.start()
     loop.stop()
     thread.join(5)
-    assert seen.is_set() and loop.bell is None
+    assert seen.is_set() and loop.wake_fd is None
 
 
 def test_a_wake_after_the_end_writes_to_nobody_elses_descriptor():
     loop = Loop(print)
-    bell = loop.bell
+    wake_fd = loop.wake_fd
     loop.close()
     read, write = os.pipe()
     try:
         os.set_blocking(read, False)
-        taken = [os.dup(write) for _ in range(64)]  # one of them has the bell's number now
-        assert bell in (read, write, *taken)
+        taken = [os.dup(write) for _ in range(64)]  # one of them has the closed descriptor's number now
+        assert wake_fd in (read, write, *taken)
         loop.wake()
         loop.close()
         assert all(os.fstat(fd) for fd in taken)
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -59,7 +59,7 @@
         try:
             yield service
         finally:
-            if service.loop.bell is not None:
+            if service.loop.wake_fd is not None:
                 service.close()
 
 
@@ -172,7 +172,7 @@
         monkeypatch.setattr(binding.time, "monotonic", lambda: now[0])
         with pytest.raises(OSError) as error:
             binding.bind(sock, other.getsockname(), Quiet())
-        assert error.value.errno == errno.EADDRINUSE and binding.TAKEN <= now[0] < 2 * binding.TAKEN
+        assert error.value.errno == errno.EADDRINUSE and binding.IN_USE_TIMEOUT <= now[0] < 2 * binding.IN_USE_TIMEOUT
 
 
 def test_a_successor_starts_while_the_former_process_still_serves(tmp_path):
@@ -286,7 +286,7 @@
         service.keeper = service.managing = Torn()
         service.loop.spawn(late())
         service.close()
-        assert service.loop.bell is None and not service.loop.all
+        assert service.loop.wake_fd is None and not service.loop.tasks
         with pytest.raises(ConnectionRefusedError):
             dialled(service.where)
         text = service.text()
@@ -294,14 +294,14 @@
 
 
 def test_the_last_lines_wait_for_a_reader_that_is_slow(monkeypatch):
-    monkeypatch.setattr(logging, "LAST", LONG)  # not on this machine's speed
+    monkeypatch.setattr(logging, "CLOSE_TIMEOUT", LONG)  # not on this machine's speed
     read, write = os.pipe()
     service = Service(config.checked(HERE), write)
     os.set_blocking(read, False)
     for _ in range(1000):
         service.log.event("internal_error", detail="a-word-" * 20)
     service.log.flush()
-    assert service.log.waiting  # the pipe is full now
+    assert service.log.unread  # the pipe is full now
     got = []
 
     def reader():
@@ -407,7 +407,7 @@
 
     task = loop.spawn(torn())
     other = loop.spawn(ends())
-    assert [type(error) for error in failed] == [KeyError] and other in loop.all and task not in loop.all
+    assert [type(error) for error in failed] == [KeyError] and other in loop.tasks and task not in loop.tasks
     loop.close()
 
 
@@ -457,7 +457,7 @@
                 if not streams.connections:
                     break
             assert not streams.connections and not streams.pending, cut
-            assert streams.pool.out == 0 and not service.coordinator.proxies, cut
+            assert streams.pool.taken == 0 and not service.coordinator.proxies, cut
         assert "failed" not in service.text()
 
 
