--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -1,136 +1,168 @@
-"""Discovery: a watch of the list, dialled again whenever it ends or goes silent.
+"""Discovery: a watch of the endpoint list, dialled again whenever it ends or goes silent.
 
-The list that was last heard stays meanwhile."""
+Owns the watch's socket, the backends' addresses and the version that is held. It checks each entry of the
+list and reports what it can read to the coordinator; it never decides what an entry means. The list that was
+last told stays while there is no watch."""
 
 import socket
+from collections.abc import Callable, Mapping
+from typing import Any
 
 import h11
 import orjson
 
-from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
-from granitespool.errors import InvalidInputError
+from granitespool.coordinator import Coordinator
+from granitespool.endpoints import SOCKET_ENTRY, Endpoint, endpoint_from_wire
+from granitespool.errors import GranitespoolError, InvalidInputError
 from granitespool.fields import required_field, required_number
 from granitespool.net.client import ask, dial, receive
 from granitespool.net.config import address
-from granitespool.net.loop import SECOND
+from granitespool.net.log import Log
+from granitespool.net.loop import SECOND, Loop, Waits
 from granitespool.planner.events import EndpointListUpdate, ListForm
 from granitespool.units import MILLISECOND
 
-DIAL = SECOND  # ns for a connection to come up: the agent is on this machine
-BEAT = 9 * SECOND // 4  # ns without a byte after which a watch is dead: an empty line comes every 2 s
-LINE = 4 * BEAT  # ns within which a line has to end: what is to be told counts as told after 6 s
-REASK = SECOND  # ns until what could not be read is asked for again, the first time
-REASK_MOST = 60 * SECOND  # ns between two such askings at most: an entry may stay wrong for good
-WAIT_FIRST = SECOND // 20  # ns before the first new dialling
-WAIT_MOST = SECOND  # ns between diallings at most: the agent answers at no cost
-GROWTH = 2  # factor from one wait to the next
-JITTER = 0.5, 1.0  # part of the wait that is waited
-LINE_MOST = 8 << 20  # bytes of one line: a list of ten thousand backends
+DIAL_TIMEOUT = SECOND  # ns for a connection to come up: the agent is on this machine
+HEARTBEAT_TIMEOUT = 9 * SECOND // 4  # ns without a byte after which a watch is dead: a line comes every 2 s
+LINE_TIMEOUT = 4 * HEARTBEAT_TIMEOUT  # ns within which a line has to end: it counts as told after 6 s
+LINE_MAX = 8 << 20  # bytes of one line: a list of ten thousand backends
+POLL_BACKOFF_MIN = SECOND  # ns until what could not be read is asked for again, the first time
+POLL_BACKOFF_MAX = 60 * SECOND  # ns between two such polls at most: an entry may stay wrong for good
+POLL_BACKOFF_FACTOR = 2
+REDIAL_BACKOFF_MIN = SECOND // 20  # ns before the first new dialling
+REDIAL_BACKOFF_MAX = SECOND  # ns between diallings at most: the agent answers at no cost
+REDIAL_BACKOFF_FACTOR = 2
+REDIAL_JITTER = (0.5, 1.0)  # share of the backoff that is waited
+
+
+class WatchEndedError(GranitespoolError):
+    """The watch of the list is over and is dialled again; the text says why."""
+
+
+class WatchPosition:
+    """The version that a watch asks from: the one before the first entry that could not be read.
+
+    It stays there, with backoff between two polls, until a watch from there has told everything again and all
+    of it was readable."""
+
+    def __init__(self) -> None:
+        self.version = 0
+        self.has_unreadable = False  # whether anything since that version was not readable
+        self.is_at_start = True  # whether the next message is a watch's first
+        self.backoff = POLL_BACKOFF_MIN  # ns
+        self.poll_at = 0  # ns
+
+    def advance(self, now: int, index: int, has_unreadable: bool) -> None:
+        """Notes a message of version `index`, and whether an entry of it could not be read; `now` in ns."""
+        if self.is_at_start or not self.has_unreadable:
+            if has_unreadable and not self.has_unreadable:
+                self.backoff = POLL_BACKOFF_MIN
+            self.has_unreadable = has_unreadable
+            if has_unreadable:
+                self.poll_at = now + self.backoff
+                self.backoff = min(POLL_BACKOFF_MAX, POLL_BACKOFF_FACTOR * self.backoff)
+        if not self.has_unreadable:
+            self.version = index
+        self.is_at_start = False
+
+    def is_poll_due(self, now: int) -> bool:
+        """Whether it is time to ask for what could not be read; `now` in ns."""
+        return self.has_unreadable and not self.is_at_start and now >= self.poll_at
 
 
 class Discovery:
-    def __init__(self, loop, coordinator, log, config, uniform):
-        self.loop, self.coordinator, self.log, self.uniform = loop, coordinator, log, uniform
-        self.where, self.index, self.told_at = config["discovery"], 0, loop.now
-        self.heard_at = loop.now  # when a line came last, news or not
-        self.after, self.unread = 0, False  # version that is asked from; was anything since it not readable
-        self.fresh, self.reask, self.reask_at = True, REASK, 0  # is the next message a watch's first
-        self.addresses = {}  # of every backend listed and not yet forgotten; None: none was told
+    """The watch, as long as its coroutine runs; it begins with the list that the configuration holds."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        coordinator: Coordinator,
+        log: Log,
+        config: Mapping[str, Any],
+        uniform: Callable[[float, float], float],
+    ) -> None:
+        """`uniform` draws the jitter of the backoff.
+
+        Raises InvalidInputError where the configuration's list cannot be read."""
+        self.loop = loop
+        self.coordinator = coordinator
+        self.log = log
+        self.uniform = uniform
+        self.agent: tuple[str, int] = config["discovery"]
+        self.index = 0  # the version that is held
+        self.told_at = loop.now  # ns, when a message was taken last
+        self.heard_at = loop.now  # ns, when a line came last, empty or not
+        self.position = WatchPosition()
+        self.redial_backoff = REDIAL_BACKOFF_MIN  # ns
+        self.addresses: dict[str, tuple[str, int] | None] = {}  # of every backend listed and not forgotten
         self.named = False  # whether any list has named anyone
-        self.news(config["known"])
-        self.task = loop.spawn(self._watch())
+        self.handle_message(config["known"])
+        self.task = loop.spawn(self._run())
 
-    def new_config(self, config):
+    def new_config(self, config: Mapping[str, Any]) -> None:
         """Watches at the new address, from the version that is held; the list stays meanwhile."""
-        if config["discovery"] != self.where:
-            self.where = config["discovery"]
+        if config["discovery"] != self.agent:
+            self.agent = config["discovery"]
             self.loop.end(self.task)
-            self.task = self.loop.spawn(self._watch())
-
-    def news(self, message):
-        """Reports one message of the list; an entry that is wrong is left out."""
-        message = {"type": "list", **message} if isinstance(message, dict) else {"type": "list"}
-        index, entries, unread = required_number(message, "index", int), [], False
-        if index < self.after and not message.get("snapshot"):
-            # Against changes that another copy of discovery is late with: what is held is newer. A whole list
-            # stands for itself, whatever its version. Harm: none by the protocol, changes come in order.
-            return self.log.often("stale_endpoint_list", index=index, held_index=self.index)
-        form, first = ListForm.COMPLETE if message.get("snapshot") else ListForm.CHANGES, not self.named
-        for row in required_field(message, "endpoints", list):
+            self.task = self.loop.spawn(self._run())
+
+    def forget(self, backend: str) -> None:
+        """Drops the address of a backend that the planner has forgotten."""
+        self.addresses.pop(backend, None)
+
+    def handle_message(self, message: object) -> None:
+        """Reports one message of the list; an entry that is wrong is skipped.
+
+        Raises InvalidInputError where it is no message of the list."""
+        fields = {"type": "list", **message} if isinstance(message, dict) else {"type": "list"}
+        index = required_number(fields, "index", int)
+        is_snapshot = bool(fields.get("snapshot"))
+        if index < self.position.version and not is_snapshot:
+            # Another replica of discovery may lag: what is held is newer. A complete list stands for itself,
+            # whatever its version. By the protocol changes come in order, so nothing is lost.
+            self.log.often("stale_endpoint_list", index=index, held_index=self.index)
+            return
+        rows = required_field(fields, "endpoints", list)
+        entries = self._readable(rows)
+        has_unreadable = len(entries) < len(rows)
+        self.index = index
+        self.told_at = self.loop.now
+        self.position.advance(self.loop.now, index, has_unreadable)
+        is_first = not self.named
+        self.named = self.named or bool(self.addresses)
+        if self.named:  # the first list that names anyone is the one to start from
+            self._report(_form(is_first, is_snapshot, has_unreadable), index, entries)
+
+    def _readable(self, rows: list[Any]) -> list[Endpoint]:
+        """The entries that can be read, with their addresses noted."""
+        entries = []
+        for row in rows:
             try:
                 entry = endpoint_from_wire(row, SOCKET_ENTRY)
             except InvalidInputError as error:
                 self.log.often("endpoint_skipped", reason=str(error))
-                form = ListForm.CHANGES  # what cannot be read is not gone: nobody leaves by being left out
-                unread = True
                 continue
             entries.append(entry)
             self._address(entry.name, row.get("address"))
-        self.index, self.told_at = index, self.loop.now
-        self._read_up_to(index, unread)
-        self.named = self.named or bool(self.addresses)
-        if not self.named:
-            return  # the first list that names anyone is the one to start from
-        if first:
-            form = ListForm.RESTORED
-        if entries or form != ListForm.CHANGES:
-            self.coordinator.report(self.loop.now, EndpointListUpdate(form, entries))
-        self.log.event("endpoint_list", kind=form, index=index, entries=len(entries))
+        return entries
 
-    def _read_up_to(self, index, unread):
-        """Keeps the version to ask from: that before the first entry that could not be read, until a watch
-        from there has told it again and all of it was readable."""
-        if self.fresh or not self.unread:
-            if unread and not self.unread:
-                self.reask = REASK
-            self.unread = unread
-            if unread:
-                self.reask_at = self.loop.now + self.reask
-                self.reask = min(REASK_MOST, 2 * self.reask)
-        if not self.unread:
-            self.after = index
-        self.fresh = False
-
-    def forget(self, backend):
-        self.addresses.pop(backend, None)
-
-    def _address(self, backend, told):
+    def _address(self, backend: str, told: str | None) -> None:
         known = self.addresses.setdefault(backend)
         try:
             self.addresses[backend] = address(told) if told else known
-        except InvalidInputError as error:  # the entry holds, it only cannot be probed at a new place
+        except InvalidInputError as error:  # the entry holds; only its health checks keep the former address
             self.log.often("endpoint_skipped", backend=backend, reason=str(error))
 
-    def _watch(self):
-        wait = WAIT_FIRST
+    def _report(self, form: ListForm, index: int, entries: list[Endpoint]) -> None:
+        if entries or form != ListForm.CHANGES:
+            self.coordinator.report(self.loop.now, EndpointListUpdate(form, entries))
+        self.log.event("endpoint_list", kind=form, index=index, entries=len(entries))
+
+    def _run(self) -> Waits:
+        self.redial_backoff = REDIAL_BACKOFF_MIN
         while True:
             try:
-                with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
-                    yield from dial(sock, self.where, self.loop.now + DIAL)
-                    http = yield from ask(
-                        sock, self.where, f"/discovery/hosts?watch=1&after={self.after}", self.loop.now + DIAL
-                    )
-                    waiting, self.fresh, whole_by = b"", True, self.loop.now + LINE
-                    while (event := http.next_event()) is not None:
-                        if event is h11.NEED_DATA:
-                            if self.loop.now >= whole_by:
-                                raise InvalidInputError("a line of the list did not end in time")
-                            http.receive_data((yield from receive(sock, min(self.loop.now + BEAT, whole_by))))
-                        elif isinstance(event, h11.Response) and event.status_code != 200:
-                            raise InvalidInputError(f"the list's watch was answered {event.status_code}")
-                        elif isinstance(event, h11.Data):
-                            wait = WAIT_FIRST
-                            *lines, waiting = (waiting + event.data).split(b"\n")
-                            if lines:
-                                self.heard_at, whole_by = self.loop.now, self.loop.now + LINE
-                            for line in filter(bytes.strip, lines):
-                                self._line(line)
-                            if len(waiting) > LINE_MOST:
-                                raise InvalidInputError("a line of the list is over the limit")
-                            if self.unread and not self.fresh and self.loop.now >= self.reask_at:
-                                raise InvalidInputError("what could not be read is asked for again")
-                        elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)):
-                            raise InvalidInputError("the list's watch was ended")
+                yield from self._watch()
             except Exception as error:  # whatever it is: without a watch the list would stand for ever
                 self.log.event(
                     "watch_ended",
@@ -138,11 +170,60 @@
                     index=self.index,
                     silence_ms=(self.loop.now - self.heard_at) // MILLISECOND,
                 )
-            yield None, 0, self.loop.now + int(wait * self.uniform(*JITTER))
-            wait = min(WAIT_MOST, wait * GROWTH)
+            yield None, 0, self.loop.now + int(self.redial_backoff * self.uniform(*REDIAL_JITTER))
+            self.redial_backoff = min(REDIAL_BACKOFF_MAX, self.redial_backoff * REDIAL_BACKOFF_FACTOR)
+
+    def _watch(self) -> Waits:
+        """One watch; it ends by an exception alone."""
+        with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
+            yield from dial(sock, self.agent, self.loop.now + DIAL_TIMEOUT)
+            target = f"/discovery/hosts?watch=1&after={self.position.version}"
+            http = yield from ask(sock, self.agent, target, self.loop.now + DIAL_TIMEOUT)
+            self.position.is_at_start = True
+            yield from self._read(sock, http)
+
+    def _read(self, sock: socket.socket, http: h11.Connection) -> Waits:
+        partial_line = b""
+        line_deadline = self.loop.now + LINE_TIMEOUT
+        while True:
+            event = http.next_event()
+            if event is h11.NEED_DATA:
+                if self.loop.now >= line_deadline:
+                    raise WatchEndedError("a line of the list did not end in time")
+                deadline = min(self.loop.now + HEARTBEAT_TIMEOUT, line_deadline)
+                http.receive_data((yield from receive(sock, deadline)))
+            elif isinstance(event, h11.Response) and event.status_code != 200:
+                raise WatchEndedError(f"the list's watch was answered {event.status_code}")
+            elif isinstance(event, h11.Data):
+                self.redial_backoff = REDIAL_BACKOFF_MIN
+                *lines, partial_line = (partial_line + event.data).split(b"\n")
+                if lines:
+                    self.heard_at = self.loop.now
+                    line_deadline = self.loop.now + LINE_TIMEOUT
+                for line in filter(bytes.strip, lines):
+                    self._line(line)
+                self._check_position(partial_line)
+            elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
+                raise WatchEndedError("the list's watch was ended")
+
+    def _check_position(self, partial_line: bytes) -> None:
+        """Raises WatchEndedError where this watch is to be given up."""
+        if len(partial_line) > LINE_MAX:
+            raise WatchEndedError("a line of the list is over the limit")
+        if self.position.is_poll_due(self.loop.now):
+            raise WatchEndedError("what could not be read is asked for again")
 
-    def _line(self, line):
+    def _line(self, line: bytes) -> None:
         try:
-            self.news(orjson.loads(line))
+            message = orjson.loads(line)
         except ValueError:
             raise InvalidInputError("a line of the list is not JSON") from None
+        self.handle_message(message)
+
+
+def _form(is_first: bool, is_snapshot: bool, has_unreadable: bool) -> ListForm:
+    if is_first:
+        return ListForm.RESTORED
+    if is_snapshot and not has_unreadable:  # what cannot be read is not gone: nobody leaves by being skipped
+        return ListForm.COMPLETE
+    return ListForm.CHANGES
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -13,6 +13,7 @@
 from granitespool.net.log import Log
 from granitespool.net.log_events import log_message_dropped
 from granitespool.net.loop import IN, Loop, Waits
+from granitespool.planner.events import GossipReceived
 
 DATAGRAM_MAX = 256  # bytes of a datagram at most: the protocol's
 DATAGRAMS_PER_TURN = 64  # read in one turn: the others are served between
@@ -70,8 +71,8 @@
 
     def _received(self, data: bytes, sender: tuple[str, int]) -> None:
         if sender in self.numbers and len(data) <= DATAGRAM_MAX:
-            number = self.numbers[sender]
-            self.coordinator.report(self.loop.now, "peer_said", sender=number, contents=data.hex())
+            received = GossipReceived(peer=self.numbers[sender], payload=data.hex())
+            self.coordinator.report(self.loop.now, received)
             return
         host, port = sender
         log_message_dropped(self.log, peer=f"{host}:{port}", reason="a datagram of no peer, or too long")
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -1,79 +1,127 @@
-"""Probes: one coroutine for each health check in the air, which owns its socket."""
+"""Health checks: one coroutine for each in flight, which owns its socket.
+
+The coordinator decides which backend is checked and when; this module asks the backend for its load report
+and hands back how that ended. It never concludes anything from it."""
 
 import socket
+from collections.abc import Generator, Iterator, Mapping
+from typing import Any
 
 import h11
 
-from granitespool.coordinator import PROBES
+from granitespool.coordinator import PROBES, Coordinator
 from granitespool.endpoints import load_metrics
 from granitespool.net.client import ask, dial, receive
-from granitespool.net.loop import SECOND
+from granitespool.net.log import Log
+from granitespool.net.loop import SECOND, Loop, Wait, Waits
+from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult
+from granitespool.units import MILLISECOND
+
+ANSWER_TIMEOUT = SECOND // 2  # ns from the start to the answer: half the planner's period
+DIAL_TIMEOUT = SECOND // 4  # ns for a connection to come up, where the settings name no time
+BODY_MAX = 4096  # bytes of a load report that are kept
+OUTCOMES = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.REJECTED}  # by HTTP status; others: ERROR
 
-ANSWER = SECOND // 2  # ns from the start to the answer: half the planner's period
-DIAL = SECOND // 4  # ns for a connection to come up, where the settings name no time
-BODY_MOST = 4096  # bytes of a load report that are kept
+Load = dict[str, int | float]  # a load report's metrics; times in ns
 
 
-class Probes:
-    def __init__(self, loop, coordinator, log, config, addresses):
-        self.loop, self.coordinator, self.log, self.addresses = loop, coordinator, log, addresses
-        self.flying = 0
+class HealthChecks:
+    """Those in flight, and the limit on their number."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        coordinator: Coordinator,
+        log: Log,
+        config: Mapping[str, Any],
+        addresses: Mapping[str, tuple[str, int] | None],
+    ) -> None:
+        """`addresses` has those of the backends that the list has named, now and later."""
+        self.loop = loop
+        self.coordinator = coordinator
+        self.log = log
+        self.addresses = addresses
+        self.in_flight = 0
         self.new_config(config)
 
-    def new_config(self, config):
-        self.dial, self.most = config["settings"].connect_timeout or DIAL, config["probes"]
+    def new_config(self, config: Mapping[str, Any]) -> None:
+        """Takes the limit and the time for a connection; those in flight keep the time they began with."""
+        self.dial_timeout: int = config["settings"].connect_timeout or DIAL_TIMEOUT
+        self.limit: int = config["probes"]
 
-    def start(self):
-        """Starts what is asked for, as far as there is room."""
-        while self.flying < self.most and (backend := self.coordinator.pick(PROBES)) is not None:
-            self.loop.spawn(self._probe(backend))
+    def start(self) -> None:
+        """Starts those that the coordinator asks for, as many as the limit permits."""
+        while self.in_flight < self.limit:
+            backend = self.coordinator.pick(PROBES)
+            if backend is None:
+                return
+            self.loop.spawn(self._check(backend))
 
-    def _probe(self, backend):
-        # "error" while nothing was asked yet: that no descriptor was free says nothing of the backend
-        started, load, status = self.loop.now, {}, "error"
-        self.flying += 1
+    def _check(self, backend: str) -> Waits:
+        started_at = self.loop.now
+        self.in_flight += 1
         try:
-            if where := self.addresses.get(backend):
-                with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
-                    status = "unreachable"
-                    yield from dial(sock, where, started + self.dial)
-                    status = "timeout"
-                    status, load = yield from self._ask(sock, where, started + ANSWER)
-        except TimeoutError:
-            pass  # unreachable before the connection was up, timeout after
-        except (OSError, h11.ProtocolError):
-            status = "reset" if status == "timeout" else status
+            outcome, load = yield from self._outcome(backend)
         finally:
-            self.flying -= 1
-        # a turn of its own: the one that asked is not ended before the answer is reported
+            self.in_flight -= 1
+        # In a turn of its own: the coroutine that asked for this must not end before the result is reported
         yield None, 0, self.loop.now
-        self.log.event(
-            "health_check", backend=backend, status=status, duration_ms=(self.loop.now - started) // 1_000_000
-        )
+        latency = self.loop.now - started_at
+        self.log.event("health_check", backend=backend, status=outcome, duration_ms=latency // MILLISECOND)
         self.coordinator.report(
-            self.loop.now, "probed", backend=backend, status=status, took=self.loop.now - started, load=load
+            self.loop.now, HealthCheckResult(backend=backend, outcome=outcome, latency=latency, load=load)
         )
 
-    @staticmethod
-    def _ask(sock, where, due):
-        code, body = None, b""
-        http = yield from ask(sock, where, "/metrics/load", due, ("Connection", "close"))
-        while True:
-            event = http.next_event()
-            if event is h11.NEED_DATA:
-                http.receive_data((yield from receive(sock, due)))
-            elif isinstance(event, h11.Response):
-                code = event.status_code
-            elif isinstance(event, h11.Data):
-                body = (body + event.data)[:BODY_MOST]
-            else:
-                break
-        pairs = (pair.partition("=")[::2] for pair in body.decode("ascii", "replace").split(","))
-        load = load_metrics([(key.strip(), number(value)) for key, value in pairs])
-        return {200: "ok", 503: "full"}.get(code, "error"), load
-
-
-def number(text):
+    def _outcome(self, backend: str) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
+        """How it ends, and the load report where one came."""
+        started_at = self.loop.now
+        address = self.addresses.get(backend)
+        # While nothing was sent, a failure such as no free descriptor says nothing about the backend
+        outcome = HealthCheckOutcome.ERROR
+        if address is None:
+            return outcome, {}
+        try:
+            with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
+                outcome = HealthCheckOutcome.UNREACHABLE
+                yield from dial(sock, address, started_at + self.dial_timeout)
+                outcome = HealthCheckOutcome.TIMED_OUT
+                return (yield from _load_report(sock, address, started_at + ANSWER_TIMEOUT))
+        except TimeoutError:
+            pass  # unreachable before the connection was up, timed out after
+        except (OSError, h11.ProtocolError):
+            if outcome is HealthCheckOutcome.TIMED_OUT:
+                outcome = HealthCheckOutcome.RESET
+        return outcome, {}
+
+
+def _load_report(
+    sock: socket.socket, address: tuple[str, int], deadline: int
+) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
+    """Asks for the load report; raises TimeoutError, OSError or h11.ProtocolError."""
+    status, body = None, b""
+    http = yield from ask(sock, address, "/metrics/load", deadline, ("Connection", "close"))
+    while True:
+        event = http.next_event()
+        if event is h11.NEED_DATA:
+            http.receive_data((yield from receive(sock, deadline)))
+        elif isinstance(event, h11.Response):
+            status = event.status_code
+        elif isinstance(event, h11.Data):
+            body = (body + event.data)[:BODY_MAX]
+        else:
+            break
+    outcome = HealthCheckOutcome.ERROR if status is None else OUTCOMES.get(status, HealthCheckOutcome.ERROR)
+    return outcome, load_metrics(_pairs(body))
+
+
+def _pairs(body: bytes) -> Iterator[tuple[str, float | None]]:
+    """The metrics of `inflight=7,util=0.61`; None for a value that is no number."""
+    for pair in body.decode("ascii", "replace").split(","):
+        key, _, value = pair.partition("=")
+        yield key.strip(), _number(value)
+
+
+def _number(text: str) -> float | None:
     try:
         return float(text)
     except ValueError:
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -10,7 +10,7 @@
 from granitespool.net.connection import LINGER_TIMEOUT
 from granitespool.net.discovery import Discovery
 from granitespool.net.gossip import Gossip
-from granitespool.net.health_checks import Probes
+from granitespool.net.health_checks import HealthChecks
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
 from granitespool.net.streams import Streams
@@ -49,10 +49,12 @@
         uniform = Random(config["seed"]).uniform
         self.coordinator = Coordinator(config["settings"], config["seed"], self.loop.now)
         self.discovery = Discovery(self.loop, self.coordinator, self.log, config, uniform)
-        self.probes = Probes(self.loop, self.coordinator, self.log, config, self.discovery.addresses)
-        self.peers = None
+        self.health_checks = HealthChecks(
+            self.loop, self.coordinator, self.log, config, self.discovery.addresses
+        )
+        self.gossip = None
         if self._has_peers(config):
-            self.peers = Gossip(self.loop, self.coordinator, self.log, config)
+            self.gossip = Gossip(self.loop, self.coordinator, self.log, config)
         self.pool = Pool(config["buffers"])
         self.streams = Streams(
             self.loop, self.coordinator, self.log, self.pool, config, self.discovery.addresses
@@ -121,7 +123,7 @@
     def waits(self, config):
         """Names of what differs in this configuration and would wait for a restart."""
         waits = [name for name in FIXED if config[name] != self.fixed[name]]
-        if (self.peers is not None) != self._has_peers(config):
+        if (self.gossip is not None) != self._has_peers(config):
             waits.append("peers")
         operator = config.get("operator")
         if self.operator or operator:
@@ -149,7 +151,12 @@
         if self.metrics and operator and operator.figures:
             self.metrics.options = operator.figures
         self.coordinator.new_settings(self.loop.now, config["settings"])
-        for part in (self.discovery, self.probes, self.streams, *([self.peers] if self.peers else ())):
+        for part in (
+            self.discovery,
+            self.health_checks,
+            self.streams,
+            *([self.gossip] if self.gossip else ()),
+        ):
             part.new_config(config)
         self.pool.limit = config["buffers"]
 
@@ -179,11 +186,11 @@
 
     def _write(self, party):
         if party == PROBES:
-            self.probes.start()
+            self.health_checks.start()
         elif party == PEERS:
             while (words := self.coordinator.pick(PEERS)) is not None:
-                if self.peers:
-                    self.peers.send(*words)
+                if self.gossip:
+                    self.gossip.send(*words)
         elif party == GONE:
             while (backend := self.coordinator.pick(GONE)) is not None:
                 self.discovery.forget(backend)
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -794,7 +794,7 @@
         self.turn()
 
     def do_datagram(self, who, text, times="1"):
-        getattr(self, who).sendto(bytes.fromhex(text) * int(times), self.begin().peers.sock.getsockname())
+        getattr(self, who).sendto(bytes.fromhex(text) * int(times), self.begin().gossip.sock.getsockname())
         self.turn()
 
     def do_memory(self, most):  # buffers out at most
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -123,7 +123,7 @@
     house.logged("settings_changed", by="operations", version=2)
     most = house.service.streams.admission.connections_limit
     assert tag_of(one.edit("<limits><descriptors>512</descriptors></limits>")) == tag_of(one.commit()) == "ok"
-    assert house.service.streams.admission.connections_limit == most - 512 and house.service.probes.most == 64
+    assert house.service.streams.admission.connections_limit == most - 512 and house.service.health_checks.limit == 64
     assert tag_of(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
     assert "over the 1024" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
     assert tag_of(one.ask("<close-session/>")) == "ok"
@@ -393,7 +393,7 @@
 
 def test_a_fault_half_way_puts_back_what_was(house):
     one, before = house.manager(), house.settings()
-    probes, calls = house.service.probes, []
+    probes, calls = house.service.health_checks, []
 
     def fails(config):
         calls.append(config)
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -332,7 +332,7 @@
 
 def test_the_list_to_start_from_is_the_records_where_it_is_newer(tmp_path, monkeypatch):
     with Bench(tmp_path / "state") as first:
-        first.service.discovery.news(
+        first.service.discovery.handle_message(
             {
                 "index": 9,
                 "snapshot": False,
@@ -440,7 +440,7 @@
 def test_names_that_went_are_forgotten_on_the_disk_too(tmp_path):
     with Bench(tmp_path / "state") as bench:
         bench.learn(**SICK)
-        bench.service.discovery.news(
+        bench.service.discovery.handle_message(
             {"index": 2, "snapshot": False, "endpoints": [{**Bench.known[0], "status": "gone"}]}
         )
         for _ in range(60):
