--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -1,62 +1,125 @@
-"""The configuration: one JSON file, told by LB_CONFIG."""
+"""The configuration of a coordinator: one JSON file, named by LB_CONFIG.
+
+The one place that knows the file's keys. `load` checks them and gives a typed `Configuration`, in which all
+values are within their limits; nothing else reads the file."""
+
+from collections.abc import Mapping
+from pathlib import Path
+from typing import TYPE_CHECKING, Any, NotRequired, TypedDict
 
 import orjson
 
 from granitespool.errors import InvalidInputError
 from granitespool.fields import required_field, required_number
 from granitespool.net.buffers import BUFFER_SIZE
-from granitespool.settings import settings_from_wire
+from granitespool.settings import Settings, settings_from_wire
+
+if TYPE_CHECKING:
+    from granitespool.operator_settings import Operator
+
+DEFAULT_SOCKETS = 1024  # descriptors where no limit is told: the platform's largest
+DEFAULT_MEMORY_MB = 192  # MB where no limit is told: the platform's largest
+SOCKETS_MIN = 25  # descriptors under which nobody is served: the reserved ones, a check, some connections
+RESERVED_SOCKETS = 16  # for standard streams, the loop, the listener, datagrams, the watch, a file, and a few
+#                        pending connections where those who joined hold all places
+SOCKETS_PER_HEALTH_CHECK = 8  # one descriptor in so many: a server each of the smallest limit's fleet
+HEALTH_CHECKS_MAX = 64  # in flight at most: more tell nothing sooner
+MEMORY_PER_BUFFERS = 4  # one byte in so many may be receive buffers: the program takes half of 32 MB
+CONNECTIONS_MIN = 8
+PORT_MAX = 65535
+MIB = 1 << 20  # bytes
+SETTINGS_TYPES: Mapping[str, type] = {  # of the settings' keys whose type is checked here
+    "classes": list,
+    "zones": list,
+    "family_info": dict,
+    "rules": dict,
+    "permissions": dict,
+}
+
+Address = tuple[str, int]  # host and port
+
+
+class Limits(TypedDict):
+    """What the platform permits."""
 
-SOCKETS = 1024  # descriptors where no limit is told: the platform's largest
-MEMORY_MB = 192  # MB where no limit is told: the platform's largest
-SOCKETS_LEAST = 25  # descriptors under which nobody is served: the others, a probe and some connections
-OTHERS = 16  # descriptors for standard streams, the loop, the listener, datagrams, the watch, a file,
-#                    and a few strangers where those who joined hold all places
-PROBES_PART = 8  # one descriptor in so many is for probes: a server each of the smallest limit's fleet
-PROBES_MOST = 64  # probes in the air at most: more tell nothing sooner
-BUFFERS_PART = 4  # one byte in so many of the memory may be receive buffers: the program takes half of 32 MB
+    sockets: int  # descriptors
+    memory_mb: int  # MB
 
 
-def address(text):
-    """(host, port) of `host:port`."""
+class Shares(TypedDict):
+    """What the limits leave to each part."""
+
+    sockets: int  # descriptors in all
+    probes: int  # health checks in flight
+    connections: int
+    buffers: int  # receive buffers
+
+
+class Configuration(Shares):
+    """What the service is told."""
+
+    name: str
+    listen: Address
+    discovery: Address
+    seed: int
+    limits: Limits
+    limits_told: Limits  # as the file has them, whatever managers have changed since
+    peer_listen: Address | None
+    peers: list[Address]
+    peers_all: Address | None
+    known: dict[str, Any]  # a message of the endpoint list, in discovery's form
+    settings: Settings
+    operator: NotRequired["Operator | None"]  # the operator's settings, where the program was given some
+
+
+def address(text: object) -> Address:
+    """(host, port) of `host:port`; raises InvalidInputError."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not port.isdecimal() or int(port) > 65535:
+    if not host or not port.isdecimal() or int(port) > PORT_MAX:
         raise InvalidInputError(f"{text!r:.60} is not an address host:port")
     return host, int(port)
 
 
-def shares(limits):
-    """What the limits leave to each part: connections, probes in the air, receive buffers."""
-    limits = {"type": "limits", "sockets": SOCKETS, "memory_mb": MEMORY_MB, **limits}
-    sockets = required_number(limits, "sockets", int)
-    if sockets < SOCKETS_LEAST or required_number(limits, "memory_mb") < 1:
+def address_text(host_and_port: Address) -> str:
+    """`host:port` of an address."""
+    host, port = host_and_port
+    return f"{host}:{port}"
+
+
+def shares(limits: Mapping[str, Any]) -> Shares:
+    """What the limits leave to each part; raises InvalidInputError where they leave no room to serve."""
+    told = {"type": "limits", "sockets": DEFAULT_SOCKETS, "memory_mb": DEFAULT_MEMORY_MB, **limits}
+    sockets: int = required_number(told, "sockets", int)
+    memory_mb = required_number(told, "memory_mb")
+    if sockets < SOCKETS_MIN or memory_mb < 1:
         raise InvalidInputError(
-            f"the limits leave no room to serve: {SOCKETS_LEAST} sockets and 1 MB are the least"
+            f"the limits leave no room to serve: {SOCKETS_MIN} sockets and 1 MB are the least"
         )
-    probes = min(PROBES_MOST, sockets // PROBES_PART)
+    health_checks = min(HEALTH_CHECKS_MAX, sockets // SOCKETS_PER_HEALTH_CHECK)
     return {
         "sockets": sockets,
-        "probes": max(1, probes),
-        "connections": max(8, sockets - OTHERS - probes),
-        "buffers": int(required_number(limits, "memory_mb")) * (1 << 20) // BUFFERS_PART // BUFFER_SIZE,
+        "probes": max(1, health_checks),
+        "connections": max(CONNECTIONS_MIN, sockets - RESERVED_SOCKETS - health_checks),
+        "buffers": int(memory_mb) * MIB // MEMORY_PER_BUFFERS // BUFFER_SIZE,
     }
 
 
-def told_limits(limits):
-    """{sockets, memory_mb} as they are told, or the usual ones."""
+def told_limits(limits: Mapping[str, Any]) -> Limits:
+    """The limits as they are told, or the usual ones."""
+    sockets = limits.get("sockets")
+    memory_mb = limits.get("memory_mb")
     return {
-        key: int(usual if limits.get(key) is None else limits[key])
-        for key, usual in (("sockets", SOCKETS), ("memory_mb", MEMORY_MB))
+        "sockets": int(DEFAULT_SOCKETS if sockets is None else sockets),
+        "memory_mb": int(DEFAULT_MEMORY_MB if memory_mb is None else memory_mb),
     }
 
 
-def load(path):
-    """A plain map of what the service is told, or InvalidInputError with one sentence."""
+def load(path: str | None) -> Configuration:
+    """The configuration of a file; raises InvalidInputError with one sentence."""
     if not path:
         raise InvalidInputError("no configuration: LB_CONFIG names no file")
     try:
-        with open(path, "rb") as file:
-            told = orjson.loads(file.read())
+        told = orjson.loads(Path(path).read_bytes())
     except OSError as error:
         raise InvalidInputError(f"the configuration {path} cannot be read: {error.strerror}") from None
     except ValueError as error:
@@ -69,50 +132,64 @@
         raise InvalidInputError(f"the configuration {path} has a field of another type: {error}") from None
 
 
-def checked(told):
-    seed = str(told.get("seed") or 0)
-    try:
-        seed = int(seed, 16)
-    except ValueError:
-        raise InvalidInputError(f"the seed {seed!r:.40} is not in hex digits") from None
-    limits, wire = told.get("limits") or {}, required_field(told, "settings", dict)
-    for key, kind in (
-        ("classes", list),
-        ("zones", list),
-        ("family_info", dict),
-        ("rules", dict),
-        ("permissions", dict),
-    ):
-        if not isinstance(wire.get(key) or kind(), kind):
-            raise InvalidInputError(
-                f"the settings' {key!r} are not a JSON {'array' if kind is list else 'object'}"
-            )
-    if not all(isinstance(each, dict) for each in wire.get("classes") or ()):
-        raise InvalidInputError("the settings' 'classes' hold what is not an object")
+def checked(told: Mapping[str, Any]) -> Configuration:
+    """The configuration of the file's object; raises InvalidInputError, TypeError or AttributeError."""
+    seed = _seed(told.get("seed") or 0)
+    limits = told.get("limits") or {}
+    wire_settings = required_field(told, "settings", dict)
+    _check_settings_types(wire_settings)
     if not isinstance(limits, dict):
         raise InvalidInputError("the limits are not a JSON object")
+    name = required_field(told, "name", str)
+    listen = address(required_field(told, "listen", str))
+    discovery = address(required_field(told, "discovery", str))
+    share = shares({key: limit for key, limit in limits.items() if limit is not None})
     return {
-        "name": required_field(told, "name", str),
-        "listen": address(required_field(told, "listen", str)),
-        "discovery": address(required_field(told, "discovery", str)),
+        "name": name,
+        "listen": listen,
+        "discovery": discovery,
         "seed": seed,
-        **shares({key: limit for key, limit in limits.items() if limit is not None}),
+        "sockets": share["sockets"],
+        "probes": share["probes"],
+        "connections": share["connections"],
+        "buffers": share["buffers"],
         "limits": told_limits(limits),
         "limits_told": told_limits(limits),
-        "peer_listen": address(told["peer_listen"]) if told.get("peer_listen") else None,
+        "peer_listen": _optional_address(told.get("peer_listen")),
         "peers": [address(peer) for peer in told.get("peers") or ()],
-        "peers_all": address(told["peers_all"]) if told.get("peers_all") else None,
+        "peers_all": _optional_address(told.get("peers_all")),
         "known": required_field({"known": {"index": 0, "endpoints": []}, **told}, "known", dict),
-        "settings": settings_from_wire(wire),
+        "settings": settings_from_wire(wire_settings),
     }
 
 
-def summary(config):
+def summary(config: Configuration) -> str:
     """One line for a person: what this configuration holds."""
     settings = config["settings"]
     return (
-        f"{config['name']} listens on {config['listen'][0]}:{config['listen'][1]}, "
+        f"{config['name']} listens on {address_text(config['listen'])}, "
         f"{len(settings.zones or ())} zones, {len(settings.classes)} classes, "
         f"{len(config['known'].get('endpoints') or ())} backends known, {len(config['peers'])} peers, "
         f"{config['sockets']} sockets"
     )
+
+
+def _seed(told: object) -> int:
+    text = str(told)
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise InvalidInputError(f"the seed {text!r:.40} is not in hex digits") from None
+
+
+def _optional_address(told: object) -> Address | None:
+    return address(told) if told else None
+
+
+def _check_settings_types(wire_settings: Mapping[str, Any]) -> None:
+    for key, kind in SETTINGS_TYPES.items():
+        if not isinstance(wire_settings.get(key) or kind(), kind):
+            name = "array" if kind is list else "object"
+            raise InvalidInputError(f"the settings' {key!r} are not a JSON {name}")
+    if not all(isinstance(each, dict) for each in wire_settings.get("classes") or ()):
+        raise InvalidInputError("the settings' 'classes' hold what is not an object")
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -5,7 +5,7 @@
 last told stays while there is no watch."""
 
 import socket
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from typing import Any
 
 import h11
@@ -16,7 +16,7 @@
 from granitespool.errors import GranitespoolError, InvalidInputError
 from granitespool.fields import required_field, required_number
 from granitespool.net.client import ask, dial, receive
-from granitespool.net.config import address
+from granitespool.net.config import Address, Configuration, address
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop, Waits
 from granitespool.planner.events import EndpointListUpdate, ListForm
@@ -78,7 +78,7 @@
         loop: Loop,
         coordinator: Coordinator,
         log: Log,
-        config: Mapping[str, Any],
+        config: Configuration,
         uniform: Callable[[float, float], float],
     ) -> None:
         """`uniform` draws the jitter of the backoff.
@@ -88,18 +88,18 @@
         self.coordinator = coordinator
         self.log = log
         self.uniform = uniform
-        self.agent: tuple[str, int] = config["discovery"]
+        self.agent = config["discovery"]
         self.index = 0  # the version that is held
         self.told_at = loop.now  # ns, when a message was taken last
         self.heard_at = loop.now  # ns, when a line came last, empty or not
         self.position = WatchPosition()
         self.redial_backoff = REDIAL_BACKOFF_MIN  # ns
-        self.addresses: dict[str, tuple[str, int] | None] = {}  # of every backend listed and not forgotten
+        self.addresses: dict[str, Address | None] = {}  # of every backend listed and not forgotten
         self.named = False  # whether any list has named anyone
         self.handle_message(config["known"])
         self.task = loop.spawn(self._run())
 
-    def new_config(self, config: Mapping[str, Any]) -> None:
+    def new_config(self, config: Configuration) -> None:
         """Watches at the new address, from the version that is held; the list stays meanwhile."""
         if config["discovery"] != self.agent:
             self.agent = config["discovery"]
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -4,11 +4,10 @@
 coordinator asks for; a datagram that is lost is not sent again."""
 
 import socket
-from collections.abc import Mapping
 from contextlib import suppress
-from typing import Any
 
 from granitespool.coordinator import Coordinator
+from granitespool.net.config import Configuration
 from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
 from granitespool.net.log_events import log_message_dropped
@@ -23,7 +22,7 @@
 class Gossip:
     """Sends and receives datagrams as long as its coroutine runs; whoever ends `task` closes the socket."""
 
-    def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, config: Mapping[str, Any]) -> None:
+    def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, config: Configuration) -> None:
         """Binds at once; raises OSError where the address cannot be bound."""
         self.loop = loop
         self.coordinator = coordinator
@@ -33,10 +32,10 @@
         bind(self.sock, config["peer_listen"], log)
         self.task = loop.spawn(self._run())
 
-    def new_config(self, config: Mapping[str, Any]) -> None:
+    def new_config(self, config: Configuration) -> None:
         """Takes the peers' addresses; the socket stays."""
-        self.peers: list[tuple[str, int]] = config["peers"]
-        self.all_peers: tuple[str, int] | None = config["peers_all"]
+        self.peers = config["peers"]
+        self.all_peers = config["peers_all"]
         self.numbers = {address: number for number, address in enumerate(self.peers)}
 
     def send(self, peer: int, contents: str) -> None:
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -5,13 +5,13 @@
 
 import socket
 from collections.abc import Generator, Iterator, Mapping
-from typing import Any
 
 import h11
 
 from granitespool.coordinator import PROBES, Coordinator
 from granitespool.endpoints import load_metrics
 from granitespool.net.client import ask, dial, receive
+from granitespool.net.config import Address, Configuration
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop, Wait, Waits
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult
@@ -33,8 +33,8 @@
         loop: Loop,
         coordinator: Coordinator,
         log: Log,
-        config: Mapping[str, Any],
-        addresses: Mapping[str, tuple[str, int] | None],
+        config: Configuration,
+        addresses: Mapping[str, Address | None],
     ) -> None:
         """`addresses` has those of the backends that the list has named, now and later."""
         self.loop = loop
@@ -44,10 +44,10 @@
         self.in_flight = 0
         self.new_config(config)
 
-    def new_config(self, config: Mapping[str, Any]) -> None:
+    def new_config(self, config: Configuration) -> None:
         """Takes the limit and the time for a connection; those in flight keep the time they began with."""
-        self.dial_timeout: int = config["settings"].connect_timeout or DIAL_TIMEOUT
-        self.limit: int = config["probes"]
+        self.dial_timeout = config["settings"].connect_timeout or DIAL_TIMEOUT
+        self.limit = config["probes"]
 
     def start(self) -> None:
         """Starts those that the coordinator asks for, as many as the limit permits."""
@@ -95,7 +95,7 @@
 
 
 def _load_report(
-    sock: socket.socket, address: tuple[str, int], deadline: int
+    sock: socket.socket, address: Address, deadline: int
 ) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
     """Asks for the load report; raises TimeoutError, OSError or h11.ProtocolError."""
     status, body = None, b""
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -6,13 +6,13 @@
 
 import socket
 from collections.abc import Mapping
-from typing import Any
 
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
 from granitespool.net.acceptor import Acceptor
 from granitespool.net.admission import Admission
 from granitespool.net.buffers import Pool
+from granitespool.net.config import Configuration
 from granitespool.net.connection import (
     CLOSED_BY_COORDINATOR,
     CLOSED_BY_PEER,
@@ -46,7 +46,7 @@
         coordinator: Coordinator,
         log: Log,
         pool: Pool,
-        config: Mapping[str, Any],
+        config: Configuration,
         backends: Mapping[str, object],
     ) -> None:
         """Listens at once; raises OSError where the address cannot be bound.
@@ -82,7 +82,7 @@
         """Each joined proxy's current stream."""
         return self.membership.proxies
 
-    def new_config(self, config: Mapping[str, Any]) -> None:
+    def new_config(self, config: Configuration) -> None:
         """Who has joined stays, whatever the new figures are; they hold for who comes from now on."""
         settings = config["settings"]
         self.names.zones = set(settings.zones or ())
