--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -53,9 +53,9 @@
         """Ends the oldest pending connection that may give way, and returns whether there was one.
 
         `holds_buffer` asks for one that holds a buffer; `requester`, who seeks the room, never gives way.
-        Against floods of connections that never join: they give way to who may be a proxy, but not before
-        their own joining can have come. What else it holds for: all proxies at once. Harm: past so many at
-        once, others wait."""
+        In a flood of connections that never join, the older ones give way to one that may be a proxy, but not
+        before their own joining can have come. The same holds when all proxies dial at once: past the limit
+        the others wait."""
         for connection in self.pending:
             if _may_give_way(connection, requester, holds_buffer):
                 if self.loop.now - connection.accepted_at < PENDING_GRACE:
@@ -76,7 +76,7 @@
 
     def _end(self, connection: Connection) -> None:
         self.log.often("evicted", peer=connection.peer, role=connection.role)
-        self.loop.end(connection.task)
+        self.loop.end(connection.running)
 
 
 def _may_give_way(connection: Connection, requester: Connection | None, holds_buffer: bool) -> bool:
--- a/granitespool/net/connection.py
+++ b/granitespool/net/connection.py
@@ -47,11 +47,17 @@
     proxy: int | None = None  # the proxy whose stream it is
     joining: ProxyJoining | None = None  # what that proxy said of itself
     awaiting_since: int | None = None  # ns of the oldest mark after which nothing came yet
-    away: bool = False  # its proxy was silent for too long, and counts as left
+    is_unreachable: bool = False  # its proxy was silent for too long, and counts as left
     ended_by_us: bool = False
     leaving_reported: bool = False
     end_reason: str = CLOSED_BY_PEER  # for the log
 
+    @property
+    def running(self) -> Task:
+        """Its coroutine, from the first wait on."""
+        assert self.task is not None
+        return self.task
+
     def write(self, data: bytes) -> None:
         """Sends what waits and then `data`, as far as the system takes it now; the rest waits in `unsent`.
 
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -40,9 +40,9 @@
     def handle(self, connection: Connection, message: Message) -> None:
         """Does what one message asks for.
 
-        Raises InvalidInputError where its sender must be refused or cut off, and OSError where it is
+        Raises InvalidInputError where its sender must be rejected or cut off, and OSError where it is
         broken; any other wrong message is lost alone."""
-        kind = message["type"]
+        kind: str = message["type"]
         if kind == messages.PING:
             self._answer_ping(connection)
         elif connection.role is PENDING:
@@ -80,22 +80,22 @@
         except InvalidInputError as error:
             self._drop(connection, str(error))
         except Exception as error:
-            # Against a fault of ours that some message wakes: it must not cost its sender the connection,
-            # and with a collector all of its zone's reports. Harm: the fault shows in the log alone.
+            # A fault of ours that some message triggers must not cost its sender the connection, and with a
+            # collector all of its zone's reports. It shows in the log alone.
             self.loop.report_failure(error)
 
     def _drop(self, connection: Connection, reason: str) -> None:
         log_message_dropped(self.log, peer=connection.peer, reason=reason, proxy=connection.proxy)
 
     def _report_applied(self, connection: Connection, message: Message) -> None:
-        if connection.role is not Role.PROXY:
+        if connection.role is not Role.PROXY or connection.proxy is None:
             raise InvalidInputError("only a proxy's own stream brings its 'applied'")
         try:
             applied = messages.mark_applied(message, self.names, connection.proxy)
         except InvalidInputError:
-            # It has answered some mark, at least the oldest: else its lines stay in the planner's account
-            # until that mark counts as lost. What else it holds for: answers of another version. Harm: who
-            # answers what it never applied makes its own lines count as gone too soon.
+            # It has answered some mark, at least the oldest: otherwise its entries would stay in the
+            # in-flight account until that mark counts as lost. The same goes for answers of another version.
+            # A proxy that answers what it never applied makes its own entries leave the account too soon.
             self.coordinator.report(self.loop.now, "applied", proxy=connection.proxy, serial=None, took=None)
             raise
         self.coordinator.report(
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -1,19 +1,28 @@
-"""Frames of the streams: four bytes of length, least significant first, and one JSON object."""
+"""Frames of the streams: four bytes of length, least significant first, and one JSON object.
+
+A codec without I/O: `frame` and `updates` make bytes of messages, `Reader` makes messages of bytes. What a
+message means is for `messages` and `dispatch`."""
 
 import json
+from collections.abc import Iterator
+from typing import Any
 
 import orjson
 
 from granitespool.errors import InvalidInputError
+from granitespool.net.buffers import Pool
 
 LARGEST = 1 << 20  # bytes of a message at most: the protocol's
 PARTS = 64  # parts of a message at most: the protocol's
-PART_LINES = 2048  # lines in one part: 500 bytes a line keep it under the largest message
+PART_LINES = 2048  # entries in one part: 500 bytes an entry keep it under the largest message
 HEAD = 4  # bytes of length
 UNTYPED = ""  # type of a message that is no object, or has no type that can be read
 
+Message = dict[str, Any]
+
 
-def frame(message):
+def frame(message: Message) -> bytes:
+    """One message as bytes."""
     body = orjson.dumps(message)
     return len(body).to_bytes(HEAD, "little") + body
 
@@ -21,12 +30,13 @@
 PONG = frame({"type": "pong"})
 
 
-def parsed(body):
+def parsed(body: bytes) -> Any:
+    """The JSON value of a frame's body; raises InvalidInputError."""
     try:
         return orjson.loads(body)
     except ValueError as error:
-        # Against senders that write NaN or Infinity as their languages do: it can be read, so that message
-        # alone is lost, by the checks of its fields. Harm: a bad body is parsed twice.
+        # Some languages write NaN or Infinity: that can be read, and the checks of its fields lose that
+        # message alone. The cost: a bad body is parsed twice.
         try:
             return json.loads(body)
         except (ValueError, RecursionError):
@@ -34,28 +44,34 @@
 
 
 class Reader:
-    """What one party has sent and is not read yet; owns the buffers it took from the pool."""
-
-    def __init__(self, pool, largest):
-        self.pool, self.largest = pool, largest  # bytes of a message at most, for now
-        self.chain, self.first, self.have = [], 0, 0  # [buffer, filled]; offset in the first
-
-    def room(self):
-        """A view to receive into, or None when the pool has no buffer left."""
+    """The bytes that one peer has sent and that are not read yet; owns the buffers it took from the pool."""
+
+    def __init__(self, pool: Pool, largest: int) -> None:
+        """`largest` is the bytes of a message at most, for now."""
+        self.pool = pool
+        self.largest = largest
+        self.chain: list[tuple[bytearray, int]] = []  # buffers, and how much of each is filled
+        self.first = 0  # offset in the first buffer
+        self.have = 0  # bytes
+
+    def room(self) -> memoryview | None:
+        """Where to receive into, or None when the pool has no buffer left."""
         if not self.chain or self.chain[-1][1] == self.pool.size:
             buffer = self.pool.take()
             if buffer is None:
                 return None
-            self.chain.append([buffer, 0])
+            self.chain.append((buffer, 0))
         buffer, filled = self.chain[-1]
         return memoryview(buffer)[filled:]
 
-    def received(self, size):
-        self.chain[-1][1] += size
+    def received(self, size: int) -> None:
+        """Notes that so many bytes were received into the view of `room`."""
+        buffer, filled = self.chain[-1]
+        self.chain[-1] = (buffer, filled + size)
         self.have += size
 
-    def messages(self):
-        """The messages that are complete; a frame that is not the protocol's ends in InvalidInputError."""
+    def messages(self) -> Iterator[Message]:
+        """The messages that are complete; raises InvalidInputError for a frame that is not the protocol's."""
         while self.have >= HEAD:
             size = int.from_bytes(self._bytes(HEAD), "little")
             if size > self.largest:
@@ -65,30 +81,40 @@
             self._skip(HEAD)
             body = self._bytes(size)
             self._skip(size)
-            message = parsed(body)
-            message = message if isinstance(message, dict) else {}
-            yield message if isinstance(message.get("type"), str) else {**message, "type": UNTYPED}
+            yield _typed(parsed(body))
 
-    def _bytes(self, size):
-        pieces, first = [], self.first
+    def close(self) -> None:
+        """Gives back all buffers."""
+        while self.chain:
+            self.pool.give(self.chain.pop()[0])
+        self.first = 0
+        self.have = 0
+
+    def _bytes(self, size: int) -> bytes:
+        pieces = []
+        first = self.first
         for buffer, filled in self.chain:
             piece = memoryview(buffer)[first : min(filled, first + size)]
             pieces.append(piece)
-            size, first = size - len(piece), 0
+            size -= len(piece)
+            first = 0
             if not size:
                 break
         return b"".join(pieces)
 
-    def _skip(self, size):
-        self.first, self.have = self.first + size, self.have - size
+    def _skip(self, size: int) -> None:
+        self.first += size
+        self.have -= size
         while self.chain and self.first >= self.chain[0][1]:
-            self.first -= self.chain[0][1]
-            self.pool.give(self.chain.pop(0)[0])
+            buffer, filled = self.chain.pop(0)
+            self.first -= filled
+            self.pool.give(buffer)
 
-    def close(self):
-        while self.chain:
-            self.pool.give(self.chain.pop()[0])
-        self.first = self.have = 0
+
+def _typed(value: object) -> Message:
+    """A message that has a type, `UNTYPED` where none can be read."""
+    message = value if isinstance(value, dict) else {}
+    return message if isinstance(message.get("type"), str) else {**message, "type": UNTYPED}
 
 
 def updates(order):
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -1,248 +1,249 @@
-"""A door for managers: a listener, TLS with certificates on both sides, and a protocol that knows no socket.
+"""A listener for management clients: TLS with certificates on both sides, and a protocol behind it.
 
-A protocol is made for a user once the handshake is done:
+Owns the listening socket and a coroutine for each connection, which owns that connection's socket. A protocol
+is made for a user once the handshake is done, by `make(user, connection)`; what it has to do is the class
+`ManagementProtocol`.
 
-    made = make(user, session)    session: has `send(bytes)`, `end(why)`, `unsent`, `now()` and `wake()`
-    made.begin()                  the connection is up
-    made.received(bytes)          plain bytes
-    made.work()                   a little of what takes long; True while there is more of it
-    made.due(), made.tick(now)    its next timer, or None
-    made.closed(why)              once, however it ends
-
-Managers never cost a proxy anything: their connections have a number of their own, what they ask is worked
-off in small steps, and who does not read is not read from."""
+Management never costs a proxy anything: its connections have a number of their own, what they ask is worked
+off in small steps, and a client that does not read is not read from."""
 
 import errno
 import socket
+import ssl
 import time
+from collections.abc import Callable
+from typing import Any
 
+from granitespool.management.authorization import User
+from granitespool.net.config import Address
+from granitespool.net.connection import CLOSED_BY_COORDINATOR, CLOSED_BY_PEER
 from granitespool.net.listen_address import bind
-from granitespool.net.loop import IN, OUT, SECOND
-from granitespool.net.tls import Broken, Secure
-
-BACKLOG = 16  # connections the system holds for us: managers are few
-HANDSHAKE = 5 * SECOND  # ns for the handshake: a long way and a slow client's signature
-READ = 8 * 1024  # bytes read in one turn: some thirty calls of gRPC, three milliseconds
-WRITE = 64 * 1024  # bytes written in one call
-UNSENT_HIGH = 256 * 1024  # bytes that wait for one manager past which nothing is read or worked on for it
-UNSENT_MOST = 4 << 20  # bytes that may wait at all: the largest answer in the making, and notifications
-STEP = 2_000_000  # ns of work in one turn for all of a door: half of what a turn may grow by
-FULL_WAIT = SECOND // 20  # ns between accepts while there is no room
-
-
-class Session:
-    """One connection; its coroutine owns the socket."""
-
-    def __init__(self, door, sock, peer):
-        self.door, self.sock, self.peer = door, sock, peer
-        self.secure, self.buffer, self.user = Secure(door.context), bytearray(), None
-        self.protocol = self.task = self.ending = None
-        self.since = self.heard = door.loop.now
-
-    @property
-    def unsent(self):
-        return len(self.buffer)
-
-    def now(self):
-        return self.door.loop.now
-
-    def send(self, data):
-        """Plain bytes; written as the other side takes them."""
-        self.secure.write(data)
-        self.buffer += self.secure.outgoing()
-        if len(self.buffer) > UNSENT_MOST:
-            self.end("it does not read")
-
-    def end(self, why):
-        """Ends the connection once what waits is written, as far as it can be at once."""
-        self.ending = self.ending or why
-
-    def wake(self):
-        """Has the coroutine look again in the next turn; for who changes a session from outside."""
-        self.door.woken[self] = None
-
-
-class Door:
-    """`users`: a function of (certificate, digest) that gives a user or None; `make(user, session)` a
-    protocol."""
-
-    def __init__(self, loop, log, name, context, settings, users, make):
-        self.loop, self.log, self.name = loop, log, name
-        self.context, self.users, self.make = context, users, make
-        self.most, self.idle = settings.sessions, int(settings.idle_s * SECOND)
-        self.streams = getattr(settings, "streams", None)  # calls at once on one connection, where it has any
-        self.half_open = max(2, self.most // 2)
-        self.sessions, self.woken, self.spent, self.turn = {}, {}, 0, None
-        self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+from granitespool.net.log import Log
+from granitespool.net.loop import IN, OUT, SECOND, Loop, Waits
+from granitespool.net.management_connection import (
+    UNSENT_READ_LIMIT,
+    ManagementConnection,
+    ManagementProtocol,
+)
+from granitespool.net.tls import TlsError
+from granitespool.operator_settings import Gnmi, Netconf
+
+BACKLOG = 16  # connections the system holds for us: management clients are few
+HANDSHAKE_TIMEOUT = 5 * SECOND  # ns: a long way and a slow client's signature
+WORK_PER_TURN = 2_000_000  # ns of work in one turn for all of a listener: half of what a turn may grow by
+ACCEPT_RETRY_DELAY = SECOND // 20  # ns between accepts while there is no place
+SUBJECT_MAX = 100  # characters of a certificate's subject in the log
+OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+
+FindUser = Callable[[dict[str, Any], str], User | None]  # of a certificate and its SHA-256 in hex
+MakeProtocol = Callable[[User, ManagementConnection], ManagementProtocol]
+
+
+def handshakes_max(sessions: int) -> int:
+    """Connections in their handshake that a listener with so many sessions takes beside them."""
+    return max(2, sessions // 2)
+
+
+def sockets_max(sessions: int) -> int:
+    """Descriptors that a listener with so many sessions may hold, its own included."""
+    return sessions + handshakes_max(sessions) + 1
+
+
+class ManagementListener:
+    """The listener of one protocol."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        log: Log,
+        name: str,
+        context: ssl.SSLContext,
+        settings: Netconf | Gnmi,
+        find_user: FindUser,
+        make: MakeProtocol,
+    ) -> None:
+        """Listens at once; raises OSError where the address cannot be bound."""
+        self.loop = loop
+        self.log = log
+        self.name = name
+        self.context = context  # for connections from now on
+        self.find_user = find_user
+        self.make = make
+        self.sessions_max = settings.sessions
+        self.idle_timeout = int(settings.idle_s * SECOND)  # ns
+        self.streams: int | None = getattr(settings, "streams", None)  # calls at once on one connection
+        self.connections: dict[ManagementConnection, None] = {}  # in order of age
+        self.woken: dict[ManagementConnection, None] = {}  # to be looked at again
+        self.worked_at = 0  # ns, the turn that `worked` is of
+        self.worked = 0  # ns of work in that turn
         host, _, port = settings.listen.rpartition(":")
+        self.socket = self._listening((host, int(port)))
+        loop.spawn(self._accept())
+
+    def end_of_turn(self) -> None:
+        """Resumes connections that others have changed: what was sent to them is written."""
+        for connection in list(self.woken):
+            self.woken.pop(connection, None)
+            if connection.task is not None:
+                self.loop.resume(connection.task)
+
+    def _listening(self, address: Address) -> socket.socket:
+        listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            bind(self.listener, (host, int(port)), log)
+            bind(listening, address, self.log)
         except OSError:
-            self.listener.close()
+            listening.close()
             raise
-        self.listener.listen(BACKLOG)
-        loop.spawn(self._accept())
+        listening.listen(BACKLOG)
+        return listening
 
-    def _accept(self):
-        with self.listener:
+    def _accept(self) -> Waits:
+        with self.socket:
             while True:
-                yield self.listener.fileno(), IN, None
-                if not self._room():
-                    yield None, 0, self.loop.now + FULL_WAIT
+                yield self.socket.fileno(), IN, None
+                if not self._has_place():
+                    yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
                     continue
                 try:
-                    sock, peer = self.listener.accept()
+                    sock, (host, port) = self.socket.accept()
                 except OSError as error:
-                    if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                        yield None, 0, self.loop.now + FULL_WAIT
+                    if error.errno in OUT_OF_RESOURCES:
+                        yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
                     continue
-                sock.setblocking(False)
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, UNSENT_HIGH)  # the system's share too
-                session = Session(self, sock, f"{peer[0]}:{peer[1]}")
-                self.sessions[session] = None
-                session.task = self.loop.spawn(self._serve(session))
-
-    def _room(self):
-        """Whether another may come. Against hundreds of half-open handshakes: the oldest of them gives way,
-        so that who has a certificate gets in. Harm: a slow handshake among many is cut off."""
-        opening = [each for each in self.sessions if each.protocol is None]
-        if len(opening) >= self.half_open:
-            self.loop.end(opening[0].task)
-        return len(self.sessions) < self.most + self.half_open
-
-    def _serve(self, session):
-        why = "closed"
+                self._open(sock, f"{host}:{port}")
+
+    def _open(self, sock: socket.socket, peer: str) -> None:
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, UNSENT_READ_LIMIT)  # the system's share too
+        connection = ManagementConnection(self, sock, peer)
+        self.connections[connection] = None
+        connection.task = self.loop.spawn(self._serve(connection))
+
+    def _has_place(self) -> bool:
+        """Whether another may be accepted.
+
+        Among many connections in their handshake the oldest is evicted, so that a client with a certificate
+        gets in; a slow handshake in a flood is cut off by that."""
+        in_handshake = [each for each in self.connections if each.protocol is None]
+        limit = handshakes_max(self.sessions_max)
+        if len(in_handshake) >= limit and in_handshake[0].task is not None:
+            self.loop.end(in_handshake[0].task)
+        return len(self.connections) < self.sessions_max + limit
+
+    def _serve(self, connection: ManagementConnection) -> Waits:
+        reason = CLOSED_BY_PEER
         try:
-            while session.ending is None:
-                mask = (OUT if session.buffer else 0) | (IN if session.unsent < UNSENT_HIGH else 0)
-                events = yield session.sock.fileno(), mask, self._due(session)
-                self.woken.pop(session, None)
-                if not events:
-                    self._timers(session)
-                if session.buffer:
-                    self._flush(session)
-                if events & ~OUT and not self._read(session):
-                    break
-                self._work(session)
-            why = session.ending or why
-            self._flush(session)
+            yield from self._exchange(connection)
+            reason = connection.ending or reason
+            connection.flush()
         except GeneratorExit:
-            why = "given up"
+            reason = CLOSED_BY_COORDINATOR
             raise
-        except Broken as error:
-            why = str(error)
-            session.buffer += session.secure.outgoing()
-            self._last(session)
+        except TlsError as error:
+            reason = str(error)
+            connection.flush_last()
         except OSError as error:
-            why = error.strerror or str(error)
+            reason = error.strerror or str(error)
         finally:
-            self._end(session, why)
-
-    def _due(self, session):
-        if session.protocol is None:
-            return session.since + HANDSHAKE
-        if self._busy(session):
-            return self.loop.now + 1  # a step in each turn; due now, it would be resumed in this one
-        idle = None if session.protocol.keeps else session.heard + self.idle
-        dues = [due for due in (idle, session.protocol.due()) if due is not None]
-        return max(min(dues), self.loop.now + 1) if dues else None
-
-    def _busy(self, session):
-        return session.unsent < UNSENT_HIGH and session.protocol.busy
-
-    def _timers(self, session):
+            self._close(connection, reason)
+
+    def _exchange(self, connection: ManagementConnection) -> Waits:
+        """Reads, works and writes until one side ends; raises TlsError or OSError."""
+        while connection.ending is None:
+            mask = (OUT if connection.unsent else 0) | (IN if connection.is_readable else 0)
+            events = yield connection.sock.fileno(), mask, self._deadline(connection)
+            self.woken.pop(connection, None)
+            if not events:
+                self._run_timers(connection)
+            connection.flush()
+            if events & ~OUT and not self._read(connection):
+                return
+            self._work(connection)
+
+    def _deadline(self, connection: ManagementConnection) -> int | None:
+        protocol, now = connection.protocol, self.loop.now
+        if protocol is None:
+            return connection.accepted_at + HANDSHAKE_TIMEOUT
+        if connection.is_busy:
+            return now + 1  # a step in each turn; with a deadline of now it would be resumed in this one
+        idle_at = None if protocol.keeps else connection.heard_at + self.idle_timeout
+        deadlines = [deadline for deadline in (idle_at, protocol.due()) if deadline is not None]
+        return max(min(deadlines), now + 1) if deadlines else None
+
+    def _run_timers(self, connection: ManagementConnection) -> None:
         now = self.loop.now
-        if session.protocol is None:
-            if now >= session.since + HANDSHAKE:
-                session.end("no handshake in time")
+        if connection.protocol is None:
+            if now >= connection.accepted_at + HANDSHAKE_TIMEOUT:
+                connection.end("no handshake in time")
             return
-        if now >= session.heard + self.idle and not session.protocol.keeps:
-            session.end("idle")
-        session.protocol.tick(now)
-
-    def _read(self, session):
-        try:
-            data = session.sock.recv(READ)
-        except BlockingIOError:
+        if now >= connection.heard_at + self.idle_timeout and not connection.protocol.keeps:
+            connection.end("idle")
+        connection.protocol.tick(now)
+
+    def _read(self, connection: ManagementConnection) -> bool:
+        """Reads what is there and hands it to the protocol; False once the other side has ended."""
+        received = connection.receive()
+        if received is None:
             return True
-        session.heard = self.loop.now
-        plain = session.secure.feed(data)
-        session.buffer += session.secure.outgoing()
-        if session.protocol is None and session.secure.up:
-            self._enter(session)
-        if plain and session.ending is None:
-            session.protocol.received(plain)
-        self._flush(session)
-        return bool(data) and not session.secure.ended
-
-    def _enter(self, session):
-        certificate, digest = session.secure.peer()
-        session.user = self.users(certificate, digest)
-        if session.user is None:
+        plain, has_ended = received
+        if connection.protocol is None and connection.tls.is_up:
+            self._begin_session(connection)
+        if plain and connection.ending is None and connection.protocol is not None:
+            connection.protocol.received(plain)
+        connection.flush()
+        return not has_ended
+
+    def _begin_session(self, connection: ManagementConnection) -> None:
+        certificate, digest = connection.tls.peer()
+        user = self.find_user(certificate, digest)
+        connection.user = user
+        if user is None:
             subject = [value for pairs in certificate.get("subject", ()) for _, value in pairs]
-            session.end(f"no user has the certificate of {', '.join(subject)[:100] or digest}")
+            named = ", ".join(subject)[:SUBJECT_MAX] or digest
+            connection.end(f"no user has the certificate of {named}")
             return
-        if sum(each.protocol is not None for each in self.sessions) >= self.most:
-            session.end("there are as many sessions as may be")
+        if sum(each.protocol is not None for each in self.connections) >= self.sessions_max:
+            connection.end("there are as many sessions as may be")
             return
-        session.protocol = self.make(session.user, session)
-        self.log.event("manager_connected", listener=self.name, peer=session.peer, user=session.user.name)
-        session.protocol.begin()
+        connection.protocol = self.make(user, connection)
+        self.log.event("manager_connected", listener=self.name, peer=connection.peer, user=user.name)
+        connection.protocol.begin()
 
-    def _work(self, session):
+    def _work(self, connection: ManagementConnection) -> None:
         """Some of what takes long, within this turn's share."""
-        if session.protocol is None or session.ending is not None:
+        if connection.protocol is None or connection.ending is not None:
             return
-        if self.turn != self.loop.now:
-            self.turn, self.spent = self.loop.now, 0
-        while self.spent < STEP and self._busy(session):
+        if self.worked_at != self.loop.now:
+            self.worked_at = self.loop.now
+            self.worked = 0
+        while self.worked < WORK_PER_TURN and connection.is_busy:
             begun = time.perf_counter_ns()
-            session.protocol.work()
-            self.spent += time.perf_counter_ns() - begun
-        self._flush(session)
-
-    @staticmethod
-    def _flush(session):
-        while session.buffer:
-            try:
-                sent = session.sock.send(session.buffer[:WRITE])
-            except BlockingIOError:
-                return
-            del session.buffer[:sent]
+            connection.protocol.work()
+            self.worked += time.perf_counter_ns() - begun
+        connection.flush()
 
-    def _last(self, session):
+    def _close(self, connection: ManagementConnection, reason: str) -> None:
+        del self.connections[connection]
+        self.woken.pop(connection, None)
         try:
-            self._flush(session)
-        except OSError:
-            pass  # it is closed all the same
-
-    def _end(self, session, why):
-        del self.sessions[session]
-        self.woken.pop(session, None)
-        try:
-            if session.protocol is not None:
-                session.protocol.closed(why)
-                session.secure.close()
-                session.buffer += session.secure.outgoing()
-                self._last(session)
+            if connection.protocol is not None:
+                connection.protocol.closed(reason)
+                connection.tls.close()
+                connection.flush_last()
         finally:
-            session.sock.close()
-        if session.protocol is not None:
+            connection.sock.close()
+        self._log_end(connection, reason)
+
+    def _log_end(self, connection: ManagementConnection, reason: str) -> None:
+        if connection.user is not None and connection.protocol is not None:
             self.log.event(
                 "manager_disconnected",
                 listener=self.name,
-                peer=session.peer,
-                user=session.user.name,
-                reason=why,
+                peer=connection.peer,
+                user=connection.user.name,
+                reason=reason,
             )
-        elif why not in ("closed", "given up"):
-            self.log.often("manager_rejected", listener=self.name, peer=session.peer, reason=why)
-
-    def end_of_turn(self):
-        """Resumes sessions that others have changed: what was sent to them is written."""
-        for session in list(self.woken):
-            self.woken.pop(session, None)
-            if session.task is not None:
-                self.loop.resume(session.task)
+        elif reason not in (CLOSED_BY_PEER, CLOSED_BY_COORDINATOR):
+            self.log.often("manager_rejected", listener=self.name, peer=connection.peer, reason=reason)
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -15,8 +15,9 @@
 from granitespool.management.operational_state import Picture
 from granitespool.net.config import shares
 from granitespool.net.loop import SECOND
-from granitespool.net.management_listener import Door
-from granitespool.net.tls import context
+from granitespool.net.management_listener import ManagementListener
+from granitespool.net.reconfiguration import without_management_sockets
+from granitespool.net.tls import server_context
 
 KEEP_MOST = 5 * SECOND  # ns that a commit's answer waits for the state folder: a worse disk has failed
 LOOK = SECOND  # ns between looks at what is notified of: the planner's period
@@ -83,7 +84,8 @@
 
     @staticmethod
     def _context(operator, door):
-        return context(operator.tls.certificate, operator.tls.key, operator.tls.authorities, ALPN[door])
+        tls = operator.tls
+        return server_context(tls.certificate, tls.key, tls.authorities, ALPN[door])
 
     def _open(self, name, settings, made):
         if name == "netconf":
@@ -91,7 +93,7 @@
         else:
             from granitespool.gnmi.session import Gnmi as protocol  # noqa: PLC0415
         self.doors.append(
-            Door(
+            ManagementListener(
                 self.loop,
                 self.log,
                 name,
@@ -146,7 +148,7 @@
             return self.from_file
         config = mapping.config_of(tree, self.service.config)
         if config.get("limits") != self.service.config.get("limits"):
-            config = self.service.with_room({**config, **shares(config["limits"])})
+            config = without_management_sockets({**config, **shares(config["limits"])})
         return config
 
     def refused(self, by, why):
@@ -156,7 +158,7 @@
     def check(self, tree, running):
         config = self._config(tree)
         coordinator = self.service.coordinator
-        waits = () if self.from_file else self.service.waits(config)
+        waits = () if self.from_file else self.service.reconfiguration.waiting_for_restart(config)
         impact_check.check(
             config,
             self.service.config,
@@ -168,7 +170,7 @@
     def apply(self, tree, by):
         config = self._config(tree)
         try:
-            waits = self.service.take(config)
+            waits = self.service.reconfiguration.take(config)
         except Exception as error:
             self.loop.report_failure(error)
             raise Refused(
@@ -239,7 +241,9 @@
         tree = mapping.tree_of(config)
         made = {door.name: self._context(config["operator"], door.name) for door in self.doors}
         if tree == self.base:
-            waits = self.service.take(mapping.config_of(self.datastores.tree("running"), config))
+            waits = self.service.reconfiguration.take(
+                mapping.config_of(self.datastores.tree("running"), config)
+            )
         else:
             self.model.check(tree)
             self.from_file = config
@@ -247,7 +251,7 @@
                 self.datastores.file(tree)
             finally:
                 self.from_file = None
-            self.base, waits = tree, self.service.last_waits
+            self.base, waits = tree, self.service.reconfiguration.restart_required
             if self.service.keeper is not None:
                 self.service.keeper.keep_settings(None, None, self.datastores.version)
         self.users = self._users(config["operator"])
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -30,8 +30,8 @@
         Raises InvalidInputError where no place is free, or where the proxy has joined on a later one."""
         former = self.proxies.get(joining.proxy)
         if former and former.number > connection.number:
-            # Against a joining that was held up until its proxy had dialled again: the stream that the proxy
-            # gave up must not end the one it uses. Harm: a proxy that joins on the older of two is refused.
+            # A joining can be held up until its proxy has dialled again: the stream that the proxy gave up
+            # must not end the one it uses. A proxy that joins on the older of two is rejected.
             raise InvalidInputError(f"the proxy {joining.proxy} has joined on a later connection")
         self.admission.admit(connection, Role.PROXY, replaces=former is not None)
         connection.proxy = joining.proxy
@@ -49,11 +49,11 @@
             rate=joining.rate,
         )
         if former:  # it has moved on: the old stream carries nothing more
-            self.loop.end(former.task)
+            self.loop.end(former.running)
 
     def leave(self, connection: Connection) -> None:
         """Reports the leaving, where this is a proxy's current stream; else nothing."""
-        if self.proxies.get(connection.proxy) is connection:
+        if connection.proxy is not None and self.proxies.get(connection.proxy) is connection:
             del self.proxies[connection.proxy]
             # What we end ourselves has not left by the protocol: what waits for it stays in the account
             self.coordinator.report(
@@ -61,20 +61,21 @@
             )
             connection.leaving_reported = True
 
-    def mark_away(self, connection: Connection) -> None:
+    def mark_unreachable(self, connection: Connection) -> None:
         """Reports a silent proxy as left until it speaks.
 
         A proxy that answers no mark and reports nothing is cut off, so nothing is booked or written for it.
         Its stream stays: it is the proxy's to end."""
-        connection.away = True
+        connection.is_unreachable = True
         connection.awaiting_since = None
         self.log.event("unreachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(self.loop.now, "left", proxy=connection.proxy, silent=True)
 
-    def mark_back(self, connection: Connection) -> None:
-        """A proxy that was away has spoken: it counts as joined anew, with the tables that it was written."""
+    def mark_reachable(self, connection: Connection) -> None:
+        """An unreachable proxy has spoken: it counts as joined anew, with the tables that it was written."""
         joining = connection.joining
-        connection.away = False
+        assert joining is not None, "only a proxy's stream is ever unreachable"
+        connection.is_unreachable = False
         self.log.event("reachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(
             self.loop.now,
--- a/granitespool/net/messages.py
+++ b/granitespool/net/messages.py
@@ -6,6 +6,7 @@
 
 from collections.abc import Container
 from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
@@ -14,7 +15,7 @@
 from granitespool.fields import REPORTED_COUNT_MAX, REPORTED_TIME_MAX_MS, required_field, required_number
 from granitespool.units import MILLISECOND
 
-Message = dict[str, object]  # one object of the wire; its "type" is text, and empty where it had none
+Message = dict[str, Any]  # one object of the wire; its "type" is text, and empty where it had none
 
 PING = "ping"  # the readiness check, answered on every connection
 PROXY_JOINING = "joined"
@@ -130,18 +131,19 @@
 
 
 def _count(message: Message, key: str) -> int | float:
-    return required_number(message, key, maximum=REPORTED_COUNT_MAX)
+    count: int | float = required_number(message, key, maximum=REPORTED_COUNT_MAX)
+    return count
 
 
 def _known_name(message: Message, key: str, known: Container[str]) -> str:
-    value = required_field(message, key, str)
+    value: str = required_field(message, key, str)
     if value not in known:
         raise InvalidInputError(f"the field {key!r} of a {message['type']!r} names the unknown {value!r:.60}")
     return value
 
 
 def _proxy_number(message: Message, names: KnownNames) -> int:
-    number = required_number(message, "node", int)
+    number: int = required_number(message, "node", int)
     if number >= names.proxies_expected:
         raise InvalidInputError(f"a {message['type']!r} names the unknown proxy {number!r:.20}")
     return number
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -6,6 +6,7 @@
 
 import socket
 from collections.abc import Mapping
+from contextlib import suppress
 
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
@@ -108,14 +109,14 @@
             connection.unsent = data  # the coroutine meets the same end, or where it is none goes on with it
         if order["mark"] is not None and connection.awaiting_since is None:
             connection.awaiting_since = self.loop.now
-        self.loop.resume(connection.task)  # it waits anew, for the socket or for the answer
+        self.loop.resume(connection.running)  # it waits anew, for the socket or for the answer
 
     def finish(self) -> None:
         """No more are taken; each is told the end after what waits for it, and all have ended soon."""
         self.loop.end(self.acceptor.task)
         self.finishing = True
         for connection in list(self.connections):
-            self.loop.resume(connection.task)
+            self.loop.resume(connection.running)
 
     def _open(self, sock: socket.socket, peer: str) -> None:
         """Serves a socket that was accepted; raises OSError where it is reset already."""
@@ -155,7 +156,7 @@
                 connection.write(b"")
             events = 0
             while not events:
-                # A poke reads nothing: the turn is closed by then; what is reported would miss its mark
+                # Without events nothing is read: by then the turn is closed, and a report would miss it
                 if self.finishing:
                     connection.end_reason = CLOSED_BY_COORDINATOR
                     yield from connection.linger(self.loop)
@@ -184,8 +185,8 @@
                 return False
             total += size
             connection.awaiting_since = None
-            if connection.away:
-                self.membership.mark_back(connection)
+            if connection.is_unreachable:
+                self.membership.mark_reachable(connection)
             reader.received(size)
             for message in reader.messages():
                 self.dispatcher.handle(connection, message)
@@ -215,7 +216,7 @@
     def _overdue(self, connection: Connection) -> None:
         if connection.role is Role.PENDING:
             raise InvalidInputError("it has not joined in time")
-        self.membership.mark_away(connection)
+        self.membership.mark_unreachable(connection)
 
     def _reject(self, connection: Connection) -> Waits:
         """Writes the reason as a last word, which must not be lost with the close."""
@@ -225,10 +226,8 @@
         if connection.unsent:  # it reads nothing
             return
         connection.unsent = frame({"type": "refused", "why": reason})
-        try:
+        with suppress(OSError):  # it is gone already
             yield from connection.linger(self.loop)
-        except OSError:
-            pass  # it is gone already
 
     def _close(self, connection: Connection) -> None:
         self.admission.remove(connection)
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -6,95 +6,116 @@
 
 import hashlib
 import ssl
+from contextlib import suppress
+from typing import Any
 
-from granitespool.errors import InvalidInputError
+from granitespool.errors import GranitespoolError, InvalidInputError
 
-TAKEN = 64 * 1024  # plain bytes taken out in one read
-# Bytes of a record that is written. Against clients that wait on the socket after a read of 4 KiB while the
-# rest of a larger record stands in their TLS library (ncclient does). Harm: 22 bytes more for each 4 KiB.
-RECORD = 4096
+READ_SIZE = 64 * 1024  # plain bytes taken out in one read
+# Bytes of a record that is written. Some clients wait on the socket after a read of 4 KiB while the rest of a
+# larger record is in their TLS library (ncclient does). Small records cost 22 bytes more for each 4 KiB.
+RECORD_SIZE = 4096
 
 
-def context(certificate, key, authorities, protocol=None):
-    """A server's context of three PEM files and the protocol that clients must agree to, if any.
-
-    Raises InvalidInputError with one sentence."""
-    made = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    made.minimum_version = ssl.TLSVersion.TLSv1_3
-    made.verify_mode = ssl.CERT_REQUIRED
-    made.num_tickets = 0
-    if protocol:
-        made.set_alpn_protocols([protocol])
-    for what, load in (
-        (f"{certificate} and {key}", lambda: made.load_cert_chain(certificate, key)),
-        (authorities, lambda: made.load_verify_locations(authorities)),
-    ):
-        try:
-            load()
-        except (OSError, ssl.SSLError) as error:
-            why = error.reason or "it is no PEM" if isinstance(error, ssl.SSLError) else error.strerror
-            raise InvalidInputError(f"[tls] {what} cannot be used: {why}") from None
-    return made
+class TlsError(GranitespoolError):
+    """The other side's TLS is wrong; the text says how.
 
+    What `TlsConnection.outgoing` holds then may be an alert for it."""
 
-class Broken(Exception):
-    """The other side's TLS is wrong; the text says how. What `Secure.outgoing` holds may be its last
-    words."""
 
+def server_context(
+    certificate: str, key: str, authorities: str, protocol: str | None = None
+) -> ssl.SSLContext:
+    """A server's context of three PEM files and the protocol that clients must agree to, if any.
 
-class Secure:
+    Raises InvalidInputError with one sentence."""
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    context.minimum_version = ssl.TLSVersion.TLSv1_3
+    context.verify_mode = ssl.CERT_REQUIRED
+    context.num_tickets = 0
+    if protocol:
+        context.set_alpn_protocols([protocol])
+    try:
+        context.load_cert_chain(certificate, key)
+    except (OSError, ssl.SSLError) as error:
+        raise _unusable(f"{certificate} and {key}", error) from None
+    try:
+        context.load_verify_locations(authorities)
+    except (OSError, ssl.SSLError) as error:
+        raise _unusable(authorities, error) from None
+    return context
+
+
+def _unusable(files: str, error: OSError) -> InvalidInputError:
+    if isinstance(error, ssl.SSLError):
+        reason = error.reason or "it is no PEM"
+    else:
+        reason = error.strerror
+    return InvalidInputError(f"[tls] {files} cannot be used: {reason}")
+
+
+class TlsConnection:
     """One connection, the server's side."""
 
-    def __init__(self, made):
-        self.incoming, self.out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self.tls = made.wrap_bio(self.incoming, self.out, server_side=True)
-        self.up = self.ended = False
+    def __init__(self, context: ssl.SSLContext) -> None:
+        self.incoming = ssl.MemoryBIO()
+        self.to_network = ssl.MemoryBIO()
+        self.tls = context.wrap_bio(self.incoming, self.to_network, server_side=True)
+        self.is_up = False  # the handshake is done
+        self.has_ended = False  # the other side has said its end
+
+    def feed(self, data: bytes) -> bytes:
+        """Takes bytes of the network, b"" for its end; returns the plain bytes that are complete.
 
-    def feed(self, data):
-        """Bytes of the network; b"" for its end. Returns the plain bytes that are complete; or Broken."""
+        Raises TlsError."""
         if data:
             self.incoming.write(data)
         else:
             self.incoming.write_eof()
-        plain = []
+        plain: list[bytes] = []
         try:
-            if not self.up:
+            if not self.is_up:
                 self.tls.do_handshake()
-                self.up = True
-            while not self.ended:
-                piece = self.tls.read(TAKEN)
+                self.is_up = True
+            while not self.has_ended:
+                piece = self.tls.read(READ_SIZE)
                 if not piece:
-                    self.ended = True
+                    self.has_ended = True
                 plain.append(piece)
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLError as error:
-            if not (self.up and isinstance(error, (ssl.SSLEOFError, ssl.SSLZeroReturnError))):
-                raise Broken(
-                    error.verify_message
-                    if isinstance(error, ssl.SSLCertVerificationError)
-                    else error.reason or str(error)
-                ) from None
-            self.ended = True
+            if not (self.is_up and isinstance(error, ssl.SSLEOFError | ssl.SSLZeroReturnError)):
+                raise TlsError(_reason(error)) from None
+            self.has_ended = True
         return b"".join(plain)
 
-    def write(self, plain):
-        """Plain bytes for the other side; they are among `outgoing` then."""
+    def write(self, plain: bytes) -> None:
+        """Takes plain bytes for the other side; they are among `outgoing` then."""
         view = memoryview(plain)
         while view:
-            view = view[self.tls.write(view[:RECORD]) :]
+            view = view[self.tls.write(view[:RECORD_SIZE]) :]
 
-    def outgoing(self):
+    def outgoing(self) -> bytes:
         """Bytes that are to go to the network."""
-        return self.out.read()
+        return self.to_network.read()
 
-    def close(self):
+    def close(self) -> None:
         """Says the end; what is to be written of it is among `outgoing`."""
-        try:
+        # The other side may not have said its own end, or there was no handshake
+        with suppress(ssl.SSLError, ValueError):
             self.tls.unwrap()
-        except (ssl.SSLError, ValueError):
-            pass  # the other side has not said its own, or there was no handshake
 
-    def peer(self):
-        """(what getpeercert tells, SHA-256 in hex) of the other side's certificate."""
-        return self.tls.getpeercert(), hashlib.sha256(self.tls.getpeercert(binary_form=True)).hexdigest()
+    def peer(self) -> tuple[dict[str, Any], str]:
+        """The other side's certificate, as getpeercert tells it, and its SHA-256 in hex."""
+        certificate = self.tls.getpeercert()
+        binary = self.tls.getpeercert(binary_form=True)
+        assert certificate is not None
+        assert binary is not None
+        return dict(certificate), hashlib.sha256(binary).hexdigest()
+
+
+def _reason(error: ssl.SSLError) -> str:
+    if isinstance(error, ssl.SSLCertVerificationError):
+        return error.verify_message
+    return error.reason or str(error)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -123,7 +123,8 @@
     house.logged("settings_changed", by="operations", version=2)
     most = house.service.streams.admission.connections_limit
     assert tag_of(one.edit("<limits><descriptors>512</descriptors></limits>")) == tag_of(one.commit()) == "ok"
-    assert house.service.streams.admission.connections_limit == most - 512 and house.service.health_checks.limit == 64
+    assert house.service.streams.admission.connections_limit == most - 512
+    assert house.service.health_checks.limit == 64
     assert tag_of(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
     assert "over the 1024" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
     assert tag_of(one.ask("<close-session/>")) == "ok"
@@ -632,7 +633,7 @@
         held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
         one = house.manager()
         assert tag_of(one.ask("<get/>")) == "ok" and alive(proxy)
-        assert len(house.service.managing.doors[0].sessions) <= 9
+        assert len(house.service.managing.doors[0].connections) <= 9
         for sock in held:
             sock.close()
         proxy.close()
@@ -670,7 +671,7 @@
         for _ in range(14):
             one.send("<get/>")
         time.sleep(1.0)
-        [stuck] = [each for each in house.service.managing.doors[0].sessions if each.unsent > 200_000]
+        [stuck] = [each for each in house.service.managing.doors[0].connections if each.unsent > 200_000]
         assert stuck.unsent < 2_000_000 and len(stuck.protocol.requests) > 5
         begun = time.monotonic()
         assert tag_of(two.ask("<get-config><source><running/></source></get-config>")) == "ok"
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -172,7 +172,8 @@
         monkeypatch.setattr(binding.time, "monotonic", lambda: now[0])
         with pytest.raises(OSError) as error:
             binding.bind(sock, other.getsockname(), Quiet())
-        assert error.value.errno == errno.EADDRINUSE and binding.IN_USE_TIMEOUT <= now[0] < 2 * binding.IN_USE_TIMEOUT
+        assert error.value.errno == errno.EADDRINUSE
+        assert binding.IN_USE_TIMEOUT <= now[0] < 2 * binding.IN_USE_TIMEOUT
 
 
 def test_a_successor_starts_while_the_former_process_still_serves(tmp_path):
@@ -533,7 +534,8 @@
         service.turn(0)
         beside.turn(0)
         planner, other = service.coordinator.planner, beside.coordinator.planner
-        assert service.last_waits == ["classes"] and service.coordinator.classes == ["a"]
+        assert service.reconfiguration.restart_required == ["classes"]
+        assert service.coordinator.classes == ["a"]
         names, others_names = service.streams.names, beside.streams.names
         assert (planner.in_flight.rate, planner.in_flight.limit, names.zones) == (50, 100, {"x", "y"})
         # What the other service in this process holds is its own
