--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -11,6 +11,7 @@
 
 from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
 from granitespool.errors import InvalidInputError
+from granitespool.management.errors import ManagementError
 from granitespool.net.buffers import Pool
 from granitespool.net.config import Configuration, address_text
 from granitespool.net.connection import LINGER_TIMEOUT
@@ -188,14 +189,9 @@
                 restart_required = self.managing.reread(config)
             else:
                 restart_required = self.reconfiguration.take(config)
-        except InvalidInputError as error:
+        except (InvalidInputError, ManagementError) as error:
             self.log.event("reload_rejected", reason=str(error))
             return
-        except Exception as error:
-            if not hasattr(error, "why"):
-                raise
-            self.log.event("reload_rejected", reason=error.why)
-            return
         self.log.event(
             "reloaded", discovery=address_text(config["discovery"]), restart_required=restart_required
         )
--- a/tests/test_manage.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The model, edits, datastores, mapping, harm and rights: plain trees in, verdicts out."""
+"""The model, edits, datastores, mapping, impact check, authorization and operational state."""
 
 import copy
 
@@ -9,17 +9,19 @@
 from support.records import settings_of
 
 from granitespool.management import authorization, impact_check, mapping
-from granitespool.management.datastores import CANDIDATE, RUNNING, STARTUP, Datastores
+from granitespool.management.confirmation import CommitOptions
+from granitespool.management.datastores import Datastores
 from granitespool.management.edits import Change, edited, with_defaults
-from granitespool.management.errors import Refused
+from granitespool.management.errors import ManagementError
 from granitespool.management.model import Model
-from granitespool.management.operational_state import Picture
+from granitespool.management.operational_state import FolderFigures, OperationalState, ServiceFacts
+from granitespool.management.settings_trees import CANDIDATE, RUNNING, STARTUP
 from granitespool.net import config
 from granitespool.operator_settings import Operator, State
 from granitespool.settings import RequestClass
 
 MODEL = Model()
-NODE = MODEL.settings
+SETTINGS = MODEL.settings
 TREE = {
     "class": [{"name": "pay", "promised-time": "100", "time-limit": "400"}, {"name": "ask"}],
     "zone": ["n", "s"],
@@ -27,7 +29,7 @@
 }
 
 
-def C(name, *children, op=None, value=None, place=None):  # noqa: N802 as short as a scenario's word
+def node(name, *children, op=None, value=None, place=None):
     return Change(name, op, value, tuple(children), place)
 
 
@@ -36,17 +38,17 @@
 
 
 def pay(*children, op=None, name="pay", place=None):
-    return C("class", leaf("name", name), *children, op=op, place=place)
+    return node("class", leaf("name", name), *children, op=op, place=place)
 
 
-def refused(call, *words):
-    with pytest.raises(Refused) as raised:
+def rejection_of(call, *words):
+    with pytest.raises(ManagementError) as raised:
         call(*words)
-    return raised.value.tag, raised.value.why
+    return raised.value.tag, raised.value.reason
 
 
 @pytest.mark.parametrize(
-    "change, expected",
+    ("change", "expected"),
     [
         (pay(leaf("benefit", "9.0")), ("class", 0, "benefit", "9.0")),
         (pay(leaf("benefit", "9.0"), op="replace"), ("class", 0, "promised-time", None)),
@@ -59,17 +61,17 @@
         (leaf("zone", "x"), ("zone", 2, None, "x")),
         (leaf("zone", "n", "delete"), ("zone", 0, None, "s")),
         (
-            C("channel", leaf("message-head", "3.0"), op="replace"),
+            node("channel", leaf("message-head", "3.0"), op="replace"),
             ("channel", None, "lines-per-second", None),
         ),
-        (C("channel", leaf("lines-per-second", None, "remove")), ("channel", None, None, None)),
-        (C("channel", op="delete"), ("channel", None, None, None)),
-        (C("operator", C("state", leaf("folder", "x"))), ("operator", None, "state", {"folder": "x"})),
+        (node("channel", leaf("lines-per-second", None, "remove")), ("channel", None, None, None)),
+        (node("channel", op="delete"), ("channel", None, None, None)),
+        (node("operator", node("state", leaf("folder", "x"))), ("operator", None, "state", {"folder": "x"})),
     ],
 )
-def test_an_edit_changes_what_it_names_and_leaves_the_former_tree_alone(change, expected):
+def test_an_edit_changes_what_it_names_and_not_the_tree_it_was_given(change, expected):
     before = copy.deepcopy(TREE)
-    value = edited(NODE, TREE, [change])
+    value = edited(SETTINGS, TREE, [change])
     assert before == TREE
     for step in expected[:-1]:
         if step is not None:
@@ -78,28 +80,28 @@
 
 
 @pytest.mark.parametrize(
-    "change, default, tag",
+    ("change", "default", "tag"),
     [
         (pay(op="create"), "merge", "data-exists"),
         (pay(op="delete", name="no"), "merge", "data-missing"),
         (leaf("zone", "n", "create"), "merge", "data-exists"),
         (leaf("zone", "x", "delete"), "merge", "data-missing"),
-        (C("channel", leaf("message-head", None, "delete")), "merge", "data-missing"),
-        (C("drain", op="delete"), "merge", "data-missing"),
-        (C("class", leaf("benefit", "1.0")), "merge", "missing-element"),
+        (node("channel", leaf("message-head", None, "delete")), "merge", "data-missing"),
+        (node("drain", op="delete"), "merge", "data-missing"),
+        (node("class", leaf("benefit", "1.0")), "merge", "missing-element"),
         (leaf("nothing", "1"), "merge", "unknown-element"),
         (pay(op="twist"), "merge", "bad-attribute"),
         (pay(place=("before", {"name": "no"})), "merge", "bad-attribute"),
         (pay(name="no"), "none", "data-missing"),
-        (C("channel", leaf("message-head")), "merge", "missing-element"),
+        (node("channel", leaf("message-head")), "merge", "missing-element"),
     ],
 )
-def test_an_edit_that_cannot_be_is_refused_by_the_rfcs_tag(change, default, tag):
-    assert refused(edited, NODE, TREE, [change], default)[0] == tag
+def test_a_wrong_edit_is_rejected_with_the_rfcs_tag(change, default, tag):
+    assert rejection_of(edited, SETTINGS, TREE, [change], default)[0] == tag
 
 
 @pytest.mark.parametrize(
-    "part, words",
+    ("part", "words"),
     [
         ({"zone": []}, "at least one zone"),
         ({"zone": None}, "at least one zone"),
@@ -119,19 +121,22 @@
         ),
     ],
 )
-def test_a_tree_that_the_module_does_not_allow_is_refused_in_one_sentence(part, words):
+def test_a_tree_that_the_module_does_not_allow_is_rejected_in_one_sentence(part, words):
     tree = {**TREE, **part}
-    tag, why = refused(MODEL.check, {key: value for key, value in tree.items() if value is not None})
-    assert words in why and "\n" not in why and tag
+    tag, why = rejection_of(MODEL.check, {key: value for key, value in tree.items() if value is not None})
+    assert words in why
+    assert "\n" not in why
+    assert tag
 
 
-def test_defaults_are_those_of_what_is_there():
-    tree = with_defaults(NODE, {"zone": ["n"], "operator": {"state": {"folder": "x"}}})
-    assert tree["operator"]["state"]["every-ms"] == 1000 and "channel" not in tree
-    assert with_defaults(NODE, TREE) == TREE
+def test_defaults_are_added_to_containers_that_are_present():
+    tree = with_defaults(SETTINGS, {"zone": ["n"], "operator": {"state": {"folder": "x"}}})
+    assert tree["operator"]["state"]["every-ms"] == 1000
+    assert "channel" not in tree
+    assert with_defaults(SETTINGS, TREE) == TREE
 
 
-def told(**settings):
+def configuration(**settings):
     return {
         "settings": settings_of(
             {
@@ -148,32 +153,40 @@
     }
 
 
-def test_a_configuration_and_its_tree_map_to_each_other_and_what_is_not_changed_keeps_its_value():
-    for each in (told(), config.load("examples/config.json"), {"settings": settings_of({"zones": ["n"]})}):
+def test_a_configuration_and_its_tree_map_to_each_other_and_unchanged_settings_keep_their_values():
+    for each in (
+        configuration(),
+        config.load("examples/config.json"),
+        {"settings": settings_of({"zones": ["n"]})},
+    ):
         tree = mapping.tree_of(each)
         MODEL.check(tree)
         assert mapping.config_of(tree, each) == each
     tree = edited(
-        NODE,
-        mapping.tree_of(told()),
+        SETTINGS,
+        mapping.tree_of(configuration()),
         [
-            C("drain", leaf("grace", "5000000")),
+            node("drain", leaf("grace", "5000000")),
             pay(leaf("benefit", "2.0")),
-            C("operator", C("state", leaf("every-ms", 250))),
+            node("operator", node("state", leaf("every-ms", 250))),
         ],
     )
-    new = mapping.config_of(tree, told())
-    assert new["settings"].drain_grace == 5 * 10**9 and new["settings"].entries_per_s == 100.123456789
+    new = mapping.config_of(tree, configuration())
+    assert new["settings"].drain_grace == 5 * 10**9
+    assert new["settings"].entries_per_s == 100.123456789
     assert new["settings"].classes == [
         RequestClass(name="pay", latency_objective=100_000, writes=True, priority_weight=2)
     ]
     assert new["operator"].state == State(folder="x", half_life_s=12.5, every_ms=250)
-    gone = mapping.config_of(edited(NODE, tree, [C("drain", op="delete"), C("operator", op="delete")]), new)
-    assert gone["settings"].drain_grace is None and gone["operator"].state is None
+    gone = mapping.config_of(
+        edited(SETTINGS, tree, [node("drain", op="delete"), node("operator", op="delete")]), new
+    )
+    assert gone["settings"].drain_grace is None
+    assert gone["operator"].state is None
 
 
 @pytest.mark.parametrize(
-    "change, proxies, waits, words",
+    ("change", "proxies", "waits", "words"),
     [
         ({"classes": []}, 0, (), "without a class"),
         ({"zones": ["n"]}, 0, (), "zone s have joined"),
@@ -186,12 +199,12 @@
         ({"backlog_limit": 60}, 10, (), None),
     ],
 )
-def test_a_change_that_would_do_harm_is_refused(change, proxies, waits, words):
+def test_the_impact_check_rejects_harmful_changes(change, proxies, waits, words):
     limits = {"sockets": change.pop("limits", 1024)}
-    new = {**told(**change), "limits": limits, "limits_told": {"sockets": 1024}}
+    new = {**configuration(**change), "limits": limits, "limits_told": {"sockets": 1024}}
     if words is None:
-        return impact_check.check(new, told(), proxies, {"n"}, waits)
-    assert words in refused(impact_check.check, new, told(), proxies, {"n", "s"}, waits)[1]
+        return impact_check.check(new, configuration(), proxies, {"n"}, waits)
+    assert words in rejection_of(impact_check.check, new, configuration(), proxies, {"n", "s"}, waits)[1]
     return None
 
 
@@ -202,7 +215,7 @@
 
 
 @pytest.mark.parametrize(
-    "certificate, found",
+    ("certificate", "found"),
     [
         ("cn:ops", True),
         ("cn:OPS", False),
@@ -215,31 +228,33 @@
         ("dns:::1", False),
     ],
 )
-def test_a_user_is_known_by_one_thing_of_its_certificate(certificate, found):
+def test_a_user_is_identified_by_one_thing_of_its_certificate(certificate, found):
     user = authorization.User("u", certificate, True, "class, zone")
-    assert (authorization.user_of([user], authorization.facts_of(CERTIFICATE, "abcd")) is user) == found
-    authorization.must_write(user, ["class"])
-    assert refused(authorization.must_write, user, ["class", "cold"]) == (
+    assert (
+        authorization.find_user([user], authorization.certificate_identities(CERTIFICATE, "abcd")) is user
+    ) == found
+    authorization.require_write(user, ["class"])
+    assert rejection_of(authorization.require_write, user, ["class", "cold"]) == (
         "access-denied",
         "u may not write cold",
     )
     assert (
-        refused(authorization.must_read, authorization.User("u", certificate, False, ""))[0]
+        rejection_of(authorization.require_read, authorization.User("u", certificate, False, ""))[0]
         == "access-denied"
     )
-    authorization.must_write(authorization.User("u", certificate, False, "*"), ["cold"])
+    authorization.require_write(authorization.User("u", certificate, False, "*"), ["cold"])
 
 
 class Host:
     """What the datastores act on: keeps and applies at once, later, or not at all, as it is told."""
 
     def __init__(self):
-        self.applied, self.harm, self.fault, self.later, self.asked = [], None, None, False, []
+        self.applied, self.impact, self.fault, self.later, self.asked = [], None, None, False, []
         self.told, self.unkept = [], []
 
     def check(self, tree, running):
-        if self.harm:
-            raise Refused("operation-failed", self.harm)
+        if self.impact:
+            raise ManagementError("operation-failed", self.impact)
 
     def keep(self, tree, version, answer):
         self.asked.append(answer)
@@ -257,7 +272,7 @@
 
     def apply(self, tree, by):
         if self.fault:
-            raise Refused("operation-failed", self.fault)
+            raise ManagementError("operation-failed", self.fault)
         self.applied.append(tree)
 
 
@@ -269,11 +284,11 @@
         self.stores, self.now = Datastores(MODEL, self.host, copy.deepcopy(TREE)), 0
 
     def edit(self, who, pace, store=CANDIDATE):
-        self.stores.edit(who, store, [C("channel", leaf("lines-per-second", pace))])
+        self.stores.edit(who, store, [node("channel", leaf("lines-per-second", pace))])
 
     def commit(self, who, **more):
         answers = []
-        self.stores.commit(who, who, self.now, answers.append, **more)
+        self.stores.commit(who, who, self.now, answers.append, CommitOptions(**more))
         return answers[0].tag if answers and answers[0] else "ok" if answers else "waits"
 
     def pace(self, store=RUNNING):
@@ -284,58 +299,69 @@
     s = Stores()
     s.edit("a", "5.0")
     s.host.later = True
-    assert s.commit("a") == "waits" and not s.host.applied and s.pace() == "100.0"
+    assert s.commit("a") == "waits"
+    assert not s.host.applied
+    assert s.pace() == "100.0"
     assert s.commit("b") == "in-use"
     s.host.kept(None)
-    assert s.pace() == "5.0" and s.host.applied[0]["channel"] == {"lines-per-second": "5.0"}
+    assert s.pace() == "5.0"
+    assert s.host.applied[0]["channel"] == {"lines-per-second": "5.0"}
     assert s.stores.version == 2
 
 
-@pytest.mark.parametrize("trouble", ["harm", "fault", "disk"])
-def test_a_commit_that_is_refused_leaves_everything_as_it_was(trouble):
+@pytest.mark.parametrize("failure", ["impact", "fault", "disk"])
+def test_a_rejected_commit_changes_nothing(failure):
     s = Stores()
     s.edit("a", "5.0")
-    if trouble == "disk":
+    if failure == "disk":
         s.host.later = True
         s.commit("a")
         s.host.kept("full")
     else:
-        setattr(s.host, trouble, "no")
+        setattr(s.host, failure, "no")
         assert s.commit("a") == "operation-failed"
-    assert s.pace() == "100.0" and s.stores.version == 1 and not s.host.applied and s.pace(CANDIDATE) == "5.0"
-    assert s.stores.busy is None and s.stores.refused == 1 == len(s.host.told)
-    assert s.host.unkept == ([] if trouble == "harm" else [s.stores.tree(RUNNING)])
+    assert s.pace() == "100.0"
+    assert s.stores.version == 1
+    assert not s.host.applied
+    assert s.pace(CANDIDATE) == "5.0"
+    assert s.stores.changes.busy is None
+    assert s.stores.rejected == 1 == len(s.host.told)
+    assert s.host.unkept == ([] if failure == "impact" else [s.stores.tree(RUNNING)])
 
 
-def test_a_commit_begun_from_a_version_that_has_passed_is_refused():
+def test_a_commit_begun_from_an_outdated_version_is_rejected():
     s = Stores()
     s.edit("a", "5.0")
     s.stores.file({**TREE, "channel": {"lines-per-second": "7.0"}})
-    assert s.commit("a") == "operation-failed" and s.pace() == "7.0"
+    assert s.commit("a") == "operation-failed"
+    assert s.pace() == "7.0"
     s.stores.discard("a")
     s.edit("a", "6.0")
-    assert s.commit("a") == "ok" and s.pace() == "6.0"
+    assert s.commit("a") == "ok"
+    assert s.pace() == "6.0"
 
 
-def test_locks_hold_off_others_and_end_with_their_session():
+def test_locks_exclude_others_and_end_with_their_session():
     s = Stores()
     s.stores.lock("a", CANDIDATE)
     s.stores.lock("a", RUNNING)
-    assert refused(s.stores.lock, "b", CANDIDATE)[0] == "lock-denied"
-    assert refused(s.edit, "b", "5.0")[0] == "in-use" and s.commit("b") == "in-use"
-    assert refused(s.stores.unlock, "b", CANDIDATE)[0] == "operation-failed"
-    assert refused(s.stores.file, TREE)[0] == "in-use"
+    assert rejection_of(s.stores.lock, "b", CANDIDATE)[0] == "lock-denied"
+    assert rejection_of(s.edit, "b", "5.0")[0] == "in-use"
+    assert s.commit("b") == "in-use"
+    assert rejection_of(s.stores.unlock, "b", CANDIDATE)[0] == "operation-failed"
+    assert rejection_of(s.stores.file, TREE)[0] == "in-use"
     s.edit("a", "5.0")
     s.stores.closed("a", None)
-    assert not s.stores.locks and s.pace(CANDIDATE) == "100.0"
+    assert not s.stores.locks.holders()
+    assert s.pace(CANDIDATE) == "100.0"
     s.edit("b", "5.0")
-    assert refused(s.stores.lock, "a", CANDIDATE)[0] == "lock-denied"
+    assert rejection_of(s.stores.lock, "a", CANDIDATE)[0] == "lock-denied"
     assert s.commit("b") == "ok"
     s.stores.lock("a", CANDIDATE)
 
 
 @pytest.mark.parametrize(
-    "end, pace",
+    ("end", "pace"),
     [
         ("confirm", "5.0"),
         ("time", "100.0"),
@@ -352,14 +378,17 @@
     s = Stores()
     s.edit("a", "5.0")
     persist = "p" if "persist" in end else None
-    assert s.commit("a", timeout=10, persist=persist) == "ok" and s.pace() == "5.0"
-    assert s.commit("b") == "in-use" and refused(s.stores.file, TREE)[0] == "in-use"
+    assert s.commit("a", timeout=10, persist=persist) == "ok"
+    assert s.pace() == "5.0"
+    assert s.commit("b") == "in-use"
+    assert rejection_of(s.stores.file, TREE)[0] == "in-use"
     s.now = 5 * 10**9
     if end == "confirm":
         assert s.commit("a") == "ok"
     elif end.startswith("again"):
         s.edit("a", "6.0")
-        assert s.commit("a", timeout=10) == "ok" and s.pace() == "6.0"
+        assert s.commit("a", timeout=10) == "ok"
+        assert s.pace() == "6.0"
         s.now = 14 * 10**9
         s.stores.tick(s.now, None)
         assert s.pace() == "6.0"
@@ -384,7 +413,8 @@
         assert answers == [None]
     s.now = 30 * 10**9
     s.stores.tick(s.now, lambda error: None)
-    assert s.pace() == pace and s.stores.confirm is None
+    assert s.pace() == pace
+    assert s.stores.confirmation is None
     s.edit("c", "8.0")
     assert s.commit("c") in ("ok", "waits")
 
@@ -392,19 +422,19 @@
 def test_startup_is_what_a_restart_begins_with_until_the_next_commit():
     s = Stores()
     s.edit("a", "5.0", STARTUP)
-    assert s.pace(STARTUP) == "5.0" and s.pace() == "100.0"
+    assert s.pace(STARTUP) == "5.0"
+    assert s.pace() == "100.0"
     s.stores.delete("a", STARTUP)
-    assert (
-        s.pace(STARTUP) == "100.0"
-        and refused(s.stores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
-    )
-    assert refused(s.edit, "a", "5.0", RUNNING)[0] == "operation-not-supported"
+    assert s.pace(STARTUP) == "100.0"
+    assert rejection_of(s.stores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
+    assert rejection_of(s.edit, "a", "5.0", RUNNING)[0] == "operation-not-supported"
     s.stores.copy("a", CANDIDATE, {**TREE, "zone": ["n"]})
-    assert s.commit("a") == "ok" and s.stores.tree(RUNNING)["zone"] == ["n"]
+    assert s.commit("a") == "ok"
+    assert s.stores.tree(RUNNING)["zone"] == ["n"]
 
 
-def test_a_picture_is_what_the_module_allows():
-    class Some:
+def test_the_operational_state_is_valid_by_the_module():
+    class Coordinator:
         def pictured_fleet(self):
             return {
                 "joined": 2,
@@ -425,23 +455,21 @@
             seen = {"n": (0.0, 1e20, name == "a", False), "s": (2.0, None, False, 0)}
             return None if name == "gone" else (facts, seen)
 
-    picture = Picture(
-        Some(),
-        {
-            "name": "c",
-            "version": 1,
-            "commits": 0,
-            "refused": 0,
-            "index": 3,
-            "named": True,
-            "folder": (7, 2, False),
-            "age": 5000,
-        },
+    facts = ServiceFacts(
+        name="c",
+        version=1,
+        commits=0,
+        rejected=0,
+        list_index=3,
+        list_age=5000,
+        list_named=True,
+        folder=FolderFigures(7, 2, False),
     )
-    assert len(list(picture.steps())) >= 1
-    outs = [view.get("out") for each in picture.tree["backend"] for view in each["seen-from"]]
+    state = OperationalState(Coordinator(), facts)
+    assert len(list(state.steps())) >= 1
+    outs = [view.get("out") for each in state.tree["backend"] for view in each["seen-from"]]
     assert outs == ["cut", None, "unproven", None]
-    instance = MODEL.data.from_raw({"granitespool:coordinator": {"state": picture.tree}})
+    instance = MODEL.data.from_raw({"granitespool:coordinator": {"state": state.tree}})
     from yangson.enumerations import ContentType  # noqa: PLC0415
 
     instance.validate(ctype=ContentType.all)
@@ -451,7 +479,7 @@
 WHO = st.sampled_from(["a", "b", "c"])
 
 
-class Several(RuleBasedStateMachine):
+class ConcurrentSessions(RuleBasedStateMachine):
     """Sessions that edit, lock, commit and drop at random, files that are read anew, against plain facts."""
 
     @initialize()
@@ -461,13 +489,19 @@
     def _try(self, call, *words):
         try:
             call(*words)
-        except Refused as error:
-            assert error.why and "\n" not in error.why
+        except ManagementError as error:
+            assert error.reason
+            assert "\n" not in error.reason
 
     @rule(who=WHO, pace=PACES, test=st.sampled_from(["set", "test-then-set", "test-only"]))
     def edit(self, who, pace, test):
         self._try(
-            self.s.stores.edit, who, CANDIDATE, [C("channel", leaf("lines-per-second", pace))], "merge", test
+            self.s.stores.edit,
+            who,
+            CANDIDATE,
+            [node("channel", leaf("lines-per-second", pace))],
+            "merge",
+            test,
         )
 
     @rule(
@@ -480,10 +514,10 @@
 
     @rule(who=WHO, timeout=st.none() | st.integers(1, 5), persist=st.none() | st.just("p"))
     def commit(self, who, timeout, persist):
-        before = copy.deepcopy(self.s.stores.trees[RUNNING])
+        before = copy.deepcopy(self.s.stores.tree(RUNNING))
         result = self.s.commit(who, timeout=timeout, persist=persist if timeout else None)
         if result not in ("ok", "waits"):
-            assert self.s.stores.trees[RUNNING] == before
+            assert self.s.stores.tree(RUNNING) == before
 
     @rule(who=WHO)
     def confirm(self, who):
@@ -492,7 +526,8 @@
     @rule(who=WHO)
     def drop(self, who):
         self.s.stores.closed(who, lambda error: None)
-        assert who not in self.s.stores.locks.values() and self.s.stores.edited_by != who
+        assert who not in self.s.stores.locks.holders()
+        assert self.s.stores.trees.candidate_editor != who
 
     @rule(who=WHO)
     def discard(self, who):
@@ -507,13 +542,13 @@
         self.s.now += seconds * 10**9
         self.s.stores.tick(self.s.now, lambda error: None)
 
-    @rule(what=st.sampled_from([("harm", "no"), ("fault", "no"), ("later", True)]))
-    def trouble(self, what):
+    @rule(what=st.sampled_from([("impact", "no"), ("fault", "no"), ("later", True)]))
+    def failure(self, what):
         setattr(self.s.host, *what)
 
     @rule(why=st.none() | st.just("full"))
     def mend(self, why):
-        self.s.host.harm = self.s.host.fault = None
+        self.s.host.impact = self.s.host.fault = None
         self.s.host.later = False
         while self.s.host.asked:
             self.s.host.kept(why)
@@ -523,15 +558,16 @@
         if not hasattr(self, "s"):
             return
         stores = self.s.stores
-        MODEL.check(stores.trees[RUNNING])
+        MODEL.check(stores.tree(RUNNING))
         applied = self.s.host.applied
-        assert stores.trees[RUNNING] == (applied[-1] if applied else TREE)
-        assert stores.version >= self.version and stores.version - 1 == len(applied) == stores.commits
+        assert stores.tree(RUNNING) == (applied[-1] if applied else TREE)
+        assert stores.version >= self.version
+        assert stores.version - 1 == len(applied) == stores.commits
         self.version = stores.version
-        assert (stores.busy is not None) == bool(self.s.host.asked)
+        assert (stores.changes.busy is not None) == bool(self.s.host.asked)
 
 
-Several.TestCase.settings = hypothesis_settings(
+ConcurrentSessions.TestCase.settings = hypothesis_settings(
     max_examples=60, stateful_step_count=40, deadline=None, derandomize=True
 )
-TestSeveral = Several.TestCase
+TestConcurrentSessions = ConcurrentSessions.TestCase
