--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -4,10 +4,10 @@
 coordinator asks for; a datagram that is lost is not sent again."""
 
 import socket
-from collections.abc import Mapping
-from typing import Any
+from contextlib import suppress
 
 from granitespool.coordinator import Coordinator
+from granitespool.net.config import Configuration
 from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
 from granitespool.net.log_events import log_message_dropped
@@ -22,7 +22,7 @@
 class Gossip:
     """Sends and receives datagrams as long as its coroutine runs; whoever ends `task` closes the socket."""
 
-    def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, config: Mapping[str, Any]) -> None:
+    def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, config: Configuration) -> None:
         """Binds at once; raises OSError where the address cannot be bound."""
         self.loop = loop
         self.coordinator = coordinator
@@ -32,10 +32,10 @@
         bind(self.sock, config["peer_listen"], log)
         self.task = loop.spawn(self._run())
 
-    def new_config(self, config: Mapping[str, Any]) -> None:
+    def new_config(self, config: Configuration) -> None:
         """Takes the peers' addresses; the socket stays."""
-        self.peers: list[tuple[str, int]] = config["peers"]
-        self.all_peers: tuple[str, int] | None = config["peers_all"]
+        self.peers = config["peers"]
+        self.all_peers = config["peers_all"]
         self.numbers = {address: number for number, address in enumerate(self.peers)}
 
     def send(self, peer: int, contents: str) -> None:
@@ -46,10 +46,8 @@
         address = self._address(peer)
         if address is None or len(data) > DATAGRAM_MAX:
             return
-        try:
+        with suppress(OSError):  # lost on the way, like any datagram
             self.sock.sendto(data, address)
-        except OSError:
-            pass  # lost on the way, like any datagram
 
     def _address(self, peer: int) -> tuple[str, int] | None:
         if peer < 0:
@@ -72,8 +70,8 @@
 
     def _received(self, data: bytes, sender: tuple[str, int]) -> None:
         if sender in self.numbers and len(data) <= DATAGRAM_MAX:
-            number = self.numbers[sender]
-            self.coordinator.report(self.loop.now, GossipReceived(peer=number, payload=data.hex()))
+            received = GossipReceived(peer=self.numbers[sender], payload=data.hex())
+            self.coordinator.report(self.loop.now, received)
             return
         host, port = sender
         log_message_dropped(self.log, peer=f"{host}:{port}", reason="a datagram of no peer, or too long")
--- a/granitespool/scale/hollow/connection.py
+++ b/granitespool/scale/hollow/connection.py
@@ -32,7 +32,7 @@
             sent = 0
         self.unsent = data[sent:]
         if self.unsent and not self.reading:
-            self.loop.poke(self.task)
+            self.loop.resume(self.task)
 
     def read(self, handle: Callable[["Connection"], None]) -> bool:
         """Reads what is there and has `handle` take the messages; False once the other side has ended.
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -124,7 +124,8 @@
     house.logged("settings_changed", by="operations", version=2)
     most = house.service.streams.admission.connections_limit
     assert tag_of(one.edit("<limits><descriptors>512</descriptors></limits>")) == tag_of(one.commit()) == "ok"
-    assert house.service.streams.admission.connections_limit == most - 512 and house.service.probes.most == 64
+    assert house.service.streams.admission.connections_limit == most - 512
+    assert house.service.health_checks.limit == 64
     assert tag_of(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
     assert "over the 1024" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
     assert tag_of(one.ask("<close-session/>")) == "ok"
@@ -394,7 +395,7 @@
 
 def test_a_failure_half_way_restores_the_former_settings(house):
     one, before = house.manager(), house.settings()
-    probes, calls = house.service.probes, []
+    probes, calls = house.service.health_checks, []
 
     def fails(config):
         calls.append(config)
@@ -627,7 +628,7 @@
         held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
         one = house.manager()
         assert tag_of(one.ask("<get/>")) == "ok" and alive(proxy)
-        assert len(house.service.managing.doors[0].sessions) <= 9
+        assert len(house.service.managing.doors[0].connections) <= 9
         for sock in held:
             sock.close()
         proxy.close()
@@ -665,7 +666,7 @@
         for _ in range(14):
             one.send("<get/>")
         time.sleep(1.0)
-        [stuck] = [each for each in house.service.managing.doors[0].sessions if each.unsent > 200_000]
+        [stuck] = [each for each in house.service.managing.doors[0].connections if each.unsent > 200_000]
         assert stuck.unsent < 2_000_000 and len(stuck.protocol.pending) > 5
         begun = time.monotonic()
         assert tag_of(two.ask("<get-config><source><running/></source></get-config>")) == "ok"
