--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -1,271 +1,227 @@
 """A synthetic fleet before one real coordinator in virtual time, driven through its three calls alone.
 
 The fleet stands in for discovery, collectors, proxies and their channel. Processor time is counted around the
-calls of the coordinator and of the codec; what the stand-ins themselves cost is not in it.
-"""
+calls of the coordinator and of the codec; what the stand-ins themselves cost is not in it."""
 
-import math
 import time
 from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable, Mapping, Sequence
 from random import Random
+from typing import Any
 
 import msgspec
 import orjson
 
+from bench.capacity.reports import event_of, load_reports, usage_reports
 from bench.capacity.sizes import Sizes
-from bench.capacity.wire import MESSAGE_HEAD, PACE, backend_name, row_of, wire_settings
+from bench.capacity.wire import MESSAGE_HEAD, PACE, row_of, wire_settings
 from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
 from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
-from granitespool.net.frames import HEAD, frame, parsed, updates
+from granitespool.net.frames import HEAD, parsed, updates
+from granitespool.planner.events import (
+    Acknowledged,
+    EndpointListUpdate,
+    Event,
+    HealthCheckOutcome,
+    HealthCheckResult,
+    ListForm,
+    ProxyJoined,
+)
 from granitespool.settings import settings_from_wire
 from granitespool.units import MILLISECOND, SECOND
 
 TURNS = 10  # turns of the loop in a virtual second
 TURN = SECOND // TURNS  # ns
-BEGAN = 1_000_000 * SECOND  # ns: the virtual clock begins here
-MEAN_MS = 40.0  # ms that a backend takes to answer
-MEAN_NOISE = 0.1  # relative deviation of a mean that is reported
-FAILED_SHARE = 0.002  # of the attempts
-POISSON_MOST = 30.0  # mean above which a Poisson draw is taken as normal
+START = 1_000_000 * SECOND  # ns: the virtual clock begins here
+HEALTH_CHECK_TIME = 2 * MILLISECOND  # ns
 
 
 class Sent(msgspec.Struct):
     """What the coordinator wrote to proxies, counted."""
 
     messages: int = 0
-    lines: int = 0  # as the protocol counts them, without heads
+    lines: int = 0  # table entries as the protocol counts them, without heads
     bytes: int = 0
 
 
-class Waiting(msgspec.Struct):
+class InChannel(msgspec.Struct, frozen=True):
     """A message that is on its way to a proxy."""
 
     leaves_at: float  # ns
     proxy: int
-    mark: int | None
+    barrier: int | None
     written_at: int  # ns
 
 
-def lines_of(data: bytes) -> int:
-    """Lines of one message as the protocol counts them, without its head."""
-    lines = 0
+def entries_of(data: bytes) -> int:
+    """Table entries of one message as the protocol counts them, without its head."""
+    entries = 0
     while data:
         size = int.from_bytes(data[:HEAD], "little")
-        part, data = orjson.loads(data[HEAD : HEAD + size]), data[HEAD + size :]
-        lines += sum(len(part.get(key, ())) for key in ("lines", "out", "back"))
-        lines += sum(key in part for key in ("whole", "level", "ticket"))
-    return lines
+        part = orjson.loads(data[HEAD : HEAD + size])
+        data = data[HEAD + size :]
+        entries += sum(len(part.get(key, ())) for key in ("lines", "out", "back"))
+        entries += sum(key in part for key in ("whole", "level", "ticket"))
+    return entries
 
 
 class Fleet:
     """Drives one coordinator; `planned_ns`, `written_ns` and `read_ns` are processor time of its parts."""
 
     def __init__(self, sizes: Sizes, seed: int, index: int = 0) -> None:
+        """The coordinator has this index among its peers; nothing is told to it yet."""
         self.sizes = sizes
         self.random = Random(seed)
-        self.now = BEGAN
+        self.now = START
         self.planned_ns = 0  # decisions: report, tick, pick
-        self.written_ns = 0  # orders to frames
+        self.written_ns = 0  # messages to frames
         self.read_ns = 0  # bodies of frames to objects
         self.read_bytes = 0
         self.sent = Sent()
-        self.named: set[str] = set()  # backends that orders to proxies have named with a weight
-        self.waiting: deque[Waiting] = deque()
-        self.last_applied_at = BEGAN  # ns when a proxy last answered that it had applied an order
+        self.named: set[str] = set()  # backends that messages to proxies have given a weight
+        self.channel: deque[InChannel] = deque()
+        self.last_applied_at = START  # ns when a proxy last acknowledged a message
         self.free_at = 0.0  # ns when the channel has written all that waits
         self.ready = list(range(sizes.backends))
         self.next_number = sizes.backends
-        settings = settings_from_wire(wire_settings(sizes, index))
-        self.settings = settings
-        self.coordinator = self._timed(lambda: Coordinator(settings, seed, self.now))
+        self.settings = settings_from_wire(wire_settings(sizes, index))
+        began = time.process_time_ns()
+        self.coordinator = Coordinator(self.settings, seed, self.now)
+        self.planned_ns += time.process_time_ns() - began
 
-    def _timed(self, call: Callable[[], object]) -> object:
+    def _report(self, event: Event) -> None:
         began = time.process_time_ns()
-        result = call()
+        self.coordinator.report(self.now, event)
         self.planned_ns += time.process_time_ns() - began
-        return result
 
-    def tell(self, form: str, rows: Iterable[dict[str, object]]) -> None:
-        """Discovery tells a list or changes of it."""
+    # Discovery
+
+    def send_list(self, form: ListForm, rows: Iterable[Mapping[str, object]]) -> None:
+        """Discovery sends a list or changes of it."""
         entries = [endpoint_from_wire(row, SOCKET_ENTRY) for row in rows]
-        self._timed(lambda: self.coordinator.report(self.now, "list_news", form=form, entries=entries))
+        self._report(EndpointListUpdate(form, entries))
 
-    def tell_whole(self, form: str = "whole") -> None:
-        """Discovery tells the list of all that are ready."""
-        self.tell(form, [row_of(number, self.sizes.zones) for number in self.ready])
+    def send_complete_list(self, form: ListForm = ListForm.COMPLETE) -> None:
+        """Discovery sends the list of all that are ready."""
+        self.send_list(form, [row_of(number, self.sizes.zones) for number in self.ready])
 
-    def drain(self, numbers: list[int]) -> None:
+    def drain(self, numbers: Sequence[int]) -> None:
         """These backends drain."""
-        self.tell("changes", [row_of(number, self.sizes.zones, "draining") for number in numbers])
-        leaving = set(numbers)
-        self.ready = [number for number in self.ready if number not in leaving]
+        self._leave_ready(numbers, "draining")
 
-    def lose(self, numbers: list[int]) -> None:
+    def lose(self, numbers: Sequence[int]) -> None:
         """These backends are gone."""
-        self.tell("changes", [row_of(number, self.sizes.zones, "gone") for number in numbers])
+        self._leave_ready(numbers, "gone")
+
+    def _leave_ready(self, numbers: Sequence[int], status: str) -> None:
+        rows = [row_of(number, self.sizes.zones, status) for number in numbers]
+        self.send_list(ListForm.CHANGES, rows)
         leaving = set(numbers)
         self.ready = [number for number in self.ready if number not in leaving]
 
     def start_backends(self, count: int, zone: int | None = None) -> None:
         """So many cold backends appear under new names, in one zone or spread over all."""
-        rows = []
+        rows: list[Mapping[str, object]] = []
         while len(rows) < count:
             number = self.next_number
             self.next_number += 1
             if zone is None or number % self.sizes.zones == zone:
                 rows.append(row_of(number, self.sizes.zones, since_ms=self.now // MILLISECOND))
                 self.ready.append(number)
-        self.tell("changes", rows)
+        self.send_list(ListForm.CHANGES, rows)
+
+    # Proxies and collectors
 
     def join_all(self) -> None:
         """All proxies join in this turn."""
         rate = self.sizes.requests / self.sizes.planners / max(1, self.sizes.proxies)
         for proxy in range(self.sizes.proxies):
-            joining = {
-                "proxy": proxy,
-                "zone": f"z{proxy % self.sizes.zones}",
-                "standing": False,
-                "rate": rate,
-            }
-            self._timed(lambda met=joining: self.coordinator.report(self.now, "joined", **met))
-
-    def unbound(self) -> int:
+            zone = f"z{proxy % self.sizes.zones}"
+            self._report(ProxyJoined(proxy=proxy, zone=zone, bootstrap=False, rate=rate))
+
+    def unassigned(self) -> int:
         """Proxies that have joined and hold no table of this coordinator yet."""
-        return self.coordinator.figures()["unbound"]
+        return int(self.coordinator.figures()["unbound"])
 
     def change_settings(self) -> None:
         """A configuration with another figure and the same classes comes into force."""
-        grace = self.settings.drain_grace + MILLISECOND
+        grace = (self.settings.drain_grace or 0) + MILLISECOND
         changed = msgspec.structs.replace(self.settings, drain_grace=grace)
-        self._timed(lambda: self.coordinator.new_settings(self.now, changed))
-
-    def heard_messages(self) -> list[bytes]:
-        """Frames of one second's reports by the collectors and the proxies, drawn link by link."""
-        rate = self.sizes.requests / self.sizes.links
-        chance = self.random
-        frames = []
-        for number in self.ready:
-            name = backend_name(number)
-            for zone in range(self.sizes.zones):
-                tries = self._poisson(rate)
-                if not tries:
-                    continue
-                failed = sum(chance.random() < FAILED_SHARE for _ in range(min(tries, 100)))
-                frames.append(
-                    frame(
-                        {
-                            "type": "heard",
-                            "locality": f"z{zone}",
-                            "endpoint": name,
-                            "total": tries,
-                            "errors": failed,
-                            "rtt": round(max(1.0, MEAN_MS * chance.gauss(1, MEAN_NOISE)), 1)
-                            if failed < tries
-                            else 0.0,
-                            "interval": 1000.0,
-                            "metrics": {"inflight": chance.randrange(10), "util": 0.61},
-                        }
-                    )
-                )
-        return frames
-
-    def usage_messages(self) -> list[bytes]:
-        """Frames of one second's usage: one class of each proxy."""
-        rate = self.sizes.requests / self.sizes.planners / max(1, self.sizes.proxies)
-        return [
-            frame(
-                {
-                    "type": "usage",
-                    "node": proxy,
-                    "route": f"route-{self.random.randrange(self.sizes.classes):05d}",
-                    "total": max(1, round(rate)),
-                    "errors": 0,
-                    "interval": 1000.0,
-                }
-            )
-            for proxy in range(self.sizes.proxies)
-        ]
-
-    def _poisson(self, mean: float) -> int:
-        if mean > POISSON_MOST:
-            return max(0, round(self.random.gauss(mean, math.sqrt(mean))))
-        limit, number, chance = math.exp(-mean), 0, self.random.random()
-        while chance > limit:
-            chance *= self.random.random()
-            number += 1
-        return number
-
-    def bring(self, frames: list[bytes]) -> None:
+        began = time.process_time_ns()
+        self.coordinator.new_settings(self.now, changed)
+        self.planned_ns += time.process_time_ns() - began
+
+    def load_reports(self) -> list[bytes]:
+        """Frames of one second's load reports."""
+        return load_reports(self.ready, self.sizes, self.random)
+
+    def usage_reports(self) -> list[bytes]:
+        """Frames of one second's usage."""
+        return usage_reports(self.sizes, self.random)
+
+    def bring(self, frames: Sequence[bytes]) -> None:
         """Reads frames of reports and reports them, as the streams do."""
         began = time.process_time_ns()
         messages = [parsed(body[HEAD:]) for body in frames]
         self.read_ns += time.process_time_ns() - began
         self.read_bytes += sum(map(len, frames))
-        met = [_met(message) for message in messages]
+        events = [event_of(message) for message in messages]
         report, now = self.coordinator.report, self.now
         began = time.process_time_ns()
-        for what, words in met:
-            report(now, what, **words)
+        for event in events:
+            report(now, event)
         self.planned_ns += time.process_time_ns() - began
 
+    # Time
+
     def turn(self) -> None:
         """Ends a turn, writes what waits, and lets the channel and the clock run on."""
         coordinator = self.coordinator
         began = time.process_time_ns()
         coordinator.tick(self.now)
         proxies = [party for party in coordinator.parties() if isinstance(party, int)]
-        orders = [(proxy, coordinator.pick(proxy)) for proxy in proxies]
+        messages = [(proxy, coordinator.pick(proxy)) for proxy in proxies]
         self.planned_ns += time.process_time_ns() - began
-        for proxy, order in orders:
-            self._write(proxy, order)
-        probed = self._queues()
+        for proxy, message in messages:
+            self._write(proxy, message)
+        checked = self._empty_queues()
         self.now += TURN
-        for backend in probed:
-            self._timed(
-                lambda name=backend: coordinator.report(
-                    self.now, "probed", backend=name, status="ok", took=2 * MILLISECOND, load={}
-                )
-            )
-        while self.waiting and self.waiting[0].leaves_at <= self.now:
-            self._answer(self.waiting.popleft())
-
-    def _write(self, proxy: int, order: dict) -> None:
+        for backend in checked:
+            self._report(HealthCheckResult(backend, HealthCheckOutcome.OK, HEALTH_CHECK_TIME, {}))
+        while self.channel and self.channel[0].leaves_at <= self.now:
+            self._acknowledge(self.channel.popleft())
+
+    def _write(self, proxy: int, message: Any) -> None:  # noqa: ANN401 as `pick` gives it
         began = time.process_time_ns()
-        data = updates(order)
+        data = updates(message)
         self.written_ns += time.process_time_ns() - began
-        lines = lines_of(data)
-        for _, _, table in order["tables"]:
-            self.named.update(name for name, weight in table if weight)
+        entries = entries_of(data)
+        for _, _, weights in message["tables"]:
+            self.named.update(name for name, weight in weights if weight)
         self.sent.messages += 1
-        self.sent.lines += lines
+        self.sent.lines += entries
         self.sent.bytes += len(data)
-        self.free_at = max(self.free_at, self.now) + (lines + MESSAGE_HEAD) / PACE * SECOND
-        self.waiting.append(Waiting(self.free_at, proxy, order["mark"], self.now))
+        self.free_at = max(self.free_at, self.now) + (entries + MESSAGE_HEAD) / PACE * SECOND
+        self.channel.append(InChannel(self.free_at, proxy, message["mark"], self.now))
 
-    def _answer(self, done: Waiting) -> None:
+    def _acknowledge(self, message: InChannel) -> None:
         self.last_applied_at = self.now
-        if done.mark is None:
-            return
-        took = self.now - done.written_at
-        self._timed(
-            lambda: self.coordinator.report(
-                self.now, "applied", proxy=done.proxy, serial=done.mark, took=took
-            )
-        )
-
-    def _queues(self) -> list[str]:
-        """Empties the queues of what is for others than proxies; returns the backends to probe."""
-        probed = []
+        if message.barrier is not None:
+            latency = self.now - message.written_at
+            self._report(Acknowledged(proxy=message.proxy, sequence=message.barrier, latency=latency))
+
+    def _empty_queues(self) -> list[str]:
+        """Empties the queues of what is not for proxies; returns the backends that are to be health-checked."""
+        checks = []
         for queue in (PROBES, PEERS, REMARKS, GONE):
             while (item := self.coordinator.pick(queue)) is not None:
                 if queue == REMARKS:
                     raise RuntimeError(f"the planner failed: {item}")
                 if queue == PROBES:
-                    probed.append(item)
-        return probed
+                    checks.append(item)
+        return checks
 
-    def second(self, frames: list[bytes] | None = None) -> int:
+    def second(self, frames: Sequence[bytes] | None = None) -> int:
         """One virtual second with these reports spread over its turns; processor time in ns of its parts."""
         before = self.spent_ns
         for part in range(TURNS):
@@ -278,24 +234,3 @@
     def spent_ns(self) -> int:
         """Processor time of decisions, of frames written and of frames read, in ns."""
         return self.planned_ns + self.written_ns + self.read_ns
-
-
-def _met(message: dict) -> tuple[str, dict[str, object]]:
-    """A report in the words of the facade."""
-    if message["type"] == "usage":
-        return "arrivals", {
-            "proxy": message["node"],
-            "grade": message["route"],
-            "number": message["total"],
-            "unanswered": message["errors"],
-            "window": int(message["interval"] * MILLISECOND),
-        }
-    return "heard", {
-        "zone": message["locality"],
-        "backend": message["endpoint"],
-        "tries": message["total"],
-        "failed": message["errors"],
-        "mean": int(message["rtt"] * MILLISECOND),
-        "window": int(message["interval"] * MILLISECOND),
-        "load": message["metrics"],
-    }
--- a/bench/capacity/point.py
+++ b/bench/capacity/point.py
@@ -18,6 +18,7 @@
 from bench.capacity.wire import RACK, configuration, row_of
 from granitespool.net import config
 from granitespool.net.frames import frame
+from granitespool.planner.events import ListForm
 from granitespool.units import SECOND
 
 MB = 1 << 20
@@ -162,7 +163,7 @@
 
 def _first_list(fleet: Fleet, meter: Meter) -> dict[str, float]:
     def told() -> None:
-        fleet.tell_whole("restored")
+        fleet.send_complete_list(ListForm.RESTORED)
         fleet.turn()
 
     return {"first_list_ms": _spent_ms(fleet, meter, told)}
@@ -176,16 +177,16 @@
     def joined() -> None:
         fleet.join_all()
         fleet.turn()
-        bound.append(fleet.sizes.proxies - fleet.unbound())
+        bound.append(fleet.sizes.proxies - fleet.unassigned())
         turns = 1
-        while (fleet.unbound() or fleet.waiting) and turns < JOINING_LIMIT:
+        while (fleet.unassigned() or fleet.channel) and turns < JOINING_LIMIT:
             fleet.turn()
             turns += 1
 
     return {
         "join_ms": _spent_ms(fleet, meter, joined),
         "join_bound_first_turn": bound[0],
-        "join_unbound": fleet.unbound(),
+        "join_unbound": fleet.unassigned(),
         "join_s": (fleet.last_applied_at - began) / SECOND,
         "join_lines": fleet.sent.lines - sent.lines,
         "join_bytes": fleet.sent.bytes - sent.bytes,
@@ -273,7 +274,7 @@
         read_before = fleet.read_ns
         seconds.append(_spent_ms(fleet, meter, partial(fleet.second, frames)))
         read.append((fleet.read_ns - read_before) / (fleet.spent_ns - before) * seconds[-1])
-    heard = fleet.heard_messages()
+    heard = fleet.load_reports()
     return {
         "busy_ms": statistics.median(seconds),
         "busy_worst_ms": max(seconds),
@@ -289,7 +290,7 @@
 
 
 def _reports(fleet: Fleet) -> list[bytes]:
-    return fleet.heard_messages() + fleet.usage_messages()
+    return fleet.load_reports() + fleet.usage_reports()
 
 
 def _events(fleet: Fleet, meter: Meter) -> dict[str, float]:
@@ -309,7 +310,7 @@
 def _healed(fleet: Fleet) -> None:
     """The whole list after some minutes of a cut: a few have been replaced meanwhile."""
     fleet.ready = fleet.ready[3:]
-    fleet.tell_whole()
+    fleet.send_complete_list()
 
 
 def _event(fleet: Fleet, meter: Meter, name: str, action: Callable[[], object]) -> dict[str, float]:
@@ -328,7 +329,7 @@
     turn_ms = _spent_ms(fleet, meter, first_turn)
     second_ms = turn_ms + _spent_ms(fleet, meter, rest_of_second)
     turns = TURNS
-    while turns < EVENT_TURNS and fleet.waiting:
+    while turns < EVENT_TURNS and fleet.channel:
         fleet.turn()
         turns += 1
     return {
