--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -211,7 +211,7 @@
             self._report(Acknowledged(proxy=message.proxy, sequence=message.barrier, latency=latency))
 
     def _empty_queues(self) -> list[str]:
-        """Empties the queues of what is not for proxies; returns the backends that are to be health-checked."""
+        """Empties the queues of what is not for proxies; returns the backends to check the health of."""
         checks = []
         for queue in (PROBES, PEERS, REMARKS, GONE):
             while (item := self.coordinator.pick(queue)) is not None:
--- a/bench/capacity/messages.py
+++ b/bench/capacity/messages.py
@@ -110,7 +110,7 @@
         worst=constant(1),
     ),
     Kind(
-        name="probe",
+        name="health check",
         sender="coordinator",
         receiver="backend",
         size=constant(PING_BYTES),
--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -136,7 +136,7 @@
         unit="",
         formula=of_sizes(lambda sizes: ORDINARY_DAY.configurations * sizes.planners / DAY),
         source="worked out: 380 a day times coordinators",
-        module="net/door.py, net/managing.py",
+        module="net/management_listener.py, net/management_service.py",
         origin=Origin.WORKED_OUT,
     ),
 )
