--- a/granitespool/scale/backends.py
+++ b/granitespool/scale/backends.py
@@ -1,13 +1,14 @@
 """Stand-ins of backends: a listener each, which answers `/alive` and `/metrics/load` while it lives."""
 
 import socket
-from collections.abc import Generator, Iterable
+from collections.abc import Iterable
 
 import msgspec
 
 from granitespool.net.client import receive, send
 from granitespool.net.config import address
 from granitespool.net.loop import IN, Loop, Task
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.fleet import ListedBackend
 from granitespool.units import SECOND
 
@@ -16,8 +17,6 @@
 BODY = b"inflight=7,queue=2,util=0.5"
 ANSWER = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
 
-Wait = Generator[tuple[int | None, int, int | None], int, None]
-
 
 class HealthCheckCounts(msgspec.Struct):
     """Health checks that backends have answered, and their bytes."""
--- a/granitespool/scale/checker/effects.py
+++ b/granitespool/scale/checker/effects.py
@@ -5,7 +5,7 @@
 
 
 class EffectRule:
-    """Remembers who carried out each request first."""
+    """Remembers which backend carried out each request first."""
 
     def __init__(self, violations: list[Violation]) -> None:
         """What is found is added to `violations`."""
--- a/granitespool/scale/checker/endpoint_list.py
+++ b/granitespool/scale/checker/endpoint_list.py
@@ -54,7 +54,7 @@
             self._next_listed.take(event)
 
     def end(self) -> None:
-        """What is told from now on may be told to a new incarnation; whether it is shows at its answer."""
+        """What is told from now on may be known to a new incarnation only; that shows at its answer."""
         self._next_listed = EndpointList(self.only_draining_binds)
 
     def answer(self, now: int) -> None:
--- a/granitespool/scale/checker/tables.py
+++ b/granitespool/scale/checker/tables.py
@@ -81,7 +81,7 @@
                 self._refresh_drain(proxy, event.backend, event.at)
 
     def started(self, event: CoordinatorStarted) -> None:
-        """A new incarnation answers; the time limits of who has joined it begin no sooner than that."""
+        """A new incarnation answers; time limits of its proxies begin no sooner than that."""
         coordinator = self._coordinator(event.coordinator)
         coordinator.answer(event.at)
         for number in coordinator.proxies:
--- a/granitespool/scale/collector.py
+++ b/granitespool/scale/collector.py
@@ -1,7 +1,7 @@
 """Stand-ins of collectors: a zone's connection to each coordinator, and the load reports on it."""
 
 import socket
-from collections.abc import Generator, Sequence
+from collections.abc import Sequence
 from contextlib import suppress
 from random import Random
 
@@ -10,6 +10,7 @@
 from granitespool.net.loop import IN, Loop
 from granitespool.scale.backends import Backends
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint, region_of
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.proxy_stream import ProxyStream
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.schema import Scenario
@@ -22,8 +23,6 @@
 ROUND_TRIP_LEAST = 0.8  # of the mean service time
 ROUND_TRIP_RANGE = 0.4
 
-Wait = Generator[tuple[int | None, int, int | None], int, None]
-
 
 class Collector:
     """A zone's collector: what the zone's proxies met, reported to each coordinator."""
--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -2,7 +2,6 @@
 
 import signal
 import socket
-from collections.abc import Generator
 from pathlib import Path
 from typing import Any
 
@@ -12,6 +11,7 @@
 from granitespool.scale import fleet
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint
 from granitespool.scale.coordinator_log import CoordinatorLog
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.discovery import Agent, as_row
 from granitespool.scale.fleet import ListedBackend
 from granitespool.scale.processes import Child, Sample, lines_of, sample, write_json
@@ -25,8 +25,6 @@
 EXIT_TIMEOUT = 5 * SECOND  # ns that the end of a process is waited for
 POLL_INTERVAL = SECOND // 100  # ns between two looks
 
-Wait = Generator[tuple[int | None, int, int | None], int, Any]
-
 
 class RealCoordinator:
     """One process at a time; it may be ended and started again at the same address."""
@@ -88,7 +86,7 @@
             "seed": f"{self.scenario.scale.seed + self.index + 1:x}",
             "limits": {"memory_mb": coordinators.memory_mb, "sockets": coordinators.sockets},
             "known": {
-                "index": self.agent.held,
+                "index": self.agent.known_index,
                 "snapshot": True,
                 "endpoints": [as_row(entry) for entry in self.agent.list.entries.values()],
             },
@@ -102,7 +100,7 @@
         coordinators = self.scenario.coordinators
         command = ["-m", "granitespool", "serve", "--config", str(self.path)]
         began = self.loop.clock()
-        self.log.list_index = self.agent.held
+        self.log.list_index = self.agent.known_index
         self.child = Child(command, coordinators.memory_mb, coordinators.sockets)
         self.loop.spawn(lines_of(self.child, self.log.take))
         until = began + int(self.scenario.times.ready_s * SECOND)
--- a/granitespool/scale/cut_recovery.py
+++ b/granitespool/scale/cut_recovery.py
@@ -1,12 +1,12 @@
 """Coordinators that were cut off: what they held when the cut ended, and when they were up to date again."""
 
-from collections.abc import Generator, Sequence
-from typing import Any
+from collections.abc import Sequence
 
 import msgspec
 
 from granitespool.net.loop import Loop
 from granitespool.scale.coordinators import RealCoordinator
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
 from granitespool.scale.faults import FaultInjector
 from granitespool.scale.plan import Planned
@@ -16,8 +16,6 @@
 WATCH_TIME = 60 * SECOND  # ns after the end of a cut for which coordinators are looked at
 POLL_INTERVAL = SECOND // 20  # ns between two looks
 
-Wait = Generator[tuple[int | None, int, int | None], int, Any]
-
 
 class Recovery(msgspec.Struct):
     """A coordinator after a cut."""
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -1,11 +1,11 @@
 """Stand-in of discovery: one list, and an agent for each coordinator that tells it and can be made to fail.
 
-An agent speaks HTTP/1.1: the whole list, and watches with an empty line each 2 s. What it has been told by
-the list counts as held by it; while it is cut off it answers with what it holds and stays silent."""
+An agent speaks HTTP/1.1: the whole list, and watches with an empty line each 2 s. It knows
+the list up to a version; while it is cut off it answers with that and stays silent."""
 
 import socket
 from collections import deque
-from collections.abc import Callable, Generator, Iterable
+from collections.abc import Callable, Iterable
 from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
@@ -13,6 +13,7 @@
 
 from granitespool.net.client import receive, send
 from granitespool.net.loop import IN, Loop, Task
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.fleet import ListedBackend
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.trace import BackendListed
@@ -24,8 +25,6 @@
 BACKLOG = 1024
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
-Wait = Generator[tuple[int | None, int, int | None], int, None]
-
 
 class Change:
     """One version of the list: the entries that it changed."""
@@ -45,7 +44,7 @@
 
 
 class BackendList:
-    """The list with all its versions; agents are told of each change at once unless they are cut off."""
+    """The list with all its versions; agents know each change at once unless they are cut off."""
 
     def __init__(self, entries: Iterable[ListedBackend], clock: Callable[[], int]) -> None:
         """`clock` gives ns."""
@@ -57,8 +56,8 @@
         self._snapshot_index = 0  # version of the cached line
         self._snapshot_line = b""
 
-    def publish(self, entries: list[ListedBackend], told: bool = True) -> Change:
-        """Makes a version of changed entries; `told` False leaves it to the caller to tell agents."""
+    def publish(self, entries: list[ListedBackend], notify: bool = True) -> Change:
+        """Makes a version of changed entries; `notify` False leaves it to the caller to tell the agents."""
         self.index += 1
         change = Change(self.index, entries, self.clock())
         self.changes.append(change)
@@ -67,7 +66,7 @@
                 self.entries.pop(entry.name, None)
             else:
                 self.entries[entry.name] = entry
-        if told:
+        if notify:
             self.update_agents()
         return change
 
@@ -119,12 +118,14 @@
         self.list = backend_list
         self.recorder = recorder
         self.name = name
-        self.recorded = True  # whether what is told goes into the trace
-        self.held = backend_list.index  # version that the agent has been told
+        self.recorded = True  # whether what it writes goes into the trace
+        self.known_index = backend_list.index  # newest version that the agent knows
         self.cut = False
         self.stalled_until = 0  # ns; until then a line breaks off in its middle and nothing is answered
         self.watches: set[Watch] = set()
-        self.told: dict[str, int] = {}  # backend -> newest version that was written to the coordinator
+        self.written_index: dict[
+            str, int
+        ] = {}  # backend -> newest version that was written to the coordinator
         self.written: dict[int, int] = {}  # version -> when the last watch that was open had it whole, ns
         self.listener_address = address
         self.listener = socket.create_server(address, backlog=BACKLOG)
@@ -134,10 +135,10 @@
 
     def update(self) -> None:
         """Takes what the list has, unless it is cut off, and passes it on."""
-        if self.cut or self.held == self.list.index:
+        if self.cut or self.known_index == self.list.index:
             return
-        changes = self.list.since(self.held, self.list.index)
-        self.held = self.list.index
+        changes = self.list.since(self.known_index, self.list.index)
+        self.known_index = self.list.index
         self.push(changes)
 
     def push(self, changes: Iterable[Change]) -> None:
@@ -167,12 +168,12 @@
         """Records the list that the coordinator's configuration holds as told."""
         now = self.loop.clock()
         for entry in entries:
-            self._record(entry, self.held, now)
+            self._record(entry, self.known_index, now)
 
     def _record(self, entry: ListedBackend, index: int, now: int) -> None:
-        if self.told.get(entry.name, 0) > index or not self.recorded:
+        if self.written_index.get(entry.name, 0) > index or not self.recorded:
             return  # a late older version tells nothing
-        self.told[entry.name] = index
+        self.written_index[entry.name] = index
         self.recorder.add(
             BackendListed(
                 at=now,
@@ -226,11 +227,11 @@
 
     def _open_watch(self, watch: Watch, after: int) -> None:
         """Begins with the changes after a version, or with the whole list."""
-        changes = self.list.since(after, self.held)
+        changes = self.list.since(after, self.known_index)
         watch.pending = deque(PendingLine(change.line, change) for change in changes)
         self.watches.add(watch)
         if after < 1:
-            # a cut agent would answer with an older list: coordinators begin with one, so none asks it then
+            # a cut agent would answer with an older list; coordinators begin with one, so none polls it
             watch.pending = deque([PendingLine(self.list.snapshot_line(), None)])
 
     def _watch(self, sock: socket.socket, watch: Watch) -> Wait:
@@ -278,7 +279,7 @@
         self.recorder.count(self.name, "in", "discovery list", len(line))
         if change is None:
             entries = list(self.list.entries.values())
-            index = self.held
+            index = self.known_index
         else:
             entries = change.entries
             index = change.index
@@ -289,7 +290,7 @@
 
 
 def hung_up(sock: socket.socket) -> bool:
-    """Whether the other side has ended the connection, so that nothing more is told on it."""
+    """Whether the other side has ended the connection, so that nothing more is to be written."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/granitespool/scale/environment.py
+++ b/granitespool/scale/environment.py
@@ -141,9 +141,9 @@
                 entries, self.batch = self.batch, []
                 self.publish(entries)
 
-    def publish(self, entries: list[ListedBackend], told: bool = True) -> Change:
-        """Publishes changed entries; `told` False leaves it to the caller to tell the agents."""
-        change = self.list.publish(entries, told)
+    def publish(self, entries: list[ListedBackend], notify: bool = True) -> Change:
+        """Publishes changed entries; `notify` False leaves it to the caller to tell the agents."""
+        change = self.list.publish(entries, notify)
         self.ever_listed.update(entry.name for entry in change.entries)
         self.propagation.published(change, bool(self.cut_regions))
         return change
--- a/granitespool/scale/events.py
+++ b/granitespool/scale/events.py
@@ -1,11 +1,11 @@
 """Plays a run's planned events, each at its time."""
 
 import signal
-from collections.abc import Callable, Generator, Sequence
-from typing import Any
+from collections.abc import Callable, Sequence
 
 from granitespool.net.loop import Loop
 from granitespool.scale.coordinators import RealCoordinator
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.cut_recovery import CutRecovery
 from granitespool.scale.environment import Environment
 from granitespool.scale.faults import FaultInjector
@@ -16,8 +16,6 @@
 
 POLL_INTERVAL = SECOND // 10  # ns between two looks at whether restarts have come to an end
 
-Wait = Generator[tuple[int | None, int, int | None], int, Any]
-
 
 class EventPlayer:
     """Does what the plan says, to processes itself and to stand-ins by a `FaultInjector`."""
--- a/granitespool/scale/faults.py
+++ b/granitespool/scale/faults.py
@@ -63,11 +63,11 @@
 
     def _reorder(self, planned: Planned) -> None:
         first, second = planned.entries
-        earlier = self.environment.publish([first], told=False)
-        later = self.environment.publish([second], told=False)
+        earlier = self.environment.publish([first], notify=False)
+        later = self.environment.publish([second], notify=False)
         self.environment.backends.end(second.name)
         for agent in self.environment.list.agents:
-            agent.held = self.environment.list.index
+            agent.known_index = self.environment.list.index
             agent.push([later, earlier])
 
     def _stall(self, planned: Planned) -> None:
--- a/granitespool/scale/hollow/coordinator.py
+++ b/granitespool/scale/hollow/coordinator.py
@@ -13,7 +13,6 @@
 
 import errno
 import socket
-from collections.abc import Generator
 from itertools import islice
 from random import Random
 from typing import Any
@@ -26,6 +25,7 @@
 from granitespool.net.frames import PONG, UNTYPED
 from granitespool.net.loop import IN, OUT, Loop
 from granitespool.planner.events import EndpointListUpdate, ListForm
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.hollow.connection import Connection
 from granitespool.scale.hollow.counts import Counts
 from granitespool.scale.hollow.endpoints import EndpointState, EndpointStates
@@ -45,8 +45,6 @@
 ANY_ADDRESS = ""  # stands for all names in a watch that keeps none
 EMPTY_LIST = {"index": 0, "endpoints": []}  # the list of a configuration that names nobody
 
-Wait = Generator[tuple[int | None, int, int | None], int, None]
-
 
 class _WatchLog:
     """Stands in for the log of a watch: it only counts the ends."""
--- a/granitespool/scale/hollow_fleet.py
+++ b/granitespool/scale/hollow_fleet.py
@@ -1,6 +1,5 @@
 """The processes of hollow coordinators in a run, and the proxies that keep streams to them."""
 
-from collections.abc import Generator
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -9,6 +8,7 @@
 
 from granitespool.scale.coordinator_endpoint import ChannelQueue, CoordinatorEndpoint
 from granitespool.scale.coordinators import RealCoordinator
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
 from granitespool.scale.fleet import proxy_base
 from granitespool.scale.hollow.counts import Traffic
@@ -28,8 +28,6 @@
 SOCKETS_EACH = 8  # descriptors of one hollow coordinator: its listener, its watch, some streams
 SOCKETS_BASE = 64  # descriptors of a process beside those
 
-Wait = Generator[tuple[int | None, int, int | None], int, Any]
-
 
 def profile_of(recorder: Recorder, coordinator: RealCoordinator, until: int) -> Profile:
     """What a real coordinator has written to its proxies up to a time (ns)."""
--- a/granitespool/scale/processes.py
+++ b/granitespool/scale/processes.py
@@ -7,7 +7,7 @@
 import subprocess
 import sys
 import time
-from collections.abc import Callable, Generator, Sequence
+from collections.abc import Callable, Sequence
 from contextlib import suppress
 from pathlib import Path
 from typing import IO, Any
@@ -17,6 +17,7 @@
 
 import granitespool
 from granitespool.net.loop import IN
+from granitespool.scale.coroutines import Wait
 from granitespool.units import SECOND
 
 PAGE = resource.getpagesize()
@@ -28,7 +29,6 @@
 MEGABYTE = 1 << 20
 
 SignalMask = set[int | signal.Signals]
-Wait = Generator[tuple[int | None, int, int | None], int, None]
 
 
 class Sample(msgspec.Struct, frozen=True):
--- a/granitespool/scale/propagation.py
+++ b/granitespool/scale/propagation.py
@@ -9,7 +9,7 @@
 
 
 class _Pending(msgspec.Struct, frozen=True):
-    """A backend that no proxy is to hold open any more, and who still does."""
+    """A backend that no proxy is to hold open any more, and the proxies that still do."""
 
     since: int  # ns
     holders: set[int]  # proxies
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -5,7 +5,7 @@
 
 import socket
 from collections import deque
-from collections.abc import Callable, Container, Generator
+from collections.abc import Callable, Container
 from random import Random
 from typing import Any
 
@@ -17,6 +17,7 @@
 from granitespool.net.frames import HEAD, LARGEST, Reader, frame
 from granitespool.net.loop import IN, Loop, Task
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.proxy_message import IncomingMessage
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.trace import MessageWritten, ProxyJoined, ProxyLeft, TableHeld, UpdateReceived
@@ -29,8 +30,6 @@
 APPLY_TIME = 5 * MILLISECOND  # ns in which a proxy applies a message that has arrived
 BUFFERS = 1 << 16  # of a stream's reader
 
-Wait = Generator[tuple[int | None, int, int | None], int, None]
-
 
 class _Arrival(msgspec.Struct, frozen=True):
     """A complete message that the channel still carries."""
--- a/granitespool/scale/run.py
+++ b/granitespool/scale/run.py
@@ -4,13 +4,13 @@
 import secrets
 import tempfile
 from collections import Counter
-from collections.abc import Callable, Generator
+from collections.abc import Callable
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from granitespool.errors import InvalidInputError
 from granitespool.net.loop import Loop
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
 from granitespool.scale.events import EventPlayer
 from granitespool.scale.fleet import MadeFleet, Network
@@ -30,7 +30,6 @@
 FAILURES_LIMIT = 50  # failures of stand-ins after which a run is given up
 STARTS_TOGETHER = 4  # coordinators that are expected to start in the time that one may take
 
-Wait = Generator[tuple[int | None, int, int | None], int, Any]
 Progress = Callable[[str], None]
 
 
--- a/granitespool/scale/settings_changes.py
+++ b/granitespool/scale/settings_changes.py
@@ -1,18 +1,14 @@
 """Changes of the configuration during a run, and when they are in force."""
 
-from collections.abc import Generator
-from typing import Any
-
 from granitespool.net.loop import Loop
 from granitespool.scale.coordinators import RealCoordinator
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
 from granitespool.units import SECOND
 
 IN_FORCE_LIMIT = 8 * SECOND  # ns that a new configuration may take to be in force before it is given up
 POLL_INTERVAL = SECOND // 100  # ns between two looks
 
-Wait = Generator[tuple[int | None, int, int | None], int, Any]
-
 
 class SettingsChanges:
     """The versions of the settings, and what came of each change."""
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -3,11 +3,12 @@
 No request is sent on a socket. The work of a backend follows from the tables that proxies hold; a few
 requests of each proxy are followed, with their retries. All chance comes from one seed."""
 
-from collections.abc import Generator, Sequence, Set
+from collections.abc import Sequence, Set
 from random import Random
 
 from granitespool.net.loop import Loop
 from granitespool.scale.backends import Backends
+from granitespool.scale.coroutines import Wait
 from granitespool.scale.fleet import EFFECTS
 from granitespool.scale.proxy_stream import ProxyStream
 from granitespool.scale.recorder import Recorder
@@ -19,8 +20,6 @@
 NEVER_RAN = 1  # the manner of retrying that allows only what provably never ran; higher ones allow more
 ANSWER_LOST_SHARE = 0.05  # of the attempts that a backend carried out, those whose answer does not arrive
 
-Wait = Generator[tuple[int | None, int, int | None], int, None]
-
 
 class Traffic:
     """The work of all proxies with streams."""
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -59,7 +59,8 @@
         """Applies a message of a coordinator."""
         for _, complete, weights in message["tables"]:
             if complete:
-                self.weights, self.retries = {}, {}
+                self.weights = {}
+                self.retries = {}
             self.weights.update(weights)
         self.weights = {name: weight for name, weight in self.weights.items() if weight}
         for classes, _, retries in message["levels"]:
@@ -179,7 +180,9 @@
     def start(self) -> None:
         """A new incarnation, which knows the list as it was told it last and nothing else."""
         self.up_at = None
-        self.phases, self.starts_told, self.intake = {}, {}, {}
+        self.phases = {}
+        self.starts_told = {}
+        self.intake = {}
         self.channel = deque()
         self.backlog = 0.0
         self.free_at = 0.0
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -187,7 +187,7 @@
         )
         return self.list.publish([entry])
 
-    def told(self):
+    def listed(self):
         return [(e.backend, e.phase) for e in self.recorder.events if isinstance(e, BackendListed)]
 
 
@@ -203,10 +203,10 @@
 def test_discovery_that_stalls_in_the_middle_of_a_line_is_asked_again_and_loses_nothing(watched):
     watched.agent.stall(watched.loop.clock() + 3 * SECOND)
     watched.change(0, "draining")
-    assert not watched.run(2, lambda: watched.news) and not watched.told()
+    assert not watched.run(2, lambda: watched.news) and not watched.listed()
     assert watched.run(6, lambda: watched.news)
     assert "watch_ended" in watched.log and watched.news[0] == {"s-0": "draining"}
-    assert watched.told() == [("s-0", "draining")]
+    assert watched.listed() == [("s-0", "draining")]
 
 
 def test_a_change_that_arrives_twice_is_told_once_more_and_is_the_same(watched):
@@ -218,16 +218,16 @@
 def test_of_two_changes_out_of_order_the_later_one_stays(watched):
     first = watched.list.publish(
         [ListedBackend(name="s-2", address="127.0.0.1:9", zone="z", type="m", group=0, status="draining")],
-        told=False,
+        notify=False,
     )
     second = watched.list.publish(
         [ListedBackend(name="s-2", address="127.0.0.1:9", zone="z", type="m", group=0, status="gone")],
-        told=False,
+        notify=False,
     )
-    watched.agent.held = watched.list.index
+    watched.agent.known_index = watched.list.index
     watched.agent.push([second, first])
     assert watched.run(2, lambda: "list_older" in watched.log)
-    assert watched.news == [{"s-2": "gone"}] and watched.told() == [("s-2", "gone")]
+    assert watched.news == [{"s-2": "gone"}] and watched.listed() == [("s-2", "gone")]
 
 
 def test_an_agent_that_is_cut_off_is_silent_and_tells_all_of_it_once_healed(watched):
@@ -237,7 +237,7 @@
     assert watched.run(4, lambda: "watch_ended" in watched.log) and not watched.news
     watched.agent.set_cut(False)
     assert watched.run(3, lambda: len(watched.news) == 2)
-    assert watched.told() == [("s-0", "draining"), ("s-1", "draining")]
+    assert watched.listed() == [("s-0", "draining"), ("s-1", "draining")]
 
 
 # Processes
