--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    "form, cost, coefficients",
+    ("form", "cost", "coefficients"),
     [
         ("constant", lambda s: 7.0, (7.0,)),
         ("proportional to backends", lambda s: 0.25 * s["backends"], (0.25,)),
@@ -74,7 +74,7 @@
 
 def test_too_few_samples_are_an_error():
     with pytest.raises(fits.TooFewSamplesError):
-        fits.fit(samples(lambda s: 1.0)[:2], fits.linear("backends"))
+        fits.fit(samples(lambda _: 1.0)[:2], fits.linear("backends"))
 
 
 def test_a_held_out_point_is_named_as_off_only_past_the_limit():
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "whole, code, words",
+    ("whole", "code", "words"),
     [
         (
             {"days": [play(), play("soak", 7, restarts=())]},
@@ -50,7 +50,8 @@
     ],
 )
 def test_a_score_has_a_row_a_day_and_what_went_wrong_is_the_exit_code(tmp_path, capsys, whole, code, words):
-    assert main([written(tmp_path, "one.json", whole)]) == code and words in capsys.readouterr().out
+    assert main([written(tmp_path, "one.json", whole)]) == code
+    assert words in capsys.readouterr().out
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "{}", '{"row": {}}'])
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,7 +1,6 @@
 """The emulator: the same seed gives the same figures; a restart shows what it is for, at a small size."""
 
 import json
-import os
 from random import Random
 
 import msgspec
@@ -103,14 +102,18 @@
     ]
     assert main(words) == 0
     lines = capsys.readouterr().out.splitlines()
-    assert "simulated servers" in lines[0] and lines[1].split()[:4] == ["size", "variant", "tables", "held"]
+    assert "simulated servers" in lines[0]
+    assert lines[1].split()[:4] == ["size", "variant", "tables", "held"]
     assert lines[2].split()[:2] == ["8x20", "state"]
-    plot = os.path.join(tmp_path, "plot.png")
-    code = main([*words, "--json", "--plot", plot])
+    plot = tmp_path / "plot.png"
+    code = main([*words, "--json", "--plot", str(plot)])
     out, err = capsys.readouterr()
     try:
         import matplotlib  # noqa: F401, PLC0415
     except ImportError:
-        assert code == 1 and "extra `plot`" in err
+        assert code == 1
+        assert "extra `plot`" in err
     else:
-        assert code == 0 and json.loads(out)["rows"][0]["variant"] == "state" and os.path.getsize(plot) > 1000
+        assert code == 0
+        assert json.loads(out)["rows"][0]["variant"] == "state"
+        assert plot.stat().st_size > 1000
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -90,7 +90,7 @@
         self.address = self.coordinator.address
 
     def turn(self, wait):
-        self.loop.turn(lambda now: None, wait)
+        self.loop.turn(lambda _: None, wait)
         assert not self.failures, self.failures
 
     def close(self):
@@ -201,13 +201,14 @@
             return self.got[message["type"]].add(size)
         self.parts[proxy] += (size,)
         if message.get("more"):
-            return
+            return None
         parts = self.parts.pop(proxy)
         self.got["update"].add(sum(parts))
         self.received[proxy].append(parts)
         self.events.append(UpdateReceived(at=self.now, proxy=proxy, parts=parts))
         if "ticket" in message:
             self.say(self.proxies[proxy], type="applied", node=proxy, nonce=message["ticket"], latency=10.0)
+        return None
 
     def settle(self):
         """Turns until nothing moves any more, with the clock standing."""
@@ -427,7 +428,7 @@
         for sock in socks:
             sock.sendall(frame({"type": "ping"}))
         while sum(each.counts.sent["pong"].messages for each in many if each.counts.sent) < 20:
-            loop.turn(lambda now: None, PAUSE)
+            loop.turn(lambda _: None, PAUSE)
         many.pop().close()
         assert len(loop.all) == 19 * 3
         for each in many:
@@ -469,8 +470,11 @@
     reader.room()[: len(data)] = data
     reader.received(len(data))
     first, second, last = reader.messages()
-    assert first["whole"] and first["more"] and second["more"]
-    assert "whole" not in second and "more" not in last
+    assert first["whole"]
+    assert first["more"]
+    assert second["more"]
+    assert "whole" not in second
+    assert "more" not in last
     assert last["ticket"] == 7
     told = first["lines"] + second["lines"] + last["lines"]
     assert told == lines[: len(told)]
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -168,19 +168,19 @@
         return [each for each in select(self, now, only) if each.weight]  # no entry is taken out of a table
 
     monkeypatch.setattr(CandidateSelection, "select", keeps)
-    monkeypatch.setattr(ExclusionControl, "publish", lambda self, now, entries: None)
+    monkeypatch.setattr(ExclusionControl, "publish", lambda *_: None)
     assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
 
 
 def test_one_whose_messages_come_too_late_is_found(monkeypatch):
-    monkeypatch.setattr(TracedCoordinator, "deliver", lambda self: None)
+    monkeypatch.setattr(TracedCoordinator, "deliver", lambda _: None)
     assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
 
 
 def test_one_that_has_uncertain_attempts_retried_is_found(monkeypatch):
     level = Coordinator.set_admission
 
-    def repeats(self, table, classes, share, retries):
+    def repeats(self, table, classes, share, _):
         level(self, table, classes, share, 2)
 
     monkeypatch.setattr(Coordinator, "set_admission", repeats)
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -226,7 +226,7 @@
     assert plan_of(name) == recordings.read(f"scale/plan-{name}")
 
 
-@pytest.mark.parametrize("name", ("ci", "steady"))
+@pytest.mark.parametrize("name", ["ci", "steady"])
 def test_a_scenario_gives_the_recorded_fleet_settings_and_limits(name):
     assert fleet_of(name) == recordings.read(f"scale/fleet-{name}")
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -57,7 +57,8 @@
 name = "z"
 """,
     )
-    assert code == 0 and capsys.readouterr().out.strip().endswith("made/there/there.toml")
+    assert code == 0
+    assert capsys.readouterr().out.strip().endswith("made/there/there.toml")
     assert whole == {
         **tomllib.loads(SITE),
         "name": "there",
@@ -76,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    ("text", "words"),
     [
         ("[goal]\nhole = 1", "there.toml: the site has no key 'goal.hole'"),
         ("tenant = []", "no key 'tenant'"),
@@ -91,12 +92,16 @@
 def test_what_does_not_fit_the_site_is_one_sentence_and_writes_nothing(site, tmp_path, capsys, text, words):
     code, whole = call(site, tmp_path, text)
     err = capsys.readouterr().err
-    assert code == 1 and whole is None and words in err and err.count("\n") == 1
+    assert code == 1
+    assert whole is None
+    assert words in err
+    assert err.count("\n") == 1
 
 
 def test_a_site_without_what_the_bench_reads_beside_it_is_told(site, tmp_path, capsys):
     (tmp_path / "wire.json").unlink()
-    assert call(site, tmp_path, "[goal]\nwhole = 1")[0] == 1 and "no wire.json" in capsys.readouterr().err
+    assert call(site, tmp_path, "[goal]\nwhole = 1")[0] == 1
+    assert "no wire.json" in capsys.readouterr().err
 
 
 def test_a_refusal_of_the_bench_is_told_with_its_reason(site, tmp_path, capsys):
