--- a/bench/manage.py
+++ b/bench/manage.py
@@ -31,8 +31,8 @@
     import grpc
 
     from granitespool.cli.keys import make
-    from granitespool.emulator.managers import Manager, tag_of
     from granitespool.gnmi import gnmi_pb2 as pb
+    from granitespool.simulation.netconf_client import NetconfClient, tag_of
 
 MS_PER_S = 1e3
 ZONES = ("n", "s")
@@ -229,9 +229,9 @@
         self.process.send_signal(signal.SIGUSR1)
         return TurnFigures(**json.loads(self.output.readline()))
 
-    def netconf(self) -> "Manager":
+    def netconf(self) -> "NetconfClient":
         """A NETCONF session."""
-        return Manager(("127.0.0.1", self.ports[0]), self.keys, timeout=120)
+        return NetconfClient(("127.0.0.1", self.ports[0]), self.keys, timeout=120)
 
     def gnmi(self) -> "grpc.Channel":
         """A gNMI connection."""
--- a/granitespool/emulator/schema.py
+++ b/granitespool/emulator/schema.py
@@ -1,7 +1,7 @@
 """What an experiment's INI file may say; every key has its unit in its name."""
 
 from collections.abc import Iterable
-from typing import Annotated, Literal
+from typing import Annotated, Any, Literal
 
 import msgspec
 from msgspec import Meta
@@ -133,7 +133,7 @@
     path, text = ini_files.read(PACKAGE, name, "experiment")
     for change in changes:
         text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
-    sections = ini.parse(path, text, {**SECTIONS, f"{CLASS_SECTIONS}*": Class})
+    sections: dict[str, Any] = {**ini.parse(path, text, {**SECTIONS, f"{CLASS_SECTIONS}*": Class})}
     if "experiment" not in sections:
         raise InvalidInputError(f"{path}: it lacks the section [experiment]")
     class_sections = [section for section in sections if section.startswith(CLASS_SECTIONS)]
--- a/granitespool/scale/schema.py
+++ b/granitespool/scale/schema.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 from pathlib import Path
-from typing import Annotated, Literal
+from typing import Annotated, Any, Literal
 
 import msgspec
 from msgspec import Meta
@@ -175,7 +175,7 @@
     path, text = ini_files.read(PACKAGE, name, "scenario")
     for change in changes:
         text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
-    sections = ini.parse(path, text, {**SECTIONS, f"{EVENT}*": Event})
+    sections: dict[str, Any] = {**ini.parse(path, text, {**SECTIONS, f"{EVENT}*": Event})}
     if "scale" not in sections:
         raise InvalidInputError(f"{path}: it lacks the section [scale]")
     event_sections = [section for section in sections if section.startswith(EVENT)]
--- a/tests/support/service_thread.py
+++ b/tests/support/service_thread.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from granitespool.cli.keys import make
-from granitespool.emulator.managers import Manager
 from granitespool.net import config
 from granitespool.net.service import Service
 from granitespool.operator_settings import Netconf, Operator, State, Tls, User
+from granitespool.simulation.netconf_client import NetconfClient
 from support.records import told_settings
 
 LOOPBACK = "127.0.0.1"
@@ -168,9 +168,9 @@
             time.sleep(POLL_INTERVAL)
         raise AssertionError(self.lines[-LINES_SHOWN:])
 
-    def manager(self, user: str = "operations", **more: Any) -> Manager:
+    def manager(self, user: str = "operations", **more: Any) -> NetconfClient:
         """A NETCONF session of a user."""
-        return Manager(self.where, self.keys, user, **more)
+        return NetconfClient(self.where, self.keys, user, **more)
 
     def settings(self) -> dict[str, Any]:
         """The planner's settings, as they act."""
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -14,12 +14,12 @@
 from h2.events import ConnectionTerminated, DataReceived, ResponseReceived, StreamReset
 from support.service_thread import ServiceThread, alive, free_port, keys
 
-from granitespool.emulator.managers import client_context, tag_of
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi import paths
 from granitespool.operator_settings import Gnmi
 from granitespool.rpc.errors import StatusCode
 from granitespool.rpc.http2 import MAX_COSTLY_FRAMES
+from granitespool.simulation.netconf_client import client_context, tag_of
 
 BASE = "/coordinator/settings/channel/lines-per-second"
 
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -16,10 +16,10 @@
 from support.records import told_settings
 from support.service_thread import ServiceThread, alive, keys
 
-from granitespool.emulator.managers import HELLO, Ended, Manager, tag_of, top
 from granitespool.netconf.errors import FramingError, MalformedMessageError
 from granitespool.netconf.framing import END_OF_MESSAGE, MessageReader, frame
 from granitespool.netconf.xmltree import parse_message
+from granitespool.simulation.netconf_client import HELLO, ConnectionEndedError, NetconfClient, tag_of, top
 
 PACE = "<channel><lines-per-second>{}</lines-per-second></channel>"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -127,7 +127,7 @@
     assert tag_of(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
     assert "over the 1024" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
     assert tag_of(one.ask("<close-session/>")) == "ok"
-    with pytest.raises(Ended):
+    with pytest.raises(ConnectionEndedError):
         one.receive()
 
 
@@ -440,7 +440,7 @@
     proxy.close()
     number = re.search(r"<session-id>(\d+)<", two.hello)[1]
     assert tag_of(one.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
-    with pytest.raises(Ended):
+    with pytest.raises(ConnectionEndedError):
         two.receive()
     house.logged("manager_ended", why="killed by operations")
 
@@ -476,7 +476,7 @@
             for line in iter(process.stdout.readline, ""):
                 if '"serving"' in line:
                     break
-            one = Manager(house.where, folder)
+            one = NetconfClient(house.where, folder)
             assert f"<lines-per-second>{pace}<" in one.config()
             following = {"1000.0": "500.0", "500.0": "400.0"}.get(pace, "300.0")
             assert tag_of(one.edit(PACE.format(following))) == "ok" and tag_of(one.commit()) == "ok"
@@ -534,8 +534,8 @@
 def bad(where, folder, how):
     """A peer that is no manager; returns once it has done its worst."""
     if how in ("no certificate", "foreign", "stranger"):
-        with pytest.raises((Ended, ssl.SSLError, ConnectionError)):
-            Manager(where, folder, {"no certificate": None}.get(how, how)).ask("<get/>")
+        with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
+            NetconfClient(where, folder, {"no certificate": None}.get(how, how)).ask("<get/>")
         return
     if how in ("plain", "garbage", "tls 1.2"):
         sock = socket.create_connection(where, timeout=5)
@@ -551,8 +551,8 @@
                 pass
         sock.close()
         return
-    one = Manager(where, folder, greet=how not in ("hello", "no hello"))
-    with pytest.raises(Ended):
+    one = NetconfClient(where, folder, greet=how not in ("hello", "no hello"))
+    with pytest.raises(ConnectionEndedError):
         if how == "hello":
             one.raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
         elif how == "no hello":
@@ -621,8 +621,8 @@
     (tmp_path / "ca.pem").write_bytes(authority.public_bytes(made.serialization.Encoding.PEM))
     (tmp_path / "old.pem").write_bytes(old.public_bytes(made.serialization.Encoding.PEM))
     (tmp_path / "old.key").write_bytes(made.key_bytes(key))
-    with pytest.raises((Ended, ssl.SSLError, ConnectionError)):
-        Manager(house.where, str(tmp_path), "old").ask("<get/>")
+    with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
+        NetconfClient(house.where, str(tmp_path), "old").ask("<get/>")
     house.logged("manager_refused", why="expired")
 
 
@@ -642,12 +642,12 @@
 def test_sessions_are_limited_and_an_idle_one_is_ended_unless_it_subscribed(tmp_path, folder):
     with ServiceThread(tmp_path, folder, sessions=2, idle_s=1.0) as house:
         one, two = house.manager(), house.manager()
-        with pytest.raises((Ended, ConnectionError)):
+        with pytest.raises((ConnectionEndedError, ConnectionError)):
             house.manager().ask("<get/>")
         sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
         assert tag_of(two.ask(sub)) == "ok"
         house.logged("manager_ended", why="idle")
-        with pytest.raises(Ended):
+        with pytest.raises(ConnectionEndedError):
             one.receive()
         time.sleep(0.5)
         assert tag_of(two.ask("<get/>")) == "ok"
