--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -49,15 +49,18 @@
     for name in schema.names():
         scenario = schema.load(name)
         plan = planned(scenario)
-        assert scenario.scale.title and plan == sorted(plan, key=lambda each: each.at)
+        assert scenario.scale.title
+        assert plan == sorted(plan, key=lambda each: each.at)
         check_size(scenario)
 
 
 def test_a_day_has_the_failures_and_replacements_of_the_plan():
     scenario = schema.load("day")
     actions = [each.action for each in planned(scenario)]
-    assert actions.count("crash") == 15 and actions.count("drain") == 580
-    assert actions.count("add") == 595 and actions.count("remove") == 595
+    assert actions.count("crash") == 15
+    assert actions.count("drain") == 580
+    assert actions.count("add") == 595
+    assert actions.count("remove") == 595
     configured = [each.action for each in planned(schema.load("changes"))]
     assert (configured.count("configure"), configured.count("configure_badly")) == (379, 1)
 
@@ -73,7 +76,9 @@
     made = MadeFleet(scenario, NETWORK, Random(1))
     services = [backend.type for backend in made.backends]
     sizes = sorted(services.count(each) for each in set(services))
-    assert len(made.backends) == 2900 and len(sizes) == 49 and sizes[-1] > 10 * sizes[0] > 0
+    assert len(made.backends) == 2900
+    assert len(sizes) == 49
+    assert sizes[-1] > 10 * sizes[0] > 0
     assert len({backend.zone for backend in made.backends}) == 20
     assert len({backend.address for backend in made.backends}) == 2900
     assert len({zone.partition("-")[0] for zone in coordinator_zones(scenario)}) == 5
@@ -81,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    ("change", "words"),
     [
         ("real=0", "from 1 to 64"),
         ("seed", "no KEY=VALUE"),
@@ -121,7 +126,9 @@
     message = IncomingMessage()
     message.add({"type": "update", "whole": True, "lines": [["a", 1.0], ["b", 0]], "more": True}, 90)
     message.add({"type": "update", "level": 0.5, "retry": 1, "out": ["c"], "back": ["d"], "ticket": 7}, 70)
-    assert message.entries == 1 + 2 + 1 + 1 + 1 + 1 and message.sizes == [90, 70] and message.ticket == 7
+    assert message.entries == 1 + 2 + 1 + 1 + 1 + 1
+    assert message.sizes == [90, 70]
+    assert message.ticket == 7
     assert message.backends() == ["a", "b", "c", "d"]
     with pytest.raises(InvalidInputError):
         message.add({"type": "update", "lines": [["a"]]}, 30)
@@ -178,7 +185,7 @@
         """Turns the loop for so long, or until something holds."""
         end = self.loop.clock() + int(seconds * SECOND)
         while self.loop.clock() < end and not until():
-            self.loop.turn(lambda now: None, SECOND // 100)
+            self.loop.turn(lambda _: None, SECOND // 100)
         return until()
 
     def change(self, number, status):
@@ -203,9 +210,11 @@
 def test_discovery_that_stalls_in_the_middle_of_a_line_is_asked_again_and_loses_nothing(watched):
     watched.agent.stall(watched.loop.clock() + 3 * SECOND)
     watched.change(0, "draining")
-    assert not watched.run(2, lambda: watched.news) and not watched.listed()
+    assert not watched.run(2, lambda: watched.news)
+    assert not watched.listed()
     assert watched.run(6, lambda: watched.news)
-    assert "watch_ended" in watched.log and watched.news[0] == {"s-0": "draining"}
+    assert "watch_ended" in watched.log
+    assert watched.news[0] == {"s-0": "draining"}
     assert watched.listed() == [("s-0", "draining")]
 
 
@@ -227,14 +236,16 @@
     watched.agent.known_index = watched.list.index
     watched.agent.push([second, first])
     assert watched.run(2, lambda: "list_older" in watched.log)
-    assert watched.news == [{"s-2": "gone"}] and watched.listed() == [("s-2", "gone")]
+    assert watched.news == [{"s-2": "gone"}]
+    assert watched.listed() == [("s-2", "gone")]
 
 
 def test_an_agent_that_is_cut_off_is_silent_and_tells_all_of_it_once_healed(watched):
     watched.agent.set_cut(True)
     watched.change(0, "draining")
     watched.change(1, "draining")
-    assert watched.run(4, lambda: "watch_ended" in watched.log) and not watched.news
+    assert watched.run(4, lambda: "watch_ended" in watched.log)
+    assert not watched.news
     watched.agent.set_cut(False)
     assert watched.run(3, lambda: len(watched.news) == 2)
     assert watched.listed() == [("s-0", "draining"), ("s-1", "draining")]
@@ -323,7 +334,7 @@
     """A run that was played, with its report."""
 
     def __init__(self, *changes):
-        super().__init__(schema.load("ci", changes), lambda words: None)
+        super().__init__(schema.load("ci", changes), lambda _: None)
         self.result = runner.play_run(self)
 
 
@@ -336,7 +347,8 @@
     assert played.result.passed, (played.result.failures, played.result.violations[:3])
     assert played.result.planned == len(played.plan) > 20
     for coordinator in played.environment.coordinators:
-        assert coordinator.child.ended and coordinator.exit_codes[-1] == 0
+        assert coordinator.child.ended
+        assert coordinator.exit_codes[-1] == 0
     assert all(child.ended for child in played.hollow.children)
 
 
@@ -344,44 +356,60 @@
     assert 0 < played.result.backends_used <= len(played.environment.list.entries)
     assert played.result.load_largest >= 1
     for row in played.result.coordinators:
-        assert 0 < row.idle_share < 1 and 0 < row.reports_share < 1 and row.worst_second_share > 0
-        assert row.resident_mb > 5 and row.in_bytes_per_s > 0 and row.out_bytes_per_s > 0
+        assert 0 < row.idle_share < 1
+        assert 0 < row.reports_share < 1
+        assert row.worst_second_share > 0
+        assert row.resident_mb > 5
+        assert row.in_bytes_per_s > 0
+        assert row.out_bytes_per_s > 0
         kinds = {"in joined", "in applied", "in heard", "in usage", "in discovery list", "out update"}
-        assert kinds <= set(row.traffic) and all(each.bytes > 0 for each in row.traffic.values())
+        assert kinds <= set(row.traffic)
+        assert all(each.bytes > 0 for each in row.traffic.values())
 
 
 def test_the_hollow_ones_serve_on_when_one_process_of_them_dies(played):
     hollow = played.result.hollow
-    assert hollow.coordinators == 24 and hollow.connected == 12 and hollow.streams == 24
+    assert hollow.coordinators == 24
+    assert hollow.connected == 12
+    assert hollow.streams == 24
     assert played.hollow.processes[-1].child.process.returncode == -signal.SIGKILL
-    assert hollow.traffic["out update"].messages > 24 and hollow.traffic["in list"].messages > 24
+    assert hollow.traffic["out update"].messages > 24
+    assert hollow.traffic["in list"].messages > 24
 
 
 def test_stalls_and_changes_out_of_order_were_met_and_nothing_of_the_list_is_missing(played):
     newest = played.environment.list.index
     for coordinator in played.environment.coordinators:
-        assert coordinator.log.fault_events["watch_ended"] >= 1 and coordinator.log.list_index == newest
+        assert coordinator.log.fault_events["watch_ended"] >= 1
+        assert coordinator.log.list_index == newest
         assert coordinator.log.fault_events["list_older"] == 1
-    assert played.result.older_lists == 0 and played.result.list_to_last_proxy.unfinished == 0
+    assert played.result.older_lists == 0
+    assert played.result.list_to_last_proxy.unfinished == 0
 
 
 def test_a_refused_configuration_changes_nothing_and_the_others_are_in_force(played):
-    assert played.result.settings_refused == 3 and played.result.settings_refusal_kept
-    assert played.result.settings_to_last.count == 6 and played.result.settings_to_last.unfinished == 0
+    assert played.result.settings_refused == 3
+    assert played.result.settings_refusal_kept
+    assert played.result.settings_to_last.count == 6
+    assert played.result.settings_to_last.unfinished == 0
     assert [each.in_force for each in played.environment.coordinators] == [6, 6, 6]
 
 
 def test_who_was_cut_off_held_what_it_had_and_was_right_soon_after(played):
     assert len(played.result.cut) == 2
     for row in played.result.cut:
-        assert row.list_held < row.list_newest and row.settings_held == row.settings_newest - 1
-        assert row.list_right_ms < 4000 and row.settings_right_ms < 4000
-    assert played.result.list_to_last_proxy_cut.count == 4 and played.result.older_settings == 0
+        assert row.list_held < row.list_newest
+        assert row.settings_held == row.settings_newest - 1
+        assert row.list_right_ms < 4000
+        assert row.settings_right_ms < 4000
+    assert played.result.list_to_last_proxy_cut.count == 4
+    assert played.result.older_settings == 0
 
 
 def test_a_restarted_coordinator_is_ready_and_has_its_proxies_again(played):
     first = played.environment.coordinators[0]
-    assert len(first.ready_times) == 2 and played.result.ready.count == 1
+    assert len(first.ready_times) == 2
+    assert played.result.ready.count == 1
     assert all(
         stream.endpoint is played.environment.homes[stream.number] for stream in played.environment.streams
     )
@@ -399,9 +427,11 @@
 
 def test_the_report_is_a_table_and_json(played):
     lines = report.table(played.result)
-    assert lines[-1] == "passed" and any(line.startswith("c000") for line in lines)
+    assert lines[-1] == "passed"
+    assert any(line.startswith("c000") for line in lines)
     told = json.loads(report.as_json(played.result))
-    assert told["passed"] is True and len(told["coordinators"]) == 3
+    assert told["passed"] is True
+    assert len(told["coordinators"]) == 3
     assert report.of_json(report.as_json(played.result).encode()) == played.result
 
 
@@ -412,9 +442,11 @@
     try:
         import matplotlib  # noqa: F401, PLC0415
     except ImportError:
-        assert code == 1 and "extra `plot`" in capsys.readouterr().err
+        assert code == 1
+        assert "extra `plot`" in capsys.readouterr().err
     else:
-        assert code == 0 and path.stat().st_size > 1000
+        assert code == 0
+        assert path.stat().st_size > 1000
     where.write_text("{}")
     assert main(["scale", "plot", str(path), str(where)]) == 1
     assert "is no report of a scale run" in capsys.readouterr().err
@@ -435,11 +467,15 @@
     where = tmp_path / "report.json"
     assert main(["scale", "run", str(path), "--seed", "3", "--report", str(where)]) == 1
     out, err = capsys.readouterr()
-    assert "rule drain broken" in out and "NOT PASSED" in out and "did not pass" in err
+    assert "rule drain broken" in out
+    assert "NOT PASSED" in out
+    assert "did not pass" in err
     told = json.loads(where.read_text())
-    assert told["passed"] is False and told["seed"] == 3
+    assert told["passed"] is False
+    assert told["seed"] == 3
     assert {each["rule"] for each in told["violations"]} == {"drain"}
-    assert list(told["broken"]) == ["drain"] and told["broken"]["drain"] >= len(told["violations"]) > 0
+    assert list(told["broken"]) == ["drain"]
+    assert told["broken"]["drain"] >= len(told["violations"]) > 0
 
 
 def test_the_command_lists_the_scenarios(capsys):
