--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -10,9 +10,11 @@
 from granitespool.net.connection import Connection, Role
 from granitespool.net.frames import PONG
 from granitespool.net.log import Log
+from granitespool.net.log_events import log_message_dropped
 from granitespool.net.loop import Loop
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames, Message
+from granitespool.planner.events import Acknowledged, LoadReport, UsageReport
 
 PENDING = Role.PENDING  # a module's own name costs less than an enum's member, and each message asks
 UNSENT_MAX = 64 * 1024  # bytes of answers that wait for one peer: who asks more and reads none is cut off
@@ -39,9 +41,9 @@
     def handle(self, connection: Connection, message: Message) -> None:
         """Does what one message asks for.
 
-        Raises InvalidInputError where its sender must be refused or cut off, and OSError where it is
+        Raises InvalidInputError where its sender must be rejected or cut off, and OSError where it is
         broken; any other wrong message is lost alone."""
-        kind = message["type"]
+        kind: str = message["type"]
         if kind == messages.PING:
             self._answer_ping(connection)
         elif connection.role is PENDING:
@@ -79,50 +81,54 @@
         except InvalidInputError as error:
             self._drop(connection, str(error))
         except Exception as error:
-            # Against a fault of ours that some message wakes: it must not cost its sender the connection,
-            # and with a collector all of its zone's reports. Harm: the fault shows in the log alone.
-            self.loop.failed(error)
+            # A fault of ours that some message triggers must not cost its sender the connection, and with a
+            # collector all of its zone's reports. It shows in the log alone.
+            self.loop.report_failure(error)
 
-    def _drop(self, connection: Connection, why: str) -> None:
-        self.log.often("dropped", peer=connection.peer, proxy=connection.proxy, why=why)
+    def _drop(self, connection: Connection, reason: str) -> None:
+        log_message_dropped(self.log, peer=connection.peer, reason=reason, proxy=connection.proxy)
 
     def _report_applied(self, connection: Connection, message: Message) -> None:
-        if connection.role is not Role.PROXY:
+        if connection.role is not Role.PROXY or connection.proxy is None:
             raise InvalidInputError("only a proxy's own stream brings its 'applied'")
         try:
             applied = messages.mark_applied(message, self.names, connection.proxy)
         except InvalidInputError:
-            # It has answered some mark, at least the oldest: else its lines stay in the planner's account
-            # until that mark counts as lost. What else it holds for: answers of another version. Harm: who
-            # answers what it never applied makes its own lines count as gone too soon.
-            self.coordinator.report(self.loop.now, "applied", proxy=connection.proxy, serial=None, took=None)
+            # It has answered some mark, at least the oldest: otherwise its entries would stay in the
+            # in-flight account until that mark counts as lost. The same goes for answers of another version.
+            # A proxy that answers what it never applied makes its own entries leave the account too soon.
+            self.coordinator.report(
+                self.loop.now, Acknowledged(proxy=connection.proxy, sequence=None, latency=None)
+            )
             raise
         self.coordinator.report(
-            self.loop.now, "applied", proxy=connection.proxy, serial=applied.mark, took=applied.took
+            self.loop.now, Acknowledged(proxy=connection.proxy, sequence=applied.mark, latency=applied.took)
         )
 
     def _report_link(self, _: Connection, message: Message) -> None:
         report = messages.link_report(message, self.names)
         self.coordinator.report(
             self.loop.now,
-            "heard",
-            zone=report.zone,
-            backend=report.backend,
-            tries=report.tries,
-            failed=report.failed,
-            mean=report.mean,
-            window=report.window,
-            load=report.load,
+            LoadReport(
+                zone=report.zone,
+                backend=report.backend,
+                attempts=report.tries,
+                failures=report.failed,
+                mean=report.mean,
+                window=report.window,
+                load=report.load,
+            ),
         )
 
     def _report_usage(self, connection: Connection, message: Message) -> None:
         report = messages.usage_report(message, self.names, connection.proxy)
         self.coordinator.report(
             self.loop.now,
-            "arrivals",
-            proxy=report.proxy,
-            grade=report.request_class,
-            number=report.requests,
-            unanswered=report.unanswered,
-            window=report.window,
+            UsageReport(
+                proxy=report.proxy,
+                request_class=report.request_class,
+                requests=report.requests,
+                unanswered=report.unanswered,
+                window=report.window,
+            ),
         )
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -16,8 +16,9 @@
 from granitespool.management.settings_trees import STARTUP
 from granitespool.net.config import shares
 from granitespool.net.loop import SECOND
-from granitespool.net.management_listener import Door
-from granitespool.net.tls import context
+from granitespool.net.management_listener import ManagementListener
+from granitespool.net.reconfiguration import without_management_sockets
+from granitespool.net.tls import server_context
 
 KEEP_MOST = 5 * SECOND  # ns that a commit's answer waits for the state folder: a worse disk has failed
 LOOK = SECOND  # ns between looks at what is notified of: the planner's period
@@ -86,7 +87,8 @@
 
     @staticmethod
     def _context(operator, door):
-        return context(operator.tls.certificate, operator.tls.key, operator.tls.authorities, ALPN[door])
+        tls = operator.tls
+        return server_context(tls.certificate, tls.key, tls.authorities, ALPN[door])
 
     def _open(self, name, settings, made):
         if name == "netconf":
@@ -94,7 +96,7 @@
         else:
             from granitespool.gnmi.connection import GnmiConnection as protocol  # noqa: PLC0415
         self.doors.append(
-            Door(
+            ManagementListener(
                 self.loop,
                 self.log,
                 name,
@@ -135,11 +137,11 @@
         return getattr(session, "number", 0)
 
     def failed(self, error):
-        self.loop.failed(error)
+        self.loop.report_failure(error)
 
     def _undone(self, error):
         if error:
-            self.log.event("commit_not_undone", why=error.reason)
+            self.log.event("rollback_failed", reason=error.reason)
 
     # The datastores' host
 
@@ -149,21 +151,21 @@
             return self.from_file
         config = mapping.config_of(tree, self.service.config)
         if config.get("limits") != self.service.config.get("limits"):
-            config = self.service.with_room({**config, **shares(config["limits"])})
+            config = without_management_sockets({**config, **shares(config["limits"])})
         return config
 
     def refused(self, by, why):
-        self.log.event("change_refused", by=by, why=why)
+        self.log.event("change_rejected", by=by, reason=why)
         self.notify("change-refused", by=by, why=why)
 
     def check(self, tree, running):
         config = self._config(tree)
         coordinator = self.service.coordinator
-        waits = () if self.from_file else self.service.waits(config)
+        waits = () if self.from_file else self.service.reconfiguration.waiting_for_restart(config)
         impact_check.check(
             config,
             self.service.config,
-            coordinator.pictured_fleet()["joined"],
+            coordinator.status().planner.joined,
             coordinator.joined_zones(),
             waits,
         )
@@ -171,28 +173,28 @@
     def apply(self, tree, by):
         config = self._config(tree)
         try:
-            waits = self.service.take(config)
+            waits = self.service.reconfiguration.take(config)
         except Exception as error:
-            self.loop.failed(error)
+            self.loop.report_failure(error)
             raise ManagementError(
                 "operation-failed", "a part could not take its settings, and all have their former ones again"
             ) from None
         version = self.datastores.version + 1
-        self.log.event("settings_changed", by=by, version=version, waits_for_restart=waits)
+        self.log.event("settings_changed", by=by, version=version, restart_required=waits)
         self.notify("settings-changed", version=version, by=by)
 
     def keep(self, tree, version, answer):
         """Has the tree outlast the process where a state folder is on, and answers once it is safe."""
         if self.service.keeper is None:
             return answer(None)
-        ticket = self.service.keeper.keep_settings(tree, self.base, version)
+        ticket = self.service.keeper.save_settings(tree, self.base, version)
         self.keeping.append((ticket, self.loop.now + KEEP_MOST, answer))
         return self.loop.wake()
 
     def unkeep(self, tree, version):
         """Nobody waits for it: under a slow disk the newest state wins."""
         if self.service.keeper is not None:
-            self.service.keeper.keep_settings(tree, self.base, version)
+            self.service.keeper.save_settings(tree, self.base, version)
 
     def keep_startup(self, answer):
         """The same of startup, as it is now."""
@@ -221,7 +223,7 @@
             self.list_seen = self.service.discovery.index, now
         waiting, self.keeping = self.keeping, []
         for ticket, due, answer in waiting:
-            safe = self.service.keeper.safe(ticket)
+            safe = self.service.keeper.is_durable(ticket)
             if safe or now >= due:
                 answer(None if safe else "the state folder's disk does not take it")
             else:
@@ -242,7 +244,9 @@
         tree = mapping.tree_of(config)
         made = {door.name: self._context(config["operator"], door.name) for door in self.doors}
         if tree == self.base:
-            waits = self.service.take(mapping.config_of(self.datastores.tree("running"), config))
+            waits = self.service.reconfiguration.take(
+                mapping.config_of(self.datastores.tree("running"), config)
+            )
         else:
             self.model.check(tree)
             self.from_file = config
@@ -250,9 +254,9 @@
                 self.datastores.file(tree)
             finally:
                 self.from_file = None
-            self.base, waits = tree, self.service.last_waits
+            self.base, waits = tree, self.service.reconfiguration.restart_required
             if self.service.keeper is not None:
-                self.service.keeper.keep_settings(None, None, self.datastores.version)
+                self.service.keeper.save_settings(None, None, self.datastores.version)
         self.users = self._users(config["operator"])
         for door in self.doors:
             door.context = made[door.name]
@@ -272,7 +276,7 @@
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_seen[1],
                 list_named=service.discovery.named,
-                folder=service.keeper and service.keeper.figures(),
+                folder=service.keeper and service.keeper.metrics(),
             ),
         )
 
@@ -289,12 +293,12 @@
                 self.cuts = {}
                 continue
             coordinator = self.service.coordinator
-            fleet = coordinator.pictured_fleet()
-            if fleet["strained"] != self.strained:
-                self.strained = fleet["strained"]
+            status = coordinator.status()
+            if status.planner.is_overloaded != self.strained:
+                self.strained = status.planner.is_overloaded
                 self.notify("strain", strained=self.strained)
             levels = {
-                (zone, name): level for zone, _, of in fleet["tables"] for name, (level, _) in of.items()
+                (zone.zone, name): level.share for zone in status.zones for name, level in zone.levels.items()
             }
             for (zone, name), share in levels.items():
                 # What nothing was ordered of is let in whole
@@ -305,11 +309,11 @@
             self.levels = levels
             seen = {}
             for number, name in enumerate(list(coordinator.listed()), 1):
-                facts = coordinator.pictured(name)
-                for zone, (_, _, cut, _) in (facts[1] if facts else {}).items():
-                    seen[name, zone] = cut
-                    if self.cuts.get((name, zone), False) != cut:
-                        self.notify("backend-cut", backend=name, zone=zone, cut=cut)
+                backend = coordinator.backend_status(name)
+                for zone, entry in (backend.planner.entries if backend else {}).items():
+                    seen[name, zone] = entry.is_ejected
+                    if self.cuts.get((name, zone), False) != entry.is_ejected:
+                        self.notify("backend-cut", backend=name, zone=zone, cut=entry.is_ejected)
                 if number % LOOK_PIECE == 0:
                     yield None, 0, self.loop.now
             self.cuts = seen
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -10,6 +10,7 @@
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
 from granitespool.net.messages import ProxyJoining
+from granitespool.planner.events import ProxyJoined, ProxyLeft
 
 
 class Membership:
@@ -22,7 +23,7 @@
     def join_collector(self, connection: Connection, zone: str) -> None:
         """Makes a pending connection a collector's, or raises InvalidInputError where no place is free."""
         self.admission.admit(connection, Role.COLLECTOR)
-        self.log.event("collector", peer=connection.peer, zone=zone)
+        self.log.event("collector_joined", peer=connection.peer, zone=zone)
 
     def join_proxy(self, connection: Connection, joining: ProxyJoining) -> None:
         """Makes a pending connection a proxy's current stream and ends the one before it.
@@ -30,8 +31,8 @@
         Raises InvalidInputError where no place is free, or where the proxy has joined on a later one."""
         former = self.proxies.get(joining.proxy)
         if former and former.number > connection.number:
-            # Against a joining that was held up until its proxy had dialled again: the stream that the proxy
-            # gave up must not end the one it uses. Harm: a proxy that joins on the older of two is refused.
+            # A joining can be held up until its proxy has dialled again: the stream that the proxy gave up
+            # must not end the one it uses. A proxy that joins on the older of two is rejected.
             raise InvalidInputError(f"the proxy {joining.proxy} has joined on a later connection")
         self.admission.admit(connection, Role.PROXY, replaces=former is not None)
         connection.proxy = joining.proxy
@@ -42,46 +43,42 @@
         )
         self.coordinator.report(
             self.loop.now,
-            "joined",
-            proxy=joining.proxy,
-            zone=joining.zone,
-            standing=joining.standing,
-            rate=joining.rate,
+            ProxyJoined(
+                proxy=joining.proxy, zone=joining.zone, bootstrap=joining.standing, rate=joining.rate
+            ),
         )
         if former:  # it has moved on: the old stream carries nothing more
-            self.loop.end(former.task)
+            self.loop.end(former.running)
 
     def leave(self, connection: Connection) -> None:
         """Reports the leaving, where this is a proxy's current stream; else nothing."""
-        if self.proxies.get(connection.proxy) is connection:
+        if connection.proxy is not None and self.proxies.get(connection.proxy) is connection:
             del self.proxies[connection.proxy]
             # What we end ourselves has not left by the protocol: what waits for it stays in the account
             self.coordinator.report(
-                self.loop.now, "left", proxy=connection.proxy, silent=connection.ended_by_us
+                self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=connection.ended_by_us)
             )
             connection.leaving_reported = True
 
-    def mark_away(self, connection: Connection) -> None:
+    def mark_unreachable(self, connection: Connection) -> None:
         """Reports a silent proxy as left until it speaks.
 
         A proxy that answers no mark and reports nothing is cut off, so nothing is booked or written for it.
         Its stream stays: it is the proxy's to end."""
-        connection.away = True
+        connection.is_unreachable = True
         connection.awaiting_since = None
-        self.log.event("away", peer=connection.peer, proxy=connection.proxy)
-        self.coordinator.report(self.loop.now, "left", proxy=connection.proxy, silent=True)
+        self.log.event("unreachable", peer=connection.peer, proxy=connection.proxy)
+        self.coordinator.report(self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=True))
 
-    def mark_back(self, connection: Connection) -> None:
-        """A proxy that was away has spoken: it counts as joined anew, with the tables that it was written."""
+    def mark_reachable(self, connection: Connection) -> None:
+        """An unreachable proxy has spoken: it counts as joined anew, with the tables that it was written."""
         joining = connection.joining
-        connection.away = False
-        self.log.event("back", peer=connection.peer, proxy=connection.proxy)
+        assert joining is not None, "only a proxy's stream is ever unreachable"
+        connection.is_unreachable = False
+        self.log.event("reachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(
             self.loop.now,
-            "joined",
-            again=True,
-            proxy=joining.proxy,
-            zone=joining.zone,
-            standing=False,
-            rate=joining.rate,
+            ProxyJoined(
+                resumed=True, proxy=joining.proxy, zone=joining.zone, bootstrap=False, rate=joining.rate
+            ),
         )
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -6,33 +6,31 @@
 
 import socket
 from collections.abc import Mapping
-from typing import Any
+from contextlib import suppress
 
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
 from granitespool.net.acceptor import Acceptor
 from granitespool.net.admission import Admission
 from granitespool.net.buffers import Pool
+from granitespool.net.config import Configuration
 from granitespool.net.connection import (
-    CLOSED,
-    GIVEN_UP,
-    LINGER,
+    CLOSED_BY_COORDINATOR,
+    CLOSED_BY_PEER,
     READ_PER_TURN,
-    REFUSED,
+    REJECTED,
     REPLACED,
     Connection,
     Role,
-    Waits,
 )
 from granitespool.net.dispatch import Dispatcher
 from granitespool.net.frames import Reader, frame, updates
 from granitespool.net.log import Log
-from granitespool.net.loop import IN, OUT, SECOND, Loop
+from granitespool.net.log_events import log_rejected
+from granitespool.net.loop import IN, OUT, SECOND, Loop, Waits
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames
 
-__all__ = ["LINGER", "Streams"]
-
 JOIN_TIMEOUT = 3 * SECOND // 2  # ns from accept to joining, whatever is sent meanwhile: proxies join at once
 FIRST_MESSAGE_MAX = 1024  # bytes of a pending connection's message at most: a joining takes a tenth
 SILENCE_TIMEOUT = 6 * SECOND  # ns beyond a full channel's that a stream may bring nothing after an order
@@ -49,7 +47,7 @@
         coordinator: Coordinator,
         log: Log,
         pool: Pool,
-        config: Mapping[str, Any],
+        config: Configuration,
         backends: Mapping[str, object],
     ) -> None:
         """Listens at once; raises OSError where the address cannot be bound.
@@ -85,7 +83,7 @@
         """Each joined proxy's current stream."""
         return self.membership.proxies
 
-    def new_config(self, config: Mapping[str, Any]) -> None:
+    def new_config(self, config: Configuration) -> None:
         """Who has joined stays, whatever the new figures are; they hold for who comes from now on."""
         settings = config["settings"]
         self.names.zones = set(settings.zones or ())
@@ -101,24 +99,24 @@
         connection = self.membership.proxies.get(proxy)
         if connection is None or connection.unsent:
             return
-        order = self.coordinator.pick(proxy)
-        if order is None:
+        update = self.coordinator.pick(proxy)
+        if update is None:
             return
-        data = updates(order)
+        data = updates(update)
         try:
             connection.write(data)
         except OSError:
             connection.unsent = data  # the coroutine meets the same end, or where it is none goes on with it
-        if order["mark"] is not None and connection.awaiting_since is None:
+        if update.barrier is not None and connection.awaiting_since is None:
             connection.awaiting_since = self.loop.now
-        self.loop.poke(connection.task)  # it waits anew, for the socket or for the answer
+        self.loop.resume(connection.running)  # it waits anew, for the socket or for the answer
 
     def finish(self) -> None:
         """No more are taken; each is told the end after what waits for it, and all have ended soon."""
         self.loop.end(self.acceptor.task)
         self.finishing = True
         for connection in list(self.connections):
-            self.loop.poke(connection.task)
+            self.loop.resume(connection.running)
 
     def _open(self, sock: socket.socket, peer: str) -> None:
         """Serves a socket that was accepted; raises OSError where it is reset already."""
@@ -134,13 +132,13 @@
         try:
             yield from self._exchange(connection)
         except GeneratorExit:
-            connection.end_reason = GIVEN_UP
+            connection.end_reason = CLOSED_BY_COORDINATOR
             raise
         except InvalidInputError as error:
             connection.end_reason = str(error)
             self.membership.leave(connection)
             if connection.role is Role.PENDING:
-                yield from self._refuse(connection)
+                yield from self._reject(connection)
         except OSError as error:
             connection.end_reason = error.strerror or str(error)
         except Exception:
@@ -158,9 +156,9 @@
                 connection.write(b"")
             events = 0
             while not events:
-                # A poke reads nothing: the turn is closed by then; what is reported would miss its mark
+                # Without events nothing is read: by then the turn is closed, and a report would miss it
                 if self.finishing:
-                    connection.end_reason = GIVEN_UP
+                    connection.end_reason = CLOSED_BY_COORDINATOR
                     yield from connection.linger(self.loop)
                     return
                 deadline = self._deadline(connection)
@@ -187,8 +185,8 @@
                 return False
             total += size
             connection.awaiting_since = None
-            if connection.away:
-                self.membership.mark_back(connection)
+            if connection.is_unreachable:
+                self.membership.mark_reachable(connection)
             reader.received(size)
             for message in reader.messages():
                 self.dispatcher.handle(connection, message)
@@ -218,19 +216,18 @@
     def _overdue(self, connection: Connection) -> None:
         if connection.role is Role.PENDING:
             raise InvalidInputError("it has not joined in time")
-        self.membership.mark_away(connection)
+        self.membership.mark_unreachable(connection)
 
-    def _refuse(self, connection: Connection) -> Waits:
+    def _reject(self, connection: Connection) -> Waits:
         """Writes the reason as a last word, which must not be lost with the close."""
-        why, connection.end_reason = connection.end_reason, REFUSED
-        self.log.often("refused", peer=connection.peer, why=why)
+        reason = connection.end_reason
+        connection.end_reason = REJECTED
+        log_rejected(self.log, peer=connection.peer, reason=reason)
         if connection.unsent:  # it reads nothing
             return
-        connection.unsent = frame({"type": "refused", "why": why})
-        try:
+        connection.unsent = frame({"type": "refused", "why": reason})
+        with suppress(OSError):  # it is gone already
             yield from connection.linger(self.loop)
-        except OSError:
-            pass  # it is gone already
 
     def _close(self, connection: Connection) -> None:
         self.admission.remove(connection)
@@ -240,11 +237,11 @@
             connection.end_reason = REPLACED
         if connection.role is not Role.PENDING:
             self.log.event(
-                "ended",
+                "connection_closed",
                 peer=connection.peer,
                 role=connection.role,
                 proxy=connection.proxy,
-                why=connection.end_reason,
+                reason=connection.end_reason,
             )
-        elif connection.end_reason not in (CLOSED, GIVEN_UP, REFUSED):
-            self.log.often("refused", peer=connection.peer, why=connection.end_reason)
+        elif connection.end_reason not in (CLOSED_BY_PEER, CLOSED_BY_COORDINATOR, REJECTED):
+            log_rejected(self.log, peer=connection.peer, reason=connection.end_reason)
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 import pytest
-from house import free_port
 from stage import framed, joining
+from support.service_thread import free_port
 from test_full_size import told
 
 from bench.ready import restarts
@@ -22,9 +22,9 @@
 from granitespool.net import config
 from granitespool.net import listen_address as binding
 from granitespool.net import log as logging
+from granitespool.net.connection import LINGER_TIMEOUT
 from granitespool.net.loop import IN, SECOND, Loop
 from granitespool.net.service import Service
-from granitespool.net.streams import LINGER
 
 SERVE = [sys.executable, "-m", "granitespool", "serve", "--config"]
 LONG = 60  # s: a bound for a machine that is busy, never a time that is waited
@@ -59,7 +59,7 @@
         try:
             yield service
         finally:
-            if service.loop.bell is not None:
+            if service.loop.wake_fd is not None:
                 service.close()
 
 
@@ -172,7 +172,8 @@
         monkeypatch.setattr(binding.time, "monotonic", lambda: now[0])
         with pytest.raises(OSError) as error:
             binding.bind(sock, other.getsockname(), Quiet())
-        assert error.value.errno == errno.EADDRINUSE and binding.TAKEN <= now[0] < 2 * binding.TAKEN
+        assert error.value.errno == errno.EADDRINUSE
+        assert binding.IN_USE_TIMEOUT <= now[0] < 2 * binding.IN_USE_TIMEOUT
 
 
 def test_a_successor_starts_while_the_former_process_still_serves(tmp_path):
@@ -181,7 +182,7 @@
     with process(path) as former:
         event(former, "serving")
         with process(path) as successor:
-            assert event(successor, "address_taken")["address"] == where
+            assert event(successor, "address_in_use")["address"] == where
             former.send_signal(signal.SIGTERM)
             event(successor, "serving")
             with dialled(where) as sock:
@@ -236,15 +237,15 @@
         joins(sock, service)
         real = service.loop.turn
 
-        def turn(end_of_turn, wait):  # a second passes by the quarter of LINGER
+        def turn(end_of_turn, wait):  # a second passes by the quarter of LINGER_TIMEOUT
             turns.append(wait)
-            now[0] += LINGER // 4
+            now[0] += LINGER_TIMEOUT // 4
             real(end_of_turn, 0)
 
         service.loop.turn = turn
         service.stop()
         service.run()
-        assert 3 <= len(turns) <= 5 and LINGER < 0.35 * SECOND and '"stopped"' in service.text()
+        assert 3 <= len(turns) <= 5 and LINGER_TIMEOUT < 0.35 * SECOND and '"stopped"' in service.text()
 
 
 def test_a_second_asking_for_the_end_waits_for_nobody(tmp_path):
@@ -286,22 +287,22 @@
         service.keeper = service.managing = Torn()
         service.loop.spawn(late())
         service.close()
-        assert service.loop.bell is None and not service.loop.all
+        assert service.loop.wake_fd is None and not service.loop.tasks
         with pytest.raises(ConnectionRefusedError):
             dialled(service.where)
         text = service.text()
-    assert text.count('"event":"failed"') == 3 and "nor this" in text and '"stopped"' in text
+    assert text.count('"event":"task_failed"') == 3 and "nor this" in text and '"stopped"' in text
 
 
 def test_the_last_lines_wait_for_a_reader_that_is_slow(monkeypatch):
-    monkeypatch.setattr(logging, "LAST", LONG)  # not on this machine's speed
+    monkeypatch.setattr(logging, "CLOSE_TIMEOUT", LONG)  # not on this machine's speed
     read, write = os.pipe()
     service = Service(config.checked(HERE), write)
     os.set_blocking(read, False)
     for _ in range(1000):
-        service.log.event("remark", text="a-word-" * 20)
+        service.log.event("internal_error", detail="a-word-" * 20)
     service.log.flush()
-    assert service.log.waiting  # the pipe is full now
+    assert service.log.unread  # the pipe is full now
     got = []
 
     def reader():
@@ -407,7 +408,7 @@
 
     task = loop.spawn(torn())
     other = loop.spawn(ends())
-    assert [type(error) for error in failed] == [KeyError] and other in loop.all and task not in loop.all
+    assert [type(error) for error in failed] == [KeyError] and other in loop.tasks and task not in loop.tasks
     loop.close()
 
 
@@ -452,12 +453,12 @@
             else:
                 sock.close()
             for _ in range(50):
-                now[0] += LINGER // 2
+                now[0] += LINGER_TIMEOUT // 2
                 service.turn(SECOND // 100)
                 if not streams.connections:
                     break
             assert not streams.connections and not streams.pending, cut
-            assert streams.pool.out == 0 and not service.coordinator.proxies, cut
+            assert streams.pool.taken == 0 and not service.coordinator.updates.proxies, cut
         assert "failed" not in service.text()
 
 
@@ -493,7 +494,7 @@
                 data += sock.recv(1 << 16)
         assert b'"whole"' in data and service.coordinator.planner.overload.demand.get(name)
         text = service.text()
-    assert not any(word in text for word in ("failed", "remark", "dropped"))
+    assert not any(word in text for word in ("task_failed", "internal_error", "message_dropped"))
 
 
 @pytest.mark.parametrize(
@@ -533,7 +534,8 @@
         service.turn(0)
         beside.turn(0)
         planner, other = service.coordinator.planner, beside.coordinator.planner
-        assert service.last_waits == ["classes"] and service.coordinator.classes == ["a"]
+        assert service.reconfiguration.restart_required == ["classes"]
+        assert service.coordinator.classes == ["a"]
         names, others_names = service.streams.names, beside.streams.names
         assert (planner.in_flight.rate, planner.in_flight.limit, names.zones) == (50, 100, {"x", "y"})
         # What the other service in this process holds is its own
