--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -114,7 +114,7 @@
         "",
         lambda c, s: ORDINARY_DAY.configurations * s.planners / DAY,
         "worked out: 380 a day times coordinators",
-        "net/door.py, net/managing.py",
+        "net/management_listener.py, net/management_service.py",
         origin=worked_out,
     )
     if result.state_slope:
--- a/granitespool/gnmi/connection.py
+++ b/granitespool/gnmi/connection.py
@@ -35,7 +35,7 @@
         context = CallContext(service, user, transport, self)
         methods = {name: partial(method, context) for name, method in METHODS.items()}
         self.calls = Calls(methods, transport.now, service.failed, transport.wake)
-        self.http2 = Http2Connection(self.calls, transport.door.streams or MAX_STREAMS)
+        self.http2 = Http2Connection(self.calls, transport.listener.streams or MAX_STREAMS)
         self.calls.http2 = self.http2
 
     @property
--- a/granitespool/management/interfaces.py
+++ b/granitespool/management/interfaces.py
@@ -12,14 +12,21 @@
 class Listener(Protocol):
     """What a protocol reads of the listener that accepted its connection."""
 
-    streams: int | None  # calls at once on one connection, where the protocol has any
+    @property
+    def streams(self) -> int | None:
+        """Calls at once on one connection, where the protocol has any."""
 
 
 class Transport(Protocol):
     """One connection of a management client."""
 
-    door: Listener
-    ending: str | None  # why it is about to end
+    @property
+    def listener(self) -> Listener:
+        """What accepted it."""
+
+    @property
+    def ending(self) -> str | None:
+        """Why it is about to end; None while it is not."""
 
     @property
     def unsent(self) -> int:
@@ -41,9 +48,17 @@
 class ProtocolSession(Protocol):
     """One client's session in any protocol, as the listener drives it and as other sessions know it."""
 
-    number: int
-    transport: Transport
-    subscribed: frozenset[str] | None  # names of events to be notified of, empty for all; None for none
+    @property
+    def number(self) -> int:
+        """Unlike that of any other session."""
+
+    @property
+    def transport(self) -> Transport:
+        """Its connection."""
+
+    @property
+    def subscribed(self) -> frozenset[str] | None:
+        """Names of events to be notified of, empty for all; None without a subscription."""
 
     @property
     def busy(self) -> bool:
@@ -100,9 +115,17 @@
 class ManagementService(Protocol):
     """What the sessions of all protocols share."""
 
-    datastores: Datastores
-    model: Model
-    shared: SharedState
+    @property
+    def datastores(self) -> Datastores:
+        """The settings, their candidates and locks."""
+
+    @property
+    def model(self) -> Model:
+        """The YANG module."""
+
+    @property
+    def shared(self) -> SharedState:
+        """The latest reading of the operational state."""
 
     def picture(self) -> StateReader:
         """A new reading of the operational state."""
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -104,6 +104,16 @@
     }
 
 
+def with_shares(config: Configuration, share: Shares) -> Configuration:
+    """The configuration with other shares of the limits."""
+    replaced = config.copy()
+    replaced["sockets"] = share["sockets"]
+    replaced["probes"] = share["probes"]
+    replaced["connections"] = share["connections"]
+    replaced["buffers"] = share["buffers"]
+    return replaced
+
+
 def told_limits(limits: Mapping[str, Any]) -> Limits:
     """The limits as they are told, or the usual ones."""
     sockets = limits.get("sockets")
--- /dev/null
+++ b/granitespool/net/fleet_notifier.py
@@ -0,0 +1,78 @@
+"""Notifications about the fleet: what management clients that subscribed are told of, once a period.
+
+It only reads the coordinator, a few backends in a step, and only while somebody has subscribed."""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from granitespool.coordinator import Coordinator
+from granitespool.management.mapping import decimal_text
+from granitespool.net.loop import SECOND, Loop, Waits
+
+PERIOD = SECOND  # ns: the planner's period
+BACKENDS_PER_STEP = 200
+
+Link = tuple[str, str]  # backend and zone
+
+
+class Notify(Protocol):
+    """Notifies the subscribers of an event; the names are the YANG module's."""
+
+    def __call__(self, name: str, **fields: object) -> None:
+        """Of the event `name` with these leaves."""
+
+
+class FleetNotifier:
+    """Compares the fleet with what it was a period ago."""
+
+    def __init__(
+        self, loop: Loop, coordinator: Coordinator, notify: Notify, has_subscribers: Callable[[], bool]
+    ) -> None:
+        """Runs as long as the loop does."""
+        self.loop = loop
+        self.coordinator = coordinator
+        self.notify = notify
+        self.has_subscribers = has_subscribers
+        self.is_overloaded = False
+        self.admitted_shares: dict[Link, float] = {}  # by zone and request class
+        self.ejected: dict[Link, bool] = {}
+        loop.spawn(self._run())
+
+    def _run(self) -> Waits:
+        while True:
+            yield None, 0, self.loop.now + PERIOD
+            if not self.has_subscribers():
+                self.ejected = {}
+                continue
+            fleet = self.coordinator.pictured_fleet()
+            self._compare_overload(fleet)
+            self._compare_admission(fleet)
+            yield from self._compare_ejections()
+
+    def _compare_overload(self, fleet: dict[str, Any]) -> None:
+        if fleet["strained"] != self.is_overloaded:
+            self.is_overloaded = fleet["strained"]
+            self.notify("strain", strained=self.is_overloaded)
+
+    def _compare_admission(self, fleet: dict[str, Any]) -> None:
+        shares = {
+            (zone, name): share for zone, _, levels in fleet["tables"] for name, (share, _) in levels.items()
+        }
+        for (zone, name), share in shares.items():
+            # A class without an order so far is admitted whole
+            if self.admitted_shares.get((zone, name), max(share, 1.0)) != share:
+                self.notify("levels-changed", zone=zone, share=decimal_text(share), **{"class": name})
+        self.admitted_shares = shares
+
+    def _compare_ejections(self) -> Waits:
+        seen: dict[Link, bool] = {}
+        for number, backend in enumerate(list(self.coordinator.listed()), 1):
+            facts = self.coordinator.pictured(backend)
+            views = facts[1] if facts else {}
+            for zone, (_, _, is_ejected, _) in views.items():
+                seen[backend, zone] = is_ejected
+                if self.ejected.get((backend, zone), False) != is_ejected:
+                    self.notify("backend-cut", backend=backend, zone=zone, cut=is_ejected)
+            if number % BACKENDS_PER_STEP == 0:
+                yield None, 0, self.loop.now
+        self.ejected = seen
--- a/granitespool/net/management_connection.py
+++ b/granitespool/net/management_connection.py
@@ -4,13 +4,14 @@
 
 import socket
 from contextlib import suppress
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING
 
 from granitespool.net.loop import Task
 from granitespool.net.tls import TlsConnection
 
 if TYPE_CHECKING:
     from granitespool.management.authorization import User
+    from granitespool.management.interfaces import ProtocolSession
     from granitespool.net.management_listener import ManagementListener
 
 READ_SIZE = 8 * 1024  # bytes read in one turn: some thirty calls of gRPC, three milliseconds
@@ -19,48 +20,18 @@
 UNSENT_MAX = 4 << 20  # bytes that may wait at all: the largest answer in the making, and notifications
 
 
-class ManagementProtocol(Protocol):
-    """A protocol's side of a connection; it knows no socket."""
-
-    @property
-    def busy(self) -> bool:
-        """Whether `work` has something to do."""
-
-    @property
-    def keeps(self) -> bool:
-        """Whether silence is no reason to end the connection."""
-
-    def begin(self) -> None:
-        """The connection is up."""
-
-    def received(self, data: bytes) -> None:
-        """Takes plain bytes."""
-
-    def work(self) -> None:
-        """One step of what takes long."""
-
-    def due(self) -> int | None:
-        """When `tick` is to be called at the latest, ns; None for never."""
-
-    def tick(self, now: int) -> None:
-        """Does what is due at `now` (ns)."""
-
-    def closed(self, reason: str, /) -> None:
-        """Called once, however the connection ends."""
-
-
 class ManagementConnection:
     """One accepted connection; `protocol` is None until the handshake is done."""
 
     def __init__(self, listener: "ManagementListener", sock: socket.socket, peer: str) -> None:
         """`peer` is the other side's "host:port"."""
-        self.door = listener
+        self.listener = listener
         self.sock = sock
         self.peer = peer
         self.tls = TlsConnection(listener.context)
         self.unsent_bytes = bytearray()
         self.user: User | None = None
-        self.protocol: ManagementProtocol | None = None
+        self.protocol: ProtocolSession | None = None
         self.task: Task | None = None
         self.ending: str | None = None  # why it is about to end
         self.accepted_at = listener.loop.now  # ns
@@ -83,7 +54,7 @@
 
     def now(self) -> int:
         """The turn's time, ns."""
-        return self.door.loop.now
+        return self.listener.loop.now
 
     def send(self, data: bytes) -> None:
         """Takes plain bytes, which are written as the other side takes them."""
@@ -98,7 +69,7 @@
 
     def wake(self) -> None:
         """Has the listener look at the connection again in the next turn."""
-        self.door.woken[self] = None
+        self.listener.woken[self] = None
 
     def receive(self) -> tuple[bytes, bool] | None:
         """Plain bytes and whether the other side has ended; None where nothing is there.
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -2,7 +2,7 @@
 
 Owns the listening socket and a coroutine for each connection, which owns that connection's socket. A protocol
 is made for a user once the handshake is done, by `make(user, connection)`; what it has to do is the class
-`ManagementProtocol`.
+`ProtocolSession`.
 
 Management never costs a proxy anything: its connections have a number of their own, what they ask is worked
 off in small steps, and a client that does not read is not read from."""
@@ -15,6 +15,7 @@
 from typing import Any
 
 from granitespool.management.authorization import User
+from granitespool.management.interfaces import ProtocolSession
 from granitespool.net.config import Address
 from granitespool.net.connection import CLOSED_BY_COORDINATOR, CLOSED_BY_PEER
 from granitespool.net.listen_address import bind
@@ -23,7 +24,6 @@
 from granitespool.net.management_connection import (
     UNSENT_READ_LIMIT,
     ManagementConnection,
-    ManagementProtocol,
 )
 from granitespool.net.tls import TlsError
 from granitespool.operator_settings import Gnmi, Netconf
@@ -36,7 +36,7 @@
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 FindUser = Callable[[dict[str, Any], str], User | None]  # of a certificate and its SHA-256 in hex
-MakeProtocol = Callable[[User, ManagementConnection], ManagementProtocol]
+MakeProtocol = Callable[[User, ManagementConnection], ProtocolSession]
 
 
 def handshakes_max(sessions: int) -> int:
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -7,7 +7,7 @@
 import traceback
 from collections.abc import Callable
 from random import Random
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from granitespool.coordinator import GONE, PEERS, PROBES, REMARKS, Coordinator
 from granitespool.errors import InvalidInputError
@@ -24,7 +24,8 @@
 from granitespool.net.streams import Streams
 
 if TYPE_CHECKING:
-    from granitespool.net.management_service import Managing
+    from granitespool.management.data_tree import Tree
+    from granitespool.net.management_service import ManagementService
     from granitespool.net.metrics import Metrics
     from granitespool.operator_settings import State
     from granitespool.state.snapshotter import Keeper
@@ -52,7 +53,7 @@
         self.is_reload_wanted = False
         self.stops = 0  # how often `stop` was called
         self.keeper: Keeper | None = None  # of the state folder, where it is on
-        self.managing: Managing | None = None  # where a management listener is on
+        self.management: ManagementService | None = None  # where a management listener is on
         self.metrics: Metrics | None = None  # where its section is on
         self.gossip: Gossip | None = None  # where the settings permit it
         self.loop = Loop(self._report_failure, clock)
@@ -92,7 +93,7 @@
 
     def close(self) -> None:
         """Gives back what all parts own."""
-        for part in (self.managing, self.keeper):
+        for part in (self.management, self.keeper):
             if part:
                 self._contained(part.close)
         self.log.event("stopped")
@@ -104,7 +105,7 @@
     def _make(self, config: Configuration) -> None:
         operator = config.get("operator")
         self.operator = operator
-        self.file_tree = None  # of the files, as managers see them
+        self.file_tree: Tree | None = None  # of the files, as managers see them
         if operator and operator.state:
             self.keeper = self._make_snapshotter(config, operator.state)
             config = config.copy()
@@ -116,9 +117,9 @@
         if self.keeper:
             self.keeper.start(self.coordinator, self.discovery)
         if operator and operator.managed:
-            from granitespool.net.management_service import Managing  # noqa: PLC0415 only where it is on
+            from granitespool.net.management_service import ManagementService  # noqa: PLC0415 only where it is on
 
-            self.managing = Managing(self, self.loop, self.log)
+            self.management = ManagementService(self, self.loop, self.log)
         if operator and operator.figures:
             from granitespool.net.metrics import Metrics  # noqa: PLC0415 only where it is on
 
@@ -159,18 +160,17 @@
             )
             return config
         self.log.event("settings_restored")
-        restored: Configuration = mapping.config_of(tree, config)
-        return restored
+        return cast(Configuration, mapping.config_of(tree, config))
 
     # Turns
 
     def _end_of_turn(self, now: int) -> int | None:
         if self.is_reload_wanted:
             self._contained(self._reload)
-        if self.managing:
-            self._contained(self.managing.end_of_turn, now)
+        if self.management:
+            self._contained(self.management.end_of_turn, now)
         due: int | None = self.coordinator.tick(now)
-        if self.managing and (other := self.managing.due()) is not None:
+        if self.management and (other := self.management.due()) is not None:
             due = other if due is None else min(due, other)
         for party in self.coordinator.parties():
             self._contained(self._write, party)
@@ -185,8 +185,8 @@
         assert self.reread is not None
         try:
             config = without_management_sockets(self.reread())
-            if self.managing:
-                restart_required = self.managing.reread(config)
+            if self.management:
+                restart_required = self.management.reread(config)
             else:
                 restart_required = self.reconfiguration.take(config)
         except (InvalidInputError, ManagementError) as error:
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -118,7 +118,7 @@
 class RecordedSession:
     """Stands in for the listener's session: what is sent and why it ends is kept."""
 
-    door = PinnedListener()
+    listener = PinnedListener()
     unsent = 0
 
     def __init__(self, loop):
@@ -165,7 +165,7 @@
         self.service.keeper.figures = lambda: (40_960, 12, False)
         self.service.keeper.safe = lambda ticket: True
         self.loop, self.coordinator = self.service.loop, self.service.coordinator
-        self.managing = self.service.managing
+        self.management = self.service.management
         self.fleet()
         return self
 
@@ -231,12 +231,12 @@
         self.report("list_news", form="changes", entries=[entry])
 
     def user(self, name):
-        return next(user for user in self.managing.users if user.name == name)
+        return next(user for user in self.management.users if user.name == name)
 
     def session(self, protocol, user="operations"):
         """(protocol, session) of a new session that has begun."""
         session = RecordedSession(self.loop)
-        made = self.managing._enter(protocol, self.user(user), session)
+        made = self.management.open_session(protocol, self.user(user), session)
         made.begin()
         return made, session
 
@@ -246,7 +246,7 @@
             if made.busy:
                 made.work()
                 continue
-            self.managing.end_of_turn(self.loop.now)
+            self.management.end_of_turn(self.loop.now)
             if not made.busy:
                 return
         raise AssertionError("it never ends")
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -414,7 +414,7 @@
     with pytest.raises(grpc.RpcError) as raised:
         channel.unary_unary("/gnmi.gNMI/Get")(b"\xff\xff\xff", timeout=5)
     assert raised.value.code().name == "INVALID_ARGUMENT"
-    session = next(iter(house.service.managing.sessions.values()))
+    session = next(iter(house.service.management.sessions.values()))
     end = time.monotonic() + 3
     while session.calls.open and time.monotonic() < end:
         time.sleep(0.01)
@@ -551,7 +551,7 @@
         asked = time.monotonic()
         assert client.value(BASE) == "1000.0"
         assert time.monotonic() - asked < 0.5
-    for session in list(house.service.managing.sessions.values()):
+    for session in list(house.service.management.sessions.values()):
         assert all(len(queue) < 300_000 for queue in session.http2.queued.values())
     for _ in range(40):
         stalled.call()  # over the streams that a connection may have
@@ -568,7 +568,7 @@
         raw.call()
         raw.flush()
         end = time.monotonic() + 3
-        while not house.service.managing.sessions and time.monotonic() < end:
+        while not house.service.management.sessions and time.monotonic() < end:
             time.sleep(0.01)
         most = house.service.streams.admission.connections_limit
         assert most == house.read()["connections"] - (8 + 4 + 1) - (6 + 3 + 1)
--- a/tests/test_management_replies.py
+++ b/tests/test_management_replies.py
@@ -79,7 +79,7 @@
     one.ask("<get/>")
     one.ask(f"<get><with-defaults {DEFAULTS}>report-all</with-defaults></get>")
     text = "\n".join(one.text) + "\n"
-    assert not [name for name in leaf_names(managed.managing.model.top) if f"<{name}>" not in text]
+    assert not [name for name in leaf_names(managed.management.model.top) if f"<{name}>" not in text]
     compare_with_record("management/netconf_get.txt", text, tmp_path)
 
 
@@ -199,7 +199,7 @@
     one.edit("<channel><lines-per-second>800</lines-per-second></channel>")
     one.ask("<commit><confirmed/><confirm-timeout>1</confirm-timeout></commit>")
     managed.loop.now += 2 * SECOND
-    managed.managing.end_of_turn(managed.loop.now)
+    managed.management.end_of_turn(managed.loop.now)
     one.ask("<get-config><source><running/></source></get-config>")
     one.edit("<class><name>late</name></class>", "startup")
     one.ask("<get-config><source><startup/></source></get-config>")
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -510,7 +510,7 @@
 
 
 def test_a_commit_is_rejected_where_the_disk_does_not_take_it(tmp_path, folder, monkeypatch):
-    monkeypatch.setattr("granitespool.net.management_service.KEEP_MOST", 300_000_000)
+    monkeypatch.setattr("granitespool.net.settings_host.SAVE_TIMEOUT", 300_000_000)
     with House(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit(PACE.format("500"))) == "ok"
@@ -632,7 +632,7 @@
         held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
         one = house.manager()
         assert tag_of(one.ask("<get/>")) == "ok" and alive(proxy)
-        assert len(house.service.managing.doors[0].connections) <= 9
+        assert len(house.service.management.listeners[0].connections) <= 9
         for sock in held:
             sock.close()
         proxy.close()
@@ -670,7 +670,8 @@
         for _ in range(14):
             one.send("<get/>")
         time.sleep(1.0)
-        [stuck] = [each for each in house.service.managing.doors[0].connections if each.unsent > 200_000]
+        connections = house.service.management.listeners[0].connections
+        [stuck] = [each for each in connections if each.unsent > 200_000]
         assert stuck.unsent < 2_000_000 and len(stuck.protocol.pending) > 5
         begun = time.monotonic()
         assert tag_of(two.ask("<get-config><source><running/></source></get-config>")) == "ok"
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -284,7 +284,7 @@
             raise OSError("nor this")
 
     with serving(tmp_path) as service:
-        service.keeper = service.managing = Torn()
+        service.keeper = service.management = Torn()
         service.loop.spawn(late())
         service.close()
         assert service.loop.wake_fd is None and not service.loop.tasks
