--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -17,7 +17,7 @@
 from stage import framed, joining
 from test_full_size import told
 
-from bench.ready import restarts
+from bench.ready import Sizes, restarts
 from granitespool.errors import InvalidInputError
 from granitespool.net import config
 from granitespool.net import listen_address as binding
@@ -192,9 +192,9 @@
             assert successor.wait(LONG) == former.wait(LONG) == 0
 
 
-def test_each_start_under_a_storm_of_joiners_and_strangers_is_ready():
+def test_each_start_under_a_storm_of_joinings_and_silent_connections_is_ready():
     told_of = []
-    took = restarts(3, 60, 40, 30, told_of.append)
+    took = restarts(Sizes(restarts=3, proxies=60, silent=40, backends=30), told_of.append)
     assert len(took) == 3 and all(each is not None for each in took), told_of
     assert not any("ended" in line for line in told_of), told_of
 
