--- a/granitespool/net/client.py
+++ b/granitespool/net/client.py
@@ -36,7 +36,7 @@
                 raise TimeoutError("not taken in time") from None
 
 
-def ask(
+def http_get(
     sock: socket.socket,
     address: tuple[str, int],
     target: str,
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -46,7 +46,7 @@
     memory_mb: int  # MB
 
 
-class Shares(TypedDict):
+class Quotas(TypedDict):
     """What the limits leave to each part."""
 
     sockets: int  # descriptors in all
@@ -55,7 +55,7 @@
     buffers: int  # receive buffers
 
 
-class Configuration(Shares):
+class Configuration(Quotas):
     """What the service is told."""
 
     name: str
@@ -86,7 +86,7 @@
     return f"{host}:{port}"
 
 
-def shares(limits: Mapping[str, Any]) -> Shares:
+def quotas(limits: Mapping[str, Any]) -> Quotas:
     """What the limits leave to each part; raises InvalidInputError where they leave no room to serve."""
     told = {"type": "limits", "sockets": DEFAULT_SOCKETS, "memory_mb": DEFAULT_MEMORY_MB, **limits}
     sockets: int = required_number(told, "sockets", int)
@@ -104,17 +104,17 @@
     }
 
 
-def with_shares(config: Configuration, share: Shares) -> Configuration:
-    """The configuration with other shares of the limits."""
+def with_quotas(config: Configuration, quota: Quotas) -> Configuration:
+    """The configuration with other quotas."""
     replaced = config.copy()
-    replaced["sockets"] = share["sockets"]
-    replaced["probes"] = share["probes"]
-    replaced["connections"] = share["connections"]
-    replaced["buffers"] = share["buffers"]
+    replaced["sockets"] = quota["sockets"]
+    replaced["probes"] = quota["probes"]
+    replaced["connections"] = quota["connections"]
+    replaced["buffers"] = quota["buffers"]
     return replaced
 
 
-def told_limits(limits: Mapping[str, Any]) -> Limits:
+def limits_of(limits: Mapping[str, Any]) -> Limits:
     """The limits as they are told, or the usual ones."""
     sockets = limits.get("sockets")
     memory_mb = limits.get("memory_mb")
@@ -153,18 +153,18 @@
     name = required_field(told, "name", str)
     listen = address(required_field(told, "listen", str))
     discovery = address(required_field(told, "discovery", str))
-    share = shares({key: limit for key, limit in limits.items() if limit is not None})
+    quota = quotas({key: limit for key, limit in limits.items() if limit is not None})
     return {
         "name": name,
         "listen": listen,
         "discovery": discovery,
         "seed": seed,
-        "sockets": share["sockets"],
-        "probes": share["probes"],
-        "connections": share["connections"],
-        "buffers": share["buffers"],
-        "limits": told_limits(limits),
-        "limits_told": told_limits(limits),
+        "sockets": quota["sockets"],
+        "probes": quota["probes"],
+        "connections": quota["connections"],
+        "buffers": quota["buffers"],
+        "limits": limits_of(limits),
+        "limits_told": limits_of(limits),
         "peer_listen": _optional_address(told.get("peer_listen")),
         "peers": [address(peer) for peer in told.get("peers") or ()],
         "peers_all": _optional_address(told.get("peers_all")),
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -15,7 +15,7 @@
 from granitespool.endpoints import SOCKET_ENTRY, Endpoint, endpoint_from_wire
 from granitespool.errors import GranitespoolError, InvalidInputError
 from granitespool.fields import required_field, required_number
-from granitespool.net.client import ask, dial, receive
+from granitespool.net.client import dial, http_get, receive
 from granitespool.net.config import Address, Configuration, address
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop, Waits
@@ -178,7 +178,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
             yield from dial(sock, self.agent, self.loop.now + DIAL_TIMEOUT)
             target = f"/discovery/hosts?watch=1&after={self.position.version}"
-            http = yield from ask(sock, self.agent, target, self.loop.now + DIAL_TIMEOUT)
+            http = yield from http_get(sock, self.agent, target, self.loop.now + DIAL_TIMEOUT)
             self.position.is_at_start = True
             yield from self._read(sock, http)
 
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -10,7 +10,7 @@
 
 from granitespool.coordinator import PROBES, Coordinator
 from granitespool.endpoints import load_metrics
-from granitespool.net.client import ask, dial, receive
+from granitespool.net.client import dial, http_get, receive
 from granitespool.net.config import Address, Configuration
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop, Wait, Waits
@@ -99,7 +99,7 @@
 ) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
     """Asks for the load report; raises TimeoutError, OSError or h11.ProtocolError."""
     status, body = None, b""
-    http = yield from ask(sock, address, "/metrics/load", deadline, ("Connection", "close"))
+    http = yield from http_get(sock, address, "/metrics/load", deadline, ("Connection", "close"))
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -14,7 +14,7 @@
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.model import Model
 from granitespool.management.settings_trees import RUNNING, STARTUP
-from granitespool.net.config import Configuration, shares, with_shares
+from granitespool.net.config import Configuration, quotas, with_quotas
 from granitespool.net.fleet_notifier import Notify
 from granitespool.net.loop import SECOND
 from granitespool.net.reconfiguration import without_management_sockets
@@ -172,5 +172,5 @@
             return self.reloaded
         config = cast(Configuration, mapping.config_of(tree, self.service.config))
         if config.get("limits") != self.service.config.get("limits"):
-            config = without_management_sockets(with_shares(config, shares(config["limits"])))
+            config = without_management_sockets(with_quotas(config, quotas(config["limits"])))
         return config
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -14,7 +14,7 @@
 
 from granitespool.coordinator import REMARKS, Coordinator
 from granitespool.errors import InvalidInputError
-from granitespool.net.config import shares
+from granitespool.net.config import quotas
 from granitespool.net.service import Service
 from granitespool.planner import events
 from granitespool.planner.planner import Planner
@@ -357,7 +357,7 @@
             "listen": ("127.0.0.1", 0),
             "discovery": self.discovery.getsockname(),
             "seed": 1,
-            **shares(self.limits),
+            **quotas(self.limits),
             "peer_listen": ("127.0.0.1", 0),
             "peers": [self.peer.getsockname()],
             "peers_all": self.peer.getsockname(),
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -12,7 +12,7 @@
 import pytest
 
 from granitespool.net.buffers import Pool
-from granitespool.net.config import shares
+from granitespool.net.config import quotas
 from granitespool.net.frames import HEAD, LARGEST, Reader, frame
 from granitespool.net.loop import SECOND, Loop
 from granitespool.net.service import Service
@@ -50,7 +50,7 @@
             "listen": ("127.0.0.1", 0),
             "discovery": discovery,
             "seed": 1,
-            **shares({}),
+            **quotas({}),
             "peer_listen": None,
             "peers": [],
             "peers_all": None,
