--- a/granitespool/net/fleet_notifier.py
+++ b/granitespool/net/fleet_notifier.py
@@ -3,9 +3,10 @@
 It only reads the coordinator, a few backends in a step, and only while somebody has subscribed."""
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 from granitespool.coordinator import Coordinator
+from granitespool.coordinator_status import CoordinatorStatus
 from granitespool.management.mapping import decimal_text
 from granitespool.net.loop import SECOND, Loop, Waits
 
@@ -13,6 +14,7 @@
 BACKENDS_PER_STEP = 200
 
 Link = tuple[str, str]  # backend and zone
+ZoneClass = tuple[str, str | None]  # zone and request class
 
 
 class Notify(Protocol):
@@ -34,7 +36,7 @@
         self.notify = notify
         self.has_subscribers = has_subscribers
         self.is_overloaded = False
-        self.admitted_shares: dict[Link, float] = {}  # by zone and request class
+        self.admitted_shares: dict[ZoneClass, float] = {}
         self.ejected: dict[Link, bool] = {}
         loop.spawn(self._run())
 
@@ -44,19 +46,19 @@
             if not self.has_subscribers():
                 self.ejected = {}
                 continue
-            fleet = self.coordinator.pictured_fleet()
-            self._compare_overload(fleet)
-            self._compare_admission(fleet)
+            status = self.coordinator.status()
+            self._compare_overload(status)
+            self._compare_admission(status)
             yield from self._compare_ejections()
 
-    def _compare_overload(self, fleet: dict[str, Any]) -> None:
-        if fleet["strained"] != self.is_overloaded:
-            self.is_overloaded = fleet["strained"]
+    def _compare_overload(self, status: CoordinatorStatus) -> None:
+        if status.planner.is_overloaded != self.is_overloaded:
+            self.is_overloaded = status.planner.is_overloaded
             self.notify("strain", strained=self.is_overloaded)
 
-    def _compare_admission(self, fleet: dict[str, Any]) -> None:
+    def _compare_admission(self, status: CoordinatorStatus) -> None:
         shares = {
-            (zone, name): share for zone, _, levels in fleet["tables"] for name, (share, _) in levels.items()
+            (zone.zone, name): level.share for zone in status.zones for name, level in zone.levels.items()
         }
         for (zone, name), share in shares.items():
             # A class without an order so far is admitted whole
@@ -66,13 +68,13 @@
 
     def _compare_ejections(self) -> Waits:
         seen: dict[Link, bool] = {}
-        for number, backend in enumerate(list(self.coordinator.listed()), 1):
-            facts = self.coordinator.pictured(backend)
-            views = facts[1] if facts else {}
-            for zone, (_, _, is_ejected, _) in views.items():
-                seen[backend, zone] = is_ejected
-                if self.ejected.get((backend, zone), False) != is_ejected:
-                    self.notify("backend-cut", backend=backend, zone=zone, cut=is_ejected)
+        for number, name in enumerate(list(self.coordinator.listed()), 1):
+            backend = self.coordinator.backend_status(name)
+            entries = backend.planner.entries if backend else {}
+            for zone, entry in entries.items():
+                seen[name, zone] = entry.is_ejected
+                if self.ejected.get((name, zone), False) != entry.is_ejected:
+                    self.notify("backend-cut", backend=name, zone=zone, cut=entry.is_ejected)
             if number % BACKENDS_PER_STEP == 0:
                 yield None, 0, self.loop.now
         self.ejected = seen
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -8,12 +8,13 @@
 
 import h11
 
-from granitespool.coordinator import PROBES, Coordinator
+from granitespool.coordinator import Coordinator
 from granitespool.endpoints import load_metrics
 from granitespool.net.client import dial, http_get, receive
 from granitespool.net.config import Address, Configuration
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop, Wait, Waits
+from granitespool.outgoing import Queue
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult
 from granitespool.units import MILLISECOND
 
@@ -52,10 +53,10 @@
     def start(self) -> None:
         """Starts those that the coordinator asks for, as many as the limit permits."""
         while self.in_flight < self.limit:
-            backend = self.coordinator.pick(PROBES)
-            if backend is None:
+            request = self.coordinator.pick(Queue.HEALTH_CHECKS)
+            if request is None:
                 return
-            self.loop.spawn(self._check(backend))
+            self.loop.spawn(self._check(request.backend))
 
     def _check(self, backend: str) -> Waits:
         started_at = self.loop.now
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -10,6 +10,7 @@
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
 from granitespool.net.messages import ProxyJoining
+from granitespool.planner.events import ProxyJoined, ProxyLeft
 
 
 class Membership:
@@ -42,11 +43,9 @@
         )
         self.coordinator.report(
             self.loop.now,
-            "joined",
-            proxy=joining.proxy,
-            zone=joining.zone,
-            standing=joining.standing,
-            rate=joining.rate,
+            ProxyJoined(
+                proxy=joining.proxy, zone=joining.zone, bootstrap=joining.standing, rate=joining.rate
+            ),
         )
         if former:  # it has moved on: the old stream carries nothing more
             self.loop.end(former.running)
@@ -57,7 +56,7 @@
             del self.proxies[connection.proxy]
             # What we end ourselves has not left by the protocol: what waits for it stays in the account
             self.coordinator.report(
-                self.loop.now, "left", proxy=connection.proxy, silent=connection.ended_by_us
+                self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=connection.ended_by_us)
             )
             connection.leaving_reported = True
 
@@ -66,10 +65,11 @@
 
         A proxy that answers no mark and reports nothing is cut off, so nothing is booked or written for it.
         Its stream stays: it is the proxy's to end."""
+        assert connection.proxy is not None, "only a proxy's stream is ever unreachable"
         connection.is_unreachable = True
         connection.awaiting_since = None
         self.log.event("unreachable", peer=connection.peer, proxy=connection.proxy)
-        self.coordinator.report(self.loop.now, "left", proxy=connection.proxy, silent=True)
+        self.coordinator.report(self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=True))
 
     def mark_reachable(self, connection: Connection) -> None:
         """An unreachable proxy has spoken: it counts as joined anew, with the tables that it was written."""
@@ -79,10 +79,7 @@
         self.log.event("reachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(
             self.loop.now,
-            "joined",
-            again=True,
-            proxy=joining.proxy,
-            zone=joining.zone,
-            standing=False,
-            rate=joining.rate,
+            ProxyJoined(
+                resumed=True, proxy=joining.proxy, zone=joining.zone, bootstrap=False, rate=joining.rate
+            ),
         )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,8 +8,8 @@
 
 from bench.capacity import page, process, scales, sweep
 from bench.capacity.__main__ import main
-from bench.capacity.fleet import Sizes
 from bench.capacity.point import Request, measure
+from bench.capacity.sizes import Sizes
 from granitespool.scale import budget, fits
 
 SIZES = ({"backends": float(b), "zones": float(z)} for b in (100, 200, 400, 800) for z in (2, 4, 8))
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    "form, cost, coefficients",
+    ("form", "cost", "coefficients"),
     [
         ("constant", lambda s: 7.0, (7.0,)),
         ("proportional to backends", lambda s: 0.25 * s["backends"], (0.25,)),
@@ -54,7 +54,7 @@
 
 def test_a_wrong_form_is_refused_with_its_residual():
     product = samples(lambda s: 0.5 * s["backends"] * s["zones"])
-    with pytest.raises(fits.FormRefused) as refused:
+    with pytest.raises(fits.FormRejectedError) as refused:
         fits.choose(product, [fits.constant(), fits.linear("backends")])
     assert refused.value.best.residual > refused.value.limit
     assert "linear in backends" in str(refused.value) or "constant" in str(refused.value)
@@ -62,19 +62,19 @@
 
 def test_a_cost_that_falls_with_its_size_is_no_form_of_a_cost():
     falling = samples(lambda s: 1000 - s["backends"])
-    with pytest.raises(fits.FormRefused):
+    with pytest.raises(fits.FormRejectedError):
         fits.choose(falling, FORMS)
 
 
 def test_a_size_that_does_not_vary_cannot_be_told_from_the_constant():
     still = samples(lambda s: 4.0, [{"backends": 100.0, "zones": 4.0}] * 5)
-    with pytest.raises(fits.SingularFit):
+    with pytest.raises(fits.SingularFitError):
         fits.fit(still, fits.linear("backends"))
 
 
 def test_too_few_samples_are_an_error():
-    with pytest.raises(fits.TooFewSamples):
-        fits.fit(samples(lambda s: 1.0)[:2], fits.linear("backends"))
+    with pytest.raises(fits.TooFewSamplesError):
+        fits.fit(samples(lambda _: 1.0)[:2], fits.linear("backends"))
 
 
 def test_a_held_out_point_is_named_as_off_only_past_the_limit():
@@ -193,7 +193,7 @@
 def test_a_page_without_a_place_for_a_table_is_an_error(tmp_path):
     path = tmp_path / "page.md"
     path.write_text("no markers\n")
-    with pytest.raises(page.MarkerMissing, match="slopes"):
+    with pytest.raises(page.MarkerMissingError, match="slopes"):
         page.rewrite(str(path), {"slopes": "a table"})
     assert path.read_text() == "no markers\n"
 
@@ -242,7 +242,7 @@
     monkeypatch.setattr(process, "SETTLE", 0.1)
     monkeypatch.setattr(process, "IDLE", 0.2)
     found = process.measure(TINY)
-    assert found.answer_s < process.ANSWER_WITHIN
+    assert found.answer_s < process.ANSWER_TIMEOUT
     assert found.reload_s < budget.Budget().in_force_s
     assert found.descriptors >= 4  # standard streams, the loop, the listener
     assert found.log_lines >= 3  # serving, reloaded, stopped
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -10,16 +10,17 @@
 import time
 
 import pytest
-from house import House, alive, keys
 from lxml import etree
 from ncclient import manager as ncclient_manager
 from ncclient.operations import RPCError
 from support.records import told_settings
+from support.service_thread import ServiceThread, alive, keys
 
-from granitespool.emulator.managers import HELLO, Ended, Manager, tag_of, top
 from granitespool.netconf.errors import FramingError, MalformedMessageError
 from granitespool.netconf.framing import END_OF_MESSAGE, MessageReader, frame
 from granitespool.netconf.xmltree import parse_message
+from granitespool.planner.events import LoadReport
+from granitespool.simulation.netconf_client import HELLO, ConnectionEndedError, NetconfClient, tag_of, top
 
 PACE = "<channel><lines-per-second>{}</lines-per-second></channel>"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -32,7 +33,7 @@
 
 @pytest.fixture
 def house(tmp_path, folder):
-    with House(tmp_path, folder) as house:
+    with ServiceThread(tmp_path, folder) as house:
         yield house
 
 
@@ -128,7 +129,7 @@
     assert tag_of(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
     assert "over the 1024" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
     assert tag_of(one.ask("<close-session/>")) == "ok"
-    with pytest.raises(Ended):
+    with pytest.raises(ConnectionEndedError):
         one.receive()
 
 
@@ -243,7 +244,7 @@
 
 
 def test_schema_defaults_copies_and_startup(tmp_path, folder):
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         schema = one.ask(
             '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
@@ -422,14 +423,7 @@
     for _ in range(2):
         house.service.coordinator.report(
             house.service.loop.now,
-            "heard",
-            zone="n",
-            backend="s-1",
-            tries=9,
-            failed=9,
-            mean=0,
-            window=10**9,
-            load={},
+            LoadReport(zone="n", backend="s-1", attempts=9, failures=9, mean=0, window=10**9, load={}),
         )
     assert "<backend>s-1</backend>" in two.note("backend-cut")
     one.edit(PACE.format("0.1"))
@@ -441,7 +435,7 @@
     proxy.close()
     number = re.search(r"<session-id>(\d+)<", two.hello)[1]
     assert tag_of(one.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
-    with pytest.raises(Ended):
+    with pytest.raises(ConnectionEndedError):
         two.receive()
     house.logged("manager_disconnected", reason="killed by operations")
 
@@ -450,7 +444,7 @@
 
 
 def test_a_commit_is_answered_after_its_sync_and_outlasts_sigkill(tmp_path, folder):
-    house = House(tmp_path, folder, state=True)
+    house = ServiceThread(tmp_path, folder, state=True)
     operator = tmp_path / "operator.ini"
     operator.write_text(
         f"[state]\nfolder = state\nevery_ms = 100\n[tls]\ncertificate = {folder}/server.pem\n"
@@ -477,7 +471,7 @@
             for line in iter(process.stdout.readline, ""):
                 if '"serving"' in line:
                     break
-            one = Manager(house.where, folder)
+            one = NetconfClient(house.where, folder)
             assert f"<lines-per-second>{pace}<" in one.config()
             following = {"1000.0": "500.0", "500.0": "400.0"}.get(pace, "300.0")
             assert tag_of(one.edit(PACE.format(following))) == "ok" and tag_of(one.commit()) == "ok"
@@ -491,13 +485,13 @@
 
 
 def test_what_waits_for_a_restart_goes_to_startup_and_takes_effect_after_it(tmp_path, folder):
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit("<class><name>late</name></class>")) == "ok"
         assert "put it into startup" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
         assert tag_of(one.edit("<class><name>late</name></class>", "startup")) == "ok"
         assert "late" not in one.config() and len(house.settings()["classes"]) == 1
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         assert [kind["name"] for kind in house.settings()["classes"]] == ["pay", "late"]
         assert "late" in house.manager().config()
 
@@ -511,19 +505,21 @@
 
 def test_a_commit_is_rejected_where_the_disk_does_not_take_it(tmp_path, folder, monkeypatch):
     monkeypatch.setattr("granitespool.net.settings_host.SAVE_TIMEOUT", 300_000_000)
-    with House(tmp_path, folder, state=True) as house:
+    with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit(PACE.format("500"))) == "ok"
-        house.service.keeper.writer.folder.sync = lambda name: time.sleep(0.6)
+        house.service.snapshotter.writer.folder.sync = lambda name: time.sleep(0.6)
         answer = one.commit()
         assert tag_of(answer) == "resource-denied" and house.settings()["entries_per_s"] == 1000
         two = house.manager()  # two that wait for the disk are both answered
         one.send("<commit/>")
         assert tag_of(two.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
         assert tag_of(one.receive()) == "resource-denied"
-        writer = house.service.keeper.writer
-    writer.thread.join(10)  # this process held the folder for as long as its disk hung
-    with House(tmp_path, folder, state=True) as house:  # what was refused does not come back with a restart
+        writer = house.service.snapshotter.writer
+    writer.join(10)  # this process held the folder for as long as its disk hung
+    with ServiceThread(
+        tmp_path, folder, state=True
+    ) as house:  # what was refused does not come back with a restart
         assert house.settings()["entries_per_s"] == 1000 and len(house.settings()["classes"]) == 1
 
 
@@ -533,8 +529,8 @@
 def bad(where, folder, how):
     """A peer that is no manager; returns once it has done its worst."""
     if how in ("no certificate", "foreign", "stranger"):
-        with pytest.raises((Ended, ssl.SSLError, ConnectionError)):
-            Manager(where, folder, {"no certificate": None}.get(how, how)).ask("<get/>")
+        with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
+            NetconfClient(where, folder, {"no certificate": None}.get(how, how)).ask("<get/>")
         return
     if how in ("plain", "garbage", "tls 1.2"):
         sock = socket.create_connection(where, timeout=5)
@@ -550,8 +546,8 @@
                 pass
         sock.close()
         return
-    one = Manager(where, folder, greet=how not in ("hello", "no hello"))
-    with pytest.raises(Ended):
+    one = NetconfClient(where, folder, greet=how not in ("hello", "no hello"))
+    with pytest.raises(ConnectionEndedError):
         if how == "hello":
             one.raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
         elif how == "no hello":
@@ -620,13 +616,13 @@
     (tmp_path / "ca.pem").write_bytes(authority.public_bytes(made.serialization.Encoding.PEM))
     (tmp_path / "old.pem").write_bytes(old.public_bytes(made.serialization.Encoding.PEM))
     (tmp_path / "old.key").write_bytes(made.key_bytes(key))
-    with pytest.raises((Ended, ssl.SSLError, ConnectionError)):
-        Manager(house.where, str(tmp_path), "old").ask("<get/>")
+    with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
+        NetconfClient(house.where, str(tmp_path), "old").ask("<get/>")
     house.logged("manager_rejected", reason="expired")
 
 
 def test_hundreds_of_half_open_handshakes_block_nobody(tmp_path, folder):
-    with House(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
+    with ServiceThread(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
         assert house.service.streams.admission.connections_limit == 256 - 16 - 32 - (6 + 3 + 1)
         proxy = house.proxy()
         held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
@@ -639,14 +635,14 @@
 
 
 def test_sessions_are_limited_and_an_idle_one_is_ended_unless_it_subscribed(tmp_path, folder):
-    with House(tmp_path, folder, sessions=2, idle_s=1.0) as house:
+    with ServiceThread(tmp_path, folder, sessions=2, idle_s=1.0) as house:
         one, two = house.manager(), house.manager()
-        with pytest.raises((Ended, ConnectionError)):
+        with pytest.raises((ConnectionEndedError, ConnectionError)):
             house.manager().ask("<get/>")
         sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
         assert tag_of(two.ask(sub)) == "ok"
         house.logged("manager_disconnected", reason="idle")
-        with pytest.raises(Ended):
+        with pytest.raises(ConnectionEndedError):
             one.receive()
         time.sleep(0.5)
         assert tag_of(two.ask("<get/>")) == "ok"
@@ -665,7 +661,7 @@
         }
         for k in range(800)
     ]
-    with House(tmp_path, folder, known=known) as house:
+    with ServiceThread(tmp_path, folder, known=known) as house:
         proxy, one, two = house.proxy(), house.manager(), house.manager()
         for _ in range(14):
             one.send("<get/>")
@@ -683,7 +679,7 @@
 
 def test_keys_are_reloaded_without_ending_sessions_and_a_wrong_file_changes_nothing(tmp_path, folder):
     own = keys(tmp_path / "keys")
-    with House(tmp_path, own) as house:
+    with ServiceThread(tmp_path, own) as house:
         one = house.manager()
         fresh = keys(tmp_path / "fresh")
         for name in os.listdir(own):
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 import pytest
-from house import free_port
 from stage import framed, joining
+from support.service_thread import free_port
 from test_full_size import told
 
 from bench.ready import Sizes, restarts
@@ -284,7 +284,7 @@
             raise OSError("nor this")
 
     with serving(tmp_path) as service:
-        service.keeper = service.management = Torn()
+        service.snapshotter = service.management = Torn()
         service.loop.spawn(late())
         service.close()
         assert service.loop.wake_fd is None and not service.loop.tasks
@@ -458,7 +458,7 @@
                 if not streams.connections:
                     break
             assert not streams.connections and not streams.pending, cut
-            assert streams.pool.taken == 0 and not service.coordinator.proxies, cut
+            assert streams.pool.taken == 0 and not service.coordinator.updates.proxies, cut
         assert "failed" not in service.text()
 
 
