--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -141,7 +141,7 @@
     for table in tables:
         lines = list(table.entries.items())
         for start in range(0, len(lines) or 1, PART_LINES):
-            part = {"type": UPDATE, "lines": lines[start : start + PART_LINES]}
+            part: Message = {"type": UPDATE, "lines": lines[start : start + PART_LINES]}
             if table.classes is not None:
                 part["classes"] = table.classes
             if table.complete and start == 0:
@@ -151,7 +151,7 @@
 
 def _level_parts(levels: Iterable[LevelUpdate]) -> Iterator[dict[str, Any]]:
     for level in levels:
-        part = {"type": UPDATE, "level": level.share, "retry": level.retries}
+        part: Message = {"type": UPDATE, "level": level.share, "retry": level.retries}
         if level.classes is not None:
             part["classes"] = level.classes
         yield part
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -65,6 +65,7 @@
 
         A proxy that answers no mark and reports nothing is cut off, so nothing is booked or written for it.
         Its stream stays: it is the proxy's to end."""
+        assert connection.proxy is not None, "only a proxy's stream is ever unreachable"
         connection.is_unreachable = True
         connection.awaiting_since = None
         self.log.event("unreachable", peer=connection.peer, proxy=connection.proxy)
--- a/granitespool/net/messages.py
+++ b/granitespool/net/messages.py
@@ -32,7 +32,7 @@
     """The names that a message may use; a later configuration changes them in place."""
 
     backends: Container[str]  # those the list has named
-    request_classes: Container[str]
+    request_classes: Container[str | None]
     zones: Container[str] = ()
     proxies_expected: int = 0  # proxies are numbered from 0 up to this less 1
 
@@ -135,7 +135,7 @@
     return count
 
 
-def _known_name(message: Message, key: str, known: Container[str]) -> str:
+def _known_name(message: Message, key: str, known: Container[str] | Container[str | None]) -> str:
     value: str = required_field(message, key, str)
     if value not in known:
         raise InvalidInputError(f"the field {key!r} of a {message['type']!r} names the unknown {value!r:.60}")
--- a/granitespool/net/reconfiguration.py
+++ b/granitespool/net/reconfiguration.py
@@ -69,8 +69,8 @@
     def _give(self, config: Configuration) -> None:
         service = self.service
         operator = config.get("operator")
-        if service.keeper and operator and operator.state:
-            service.keeper.set_options(operator.state)
+        if service.snapshotter and operator and operator.state:
+            service.snapshotter.set_options(operator.state)
         if service.metrics and operator and operator.figures:
             service.metrics.options = operator.figures
         service.coordinator.new_settings(service.loop.now, config["settings"])
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -7,7 +7,7 @@
 import traceback
 from collections.abc import Callable
 from random import Random
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
@@ -32,7 +32,8 @@
 )
 
 if TYPE_CHECKING:
-    from granitespool.net.management_service import Managing
+    from granitespool.management.data_tree import Tree
+    from granitespool.net.management_service import ManagementService
     from granitespool.net.metrics import Metrics
     from granitespool.operator_settings import State
     from granitespool.state.snapshotter import Snapshotter
@@ -59,8 +60,8 @@
         self.mono = mono
         self.is_reload_wanted = False
         self.stops = 0  # how often `stop` was called
-        self.keeper: Snapshotter | None = None  # of the state folder, where it is on
-        self.managing: Managing | None = None  # where a management listener is on
+        self.snapshotter: Snapshotter | None = None  # of the state folder, where it is on
+        self.management: ManagementService | None = None  # where a management listener is on
         self.metrics: Metrics | None = None  # where its section is on
         self.gossip: Gossip | None = None  # where the settings permit it
         self.loop = Loop(self._report_failure, clock)
@@ -100,7 +101,7 @@
 
     def close(self) -> None:
         """Gives back what all parts own."""
-        for part in (self.managing, self.keeper):
+        for part in (self.management, self.snapshotter):
             if part:
                 self._contained(part.close)
         self.log.event("stopped")
@@ -112,21 +113,21 @@
     def _make(self, config: Configuration) -> None:
         operator = config.get("operator")
         self.operator = operator
-        self.file_tree = None  # of the files, as managers see them
+        self.file_tree: Tree | None = None  # of the files, as managers see them
         if operator and operator.state:
-            self.keeper = self._make_snapshotter(config, operator.state)
+            self.snapshotter = self._make_snapshotter(config, operator.state)
             config = config.copy()
-            config["known"] = self.keeper.choose_list(config["known"])
+            config["known"] = self.snapshotter.choose_list(config["known"])
         if operator and operator.managed:
             config = without_management_sockets(self._with_managed_settings(config))
         self._make_network(config)
         self.reconfiguration = Reconfiguration(self, config)
-        if self.keeper:
-            self.keeper.start(self.coordinator, self.discovery)
+        if self.snapshotter:
+            self.snapshotter.start(self.coordinator, self.discovery)
         if operator and operator.managed:
-            from granitespool.net.management_service import Managing  # noqa: PLC0415 only where it is on
+            from granitespool.net.management_service import ManagementService  # noqa: PLC0415 only where it is on
 
-            self.managing = Managing(self, self.loop, self.log)
+            self.management = ManagementService(self, self.loop, self.log)
         if operator and operator.figures:
             from granitespool.net.metrics import Metrics  # noqa: PLC0415 only where it is on
 
@@ -157,7 +158,7 @@
         from granitespool.management import mapping  # noqa: PLC0415 only where it is on
 
         self.file_tree = mapping.tree_of(config)
-        managed = self.keeper.managed_settings if self.keeper else None
+        managed = self.snapshotter.managed_settings if self.snapshotter else None
         if managed is None:
             return config
         base, tree = managed
@@ -167,18 +168,17 @@
             )
             return config
         self.log.event("settings_restored")
-        restored: Configuration = mapping.config_of(tree, config)
-        return restored
+        return cast(Configuration, mapping.config_of(tree, config))
 
     # Turns
 
     def _end_of_turn(self, now: int) -> int | None:
         if self.is_reload_wanted:
             self._contained(self._reload)
-        if self.managing:
-            self._contained(self.managing.end_of_turn, now)
+        if self.management:
+            self._contained(self.management.end_of_turn, now)
         due: int | None = self.coordinator.tick(now)
-        if self.managing and (other := self.managing.due()) is not None:
+        if self.management and (other := self.management.due()) is not None:
             due = other if due is None else min(due, other)
         for party in self.coordinator.parties():
             self._contained(self._write, party)
@@ -193,8 +193,8 @@
         assert self.reread is not None
         try:
             config = without_management_sockets(self.reread())
-            if self.managing:
-                restart_required = self.managing.reread(config)
+            if self.management:
+                restart_required = self.management.reread(config)
             else:
                 restart_required = self.reconfiguration.take(config)
         except (InvalidInputError, ManagementError) as error:
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -47,10 +47,7 @@
 
 
 def _unusable(files: str, error: OSError) -> InvalidInputError:
-    if isinstance(error, ssl.SSLError):
-        reason = error.reason or "it is no PEM"
-    else:
-        reason = error.strerror
+    reason = (error.reason or "it is no PEM") if isinstance(error, ssl.SSLError) else error.strerror
     return InvalidInputError(f"[tls] {files} cannot be used: {reason}")
 
 
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -127,7 +127,7 @@
 class RecordedSession:
     """Stands in for the listener's session: what is sent and why it ends is kept."""
 
-    door = PinnedListener()
+    listener = PinnedListener()
     unsent = 0
 
     def __init__(self, loop):
@@ -171,10 +171,10 @@
         self.service = Service(
             self.config, os.open(os.devnull, os.O_WRONLY), clock=lambda: START, mono=lambda: START
         )
-        self.service.keeper.metrics = lambda: StateMetrics(40_960, 12, False)
-        self.service.keeper.is_durable = lambda ticket: True
+        self.service.snapshotter.metrics = lambda: StateMetrics(40_960, 12, False)
+        self.service.snapshotter.is_durable = lambda ticket: True
         self.loop, self.coordinator = self.service.loop, self.service.coordinator
-        self.managing = self.service.managing
+        self.management = self.service.management
         self.fleet()
         return self
 
@@ -243,12 +243,12 @@
         self.report(EndpointListUpdate(form=ListForm.CHANGES, entries=[entry]))
 
     def user(self, name):
-        return next(user for user in self.managing.users if user.name == name)
+        return next(user for user in self.management.users if user.name == name)
 
     def session(self, protocol, user="operations"):
         """(protocol, session) of a new session that has begun."""
         session = RecordedSession(self.loop)
-        made = self.managing._enter(protocol, self.user(user), session)
+        made = self.management.open_session(protocol, self.user(user), session)
         made.begin()
         return made, session
 
@@ -258,7 +258,7 @@
             if made.busy:
                 made.work()
                 continue
-            self.managing.end_of_turn(self.loop.now)
+            self.management.end_of_turn(self.loop.now)
             if not made.busy:
                 return
         raise AssertionError("it never ends")
