--- a/granitespool/planner/exclusion.py
+++ b/granitespool/planner/exclusion.py
@@ -68,6 +68,8 @@
         waiting_time = self._longest_wait(now)
         if waiting_time >= COLLECT_GRACE_SHARE * self._grace:
             self.told_at = now
+        if not self._dirty.absent:
+            return
         assignment_cost = self._assignment_cost(entries_per_proxy)
         late = self._budget.account.time_to_send(assignment_cost) > GRACE_SHARE * (
             self.settings.drain_grace or 0
--- a/granitespool/planner/publication.py
+++ b/granitespool/planner/publication.py
@@ -115,7 +115,8 @@
         if candidates and candidates[0].is_rule:
             # A proxy that waits since before the oldest drain is due before it
             self._assignment.assign_next(current.now, candidates[0].due_since)
-        self._prepare(current, candidates)
+        if candidates:
+            self._prepare(current, candidates)
         for candidate in candidates:
             self._consider(current, candidate)
         if current.is_complete:
