--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -121,7 +121,7 @@
 
 def updates(update: ProxyUpdate) -> bytes:
     """The frames of one message to a proxy."""
-    parts = [*_table_parts(update.tables), *_level_parts(update.levels)]
+    parts: list[Message] = [*_table_parts(update.tables), *_level_parts(update.levels)]
     if not parts:
         parts.append({"type": UPDATE})
     assert len(parts) <= PARTS, len(parts)
@@ -137,7 +137,7 @@
     return b"".join(map(frame, parts))
 
 
-def _table_parts(tables: Iterable[TableUpdate]) -> Iterator[dict[str, Any]]:
+def _table_parts(tables: Iterable[TableUpdate]) -> Iterator[Message]:
     for table in tables:
         lines = list(table.entries.items())
         for start in range(0, len(lines) or 1, PART_LINES):
@@ -149,7 +149,7 @@
             yield part
 
 
-def _level_parts(levels: Iterable[LevelUpdate]) -> Iterator[dict[str, Any]]:
+def _level_parts(levels: Iterable[LevelUpdate]) -> Iterator[Message]:
     for level in levels:
         part: Message = {"type": UPDATE, "level": level.share, "retry": level.retries}
         if level.classes is not None:
