--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -16,7 +16,7 @@
 from bench.capacity.wire import MESSAGE_HEAD, PACE, row_of, wire_settings
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
-from granitespool.net.frames import HEAD, parsed, updates
+from granitespool.net.frames import LENGTH_SIZE, parsed, updates
 from granitespool.outgoing import HealthCheckRequest, InternalError, ProxyUpdate, Queue
 from granitespool.planner.events import (
     Acknowledged,
@@ -57,9 +57,9 @@
     """Table entries of one message as the protocol counts them, without its head."""
     entries = 0
     while data:
-        size = int.from_bytes(data[:HEAD], "little")
-        part = orjson.loads(data[HEAD : HEAD + size])
-        data = data[HEAD + size :]
+        size = int.from_bytes(data[:LENGTH_SIZE], "little")
+        part = orjson.loads(data[LENGTH_SIZE : LENGTH_SIZE + size])
+        data = data[LENGTH_SIZE + size :]
         entries += sum(len(part.get(key, ())) for key in ("lines", "out", "back"))
         entries += sum(key in part for key in ("whole", "level", "ticket"))
     return entries
@@ -162,7 +162,7 @@
     def bring(self, frames: Sequence[bytes]) -> None:
         """Reads frames of reports and reports them, as the streams do."""
         began = time.process_time_ns()
-        messages = [parsed(body[HEAD:]) for body in frames]
+        messages = [parsed(body[LENGTH_SIZE:]) for body in frames]
         self.read_ns += time.process_time_ns() - began
         self.read_bytes += sum(map(len, frames))
         events = [event_of(message) for message in messages]
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -18,7 +18,7 @@
 from granitespool.net.buffers import Pool
 from granitespool.net.client import dial, receive, send
 from granitespool.net.config import Address, address
-from granitespool.net.frames import LARGEST, Message, Reader, frame
+from granitespool.net.frames import MESSAGE_MAX, Message, Reader, frame
 from granitespool.net.loop import IN, SECOND, Loop, Waits
 
 CONFIG_PATH = Path(__file__).parent / "config.json"
@@ -144,14 +144,14 @@
 
     def exchange(self, sock: socket.socket) -> Waits:
         """Reads orders and writes reports; raises OSError where the coordinator ends the stream."""
-        reader = Reader(Pool(BUFFERS), LARGEST)
+        reader = Reader(Pool(BUFFERS), MESSAGE_MAX)
         reported_at = self.loop.now
         while self.elapsed < END_AT:
             if self.loop.now - reported_at >= REPORT_PERIOD:
                 reported_at = self.loop.now
                 yield from send(sock, b"".join(self.reports()), None)
             if (yield sock.fileno(), IN, reported_at + REPORT_PERIOD):
-                view = reader.room()
+                view = reader.free_space()
                 assert view is not None, "a second's orders fit into the buffers"
                 size = sock.recv_into(view)
                 if not size:
--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -5,7 +5,7 @@
 
 from granitespool.errors import InvalidInputError
 from granitespool.net.connection import Connection, Role
-from granitespool.net.frames import LARGEST
+from granitespool.net.frames import MESSAGE_MAX
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop
 
@@ -47,7 +47,7 @@
             raise InvalidInputError("no place is free here")
         del self.pending[connection]
         connection.role = role
-        connection.reader.largest = LARGEST
+        connection.reader.message_max = MESSAGE_MAX
 
     def end_pending(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
         """Ends the oldest pending connection that may give way, and returns whether there was one.
@@ -80,4 +80,4 @@
 
 
 def _may_give_way(connection: Connection, requester: Connection | None, holds_buffer: bool) -> bool:
-    return connection is not requester and bool(connection.reader.chain or not holds_buffer)
+    return connection is not requester and bool(connection.reader.buffers or not holds_buffer)
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -55,19 +55,24 @@
     buffers: int  # receive buffers
 
 
-class Configuration(Quotas):
+class WatchConfiguration(TypedDict):
+    """What the watch of the endpoint list needs."""
+
+    discovery: Address
+    known: dict[str, Any]  # a message of the endpoint list, in discovery's form
+
+
+class Configuration(Quotas, WatchConfiguration):
     """What the service is told."""
 
     name: str
     listen: Address
-    discovery: Address
     seed: int
     limits: Limits
     limits_told: Limits  # as the file has them, whatever managers have changed since
     peer_listen: Address | None
     peers: list[Address]
     peers_all: Address | None
-    known: dict[str, Any]  # a message of the endpoint list, in discovery's form
     settings: Settings
     operator: NotRequired["Operator | None"]  # the operator's settings, where the program was given some
 
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -6,18 +6,16 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 import h11
 import orjson
 
-from granitespool.coordinator import Coordinator
 from granitespool.endpoints import SOCKET_ENTRY, Endpoint, endpoint_from_wire
 from granitespool.errors import GranitespoolError, InvalidInputError
 from granitespool.fields import required_field, required_number
 from granitespool.net.client import dial, http_get, receive
-from granitespool.net.config import Address, Configuration, address
-from granitespool.net.log import Log
+from granitespool.net.config import Address, WatchConfiguration, address
 from granitespool.net.loop import SECOND, Loop, Waits
 from granitespool.planner.events import EndpointListUpdate, ListForm
 from granitespool.units import MILLISECOND
@@ -39,6 +37,23 @@
     """The watch of the list is over and is dialled again; the text says why."""
 
 
+class ListReceiver(Protocol):
+    """Whom the messages of the list are reported to."""
+
+    def report(self, now: int, update: EndpointListUpdate, /) -> None:
+        """Takes a message of the list; `now` in ns."""
+
+
+class EventLog(Protocol):
+    """What the watch writes its events to."""
+
+    def event(self, name: str, /, **fields: object) -> None:
+        """Writes an event."""
+
+    def often(self, name: str, /, **fields: object) -> None:
+        """Writes an event that peers can cause at will."""
+
+
 class WatchPosition:
     """The version that a watch asks from: the one before the first entry that could not be read.
 
@@ -76,9 +91,9 @@
     def __init__(
         self,
         loop: Loop,
-        coordinator: Coordinator,
-        log: Log,
-        config: Configuration,
+        coordinator: ListReceiver,
+        log: EventLog,
+        config: WatchConfiguration,
         uniform: Callable[[float, float], float],
     ) -> None:
         """`uniform` draws the jitter of the backoff.
@@ -99,7 +114,7 @@
         self.handle_message(config["known"])
         self.task = loop.spawn(self._run())
 
-    def new_config(self, config: Configuration) -> None:
+    def new_config(self, config: WatchConfiguration) -> None:
         """Watches at the new address, from the version that is held; the list stays meanwhile."""
         if config["discovery"] != self.agent:
             self.agent = config["discovery"]
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -13,10 +13,10 @@
 from granitespool.net.buffers import Pool
 from granitespool.outgoing import LevelUpdate, ProxyUpdate, TableUpdate
 
-LARGEST = 1 << 20  # bytes of a message at most: the protocol's
-PARTS = 64  # parts of a message at most: the protocol's
-PART_LINES = 2048  # entries in one part: 500 bytes an entry keep it under the largest message
-HEAD = 4  # bytes of length
+MESSAGE_MAX = 1 << 20  # bytes of a message at most: the protocol's
+PARTS_MAX = 64  # parts of a message at most: the protocol's
+ENTRIES_PER_PART = 2048  # entries in one part: 500 bytes an entry keep it under the largest message
+LENGTH_SIZE = 4  # bytes of length
 UPDATE = "update"  # type of a message to a proxy
 UNTYPED = ""  # type of a message that is no object, or has no type that can be read
 
@@ -26,7 +26,7 @@
 def frame(message: Message) -> bytes:
     """One message as bytes."""
     body = orjson.dumps(message)
-    return len(body).to_bytes(HEAD, "little") + body
+    return len(body).to_bytes(LENGTH_SIZE, "little") + body
 
 
 PONG = frame({"type": "pong"})
@@ -48,54 +48,54 @@
 class Reader:
     """The bytes that one peer has sent and that are not read yet; owns the buffers it took from the pool."""
 
-    def __init__(self, pool: Pool, largest: int) -> None:
-        """`largest` is the bytes of a message at most, for now."""
+    def __init__(self, pool: Pool, message_max: int) -> None:
+        """`message_max` is the bytes of a message at most, for now."""
         self.pool = pool
-        self.largest = largest
-        self.chain: list[tuple[bytearray, int]] = []  # buffers, and how much of each is filled
-        self.first = 0  # offset in the first buffer
-        self.have = 0  # bytes
+        self.message_max = message_max
+        self.buffers: list[tuple[bytearray, int]] = []  # buffers, and how much of each is filled
+        self.offset = 0  # offset in the first buffer
+        self.available = 0  # bytes
 
-    def room(self) -> memoryview | None:
+    def free_space(self) -> memoryview | None:
         """Where to receive into, or None when the pool has no buffer left."""
-        if not self.chain or self.chain[-1][1] == self.pool.size:
+        if not self.buffers or self.buffers[-1][1] == self.pool.size:
             buffer = self.pool.take()
             if buffer is None:
                 return None
-            self.chain.append((buffer, 0))
-        buffer, filled = self.chain[-1]
+            self.buffers.append((buffer, 0))
+        buffer, filled = self.buffers[-1]
         return memoryview(buffer)[filled:]
 
     def received(self, size: int) -> None:
-        """Notes that so many bytes were received into the view of `room`."""
-        buffer, filled = self.chain[-1]
-        self.chain[-1] = (buffer, filled + size)
-        self.have += size
+        """Notes that so many bytes were received into the view of `free_space`."""
+        buffer, filled = self.buffers[-1]
+        self.buffers[-1] = (buffer, filled + size)
+        self.available += size
 
     def messages(self) -> Iterator[Message]:
         """The messages that are complete; raises InvalidInputError for a frame that is not the protocol's."""
-        while self.have >= HEAD:
-            size = int.from_bytes(self._bytes(HEAD), "little")
-            if size > self.largest:
+        while self.available >= LENGTH_SIZE:
+            size = int.from_bytes(self._bytes(LENGTH_SIZE), "little")
+            if size > self.message_max:
                 raise InvalidInputError(f"a message of {size} bytes is over the limit")
-            if self.have < HEAD + size:
+            if self.available < LENGTH_SIZE + size:
                 return
-            self._skip(HEAD)
+            self._skip(LENGTH_SIZE)
             body = self._bytes(size)
             self._skip(size)
             yield _typed(parsed(body))
 
     def close(self) -> None:
         """Gives back all buffers."""
-        while self.chain:
-            self.pool.give(self.chain.pop()[0])
-        self.first = 0
-        self.have = 0
+        while self.buffers:
+            self.pool.give(self.buffers.pop()[0])
+        self.offset = 0
+        self.available = 0
 
     def _bytes(self, size: int) -> bytes:
         pieces = []
-        first = self.first
-        for buffer, filled in self.chain:
+        first = self.offset
+        for buffer, filled in self.buffers:
             piece = memoryview(buffer)[first : min(filled, first + size)]
             pieces.append(piece)
             size -= len(piece)
@@ -105,11 +105,11 @@
         return b"".join(pieces)
 
     def _skip(self, size: int) -> None:
-        self.first += size
-        self.have -= size
-        while self.chain and self.first >= self.chain[0][1]:
-            buffer, filled = self.chain.pop(0)
-            self.first -= filled
+        self.offset += size
+        self.available -= size
+        while self.buffers and self.offset >= self.buffers[0][1]:
+            buffer, filled = self.buffers.pop(0)
+            self.offset -= filled
             self.pool.give(buffer)
 
 
@@ -124,7 +124,7 @@
     parts: list[Message] = [*_table_parts(update.tables), *_level_parts(update.levels)]
     if not parts:
         parts.append({"type": UPDATE})
-    assert len(parts) <= PARTS, len(parts)
+    assert len(parts) <= PARTS_MAX, len(parts)
     last = parts[-1]
     if update.excluded:
         last["out"] = update.excluded
@@ -140,8 +140,8 @@
 def _table_parts(tables: Iterable[TableUpdate]) -> Iterator[Message]:
     for table in tables:
         lines = list(table.entries.items())
-        for start in range(0, len(lines) or 1, PART_LINES):
-            part: Message = {"type": UPDATE, "lines": lines[start : start + PART_LINES]}
+        for start in range(0, len(lines) or 1, ENTRIES_PER_PART):
+            part: Message = {"type": UPDATE, "lines": lines[start : start + ENTRIES_PER_PART]}
             if table.classes is not None:
                 part["classes"] = table.classes
             if table.complete and start == 0:
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -178,7 +178,7 @@
             try:
                 size = connection.sock.recv_into(view)
             except BlockingIOError:
-                if not reader.have:
+                if not reader.available:
                     reader.close()
                 return True
             if not size:
@@ -194,12 +194,12 @@
 
     def _buffer(self, connection: Connection) -> memoryview:
         """Where to receive into; another connection may give way for it."""
-        view = connection.reader.room()
+        view = connection.reader.free_space()
         if view is None and (
             self.admission.end_pending(connection, holds_buffer=True)
             or self.admission.end_collector(connection, holds_buffer=True)
         ):
-            view = connection.reader.room()
+            view = connection.reader.free_space()
         if view is None:
             connection.ended_by_us = True
             raise InvalidInputError("no buffer is free for its message")
--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from granitespool.net.client import dial, receive, send
-from granitespool.net.frames import HEAD
+from granitespool.net.frames import LENGTH_SIZE
 from granitespool.net.loop import Loop
 from granitespool.scale import fleet
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint
@@ -133,7 +133,7 @@
             yield from dial(sock, self.endpoint.address, until)
             yield from send(sock, question, until)
             answer = b""
-            while len(answer) < HEAD or len(answer) < HEAD + int.from_bytes(answer[:HEAD], "little"):
+            while not _is_whole(answer):
                 data = yield from receive(sock, until)
                 if not data:
                     return b""
@@ -181,3 +181,10 @@
         found = sample(self.child.pid, self.loop.clock()) if self.child else None
         if found:
             self.samples.append(found)
+
+
+def _is_whole(frame: bytes) -> bool:
+    """Whether a frame has come to its end."""
+    return len(frame) >= LENGTH_SIZE and len(frame) >= LENGTH_SIZE + int.from_bytes(
+        frame[:LENGTH_SIZE], "little"
+    )
--- a/granitespool/scale/hollow/connection.py
+++ b/granitespool/scale/hollow/connection.py
@@ -5,7 +5,7 @@
 
 from granitespool.errors import InvalidInputError
 from granitespool.net.buffers import Pool
-from granitespool.net.frames import LARGEST, Reader
+from granitespool.net.frames import MESSAGE_MAX, Reader
 from granitespool.net.loop import Loop, Task
 
 READ_LIMIT = 256 * 1024  # bytes read from one connection in one turn
@@ -17,11 +17,17 @@
     def __init__(self, loop: Loop, sock: socket.socket, pool: Pool) -> None:
         self.loop = loop
         self.sock = sock
-        self.reader = Reader(pool, LARGEST)
+        self.reader = Reader(pool, MESSAGE_MAX)
         self.unsent = b""
         self.proxy: int | None = None
         self.task: Task | None = None
-        self.reading = False  # its coroutine is running: it must not be poked
+        self.reading = False  # its coroutine is running: it must not be resumed
+
+    @property
+    def running(self) -> Task:
+        """Its coroutine, from the first wait on."""
+        assert self.task is not None
+        return self.task
 
     def write(self, data: bytes) -> None:
         """Sends what can be sent; the coroutine sends the rest."""
@@ -32,7 +38,7 @@
             sent = 0
         self.unsent = data[sent:]
         if self.unsent and not self.reading:
-            self.loop.resume(self.task)
+            self.loop.resume(self.running)
 
     def read(self, handle: Callable[["Connection"], None]) -> bool:
         """Reads what is there and has `handle` take the messages; False once the other side has ended.
@@ -41,7 +47,7 @@
         total = 0
         self.reading = True
         while total < READ_LIMIT:
-            view = self.reader.room()
+            view = self.reader.free_space()
             if view is None:
                 raise InvalidInputError("no buffer is free for its message")
             try:
@@ -53,7 +59,7 @@
             total += size
             self.reader.received(size)
             handle(self)
-        if not self.reader.have:
+        if not self.reader.available:
             self.reader.close()
         return True
 
--- a/granitespool/scale/hollow/coordinator.py
+++ b/granitespool/scale/hollow/coordinator.py
@@ -21,6 +21,7 @@
 from granitespool.errors import InvalidInputError
 from granitespool.fields import required_number
 from granitespool.net.buffers import Pool
+from granitespool.net.config import WatchConfiguration
 from granitespool.net.discovery import Discovery
 from granitespool.net.frames import PONG, UNTYPED
 from granitespool.net.loop import IN, OUT, Loop
@@ -43,7 +44,7 @@
 READ_KINDS = frozenset(("ping", "joined", "collector", "heard", "usage", "applied"))
 NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 ANY_ADDRESS = ""  # stands for all names in a watch that keeps none
-EMPTY_LIST = {"index": 0, "endpoints": []}  # the list of a configuration that names nobody
+EMPTY_LIST: dict[str, Any] = {"index": 0, "endpoints": []}  # the list of a configuration that names nobody
 
 
 class _WatchLog:
@@ -52,7 +53,7 @@
     def __init__(self, counts: Counts) -> None:
         self.counts = counts
 
-    def event(self, event: str, **_: object) -> None:
+    def event(self, event: str, /, **_: object) -> None:
         """Takes one line of the log."""
         self.counts.watches_ended += event == "watch_ended"
 
@@ -64,7 +65,7 @@
 
     def __init__(self, coordinator: "HollowCoordinator", discovery: tuple[str, int], seed: str) -> None:
         self.counts = coordinator.counts
-        config = {"discovery": discovery, "known": EMPTY_LIST}
+        config: WatchConfiguration = {"discovery": discovery, "known": EMPTY_LIST}
         log = _WatchLog(coordinator.counts)
         super().__init__(coordinator.loop, coordinator, log, config, Random(seed).uniform)
 
@@ -103,7 +104,7 @@
 
     def close(self) -> None:
         """Ends the watch, the listening and all connections."""
-        tasks = [self.watch.task, *self.tasks, *(each.task for each in self.connections)]
+        tasks = [self.watch.task, *self.tasks, *(each.running for each in self.connections)]
         for task in tasks:
             self.loop.end(task)
 
@@ -213,7 +214,7 @@
                 connection.reading = False
                 events = yield sock.fileno(), IN | (OUT if connection.unsent else 0), None
         except InvalidInputError:
-            self.counts.add_received("unreadable", connection.reader.have)
+            self.counts.add_received("unreadable", connection.reader.available)
         except OSError:
             pass  # reset by the other side
         finally:
@@ -229,15 +230,15 @@
     def _handle(self, connection: Connection) -> None:
         """Takes the complete messages of what was read; raises InvalidInputError where one cannot be read."""
         reader = connection.reader
-        before = reader.have
+        before = reader.available
         for message in reader.messages():
             kind = message["type"]
             if kind == UNTYPED:
                 raise InvalidInputError("a message is not an object with a type")
             if kind == "joined":
                 self._join(connection, message)
-            self.counts.add_received(kind if kind in READ_KINDS else "other", before - reader.have)
-            before = reader.have
+            self.counts.add_received(kind if kind in READ_KINDS else "other", before - reader.available)
+            before = reader.available
             if kind == "ping":
                 self.counts.add_sent("pong", len(PONG))
                 connection.write(PONG)
@@ -248,7 +249,7 @@
         connection.proxy = proxy
         self.proxies[proxy] = connection
         if former and former is not connection:
-            self.loop.end(former.task)
+            self.loop.end(former.running)
         if self.states.any_ready():
             self._write_first_table(connection)
         else:
--- a/granitespool/scale/hollow/messages.py
+++ b/granitespool/scale/hollow/messages.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from granitespool.net.frames import HEAD
+from granitespool.net.frames import LENGTH_SIZE
 from granitespool.scale.hollow.profile import Parts
 
 Entry = list[str | float]  # backend and weight, as the wire has it
@@ -24,8 +24,8 @@
             fields["more"] = True
         else:
             fields["ticket"] = ticket
-        body, rest = _fill(size - HEAD, fields, rest)
-        frames.append(len(body).to_bytes(HEAD, "little") + body)
+        body, rest = _fill(size - LENGTH_SIZE, fields, rest)
+        frames.append(len(body).to_bytes(LENGTH_SIZE, "little") + body)
     return b"".join(frames)
 
 
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -14,7 +14,7 @@
 from granitespool.errors import InvalidInputError
 from granitespool.net.buffers import Pool
 from granitespool.net.client import dial, send
-from granitespool.net.frames import HEAD, LARGEST, Reader, frame
+from granitespool.net.frames import LENGTH_SIZE, MESSAGE_MAX, Reader, frame
 from granitespool.net.loop import IN, Loop, Task
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint
 from granitespool.scale.coroutines import Wait
@@ -145,7 +145,7 @@
         self._record_table()
         self.joined = True
         self.recorder.add(ProxyJoined(at=self.loop.clock(), proxy=self.number, coordinator=endpoint.name))
-        reader = Reader(Pool(BUFFERS), LARGEST)
+        reader = Reader(Pool(BUFFERS), MESSAGE_MAX)
         try:
             yield from self._serve(sock, endpoint, reader)
         finally:
@@ -184,7 +184,9 @@
                 yield from self._report_usage(sock, endpoint)
             if not events:
                 continue
-            size = sock.recv_into(reader.room())
+            view = reader.free_space()
+            assert view is not None, "the pool is as large as any message"
+            size = sock.recv_into(view)
             if not size:
                 return
             reader.received(size)
@@ -200,10 +202,10 @@
         arrivals: deque[_Arrival],
     ) -> IncomingMessage:
         """Takes the parts that were read; returns the message that the next part belongs to."""
-        before = reader.have
+        before = reader.available
         for part in reader.messages():
-            size = before - reader.have
-            before = reader.have
+            size = before - reader.available
+            before = reader.available
             endpoint.recorder.count(endpoint.name, "out", str(part["type"]), size)
             if part["type"] != "update":
                 continue
@@ -226,7 +228,7 @@
                 proxy=self.number,
                 entries=message.entries,
                 parts=len(message.sizes),
-                largest_part=max(message.sizes) - HEAD,
+                largest_part=max(message.sizes) - LENGTH_SIZE,
             )
         )
         received = UpdateReceived(at=now, proxy=self.number, parts=tuple(message.sizes))
--- a/granitespool/scale/questions.py
+++ b/granitespool/scale/questions.py
@@ -3,7 +3,7 @@
 import orjson
 
 from granitespool.errors import InvalidInputError
-from granitespool.net.frames import HEAD, frame
+from granitespool.net.frames import LENGTH_SIZE, frame
 
 NO_ZONE = "-"  # a zone that no coordinator knows
 
@@ -24,7 +24,7 @@
     """Whether the rejection shows that the proxy's number was allowed.
 
     Raises InvalidInputError where it is no rejection."""
-    message = orjson.loads(answer[HEAD:])
+    message = orjson.loads(answer[LENGTH_SIZE:])
     if message.get("type") != "refused":
         raise InvalidInputError(f"the answer to a settings question is {message!r:.60}")
     return "unknown proxy" not in message["why"]
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -11,7 +11,7 @@
 import orjson
 
 from granitespool.coordinator import Coordinator
-from granitespool.net.frames import HEAD, updates
+from granitespool.net.frames import LENGTH_SIZE, updates
 from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner.events import (
     Acknowledged,
@@ -79,9 +79,9 @@
     """The size of one message from its frames."""
     entries = parts = 0
     while data:
-        size = int.from_bytes(data[:HEAD], "little")
-        part = orjson.loads(data[HEAD : HEAD + size])
-        data = data[HEAD + size :]
+        size = int.from_bytes(data[:LENGTH_SIZE], "little")
+        part = orjson.loads(data[LENGTH_SIZE : LENGTH_SIZE + size])
+        data = data[LENGTH_SIZE + size :]
         entries += sum(len(part.get(key, ())) for key in ("lines", "out", "back"))
         entries += sum(key in part for key in ("whole", "level", "ticket"))
         parts += 1
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from granitespool.coordinator import Coordinator
-from granitespool.net.frames import HEAD, updates
+from granitespool.net.frames import LENGTH_SIZE, updates
 from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult, LoadReport
 from granitespool.scale.trace import (
@@ -277,7 +277,7 @@
     """Bytes of the largest part of a message, without the length before it."""
     largest = at = 0
     while at < len(data):
-        size = int.from_bytes(data[at : at + HEAD], "little")
+        size = int.from_bytes(data[at : at + LENGTH_SIZE], "little")
         largest = max(largest, size)
-        at += HEAD + size
+        at += LENGTH_SIZE + size
     return largest
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -13,7 +13,7 @@
 
 from granitespool.net.buffers import Pool
 from granitespool.net.config import quotas
-from granitespool.net.frames import HEAD, LARGEST, Reader, frame
+from granitespool.net.frames import LENGTH_SIZE, MESSAGE_MAX, Reader, frame
 from granitespool.net.loop import SECOND, Loop
 from granitespool.net.service import Service
 from granitespool.scale.hollow.coordinator import HollowCoordinator
@@ -137,7 +137,7 @@
             self.readers[proxy].close()
             self.parts.pop(proxy, None)
         sock = self.proxies[proxy] = self.connect()
-        self.readers[proxy] = Reader(self.pool, LARGEST)
+        self.readers[proxy] = Reader(self.pool, MESSAGE_MAX)
         self.events.append(ProxyJoined(at=self.now, proxy=proxy, coordinator="c"))
         self.say(sock, type="joined", node=proxy, locality=ZONE, w=5.0, cold=True)
 
@@ -166,16 +166,16 @@
         for proxy, sock in self.proxies.items():
             reader = self.readers[proxy]
             try:
-                size = sock.recv_into(reader.room())
+                size = sock.recv_into(reader.free_space())
             except BlockingIOError:
                 continue
             assert size, f"the stream of proxy {proxy} was ended"
             moved = True
             reader.received(size)
-            before = reader.have
+            before = reader.available
             for message in reader.messages():
-                self._part(proxy, message, before - reader.have)
-                before = reader.have
+                self._part(proxy, message, before - reader.available)
+                before = reader.available
         return moved
 
     def _watched(self):
@@ -378,7 +378,7 @@
     "data",
     [
         b"\x04\0\0\0abcd",
-        (LARGEST + 1).to_bytes(HEAD, "little"),
+        (MESSAGE_MAX + 1).to_bytes(LENGTH_SIZE, "little"),
         frame([]),
         frame({"no": "type"}),
         frame({"type": "joined", "locality": ZONE}),
@@ -466,8 +466,8 @@
     lines = [[f"s{number}", 1.0] for number in range(500)]
     data = update_of((900, 400, 300), lines, True, 7)
     assert len(data) == 1600
-    reader = Reader(Pool(4), LARGEST)
-    reader.room()[: len(data)] = data
+    reader = Reader(Pool(4), MESSAGE_MAX)
+    reader.free_space()[: len(data)] = data
     reader.received(len(data))
     first, second, last = reader.messages()
     assert first["whole"]
