--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -179,7 +179,7 @@
         coordinator = self.coordinator
         began = time.process_time_ns()
         coordinator.tick(self.now)
-        proxies = [party for party in coordinator.parties() if isinstance(party, int)]
+        proxies = [party for party in coordinator.recipients() if isinstance(party, int)]
         messages = [(proxy, coordinator.pick(proxy)) for proxy in proxies]
         self.planned_ns += time.process_time_ns() - began
         for proxy, message in messages:
--- a/bench/state.py
+++ b/bench/state.py
@@ -123,7 +123,7 @@
         fleet.report(coordinator, now)
         for half in (now, now + SECOND // 2):
             coordinator.tick(half)
-            for party in coordinator.parties():
+            for party in coordinator.recipients():
                 while coordinator.pick(party) is not None:
                     pass
             names = list(coordinator.listed())
--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -1,9 +1,9 @@
-"""The way in to the decisions: report what has happened, tick the time, pick what is next for a party.
+"""The way in to the decisions: report what has happened, tick the time, pick what is next for a recipient.
 
     coordinator.report(now, LoadReport(...))        # any number of events, all with the turn's one time
     due = coordinator.tick(now)                     # ends the turn; the time at which it is next due
-    for party in coordinator.parties():             # who has something waiting
-        message = coordinator.pick(party)           # None once there is nothing
+    for recipient in coordinator.recipients():      # who has something waiting
+        message = coordinator.pick(recipient)       # None once there is nothing
 
 What is reported in one turn is one batch, and what the planner orders on it is one message for each proxy.
 Messages that were not picked yet merge with later ones: the last weight counts, and the last barrier stands
@@ -32,9 +32,9 @@
     HealthCheckRequest,
     InternalError,
     OutgoingMessage,
-    Party,
     ProxyUpdate,
     Queue,
+    Recipient,
 )
 from granitespool.planner.admission_levels import AdmissionLevel
 from granitespool.planner.events import EndpointListUpdate, Event, LoadReport, ProxyJoined, ProxyLeft
@@ -55,7 +55,7 @@
 
 
 class Coordinator:
-    """A planner, the actions that it takes, and what waits for each party.
+    """A planner, the actions that it takes, and what waits for each recipient.
 
     The methods from `set_entry` on are the planner's actions (`granitespool.planner.actions`).
     """
@@ -132,33 +132,33 @@
         except Exception:
             self.log(traceback.format_exc())
 
-    def parties(self) -> list[Party]:
+    def recipients(self) -> list[Recipient]:
         """Return who has something waiting: proxies first."""
         return [*self.updates.waiting, *(queue for queue, messages in self.queues.items() if messages)]
 
     @overload
-    def pick(self, party: int) -> ProxyUpdate | None: ...
+    def pick(self, recipient: int) -> ProxyUpdate | None: ...
 
     @overload
-    def pick(self, party: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
+    def pick(self, recipient: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
 
     @overload
-    def pick(self, party: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
+    def pick(self, recipient: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
 
     @overload
-    def pick(self, party: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
+    def pick(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
 
     @overload
-    def pick(self, party: Literal[Queue.FORGOTTEN]) -> ForgottenBackend | None: ...
+    def pick(self, recipient: Literal[Queue.FORGOTTEN]) -> ForgottenBackend | None: ...
 
     @overload
-    def pick(self, party: Party) -> OutgoingMessage | None: ...
+    def pick(self, recipient: Recipient) -> OutgoingMessage | None: ...
 
-    def pick(self, party: Party) -> OutgoingMessage | None:
-        """Return what is next for a party: a proxy's update or the next of a queue; None without any."""
-        if not isinstance(party, Queue):
-            return self.updates.pick(party)
-        messages = self.queues[party]
+    def pick(self, recipient: Recipient) -> OutgoingMessage | None:
+        """Return what is next for a recipient: a proxy's update or the next of a queue; None without any."""
+        if not isinstance(recipient, Queue):
+            return self.updates.pick(recipient)
+        messages = self.queues[recipient]
         return messages.popleft() if messages else None
 
     # Settings
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -11,7 +11,7 @@
 from granitespool.emulator.channel import BATCH_TIME, Channel
 from granitespool.emulator.clock import VirtualClock
 from granitespool.endpoints import Endpoint, Phase
-from granitespool.outgoing import HealthCheckRequest, InternalError, OutgoingMessage, Party, ProxyUpdate
+from granitespool.outgoing import HealthCheckRequest, InternalError, OutgoingMessage, ProxyUpdate, Recipient
 from granitespool.planner.events import (
     Acknowledged,
     EndpointListUpdate,
@@ -166,9 +166,9 @@
 
     def _turn(self, coordinator: Coordinator) -> None:
         due = coordinator.tick(self.clock.now)
-        for party in coordinator.parties():
-            while (message := coordinator.pick(party)) is not None:
-                self._handle(party, message)
+        for recipient in coordinator.recipients():
+            while (message := coordinator.pick(recipient)) is not None:
+                self._handle(recipient, message)
         if due is not None and self._is_sooner(due):
             self._next_wake = due
             self.clock.at(max(due, self.clock.now + 1), self._wake, self.incarnation)
@@ -178,13 +178,13 @@
         scheduled = self._next_wake
         return scheduled is None or due < scheduled or scheduled <= self.clock.now
 
-    def _handle(self, party: Party, message: OutgoingMessage) -> None:
+    def _handle(self, recipient: Recipient, message: OutgoingMessage) -> None:
         if isinstance(message, HealthCheckRequest):
             self._check_health(message.backend)
         elif isinstance(message, InternalError):
             self.internal_errors.append(message.text)
-        elif isinstance(party, int) and isinstance(message, ProxyUpdate):
-            self._send(self.proxies[party], message)
+        elif isinstance(recipient, int) and isinstance(message, ProxyUpdate):
+            self._send(self.proxies[recipient], message)
 
     def _check_health(self, name: str) -> None:
         dead = self.backends[name].fault.dead
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -27,8 +27,8 @@
     GossipMessage,
     InternalError,
     OutgoingMessage,
-    Party,
     Queue,
+    Recipient,
 )
 
 if TYPE_CHECKING:
@@ -180,8 +180,8 @@
         due: int | None = self.coordinator.tick(now)
         if self.management and (other := self.management.due()) is not None:
             due = other if due is None else min(due, other)
-        for party in self.coordinator.parties():
-            self._contained(self._write, party)
+        for recipient in self.coordinator.recipients():
+            self._contained(self._write, recipient)
         if self.metrics:
             self.metrics.turn_ended(now)
         self.log.flush()
@@ -204,14 +204,14 @@
             "reloaded", discovery=address_text(config["discovery"]), restart_required=restart_required
         )
 
-    def _write(self, party: Party) -> None:
-        """Hands what waits for a party to the part that writes it."""
-        if isinstance(party, int):
-            self.streams.send(party)
-        elif party is Queue.HEALTH_CHECKS:
+    def _write(self, recipient: Recipient) -> None:
+        """Hands what waits for a recipient to the part that writes it."""
+        if isinstance(recipient, int):
+            self.streams.send(recipient)
+        elif recipient is Queue.HEALTH_CHECKS:
             self.health_checks.start()  # which takes as many as its limit permits
         else:
-            while (message := self.coordinator.pick(party)) is not None:
+            while (message := self.coordinator.pick(recipient)) is not None:
                 self._handle(message)
 
     def _handle(self, message: OutgoingMessage) -> None:
--- a/granitespool/outgoing.py
+++ b/granitespool/outgoing.py
@@ -68,4 +68,4 @@
 
 
 OutgoingMessage = ProxyUpdate | HealthCheckRequest | GossipMessage | InternalError | ForgottenBackend
-Party = int | Queue  # a proxy by its number, or a queue
+Recipient = int | Queue  # a proxy by its number, or a queue
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -333,7 +333,7 @@
 
     def tick(self, now, due, parties):
         assert self.coordinator.tick(now) == due
-        found = self.coordinator.parties()
+        found = self.coordinator.recipients()
         assert [QUEUES.get(party, party) for party in found] == parties
 
     def pick(self, party, message):
--- a/tests/twins.py
+++ b/tests/twins.py
@@ -160,7 +160,7 @@
         for each in self.both:
             each.tick(self.now)
         self.check()
-        for party in self.changed.parties():
+        for party in self.changed.recipients():
             orders = [each.pick(party) for each in self.both]
             while isinstance(party, Queue) and orders[0] is not None:
                 if isinstance(orders[0], HealthCheckRequest):
