--- a/bench/capacity/sweep.py
+++ b/bench/capacity/sweep.py
@@ -197,7 +197,7 @@
     for backends, zones in STATE_POINTS:
         with tempfile.TemporaryDirectory() as folder:
             *_, store = played(folder, backends, zones, STATE_SECONDS)
-        points.append(StatePoint(backends, zones, store.written / STATE_SECONDS))
+        points.append(StatePoint(backends, zones, store.bytes_written / STATE_SECONDS))
     samples = [
         fits.Sample({"backends": float(point.backends), "zones": float(point.zones)}, point.bytes_per_s)
         for point in points
--- a/bench/state.py
+++ b/bench/state.py
@@ -14,17 +14,21 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import NamedTuple
 
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import Endpoint, Phase
-from granitespool.net.loop import Loop
+from granitespool.net.loop import Loop, Waits
 from granitespool.operator_settings import State
 from granitespool.planner.events import EndpointListUpdate, ListForm, LoadReport
 from granitespool.settings import RequestClass, Settings
-from granitespool.state import record, restore_policy
+from granitespool.state import record
 from granitespool.state.disk import StateFolder
-from granitespool.state.record import Clocks
+from granitespool.state.record import Clocks, Header
 from granitespool.state.recovery import Recovery
+from granitespool.state.restore_policy import Identity
 from granitespool.state.snapshotter import Snapshotter
 from granitespool.state.store import Store
 from granitespool.state.writer import read_folder
@@ -36,240 +40,320 @@
 STALL_FOR = 8  # s of each run of `stall`
 BYTES_FOR = 40  # s of each run of `bytes`
 PROGRAM = "bench"
+MEAN = 40_000_000  # ns that an answer takes
+SLOW_MEAN = 3 * MEAN  # ns
+EVERYONE = slice(None)
+PIECES = 50  # parts of a second that reports are spread over in `stall`
+MEMORY_LOOKS = (300, 1200, 2400, 3599)  # s at which `memory` looks
 
 
-def settings(zones):
-    return Settings(
-        zones=[f"z{k}" for k in range(zones)], classes=[RequestClass(name="pay")], warm_up_time=10 * SECOND
-    )
+def settings(zones: int) -> Settings:
+    """The settings of every coordinator here."""
+    return Settings(zones=zone_names(zones), classes=[RequestClass(name="pay")], warm_up_time=10 * SECOND)
 
 
-class Fleet:
-    """Backends that report each second, a third of them slow, one in ten failing by a tenth, means with
-    noise."""
+def zone_names(zones: int) -> list[str]:
+    """Names of so many zones."""
+    return [f"z{number}" for number in range(zones)]
+
+
+class Backend(NamedTuple):
+    """How a backend answers."""
+
+    mean: int  # ns
+    fails: bool  # a tenth of the attempts
+
 
-    def __init__(self, backends, zones, seed=1):
-        self.random, self.zones, self.made = random.Random(seed), [f"z{k}" for k in range(zones)], 0
-        self.names, self.addresses, self.index = {}, {}, 0
+class Fleet:
+    """Backends that report each second: a third slow, one in ten failing by a tenth, means with noise."""
+
+    def __init__(self, backends: int, zones: int, seed: int = 1) -> None:
+        self.random = random.Random(seed)
+        self.zones = zone_names(zones)
+        self.created = 0
+        self.backends: dict[str, Backend] = {}
+        self.addresses: dict[str, tuple[str, int]] = {}
+        self.index = 0
         for _ in range(backends):
             self.add()
 
-    def add(self):
-        name = f"s-{self.made:08x}"
-        self.names[name] = 40_000_000 * (3 if self.made % 3 == 0 else 1), self.made % 10 == 1
+    def add(self) -> str:
+        """Another backend under a new name."""
+        name = f"s-{self.created:08x}"
+        mean = SLOW_MEAN if self.created % 3 == 0 else MEAN
+        self.backends[name] = Backend(mean, fails=self.created % 10 == 1)
         self.addresses[name] = "127.0.0.1", 8081
-        self.made += 1
+        self.created += 1
         return name
 
-    def entry(self, name, phase="ready"):
-        return Endpoint(name, "z0", "m", 0, Phase(phase), 1.0, 0)
+    def entry(self, name: str, phase: Phase = Phase.READY, started_at: int = 0) -> Endpoint:
+        """A backend's entry of the endpoint list."""
+        return Endpoint(name, "z0", "m", 0, phase, 1.0, started_at)
+
+    def tell(self, coordinator: Coordinator, now: int) -> None:
+        """Reports the whole list."""
+        entries = [self.entry(name) for name in self.backends]
+        coordinator.report(now, EndpointListUpdate(ListForm.RESTORED, entries))
+
+    def replace_oldest(self, coordinator: Coordinator, now: int) -> None:
+        """A backend is gone and another one comes."""
+        new = self.add()
+        old = next(iter(self.backends))
+        del self.backends[old]
+        entries = [self.entry(new, started_at=now), self.entry(old, Phase.GONE)]
+        coordinator.report(now, EndpointListUpdate(ListForm.CHANGES, entries))
+
+    def report(self, coordinator: Coordinator, now: int, part: slice = EVERYONE) -> None:
+        """One report of each zone about each backend of this part of the fleet."""
+        for name in list(self.backends)[part]:
+            for zone in self.zones:
+                coordinator.report(now, self._load_report(name, zone))
 
-    def list(self, coordinator, now):
-        coordinator.report(
-            now, EndpointListUpdate(form=ListForm.RESTORED, entries=[self.entry(name) for name in self.names])
-        )
+    def _load_report(self, name: str, zone: str) -> LoadReport:
+        backend = self.backends[name]
+        attempts = self.random.randint(5, 15)
+        failures = sum(self.random.random() < 0.1 for _ in range(attempts)) if backend.fails else 0
+        mean = int(backend.mean * self.random.gauss(1, 0.1))
+        return LoadReport(zone, name, attempts, failures, mean, SECOND, {})
 
-    def report(self, coordinator, now, part=slice(None)):
-        """One report of each zone about each backend."""
-        for name, (mean, fails) in list(self.names.items())[part]:
-            for zone in self.zones:
-                tries = self.random.randint(5, 15)
-                failed = sum(self.random.random() < 0.1 for _ in range(tries)) if fails else 0
-                coordinator.report(
-                    now,
-                    LoadReport(
-                        zone=zone,
-                        backend=name,
-                        attempts=tries,
-                        failures=failed,
-                        mean=int(mean * self.random.gauss(1, 0.1)),
-                        window=SECOND,
-                        load={},
-                    ),
-                )
+
+def memory_mb() -> float:
+    """Resident memory of this process."""
+    pages = int(Path("/proc/self/statm").read_text().split()[1])
+    return pages * os.sysconf("SC_PAGE_SIZE") / MB
 
 
-def memory_mb():
-    with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / MB
+def folder_size(folder: str) -> int:
+    """Bytes of a folder's files."""
+    return sum(entry.stat().st_size for entry in Path(folder).iterdir())
 
 
-def identity(zones):
-    return restore_policy.Identity("n0", ["pay"], [f"z{k}" for k in range(zones)])
+def identity(zones: int) -> Identity:
+    """Whose records these are."""
+    return Identity("n0", ["pay"], zone_names(zones))
 
 
-def header(zones, now):
-    return lambda: record.Header(record.FORMAT_VERSION, *identity(zones), now, 0, 1, PROGRAM)
+def header(zones: int, now: int) -> Callable[[], Header]:
+    """What makes a new file's header."""
+    return lambda: Header(record.FORMAT_VERSION, *identity(zones), now, 0, 1, PROGRAM)
 
 
-def played(folder, backends, zones, seconds, churn=0, look=None):
-    """Plays so many virtual seconds with a sweep each half second; returns (coordinator, fleet, store)."""
-    fleet, coordinator = Fleet(backends, zones), Coordinator(settings(zones), 1, BEGAN)
+class Played(NamedTuple):
+    """What a play leaves."""
+
+    coordinator: Coordinator
+    fleet: Fleet
+    store: Store
+
+
+def played(
+    folder: str,
+    backends: int,
+    zones: int,
+    seconds: int,
+    churn: int = 0,
+    look: Callable[[int], None] | None = None,
+) -> Played:
+    """Plays so many virtual seconds with a sweep each half second.
+
+    `churn`: backends replaced a second; `look` is called with each second's number after it.
+    """
+    fleet = Fleet(backends, zones)
+    coordinator = Coordinator(settings(zones), 1, BEGAN)
     recovery = Recovery(State(folder="x"), identity(zones))
     store = Store(StateFolder(folder), 64 * MB, header(zones, BEGAN))
-    fleet.list(coordinator, BEGAN)
+    fleet.tell(coordinator, BEGAN)
     for second in range(seconds):
         now = BEGAN + second * SECOND
         for _ in range(churn):
-            new, old = fleet.add(), next(iter(fleet.names))
-            del fleet.names[old]
-            coordinator.report(
-                now,
-                EndpointListUpdate(
-                    form=ListForm.CHANGES,
-                    entries=[{**fleet.entry(new), "started": now}, fleet.entry(old, "gone")],
-                ),
-            )
+            fleet.replace_oldest(coordinator, now)
         fleet.report(coordinator, now)
         for half in (now, now + SECOND // 2):
-            coordinator.tick(half)
-            for party in coordinator.recipients():
-                while coordinator.pick(party) is not None:
-                    pass
-            names = list(coordinator.listed())
-            changes = recovery.collect_changes(
-                coordinator, fleet.addresses, fleet.index, half, names, is_last=True
-            )
-            if changes:
-                store.append(Clocks(half, half), changes)
+            end_turn(coordinator, half)
+            sweep(coordinator, recovery, fleet, store, half)
         if look:
             look(second)
-    return coordinator, fleet, store
+    return Played(coordinator, fleet, store)
+
+
+def end_turn(coordinator: Coordinator, now: int) -> None:
+    """Ends a turn; what it orders goes to nobody."""
+    coordinator.tick(now)
+    for recipient in coordinator.recipients():
+        while coordinator.pick(recipient) is not None:
+            pass
+
+
+def sweep(coordinator: Coordinator, recovery: Recovery, fleet: Fleet, store: Store, now: int) -> None:
+    """Writes what has changed enough."""
+    names = list(coordinator.listed())
+    changes = recovery.collect_changes(coordinator, fleet.addresses, fleet.index, now, names, is_last=True)
+    if changes:
+        store.append(Clocks(now, now), changes)
 
 
-def measure_open():
+def measure_open() -> None:
+    """Reading a folder until it is restored."""
     with tempfile.TemporaryDirectory() as folder:
         played(folder, 1000, 10, 15)
-        size, gap = sum(os.stat(entry).st_size for entry in os.scandir(folder)), SECOND
-        coordinator, now = Coordinator(settings(10), 1, BEGAN + 16 * SECOND), BEGAN + 15 * SECOND + gap
-        begun = time.perf_counter()
-        content = read_folder(StateFolder(folder), 64 * MB)
-        read = time.perf_counter()
-        recovery = Recovery(State(folder="x"), identity(10))
-        recovery.load(content.state, content.record, None, Clocks(now, now))
-        carried = time.perf_counter()
-        known = recovery.choose_list({"index": -1})
-        listed = time.perf_counter()
-        coordinator.report(
-            now,
-            EndpointListUpdate(
-                form=ListForm.RESTORED,
-                entries=[
-                    Endpoint(each["name"], each["zone"], each["type"], 0, Phase.READY, 1.0, 0)
-                    for each in known["endpoints"]
-                ],
-            ),
-        )
-        told = time.perf_counter()
-        restored = recovery.restore(coordinator, now, Clocks(now, now))
-        done = time.perf_counter()
+        _measure_open(folder)
+
+
+def _measure_open(folder: str) -> None:
+    size = folder_size(folder)
+    coordinator = Coordinator(settings(10), 1, BEGAN + 16 * SECOND)
+    now = BEGAN + 16 * SECOND
+    recovery = Recovery(State(folder="x"), identity(10))
+    began = time.perf_counter()
+    content = read_folder(StateFolder(folder), 64 * MB)
+    read = time.perf_counter()
+    recovery.load(content.state, content.record, None, Clocks(now, now))
+    carried = time.perf_counter()
+    known = recovery.choose_list({"index": -1})
+    listed = time.perf_counter()
+    entries = [
+        Endpoint(each["name"], each["zone"], each["type"], 0, Phase.READY, 1.0, 0)
+        for each in known["endpoints"]
+    ]
+    coordinator.report(now, EndpointListUpdate(ListForm.RESTORED, entries))
+    told = time.perf_counter()
+    restored = recovery.restore(coordinator, now, Clocks(now, now))
+    done = time.perf_counter()
+    assert content.state is not None
+    assert restored is not None
     print(
         f"open: 1,000 backends x 10 zones, {size / 1e6:.2f} MB, {content.state.frame_count} frames: read "
-        f"{1e3 * (read - begun):.0f} ms, checked and carried {1e3 * (carried - read):.0f} ms, recalled "
+        f"{1e3 * (read - began):.0f} ms, checked and carried {1e3 * (carried - read):.0f} ms, restored "
         f"{1e3 * (done - told):.0f} ms ({restored.link_count} links); "
         f"the list itself {1e3 * (told - listed):.0f} ms"
     )
 
 
-def measure_bytes():
+def measure_bytes() -> None:
+    """Bytes written while every link is heard once a second."""
     for backends, zones in ((30, 2), (120, 4), (1000, 10)):
         with tempfile.TemporaryDirectory() as folder:
-            *_, store = played(folder, backends, zones, BYTES_FOR)
-            size = sum(os.stat(entry).st_size for entry in os.scandir(folder))
+            store = played(folder, backends, zones, BYTES_FOR).store
             print(
-                f"bytes: {backends} backends x {zones} zones, {store.bytes_written / BYTES_FOR / 1e3:.1f} KB "
-                f"a second, folder {size / 1e3:.0f} KB after {BYTES_FOR} s"
+                f"bytes: {backends} backends x {zones} zones, "
+                f"{store.bytes_written / BYTES_FOR / 1e3:.1f} KB a second, folder "
+                f"{folder_size(folder) / 1e3:.0f} KB after {BYTES_FOR} s"
             )
 
 
 class SlowFolder(StateFolder):
     """A disk whose every sync takes 200 ms."""
 
-    def sync(self, name):
+    def sync(self, name: str) -> None:
+        """Syncs late."""
         time.sleep(SYNC)
         super().sync(name)
 
-    def sync_names(self):
+    def sync_names(self) -> None:
+        """Syncs late."""
         time.sleep(SYNC)
         super().sync_names()
 
 
-class Quiet:
-    def event(self, *_, **__):
-        """No log is measured here."""
+class NoLog:
+    """Takes events and writes none: no log is measured here."""
+
+    def event(self, *_: object, **__: object) -> None:
+        """Nothing."""
+
+
+class ListedFleet:
+    """What a snapshotter reads of the discovery."""
 
+    def __init__(self, fleet: Fleet) -> None:
+        self.named = True
+        self.addresses = fleet.addresses
+        self.index = 1
 
-class Listed:
-    def __init__(self, fleet):
-        self.named, self.addresses, self.index = True, fleet.addresses, 1
 
+def snapshotter_of(
+    loop: Loop, coordinator: Coordinator, fleet: Fleet, folder: StateFolder, zones: int
+) -> Snapshotter:
+    """A snapshotter at work on a coordinator."""
+    options = State(folder=folder.path, every_ms=1000)
+    snapshotter = Snapshotter(loop, NoLog(), options, "n0", settings(zones), time.monotonic_ns, folder)
+    snapshotter.start(coordinator, ListedFleet(fleet))
+    return snapshotter
 
-def stalls(backends, zones, folder):
-    """(longest, 99.9 % and mean turn in ms, turns) of a loop in real time that hears every link once a
-    second."""
-    loop, fleet = Loop(print), Fleet(backends, zones)
+
+class Stalls(NamedTuple):
+    """Turns of a loop in ms."""
+
+    longest: float
+    share_999: float  # 99.9 % of them take no longer
+    mean: float
+
+
+def stalls(backends: int, zones: int, folder: str | None) -> Stalls:
+    """The turns of a loop in real time that hears every link once a second."""
+    loop = Loop(print)
+    fleet = Fleet(backends, zones)
     coordinator = Coordinator(settings(zones), 1, loop.now)
-    fleet.list(coordinator, loop.now)
+    fleet.tell(coordinator, loop.now)
     snapshotter = None
     if folder:
-        snapshotter = Snapshotter(
-            loop,
-            Quiet(),
-            State(folder=folder, every_ms=1000),
-            "n0",
-            settings(zones),
-            time.monotonic_ns,
-            SlowFolder(folder),
-        )
-        snapshotter.start(coordinator, Listed(fleet))
-    pieces, times, end = 50, [], loop.now + STALL_FOR * SECOND
+        snapshotter = snapshotter_of(loop, coordinator, fleet, SlowFolder(folder), zones)
+    loop.spawn(_reports(loop, coordinator, fleet))
+    times = _timed_turns(loop, coordinator)
+    if snapshotter:
+        snapshotter.close()
+    loop.close()
+    times.sort()
+    return Stalls(times[-1], times[int(len(times) * 0.999)], sum(times) / len(times))
+
 
-    def reports():
-        while True:
-            for k in range(pieces):
-                fleet.report(coordinator, loop.now, slice(k, None, pieces))
-                yield None, 0, loop.now + SECOND // pieces
+def _reports(loop: Loop, coordinator: Coordinator, fleet: Fleet) -> Waits:
+    while True:
+        for piece in range(PIECES):
+            fleet.report(coordinator, loop.now, slice(piece, None, PIECES))
+            yield None, 0, loop.now + SECOND // PIECES
 
-    loop.spawn(reports())
+
+def _timed_turns(loop: Loop, coordinator: Coordinator) -> list[float]:
+    times = []
+    end = loop.now + STALL_FOR * SECOND
     gc.collect()
     gc.disable()
     while loop.now < end:
         loop.turn(coordinator.tick, 0)
-        begun = time.perf_counter()
+        began = time.perf_counter()
         loop.turn(coordinator.tick, 2_000_000)
-        times.append(1e3 * (time.perf_counter() - begun))
+        times.append(1e3 * (time.perf_counter() - began))
     gc.enable()
-    if snapshotter:
-        snapshotter.close()
-    loop.close()
-    times.sort()
-    return times[-1], times[int(len(times) * 0.999)], sum(times) / len(times), len(times)
+    return times
 
 
-def measure_stall():
+def measure_stall() -> None:
+    """The loop's longest turn on a slow disk."""
     for backends, zones in ((120, 4), (500, 4)):
         without = stalls(backends, zones, None)
         with tempfile.TemporaryDirectory() as folder:
             with_store = stalls(backends, zones, folder)
         print(
             f"stall: {backends} backends x {zones} zones, each sync {SYNC * 1e3:.0f} ms: longest turn "
-            f"{without[0]:.1f} ms without a store, {with_store[0]:.1f} ms with; 99.9 % "
-            f"{without[1]:.1f} and {with_store[1]:.1f} ms; mean {without[2]:.2f} and "
-            f"{with_store[2]:.2f} ms"
+            f"{without.longest:.1f} ms without a store, {with_store.longest:.1f} ms with; 99.9 % "
+            f"{without.share_999:.1f} and {with_store.share_999:.1f} ms; mean {without.mean:.2f} and "
+            f"{with_store.mean:.2f} ms"
         )
 
 
-def measure_close():
-    loop, fleet = Loop(print), Fleet(1000, 10)
+def measure_close() -> None:
+    """The last snapshot, all of it new."""
+    loop = Loop(print)
+    fleet = Fleet(1000, 10)
     coordinator = Coordinator(settings(10), 1, loop.now)
-    fleet.list(coordinator, loop.now)
+    fleet.tell(coordinator, loop.now)
     with tempfile.TemporaryDirectory() as folder:
-        snapshotter = Snapshotter(loop, Quiet(), State(folder=folder), "n0", settings(10), time.monotonic_ns)
-        snapshotter.start(coordinator, Listed(fleet))
+        snapshotter = snapshotter_of(loop, coordinator, fleet, StateFolder(folder), 10)
         fleet.report(coordinator, loop.now)
-        begun = time.perf_counter()
+        began = time.perf_counter()
         snapshotter.close()
-        took = time.perf_counter() - begun
+        took = time.perf_counter() - began
         content = read_folder(StateFolder(folder), 64 * MB)
     loop.close()
     stored = content.record.backends.values() if content.record else ()
@@ -280,17 +364,18 @@
     )
 
 
-def measure_memory():
+def measure_memory() -> None:
+    """Resident memory over an hour with new names each second."""
     seen = {}
 
-    def look(second):
-        if second in (300, 1200, 2400, 3599):
+    def look(second: int) -> None:
+        if second in MEMORY_LOOKS:
             gc.collect()
             seen[second] = memory_mb()
 
     with tempfile.TemporaryDirectory() as folder:
         played(folder, 30, 2, 3600, churn=1, look=look)
-        size = sum(os.stat(entry).st_size for entry in os.scandir(folder))
+        size = folder_size(folder)
     print(
         "memory: 30 backends x 2 zones, a new name a second: "
         + ", ".join(f"{mb:.1f} MB at {second} s" for second, mb in seen.items())
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -5,14 +5,12 @@
 coordinator restore the record of the former life.
 """
 
-from collections.abc import Callable
-from typing import Any, NamedTuple
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple, Protocol
 
 from granitespool import __version__
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
-from granitespool.net.discovery import Discovery
-from granitespool.net.log import Log
 from granitespool.net.loop import Loop, Waits
 from granitespool.operator_settings import State
 from granitespool.settings import Settings
@@ -31,6 +29,29 @@
 NOT_IN_TIME = "the folder could not be read in time"
 
 
+class EventLog(Protocol):
+    """The log, as far as it is written here."""
+
+    def event(self, event: str, **fields: Any) -> None:
+        """Write one line."""
+
+
+class EndpointSource(Protocol):
+    """What discovery has told."""
+
+    @property
+    def named(self) -> bool:
+        """Whether any list has named a backend."""
+
+    @property
+    def index(self) -> int:
+        """Version of the endpoint list."""
+
+    @property
+    def addresses(self) -> Mapping[str, tuple[str, int] | None]:
+        """The address of each backend, None where none was told."""
+
+
 class ManagedTrees(NamedTuple):
     """Trees of settings as managers left them in a former life."""
 
@@ -55,7 +76,7 @@
     def __init__(
         self,
         loop: Loop,
-        log: Log,
+        log: EventLog,
         options: State,
         name: str,
         settings: Settings,
@@ -70,7 +91,7 @@
         self.identity = Identity(name, settings.class_names, list(settings.zones or ()))
         self.recovery = Recovery(options, self.identity)
         self.coordinator: Coordinator | None = None
-        self.discovery: Discovery | None = None
+        self.discovery: EndpointSource | None = None
         self.managed_settings: ManagedTrees | None = None
         self.writer = Writer(
             folder or StateFolder(options.folder),
@@ -121,7 +142,7 @@
         """Return the endpoint list to start from, in discovery's form."""
         return self.recovery.choose_list(known)
 
-    def start(self, coordinator: Coordinator, discovery: Discovery) -> None:
+    def start(self, coordinator: Coordinator, discovery: EndpointSource) -> None:
         """Begin to take snapshots of a coordinator that was told the first list, or will be."""
         self.coordinator = coordinator
         self.discovery = discovery
@@ -148,7 +169,7 @@
     def _clocks(self) -> Clocks:
         return Clocks(self.loop.clock(), self.monotonic())
 
-    def _run(self, coordinator: Coordinator, discovery: Discovery) -> Waits:
+    def _run(self, coordinator: Coordinator, discovery: EndpointSource) -> Waits:
         while not discovery.named:  # the first list that names anyone is the one to start from
             yield None, 0, self.loop.now + FIRST_LIST_POLL
             self._log_reports()
@@ -185,7 +206,7 @@
             self.log.event("snapshot_ignored", reason=self.recovery.rejection)
 
     def _submit_changes(
-        self, coordinator: Coordinator, discovery: Discovery, names: list[str], is_last: bool
+        self, coordinator: Coordinator, discovery: EndpointSource, names: list[str], is_last: bool
     ) -> None:
         changes = self.recovery.collect_changes(
             coordinator, discovery.addresses, discovery.index, self.loop.now, names, is_last
--- a/granitespool/state/writer.py
+++ b/granitespool/state/writer.py
@@ -81,7 +81,7 @@
         wake: Callable[[], None],
         clocks: Callable[[], Clocks],
     ) -> None:
-        """Start the thread; `make_header` is given the number of the start, `wake` has the loop call `drain`."""
+        """Start the thread; `make_header` gets the number of the start, `wake` has the loop call `drain`."""
         self.folder = folder
         self.max_size = max_mb * MB
         self.make_header = make_header
