--- a/granitespool/net/fleet_notifier.py
+++ b/granitespool/net/fleet_notifier.py
@@ -2,19 +2,19 @@
 
 It only reads the coordinator, a few backends in a step, and only while somebody has subscribed."""
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from typing import Protocol
 
 from granitespool.coordinator import Coordinator
-from granitespool.coordinator_status import ZoneStatus
+from granitespool.coordinator_status import CoordinatorStatus
 from granitespool.management.mapping import decimal_text
 from granitespool.net.loop import SECOND, Loop, Waits
-from granitespool.planner.status import PlannerStatus
 
 PERIOD = SECOND  # ns: the planner's period
 BACKENDS_PER_STEP = 200
 
-Link = tuple[str, str | None]  # a backend or a zone, and a zone or a request class
+Link = tuple[str, str]  # backend and zone
+ZoneClass = tuple[str, str | None]  # zone and request class
 
 
 class Notify(Protocol):
@@ -36,7 +36,7 @@
         self.notify = notify
         self.has_subscribers = has_subscribers
         self.is_overloaded = False
-        self.admitted_shares: dict[Link, float] = {}  # by zone and request class
+        self.admitted_shares: dict[ZoneClass, float] = {}
         self.ejected: dict[Link, bool] = {}
         loop.spawn(self._run())
 
@@ -47,17 +47,19 @@
                 self.ejected = {}
                 continue
             status = self.coordinator.status()
-            self._compare_overload(status.planner)
-            self._compare_admission(status.zones)
+            self._compare_overload(status)
+            self._compare_admission(status)
             yield from self._compare_ejections()
 
-    def _compare_overload(self, status: PlannerStatus) -> None:
-        if status.is_overloaded != self.is_overloaded:
-            self.is_overloaded = status.is_overloaded
+    def _compare_overload(self, status: CoordinatorStatus) -> None:
+        if status.planner.is_overloaded != self.is_overloaded:
+            self.is_overloaded = status.planner.is_overloaded
             self.notify("strain", strained=self.is_overloaded)
 
-    def _compare_admission(self, zones: Iterable[ZoneStatus]) -> None:
-        shares = {(zone.zone, name): level.share for zone in zones for name, level in zone.levels.items()}
+    def _compare_admission(self, status: CoordinatorStatus) -> None:
+        shares = {
+            (zone.zone, name): level.share for zone in status.zones for name, level in zone.levels.items()
+        }
         for (zone, name), share in shares.items():
             # A class without an order so far is admitted whole
             if self.admitted_shares.get((zone, name), max(share, 1.0)) != share:
@@ -66,14 +68,13 @@
 
     def _compare_ejections(self) -> Waits:
         seen: dict[Link, bool] = {}
-        for number, backend in enumerate(list(self.coordinator.listed()), 1):
-            status = self.coordinator.backend_status(backend)
-            entries = status.planner.entries if status else {}
+        for number, name in enumerate(list(self.coordinator.listed()), 1):
+            backend = self.coordinator.backend_status(name)
+            entries = backend.planner.entries if backend else {}
             for zone, entry in entries.items():
-                is_ejected = entry.is_ejected
-                seen[backend, zone] = is_ejected
-                if self.ejected.get((backend, zone), False) != is_ejected:
-                    self.notify("backend-cut", backend=backend, zone=zone, cut=is_ejected)
+                seen[name, zone] = entry.is_ejected
+                if self.ejected.get((name, zone), False) != entry.is_ejected:
+                    self.notify("backend-cut", backend=name, zone=zone, cut=entry.is_ejected)
             if number % BACKENDS_PER_STEP == 0:
                 yield None, 0, self.loop.now
         self.ejected = seen
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -29,6 +29,7 @@
         self.log = log
         self.new_config(config)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+        assert config["peer_listen"] is not None, "gossip is on where there is an address for it"
         bind(self.sock, config["peer_listen"], log)
         self.task = loop.spawn(self._run())
 
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -116,7 +116,7 @@
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_changed_at,
                 list_named=service.discovery.named,
-                folder=FolderFigures(*service.keeper.metrics()) if service.keeper else None,
+                folder=_folder_figures(service),
             ),
         )
 
@@ -175,6 +175,13 @@
     return GnmiConnection
 
 
+def _folder_figures(service: "Service") -> FolderFigures | None:
+    if service.snapshotter is None:
+        return None
+    metrics = service.snapshotter.metrics()
+    return FolderFigures(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
+
+
 def _users(operator: Operator) -> list[User]:
     return [User(name, user.certificate, user.read, user.write) for name, user in operator.users.items()]
 
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -60,7 +60,7 @@
         self.mono = mono
         self.is_reload_wanted = False
         self.stops = 0  # how often `stop` was called
-        self.keeper: Snapshotter | None = None  # of the state folder, where it is on
+        self.snapshotter: Snapshotter | None = None  # of the state folder, where it is on
         self.management: ManagementService | None = None  # where a management listener is on
         self.metrics: Metrics | None = None  # where its section is on
         self.gossip: Gossip | None = None  # where the settings permit it
@@ -101,7 +101,7 @@
 
     def close(self) -> None:
         """Gives back what all parts own."""
-        for part in (self.management, self.keeper):
+        for part in (self.management, self.snapshotter):
             if part:
                 self._contained(part.close)
         self.log.event("stopped")
@@ -115,15 +115,15 @@
         self.operator = operator
         self.file_tree: Tree | None = None  # of the files, as managers see them
         if operator and operator.state:
-            self.keeper = self._make_snapshotter(config, operator.state)
+            self.snapshotter = self._make_snapshotter(config, operator.state)
             config = config.copy()
-            config["known"] = self.keeper.choose_list(config["known"])
+            config["known"] = self.snapshotter.choose_list(config["known"])
         if operator and operator.managed:
             config = without_management_sockets(self._with_managed_settings(config))
         self._make_network(config)
         self.reconfiguration = Reconfiguration(self, config)
-        if self.keeper:
-            self.keeper.start(self.coordinator, self.discovery)
+        if self.snapshotter:
+            self.snapshotter.start(self.coordinator, self.discovery)
         if operator and operator.managed:
             from granitespool.net.management_service import ManagementService  # noqa: PLC0415 only where it is on
 
@@ -158,7 +158,7 @@
         from granitespool.management import mapping  # noqa: PLC0415 only where it is on
 
         self.file_tree = mapping.tree_of(config)
-        managed = self.keeper.managed_settings if self.keeper else None
+        managed = self.snapshotter.managed_settings if self.snapshotter else None
         if managed is None:
             return config
         base, tree = managed
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -84,17 +84,17 @@
 
     def keep(self, tree: Tree, version: int, answer: Kept) -> None:
         """Has a tree outlast the process where a state folder is on, and answers once it is safe."""
-        if self.service.keeper is None:
+        if self.service.snapshotter is None:
             answer(None)
             return
-        ticket = self.service.keeper.save_settings(tree, self.file_tree, version)
+        ticket = self.service.snapshotter.save_settings(tree, self.file_tree, version)
         self.pending.append(PendingSave(ticket, self.service.loop.now + SAVE_TIMEOUT, answer))
         self.service.loop.wake()
 
     def unkeep(self, tree: Tree, version: int) -> None:
         """Has this tree outlast the process instead; nobody waits for it, and the newest one wins."""
-        if self.service.keeper is not None:
-            self.service.keeper.save_settings(tree, self.file_tree, version)
+        if self.service.snapshotter is not None:
+            self.service.snapshotter.save_settings(tree, self.file_tree, version)
 
     def refused(self, by: str, why: str) -> None:
         """Logs a change that was rejected, and notifies the subscribers."""
@@ -106,7 +106,7 @@
     def keep_startup(self, answer: Answer) -> None:
         """Has startup, as it is now, outlast the process, and answers once that is safe."""
         stores = self.datastores
-        if self.service.keeper is None:
+        if self.service.snapshotter is None:
             stores.reset_startup()
             answer(ManagementError(ErrorTag.OPERATION_FAILED, NO_FOLDER))
             return
@@ -131,9 +131,10 @@
 
     def end_of_turn(self, now: int) -> None:
         """Answers what is safe by now or too late, and undoes a commit that was not confirmed; ns."""
+        snapshotter = self.service.snapshotter
         waiting, self.pending = self.pending, []
         for save in waiting:
-            is_safe = self.service.keeper is not None and self.service.keeper.is_durable(save.ticket)
+            is_safe = snapshotter is not None and snapshotter.is_durable(save.ticket)
             if is_safe or now >= save.deadline:
                 save.answer(None if is_safe else NOT_SAVED)
             else:
@@ -162,8 +163,8 @@
         finally:
             self.reloaded = None
         self.file_tree = tree
-        if self.service.keeper is not None:
-            self.service.keeper.save_settings(None, None, self.datastores.version)
+        if self.service.snapshotter is not None:
+            self.service.snapshotter.save_settings(None, None, self.datastores.version)
         return reconfiguration.restart_required
 
     def _config(self, tree: Tree) -> Configuration:
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -171,8 +171,8 @@
         self.service = Service(
             self.config, os.open(os.devnull, os.O_WRONLY), clock=lambda: START, mono=lambda: START
         )
-        self.service.keeper.metrics = lambda: StateMetrics(40_960, 12, False)
-        self.service.keeper.is_durable = lambda ticket: True
+        self.service.snapshotter.metrics = lambda: StateMetrics(40_960, 12, False)
+        self.service.snapshotter.is_durable = lambda ticket: True
         self.loop, self.coordinator = self.service.loop, self.service.coordinator
         self.management = self.service.management
         self.fleet()
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -508,14 +508,14 @@
     with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
         assert tag_of(one.edit(PACE.format("500"))) == "ok"
-        house.service.keeper.writer.folder.sync = lambda name: time.sleep(0.6)
+        house.service.snapshotter.writer.folder.sync = lambda name: time.sleep(0.6)
         answer = one.commit()
         assert tag_of(answer) == "resource-denied" and house.settings()["entries_per_s"] == 1000
         two = house.manager()  # two that wait for the disk are both answered
         one.send("<commit/>")
         assert tag_of(two.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
         assert tag_of(one.receive()) == "resource-denied"
-        writer = house.service.keeper.writer
+        writer = house.service.snapshotter.writer
     writer.join(10)  # this process held the folder for as long as its disk hung
     with ServiceThread(
         tmp_path, folder, state=True
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -245,7 +245,7 @@
             self.hear(**{name: mean or 40 * (second < 13) for name, mean in means.items()})
             for _ in range(20):
                 self.turn()
-        assert until(lambda: self.turn(0) or self.service.keeper.writer.batches_written >= 2)
+        assert until(lambda: self.turn(0) or self.service.snapshotter.writer.batches_written >= 2)
 
     def table(self):
         return dict(self.service.coordinator.updates.tables[0])
@@ -378,7 +378,7 @@
         [line] = second.logged("snapshot_restored")
         assert line["backends"] == 3 and line["ejected"] == 1 and line["own_list"] is True
         assert "c" not in second.table() and second.table()["b"] < second.table()["a"] / 2
-        assert until(lambda: second.turn() or second.service.keeper.writer.batches_written)
+        assert until(lambda: second.turn() or second.service.snapshotter.writer.batches_written)
     found, problems = read_newest(StateFolder(str(tmp_path / "state")), MOST)
     assert (
         found.header.format_version == record.FORMAT_VERSION
@@ -430,7 +430,7 @@
         shutil.rmtree(tmp_path / "state")
         bench.hear(a=400, b=40)
         assert until(lambda: bench.turn() or bench.logged("state_write_failed"))
-        assert until(lambda: bench.service.keeper.writer.folder.lock_fd is None)
+        assert until(lambda: bench.service.snapshotter.writer.folder.lock_fd is None)
         (tmp_path / "state").mkdir()
         assert until(lambda: bench.turn() or bench.logged("state_write_recovered"))
     assert read_newest(StateFolder(str(tmp_path / "state")), MOST).state.values
@@ -441,7 +441,7 @@
         bench.service.reload()
         bench.turn()
         assert bench.logged("reloaded")[0]["restart_required"] == []
-        assert bench.service.keeper.options.every_ms == 300
+        assert bench.service.snapshotter.options.every_ms == 300
         bench.config = lambda **_: {**Bench.config(bench), "operator": None}
         bench.service.reload()
         bench.turn()
@@ -456,7 +456,7 @@
         )
         for _ in range(60):
             bench.turn(0.5)
-        recovery = bench.service.keeper.recovery
+        recovery = bench.service.snapshotter.recovery
         assert set(recovery.change_filter.written) == {None, "b", "c", "d"}
     held = read_newest(StateFolder(str(tmp_path / "state")), MOST).state.values
     assert record.backend_key("a") not in held and record.link_key("a", "n") not in held
