--- /dev/null
+++ b/tests/planner/test_exclusion_of_draining.py
@@ -0,0 +1,57 @@
+"""Draining backends are excluded at proxies that await a table."""
+
+from support.planner_harness import PlannerHarness, RecordedActions
+from support.records import endpoint
+
+from granitespool.units import MILLISECOND, SECOND
+
+
+def test_a_backend_that_drains_in_the_first_list_is_excluded_for_joining_proxies(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    """What a former process had ordered may have been lost with it."""
+
+    fleet.configure(backlog_limit=60, message_header=3, bootstrap_entries=5)
+    fleet.list_restored("a", "b", endpoint("c", phase="draining"))
+    for proxy in range(1, 5):
+        fleet.join(proxy)
+    assert not actions.made("exclude", "c", True)
+    fleet.advance_to(SECOND)
+    assert actions.made("exclude", "c", True)
+
+
+def test_joining_proxies_learn_of_a_recent_drain_together_and_not_of_an_old_one(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(
+        backlog_limit=60, message_header=3, bootstrap_entries=5, entries_per_s=10, drain_grace=6 * SECOND
+    )
+    fleet.list_restored("a", "b", "c", "d")
+    fleet.join(1)
+    fleet.list_changes(endpoint("a", phase="draining"))
+    fleet.acknowledge(1)
+    fleet.advance_to(11 * SECOND)
+    fleet.list_changes(endpoint("b", phase="draining"))
+    fleet.advance_to(13 * SECOND)
+    for proxy in range(2, 7):
+        fleet.join(proxy)
+    assert not actions.made("exclude")
+    fleet.advance_to(15 * SECOND)
+    assert actions.made("exclude", "b", True)
+    assert not actions.made("exclude", "a", True)
+
+
+def test_a_backend_that_returns_is_readmitted_though_proxies_still_waited_to_exclude_it(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(backlog_limit=60, message_header=3, bootstrap_entries=5)
+    fleet.list_restored("a", "b", "c")
+    for proxy in range(1, 5):
+        fleet.join(proxy)
+    fleet.list_changes(endpoint("a", phase="draining"))
+    assert actions.made("exclude", "a", True)
+    fleet.advance_to(SECOND)
+    fleet.join(5)
+    fleet.advance_to(1500 * MILLISECOND)
+    fleet.list_changes(endpoint("a", started_at=5))
+    assert actions.made("exclude", "a", False)
--- /dev/null
+++ b/tests/planner/test_overload_admission.py
@@ -0,0 +1,78 @@
+"""Overload detection, load shedding and retries."""
+
+from support.events import load_report
+from support.planner_harness import Between, PlannerHarness, RecordedActions
+
+from granitespool.units import MILLISECOND, SECOND
+
+
+def test_in_an_overload_nothing_is_retried_and_the_lowest_priority_is_shed_first(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(admission="fraction")
+    fleet.request_class("low", "free", latency_objective=SECOND, priority_weight=1)
+    fleet.request_class("high", "single_shot", latency_objective=SECOND, priority_weight=5)
+    fleet.list_restored("a", "b", "c")
+    fleet.join(1)
+    fleet.advance_to(SECOND)
+    fleet.usage_report(1, "low", requests=50)
+    fleet.usage_report(1, "high", requests=50)
+    fleet.load_report("n", "a", attempts=50, failures=25, mean=900 * MILLISECOND)
+    fleet.load_report("n", "b", attempts=50, failures=25, mean=900 * MILLISECOND)
+    fleet.load_report("n", "c", attempts=50, failures=25, mean=900 * MILLISECOND)
+    fleet.advance_to(2 * SECOND)
+    # Of 150 attempts half failed: the admitted share is 0.7125 of a demand of 100. Each class has a floor of
+    # 0.1; of the other 61.25, `high` takes 45 and `low` 16.25. Shares move in steps of 0.03.
+    assert actions.made("set_admission", 0, "low", 0.42, 0)
+    assert actions.made("set_admission", 0, "high", 1, 0)
+
+
+def test_while_one_backend_fails_and_the_others_are_calm_only_what_never_ran_is_retried(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    """Once, also for the class whose requests are idempotent."""
+
+    fleet.request_class("low", "free", latency_objective=SECOND, priority_weight=1)
+    fleet.request_class("high", "single_shot", latency_objective=SECOND, priority_weight=5)
+    fleet.list_restored("a", "b", "c")
+    fleet.join(1)
+    assert actions.made("set_admission", 0, "low", 1, 1)
+    assert actions.made("set_admission", 0, "high", 1, 1)
+    fleet.report_each_second(
+        4 * SECOND,
+        load_report("n", "a", attempts=9, failures=9),
+        load_report("n", "b", attempts=50, mean=100 * MILLISECOND),
+        load_report("n", "c", attempts=50, mean=100 * MILLISECOND),
+    )
+    assert not actions.made("set_admission", 0, "low", 1, 2)
+    assert not actions.made("set_admission", 0, "high", 1, 2)
+
+
+def test_where_admission_is_a_rate_everything_is_a_rate_that_no_proxy_reaches(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(admission="per_second")
+    fleet.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
+    fleet.list_restored("a")
+    fleet.join(1)
+    assert actions.made("set_admission", 0, "pay", 1e6, 1)
+
+
+def test_a_first_window_of_few_attempts_tells_no_overload(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(admission="fraction")
+    fleet.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.usage_report(1, "pay", requests=9)
+    fleet.load_report("n", "a", attempts=5, failures=3, mean=900 * MILLISECOND)
+    fleet.advance_to(2 * SECOND)
+    fleet.advance_to(4 * SECOND)
+    assert len(actions.made("set_admission", 0, "pay", Between(0, 1))) == 0
+    fleet.usage_report(1, "pay", requests=90)
+    fleet.load_report("n", "a", attempts=50, failures=30, mean=900 * MILLISECOND)
+    fleet.report_each_second(
+        6 * SECOND, load_report("n", "a", attempts=50, failures=30, mean=900 * MILLISECOND)
+    )
+    assert len(actions.made("set_admission", 0, "pay", Between(0, 1))) == 1
--- /dev/null
+++ b/tests/planner/test_restored_state.py
@@ -0,0 +1,185 @@
+"""What a former process had learnt, and when the present one drops it."""
+
+from support.events import RestoredLink, RestoredOverload, RestoredUnverified, load_report
+from support.planner_harness import Below, PlannerHarness, RecordedActions
+from support.records import endpoint
+
+from granitespool.units import MILLISECOND, SECOND
+
+
+def test_restored_costs_set_weights_before_any_report(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.list_restored("a", "b", "c")
+    fleet.restore(
+        RestoredLink("n", "a", attempts=100, mean=40 * MILLISECOND),
+        RestoredLink("n", "b", attempts=100, mean=160 * MILLISECOND),
+    )
+    assert actions.made("set_entry", 0, "b", 0.6429)
+    assert not actions.made("set_entry", 0, "a", 0)
+
+
+def test_a_restored_ejection_holds_at_once_and_ends_by_itself_where_nothing_is_reported(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(health_checks_allowed=True)
+    fleet.list_restored("a", "b", "c", "d")
+    fleet.restore(
+        RestoredLink("n", "a", attempts=100, mean=40 * MILLISECOND),
+        RestoredLink("n", "b", attempts=100, failures=90, mean=40 * MILLISECOND, ejected=True),
+    )
+    assert actions.made("set_entry", 0, "b", 0)
+    assert actions.made("check_health", "b")
+    fleet.report_each_second(
+        4 * SECOND,
+        load_report("n", "a", attempts=9, mean=40 * MILLISECOND),
+        load_report("n", "c", attempts=9, mean=40 * MILLISECOND),
+        load_report("n", "d", attempts=9, mean=40 * MILLISECOND),
+    )
+    assert actions.made("set_entry", 0, "b", 0.25)
+
+
+def test_failed_health_checks_keep_a_restored_ejection(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(health_checks_allowed=True)
+    fleet.list_restored("a", "b", "c", "d")
+    fleet.restore(RestoredLink("n", "b", attempts=100, failures=90, mean=40 * MILLISECOND, ejected=True))
+    fleet.advance_to(SECOND)
+    fleet.health_check("b", "unreachable", 0)
+    fleet.advance_to(2 * SECOND)
+    fleet.health_check("b", "unreachable", 0)
+    fleet.advance_to(3 * SECOND)
+    fleet.health_check("b", "unreachable", 0)
+    fleet.advance_to(4 * SECOND)
+    assert not actions.made("set_entry", 0, "b", 0.25)
+
+
+def test_at_most_a_third_stays_ejected_after_a_restore_and_the_others_are_a_last_resort(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.list_restored("a", "b", "c", "d", "e", "f")
+    fleet.restore(
+        RestoredLink("n", "a", attempts=9, failures=9, ejected=True),
+        RestoredLink("n", "b", attempts=9, failures=9, ejected=True),
+        RestoredLink("n", "c", attempts=9, failures=9, ejected=True),
+        RestoredLink("n", "d", attempts=9, failures=9, ejected=True),
+        RestoredLink("n", "e", attempts=9, failures=9, ejected=True),
+        RestoredLink("n", "f", attempts=9, failures=9, ejected=True),
+    )
+    assert len(actions.made("set_entry", 0, "a", Below(1))) == 1
+    assert len(actions.made("set_entry", 0, "b", Below(1))) == 1
+    assert actions.made("set_entry", 0, "c", 0.02)
+    assert actions.made("set_entry", 0, "f", 0.02)
+
+
+def test_a_backend_that_is_still_warming_up_stays_so_whatever_is_restored_of_it(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(warm_up_time=10 * SECOND, warm_up_start_share=0.25)
+    fleet.list_restored("a", "b", endpoint("c", started_at=999 * SECOND))
+    fleet.advance_to(1000 * SECOND)
+    fleet.restore(
+        RestoredLink("n", "a", attempts=100, mean=40 * MILLISECOND),
+        RestoredLink("n", "b", attempts=100, mean=40 * MILLISECOND),
+        RestoredLink("n", "c", attempts=100, mean=10 * MILLISECOND),
+    )
+    assert not actions.made("set_entry", 0, "c", 1)
+
+
+def test_a_backend_that_was_not_verified_waits_until_a_health_check_succeeds(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(health_checks_allowed=True)
+    fleet.list_restored("a", "b")
+    fleet.restore(RestoredUnverified("b"), RestoredLink("n", "a", attempts=100, mean=40 * MILLISECOND))
+    assert actions.made("set_entry", 0, "b", 0)
+    assert actions.made("check_health", "b")
+    fleet.advance_to(SECOND)
+    fleet.health_check("b", "ok", MILLISECOND)
+    assert actions.made("set_entry", 0, "b", 0.25)
+
+
+def test_reports_replace_restored_costs_that_they_contradict(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.list_restored("a", "b")
+    fleet.restore(
+        RestoredLink("n", "a", attempts=100, mean=40 * MILLISECOND),
+        RestoredLink("n", "b", attempts=100, mean=400 * MILLISECOND),
+    )
+    assert actions.made("set_entry", 0, "b", 0.569)
+    fleet.advance_to(900 * MILLISECOND)
+    fleet.load_report("n", "a", attempts=9, mean=40 * MILLISECOND)
+    fleet.load_report("n", "b", attempts=9, mean=40 * MILLISECOND)
+    fleet.advance_to(2 * SECOND)
+    assert actions.made("set_entry", 0, "b", 1)
+
+
+def test_restored_costs_stay_where_reports_agree_or_are_too_few_to_tell(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.list_restored("a", "b")
+    fleet.restore(
+        RestoredLink("n", "a", attempts=100, mean=40 * MILLISECOND),
+        RestoredLink("n", "b", attempts=100, mean=400 * MILLISECOND),
+    )
+    fleet.advance_to(900 * MILLISECOND)
+    fleet.load_report("n", "a", attempts=9, mean=50 * MILLISECOND)
+    fleet.load_report("n", "b", attempts=2, mean=40 * MILLISECOND)
+    fleet.advance_to(2 * SECOND)
+    assert not actions.made("set_entry", 0, "b", 1)
+
+
+def test_a_restored_overload_sheds_at_once_and_ends_with_the_first_reports_of_a_calm_fleet(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.request_class("pay", "free", latency_objective=400 * MILLISECOND, priority_weight=5)
+    fleet.request_class("look", "free", latency_objective=400 * MILLISECOND, priority_weight=1)
+    fleet.configure(admission="fraction")
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.restore(RestoredOverload(0.5, {"pay": 100, "look": 100}))
+    assert actions.made("set_admission", 0, "pay", 0.9, 0)
+    assert actions.made("set_admission", 0, "look", 0.09, 0)
+    fleet.report_each_second(
+        2 * SECOND,
+        load_report("n", "a", attempts=30, mean=40 * MILLISECOND),
+        load_report("n", "b", attempts=30, mean=40 * MILLISECOND),
+    )
+    assert actions.made("set_admission", 0, "pay", 1, 1)
+    assert actions.made("set_admission", 0, "look", 1, 1)
+
+
+def test_a_restored_overload_that_nothing_confirms_ends_after_three_seconds(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.request_class("pay", "free", latency_objective=400 * MILLISECOND, priority_weight=5)
+    fleet.request_class("look", "free", latency_objective=400 * MILLISECOND, priority_weight=1)
+    fleet.configure(admission="fraction")
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.restore(RestoredOverload(0.5, {"pay": 100, "look": 100}))
+    fleet.advance_to(2900 * MILLISECOND)
+    assert not actions.made("set_admission", 0, "pay", 1)
+    fleet.advance_to(3900 * MILLISECOND)
+    assert actions.made("set_admission", 0, "pay", 1, 1)
+
+
+def test_a_restored_overload_that_reports_confirm_goes_on(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.request_class("pay", "free", latency_objective=400 * MILLISECOND, priority_weight=5)
+    fleet.request_class("look", "free", latency_objective=400 * MILLISECOND, priority_weight=1)
+    fleet.configure(admission="fraction")
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.restore(RestoredOverload(0.5, {"pay": 100, "look": 100}))
+    fleet.advance_to(MILLISECOND)
+    fleet.report_each_second(
+        3 * SECOND,
+        load_report("n", "a", attempts=30, mean=800 * MILLISECOND),
+        load_report("n", "b", attempts=30, mean=800 * MILLISECOND),
+    )
+    assert not actions.made("set_admission", 0, "pay", 1)
+    assert not actions.made("set_admission", 0, "look", 1)
--- /dev/null
+++ b/tests/planner/test_simulator_adapter.py
@@ -0,0 +1,75 @@
+"""The simulator's wire: names, units and what is said of invalid input."""
+
+import io
+import json
+import sys
+
+import pytest
+
+from granitespool import simulator_adapter
+
+START = {"type": "start", "coordinator": 0, "entropy": 1, "settings": {"zones": ["n"], "unknown": 1}}
+LIST = {
+    "type": "backends_changed",
+    "coordinator": 0,
+    "form": "restored",
+    "serial": 0,
+    "new_key": 2,
+    "rows_in": [{"backend": "a:1", "zone": "n", "phase": "live", "weight": None, "since_us": None}],
+}
+JOIN = {"type": "connected", "coordinator": 0, "agent": 3, "zone": "n", "flag": True, "weight": None}
+LEFT = {"type": "left", "coordinator": 0, "agent": 3}
+BROKEN = {"type": "tick_due", "coordinator": 0, "cookie": 5}
+
+
+def run(monkeypatch, capsys, *lines):
+    monkeypatch.setattr(sys, "stdin", io.StringIO("".join(line + "\n" for line in lines)))
+    code = simulator_adapter.main()
+    return code, *capsys.readouterr()
+
+
+def batch(*items):
+    return json.dumps({"t_us": 5, "items": items})
+
+
+@pytest.mark.parametrize(
+    "line, words",
+    [
+        ("hello", "not JSON"),
+        ("[]", "not a batch"),
+        ('{"t_us":1}', "not a batch"),
+        ('{"items":[]}', "'t_us'"),
+        (batch({"type": "left"}), "'coordinator'"),
+        (batch(START, {"type": "left", "coordinator": 0}), "'agent'"),
+        (batch(START, BROKEN), "'cookie'"),
+        (batch({"type": "odd", "coordinator": 0}), "unknown type"),
+        (batch(START, {**LIST, "rows_in": [{"zone": "n"}]}), "'backend'"),
+        (batch(3), "not an object"),
+    ],
+)
+def test_invalid_input_is_reported_in_one_sentence(monkeypatch, capsys, line, words):
+    code, out, err = run(monkeypatch, capsys, line)
+    assert code == 1 and out == "" and words in err and err.count("\n") == 1 and "Traceback" not in err
+
+
+def test_names_and_units_of_the_wire(monkeypatch, capsys):
+    code, out, err = run(
+        monkeypatch,
+        capsys,
+        batch(),
+        batch(START, LIST, JOIN),
+        batch({"type": "shutdown", "coordinator": 0}, LEFT),
+    )
+    replies = [json.loads(line)["do"] for line in out.splitlines()]
+    assert code == 0 and err == "" and replies[0] == replies[2] == []
+    assert {"type": "bind", "coordinator": 0, "agent": 3, "tbl": 0, "for_classes": 0} in replies[1]
+    assert {"type": "weigh", "coordinator": 0, "tbl": 0, "backend": "a:1", "weight": 1.0} in replies[1]
+    assert any(a["type"] == "wake_at" and a["offset_us"] == 1_000_000 for a in replies[1])
+
+
+def test_a_failure_is_reported_for_its_coordinator_alone(monkeypatch, capsys):
+    monkeypatch.setattr(simulator_adapter.Planner, "_remove_proxy", lambda *_: 1 / 0)
+    other = {**START, "coordinator": 1}
+    code, out, err = run(monkeypatch, capsys, batch(START, other, LIST, LEFT))
+    faults = [a for a in json.loads(out)["do"] if a["type"] == "fatal"]
+    assert [a["coordinator"] for a in faults] == [0] and "ZeroDivisionError" in err and code == 0
--- /dev/null
+++ b/tests/planner/test_slow_start.py
@@ -0,0 +1,139 @@
+"""How the weight of a new or returning backend grows."""
+
+from support.events import load_report
+from support.planner_harness import PlannerHarness, RecordedActions
+from support.records import endpoint
+
+from granitespool.units import MILLISECOND, SECOND
+
+
+def test_in_an_overload_a_warming_up_backend_gets_its_part_of_the_success_ratio(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(warm_up_time=16 * SECOND)
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.report_each_second(
+        3 * SECOND,
+        load_report("n", "a", attempts=50, failures=40, mean=900 * MILLISECOND),
+        load_report("n", "b", attempts=50, failures=40, mean=900 * MILLISECOND),
+    )
+    fleet.list_changes(endpoint("c", started_at=2 * SECOND))
+    assert actions.made("set_entry", 0, "c", 0.05)
+    fleet.report_each_second(
+        12 * SECOND,
+        load_report("n", "a", attempts=50, mean=100 * MILLISECOND),
+        load_report("n", "b", attempts=50, mean=100 * MILLISECOND),
+    )
+    # Of 100 + 11.1 attempts lately 8.88 were not answered, so 0.92 of a quarter; later all are.
+    assert actions.made("set_entry", 0, "c", 0.23)
+    assert actions.made("set_entry", 0, "c", 0.5)
+
+
+def test_slow_start_lasts_the_configured_warm_up_and_begins_at_the_configured_share_if_that_is_larger(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(warm_up_time=SECOND, warm_up_start_share=0.85)
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.advance_to(10 * SECOND)
+    fleet.list_changes(endpoint("c", started_at=10 * SECOND))
+    assert actions.made("set_entry", 0, "c", 0.85)
+    fleet.advance_to(12 * SECOND)
+    assert actions.made("set_entry", 0, "c", 1)
+
+
+def test_a_recovery_ramp_that_began_long_ago_has_ended_and_does_not_disturb_publication(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(warm_up_time=2 * SECOND)
+    fleet.list_restored("a", "b", "c", "d")
+    fleet.report_each_second(
+        3 * SECOND,
+        load_report("n", "b", attempts=9, failures=9),
+        load_report("n", "a", attempts=9, mean=40 * MILLISECOND),
+    )
+    assert actions.made("set_entry", 0, "b", 0)
+    fleet.load_report("n", "b", attempts=9, mean=40 * MILLISECOND)
+    fleet.advance_to(20 * SECOND)
+    assert actions.made("set_entry", 0, "b", 1)
+    fleet.advance_to(1200 * SECOND)
+    fleet.load_report("n", "b", attempts=9, mean=40 * MILLISECOND)
+    fleet.load_report("n", "a", attempts=9, mean=40 * MILLISECOND)
+    fleet.advance_to(1202 * SECOND)
+    assert not actions.made("set_entry", 0, "b", 0)
+
+
+def test_in_an_overload_a_warming_up_backend_gets_what_its_warm_up_share_allows(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    """Not only its part of the success ratio."""
+
+    fleet.configure(warm_up_time=20 * SECOND, warm_up_start_share=0.2, overload_multiple=4)
+    fleet.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.advance_to(11 * SECOND)
+    fleet.list_changes(endpoint("c", started_at=10500 * MILLISECOND))
+    assert actions.made("set_entry", 0, "c", 0.25)
+    fleet.report_each_second(
+        16 * SECOND,
+        load_report("n", "a", attempts=40, failures=24, mean=100 * MILLISECOND),
+        load_report("n", "b", attempts=40, failures=24, mean=100 * MILLISECOND),
+        load_report("n", "c", attempts=9, mean=100 * MILLISECOND),
+    )
+    assert actions.made("set_entry", 0, "c", 0.387)
+
+
+def test_a_new_backend_starts_at_a_quarter_of_its_weight_at_the_average_cost_and_doubles_each_step(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.list_restored(endpoint("a", weight=4), endpoint("b", weight=4))
+    fleet.join(1)
+    fleet.advance_to(SECOND)
+    fleet.list_changes(endpoint("c", weight=4, started_at=SECOND))
+    assert actions.made("set_entry", 0, "c", 1)
+    fleet.advance_to(5 * SECOND)
+    assert not actions.made("set_entry", 0, "c")
+    fleet.advance_to(6 * SECOND)
+    assert actions.made("set_entry", 0, "c", 2)
+    fleet.advance_to(11 * SECOND)
+    assert actions.made("set_entry", 0, "c", 4)
+
+
+def test_a_backend_that_restarts_under_its_name_falls_back_to_a_quarter_at_once(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.list_restored("a", "b")
+    fleet.join(1)
+    fleet.advance_to(3 * SECOND)
+    fleet.list_changes(endpoint("a", started_at=2 * SECOND))
+    assert actions.made("set_entry", 0, "a", 0.25)
+
+
+def test_a_backend_that_started_lately_is_warmed_up_though_it_is_in_the_first_list(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(warm_up_time=16 * SECOND)
+    fleet.advance_to(20 * SECOND)
+    fleet.list_restored(endpoint("a", started_at=SECOND), endpoint("b", started_at=8 * SECOND))
+    fleet.join(1)
+    # A quarter of its weight, and 0.3 of that as in an overload, until there is a load report.
+    assert actions.made("set_entry", 0, "a", 1)
+    assert actions.made("set_entry", 0, "b", 0.075)
+
+
+def test_a_warming_up_backend_gains_no_weight_by_answering_fast(
+    fleet: PlannerHarness, actions: RecordedActions
+) -> None:
+    fleet.configure(warm_up_time=16 * SECOND)
+    fleet.list_restored("a", "b")
+    fleet.advance_to(SECOND)
+    fleet.list_changes(endpoint("c", started_at=SECOND))
+    fleet.report_each_second(
+        3 * SECOND,
+        load_report("n", "a", attempts=50, mean=400 * MILLISECOND),
+        load_report("n", "b", attempts=50, mean=400 * MILLISECOND),
+        load_report("n", "c", attempts=50, mean=100 * MILLISECOND),
+    )
+    assert len(actions.made("set_entry", 0, "c")) == 1
--- /dev/null
+++ b/tests/service/test_service_configuration.py
@@ -0,0 +1,84 @@
+"""The configuration file, as a process of its own reads it."""
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+
+import pytest
+
+from granitespool.cli import main
+
+CONFIG = {
+    "name": "n0",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:9",
+    "seed": "1f",
+    "settings": {"zones": ["n"]},
+}
+
+
+@pytest.mark.parametrize(
+    "told, words",
+    [
+        (None, "names no file"),
+        ("/nowhere/at/all", "cannot be read"),
+        ("{", "not JSON"),
+        ("[]", "not an object"),
+        ("{}", "'settings'"),
+        ({"listen": "x"}, "not an address"),
+        ({"listen": "a:99999"}, "not an address"),
+        ({"seed": "xyz"}, "not in hex"),
+        ({"settings": None}, "'settings'"),
+        ({"settings": {"classes": {"a": 1}}}, "'classes'"),
+        ({"settings": {"rules": {"cold_us": "long"}}}, "rules.cold_us"),
+        ({"limits": 5}, "limits"),
+        ({"settings": {"family_info": {"egress_per_s": "fast"}}}, "egress_per_s"),
+        ({"known": 5}, "'known'"),
+        ({"settings": {"family_info": {"egress_per_s": 0}}}, "no pace"),
+        ({"peers": 5}, "another type"),
+        ({"limits": {"sockets": "many"}}, "'sockets'"),
+        ({"settings": {"zones": 5}}, "'zones'"),
+        ({"known": {"index": 1}}, "'endpoints'"),
+        ("taken", "in use"),
+    ],
+)
+def test_an_invalid_configuration_is_reported_in_one_sentence(monkeypatch, capsys, tmp_path, told, words):
+    taken = socket.create_server(("127.0.0.1", 0))
+    if told == "taken":
+        told = {"listen": "{}:{}".format(*taken.getsockname())}
+    if told and told != "/nowhere/at/all":
+        path = tmp_path / "config.json"
+        path.write_text(told if isinstance(told, str) else json.dumps({**CONFIG, **told}))
+        told = str(path)
+    monkeypatch.setenv("LB_CONFIG", told or "")
+    monkeypatch.setattr(sys, "stdout", open(os.devnull, "w"))
+    code = main([])
+    err = capsys.readouterr().err
+    assert code == 1
+    assert words in err
+    assert err.count("\n") == 1
+
+
+def test_a_process_reloads_on_sighup_and_serves_until_sigterm(tmp_path):
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(CONFIG))
+    with subprocess.Popen(
+        [sys.executable, "-m", "granitespool", "serve", "--config", path],
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    ) as process:
+        assert any('"serving"' in line for line in iter(process.stdout.readline, ""))
+        for text, words in (("{", "reload_refused"), (json.dumps(CONFIG), "reloaded"), ("", "not JSON")):
+            path.write_text(text)
+            process.send_signal(signal.SIGHUP)
+            assert any(words in line for line in iter(process.stdout.readline, ""))
+        for number in (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM):
+            process.send_signal(number)
+        out, err = process.communicate(timeout=30)
+    assert process.returncode == 0
+    assert err == ""
+    assert '"stopped"' in out
--- /dev/null
+++ b/tests/service/test_service_invalid_messages.py
@@ -0,0 +1,231 @@
+"""What a message that is not as the protocol says costs its sender, and nobody else."""
+
+from support import wire_messages as messages
+from support.backend_stand_ins import BackendStandIns
+from support.service_clients import ServiceClients
+from support.service_harness import ServiceHarness
+from support.service_outlets import ServiceLog
+
+from granitespool.units import SECOND
+
+
+def test_a_length_over_the_limit_ends_the_connection_and_no_other(
+    service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    backends.start("a")
+    clients.join("p", 1)
+    clients.join("q", 2)
+    clients.wait_for("q", "whole")
+    clients.send_bytes("p", b"\x01\x00\x10\x00")
+    clients.wait_for_end("p")
+    log.wait_for("is over the limit")
+    service.state.wait_for_joined(2)
+    clients.wait_for_heartbeat("q")
+
+
+def test_what_is_no_json_object_with_a_type_ends_the_connection(
+    clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    backends.start("a")
+    clients.connect("a")
+    clients.send_bytes("a", b"\x04\x00\x00\x00abcd")
+    clients.wait_for_end("a")
+    log.wait_for("not JSON")
+    clients.connect("b")
+    clients.send_bytes("b", b"\x02\x00\x00\x00{}")
+    clients.wait_for_end("b")
+    log.wait_for("not an object with a type")
+    clients.connect("c")
+    clients.send_bytes("c", b"\x02\x00\x00\x00[]")
+    clients.wait_for_end("c")
+    clients.connect("d")
+    clients.send_bytes("d", b"\x00\x00\x00\x00")
+    clients.wait_for_end("d")
+    clients.connect("e")
+    clients.wait_for_heartbeat("e")
+
+
+def test_a_message_before_its_sender_named_itself_ends_the_connection(
+    clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    backends.start("a")
+    clients.connect("a")
+    clients.send("a", messages.applied(node=1, nonce=1, latency=1.0))
+    clients.wait_for_end("a")
+    log.wait_for("before its sender said who it is")
+
+
+def test_a_join_with_an_unknown_zone_or_proxy_or_without_a_field_ends_the_connection(
+    service: ServiceHarness, clients: ServiceClients, log: ServiceLog
+) -> None:
+    service.configure(proxies_expected=4)
+    clients.connect("a")
+    clients.send("a", messages.joined(1, "x", w=1.0))
+    clients.wait_for_end("a")
+    log.wait_for("the unknown 'x'")
+    clients.connect("b")
+    clients.send("b", messages.joined(4, "n", w=1.0))
+    clients.wait_for_end("b")
+    log.wait_for("the unknown proxy 4")
+    clients.connect("c")
+    clients.send("c", '{"type":"joined","node":1,"locality":"n","w":1.0}')
+    clients.wait_for_end("c")
+    log.wait_for("lacks the field 'cold'")
+    clients.connect("d")
+    clients.send("d", messages.joined(-1, "n", w=1.0))
+    clients.wait_for_end("d")
+    clients.connect("e")
+    clients.send("e", messages.joined(1, "n", w=-1.0))
+    clients.wait_for_end("e")
+    clients.connect("f")
+    clients.send("f", messages.joined(True, "n", w=1.0))
+    clients.wait_for_end("f")
+    clients.connect("g")
+    clients.send("g", messages.collector(7))
+    clients.wait_for_end("g")
+    service.state.wait_for_joined()
+
+
+def test_an_invalid_message_of_a_proxy_is_dropped_with_a_line_and_the_stream_goes_on(
+    service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    backends.start("a")
+    service.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
+    clients.join("p", 1)
+    clients.wait_for("p", "whole")
+    clients.send("p", messages.usage(1, "x"))
+    log.wait_for("the unknown 'x'")
+    clients.send("p", messages.usage(1, "pay", total=-1))
+    log.wait_for("'total' of a 'usage' is -1")
+    clients.send("p", messages.usage(1, "pay", total="1"))
+    log.wait_for("holds '1'")
+    clients.send("p", ('{"type":"usage","node":1,"route":"pay","total":1e300,"errors":0,"interval":1.0}'))
+    log.wait_for("is 1e+300")
+    clients.send("p", messages.load_report("z", total=1))
+    log.wait_for("the unknown 'z'")
+    clients.send("p", messages.load_report("a", locality="x", total=1))
+    clients.send("p", messages.applied(node=1, nonce=None, latency=1.0))
+    log.wait_for("lacks the field 'nonce'")
+    clients.send("p", '{"type":"odd"}')
+    log.wait_for("a 'odd' has no place here")
+    clients.send("p", messages.joined(2, "n", w=1.0))
+    log.wait_for("a 'joined' has no place here")
+    clients.wait_for_heartbeat("p")
+    service.state.wait_for_joined(1)
+
+
+def test_an_invalid_load_report_is_dropped_whole_and_none_of_it_is_counted(
+    service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    backends.start("a", "b")
+    service.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
+    clients.join("p", 1)
+    clients.wait_for("p", "whole")
+    clients.connect("c")
+    clients.send("c", messages.collector("n"))
+    log.wait_for('"collector"')
+    clients.send("c", messages.load_report("a", total=9, errors=38654705664))
+    clients.send("c", messages.load_report("a", total=9, errors=10))
+    clients.send("c", messages.load_report("a", total=38654705664))
+    clients.send("c", messages.load_report("a", total=9, rtt=38654705664))
+    clients.send("c", messages.load_report("a", total=9, rtt=float("nan")))
+    clients.send("c", messages.load_report("a", total=9, rtt=float("inf")))
+    clients.send(
+        "c",
+        ('{"type":"heard","locality":"n","endpoint":"a","total":9,"errors":0,"rtt":1e400,"interval":1.0}'),
+    )
+    clients.send("c", messages.load_report("a", total=9, rtt=True))
+    clients.send("c", messages.load_report("a", total=9, metrics=5))
+    clients.send("c", messages.load_report("a", total=9, metrics=[1]))
+    clients.send("c", messages.load_report("a", total=9, metrics="s"))
+    clients.send("c", '{"locality":"n","endpoint":"a","total":9,"errors":0,"rtt":1.0,"interval":1.0}')
+    clients.send("c", "[1]")
+    clients.send("c", '{"type":[1]}')
+    clients.send("p", messages.usage(1, "pay", total=38654705664))
+    clients.send("p", messages.usage(2, "pay"))
+    clients.send("c", messages.applied(node=1, nonce=1, latency=1.0))
+    log.wait_for_dropped(17)
+    assert service.state.attempts("a") == (0, [])
+    clients.send("c", messages.load_report("a", total=9, errors=1, metrics={"util": "s"}))
+    log.wait_for_dropped(17)
+    clients.wait_for_heartbeat("c")
+    clients.wait_for_heartbeat("p")
+    service.state.wait_for_joined(1)
+    assert '"failed"' not in log.text
+
+
+def test_an_invalid_acknowledgement_does_not_keep_the_channel_full(
+    service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    service.configure(entries_per_s=10, backlog_limit=20, message_header=3)
+    backends.start("a", "b", "c")
+    clients.join("p", 1)
+    clients.wait_for("p", "whole")
+    clients.join("q", 2)
+    assert "whole" not in clients.received("q")
+    clients.send("p", messages.applied(node=1, nonce="nan", latency=1.0))
+    clients.wait_for("q", "whole")
+    log.wait_for("'nonce'")
+
+
+def test_http_an_impossible_length_a_long_first_message_and_an_update_are_rejected_at_once(
+    clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    backends.start("a")
+    clients.connect("a")
+    clients.send_bytes("a", b"GET / HTTP/1.1\r\n\r\n")
+    clients.wait_for("a", '"type":"refused"')
+    clients.wait_for_end("a")
+    log.wait_for("over the limit")
+    clients.connect("b")
+    clients.send_bytes("b", b"\xff\xff\xff\xff")
+    clients.wait_for_end("b")
+    clients.connect("c")
+    clients.send_bytes("c", b"\x01\x04\x00\x00")
+    clients.wait_for_end("c")
+    log.wait_for("a message of 1025 bytes is over the limit")
+    clients.connect("d")
+    clients.send("d", '{"type":"update","classes":["pay"],"whole":true}')
+    clients.wait_for_end("d")
+    log.wait_for("a 'update' came before")
+    clients.connect("e")
+    clients.send("e", messages.usage(1, "pay"))
+    clients.wait_for_end("e")
+    clients.connect("f")
+    clients.send_bytes("f", b"\x10\x04")
+    clients.close("f")
+    clients.connect("g")
+    clients.close("g")
+    clients.join("p", 1)
+    clients.wait_for("p", "whole")
+    clients.send_all_but_last_byte("p", 100_000)
+    clients.send_bytes("p", b" ")
+    log.wait_for("not JSON")
+
+
+def test_invalid_messages_without_end_are_logged_a_few_a_second_and_then_as_a_number(
+    service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
+) -> None:
+    backends.start("a")
+    service.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
+    clients.join("p", 1)
+    clients.wait_for("p", "whole")
+    clients.send_repeatedly("p", 500, messages.usage(1, "an-unknown-one"))
+    clients.wait_for_heartbeat("p")
+    service.advance_to(SECOND)
+    clients.send("p", '{"type":"odd"}')
+    log.wait_for('"untold"')
+    log.wait_for('{"dropped":480}')
+    log.wait_for_dropped(22)
+
+
+def test_a_rejected_client_reads_the_reason_though_it_goes_on_sending(
+    clients: ServiceClients, backends: BackendStandIns
+) -> None:
+    backends.start("a")
+    clients.connect("x")
+    clients.send_bytes("x", b"GET / HTTP/1.1\r\n\r\n")
+    clients.wait_for("x", '"type":"refused"')
+    clients.send_bytes("x", b"GET / HTTP/1.1\r\n\r\n")
+    clients.wait_for_end("x")
+    assert clients.ended_in_order("x")
--- /dev/null
+++ b/tests/support/backend_stand_ins.py
@@ -0,0 +1,82 @@
+"""Stand-ins for backends: listeners on loopback that answer health checks as a test says."""
+
+import select
+import socket
+from collections.abc import Iterator
+from typing import Any
+
+from support.sockets import accepted, received
+
+HEALTHY = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil=0.25"
+
+
+class BackendStandIns:
+    """Backends that listen, by name; `known` is the list that a service starts with."""
+
+    def __init__(self) -> None:
+        self.known: list[dict[str, Any]] = []
+        self.addresses: dict[str, str] = {}
+        self._listeners: dict[str, socket.socket] = {}
+        self._answers: dict[str, str] = {}
+        self._checks: list[tuple[socket.socket, str]] = []  # health checks without an answer yet
+
+    def start(self, *names: str, zone: str = "n") -> None:
+        """Start backends; they are healthy, and in the list of a service that starts after them."""
+        for name in names:
+            listener = socket.create_server(("127.0.0.1", 0))
+            listener.setblocking(False)
+            self._listeners[name], self._answers[name] = listener, HEALTHY
+            self.addresses[name] = "{}:{}".format(*listener.getsockname())
+            self.known.append(
+                {
+                    "name": name,
+                    "address": self.addresses[name],
+                    "zone": zone,
+                    "type": "m",
+                    "group": 0,
+                    "status": "ready",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
+            )
+
+    def stop(self, name: str) -> None:
+        """It listens no more."""
+        self._listeners.pop(name).close()
+        del self._answers[name]
+
+    def answer_health_checks(self, name: str, answer: str) -> None:
+        """What its health checks get from now on; nothing for silence."""
+        self._answers[name] = answer
+
+    def turn(self) -> None:
+        """Accept health checks and answer those that have asked."""
+        for name, listener in self._listeners.items():
+            if sock := accepted(listener):
+                self._checks.append((sock, name))
+        for sock, name in list(self._checks):
+            answer = self._answers.get(name)
+            if answer and received(sock):
+                sock.sendall(answer.encode())
+                sock.close()
+                self._checks.remove((sock, name))
+
+    def has_been_asked(self, name: str) -> bool:
+        """Whether a health check of it has asked and waits for an answer."""
+        return any(
+            checked == name and bool(select.select([sock], [], [], 0)[0]) for sock, checked in self._checks
+        )
+
+    def send_answer(self, name: str, answer: str) -> None:
+        """Answer the one health check of it that waits."""
+        [sock] = [sock for sock, checked in self._checks if checked == name]
+        sock.sendall(answer.encode())
+
+    def close(self) -> None:
+        """Close all sockets."""
+        for sock in self._sockets():
+            sock.close()
+
+    def _sockets(self) -> Iterator[socket.socket]:
+        yield from self._listeners.values()
+        yield from (sock for sock, _ in self._checks)
--- /dev/null
+++ b/tests/support/coordinator_harness.py
@@ -0,0 +1,106 @@
+"""A coordinator and its planner: events and actions go in, messages to proxies come out, typed."""
+
+from typing import Any
+
+import msgspec
+
+from granitespool.coordinator import REMARKS, Coordinator
+from granitespool.planner import events
+from support.events import EventReporter
+from support.records import settings_of
+
+SEED = 1
+ALL_CLASSES = 0
+
+
+class TableUpdate(msgspec.Struct, frozen=True):
+    """Entries of a table for some classes (None: all), in their order; a complete one replaces the former."""
+
+    complete: bool
+    entries: tuple[tuple[str, float], ...]
+    classes: tuple[str, ...] | None = None
+
+
+class Admission(msgspec.Struct, frozen=True):
+    """The admitted share of some classes (None: all) and how they are retried."""
+
+    share: float
+    retries: int
+    classes: tuple[str, ...] | None = None
+
+
+class ProxyMessage(msgspec.Struct, frozen=True):
+    """One message to a proxy."""
+
+    tables: tuple[TableUpdate, ...] = ()
+    admissions: tuple[Admission, ...] = ()
+    excluded: tuple[str, ...] = ()
+    readmitted: tuple[str, ...] = ()
+    acknowledge: bool = False
+
+
+def complete_table(*classes: str, **entries: float) -> TableUpdate:
+    """A complete table of these entries, for these classes or all."""
+    return TableUpdate(True, tuple(entries.items()), classes or None)
+
+
+def table_changes(*classes: str, **entries: float) -> TableUpdate:
+    """Changed entries of a table, for these classes or all."""
+    return TableUpdate(False, tuple(entries.items()), classes or None)
+
+
+class CoordinatorHarness(EventReporter):
+    """A coordinator, made at the first use; its clock stands until it is advanced."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self._coordinator: Coordinator | None = None
+
+    @property
+    def actions(self) -> Coordinator:
+        """The coordinator as its planner sees it: the actions that it may ask for."""
+        if self._coordinator is None:
+            self._coordinator = Coordinator(settings_of(self.settings), SEED, self.now)
+        return self._coordinator
+
+    def report(self, event: events.Event) -> None:
+        """Report one event at the present time."""
+        self.actions.report(self.now, event)
+
+    def advance_to(self, time: int) -> None:
+        """Run the timers that are due until then."""
+        while (due := self.actions.tick(self.now)) is not None and due <= time:
+            self.now = due
+        self.now = time
+
+    def message(self, proxy: int) -> ProxyMessage | None:
+        """End the turn and take what the proxy is to be sent, None for nothing."""
+        self.actions.tick(self.now)
+        picked = self.actions.pick(proxy)
+        return _message_of(picked) if picked else None
+
+    def logged_errors(self) -> list[str]:
+        """Errors that the coordinator has caught, and what the planner has logged."""
+        return list(self.actions.queues[REMARKS])
+
+
+def _message_of(picked: Any) -> ProxyMessage:
+    return ProxyMessage(
+        tables=tuple(
+            TableUpdate(
+                complete, tuple((name, float(f"{weight:g}")) for name, weight in entries), _names(classes)
+            )
+            for classes, complete, entries in picked["tables"]
+        ),
+        admissions=tuple(
+            Admission(float(f"{share:g}"), retries, _names(classes))
+            for classes, share, retries in picked["levels"]
+        ),
+        excluded=tuple(picked["out"]),
+        readmitted=tuple(picked["back"]),
+        acknowledge=picked["mark"] is not None,
+    )
+
+
+def _names(classes: list[str] | None) -> tuple[str, ...] | None:
+    return None if classes is None else tuple(classes)
--- /dev/null
+++ b/tests/support/events.py
@@ -0,0 +1,196 @@
+"""Reports events to whatever takes them, from plain values: a planner or a coordinator, and its settings."""
+
+from typing import Any
+
+import msgspec
+
+from granitespool.endpoints import Endpoint
+from granitespool.planner import events
+from granitespool.planner.records import MinimumRtt
+from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
+from granitespool.units import SECOND
+from support.records import endpoint
+
+USUAL_RATE = 5.0  # requests a second that a joining proxy names
+
+
+class RestoredLink(msgspec.Struct, frozen=True):
+    """What a former process had learnt of a backend in a zone."""
+
+    zone: str
+    backend: str
+    attempts: int
+    failures: int = 0
+    mean: int = 0  # ns
+    ejected: bool = False
+
+    def snapshot(self, now: int) -> LinkSnapshot:
+        """The record that a state folder would give; an ejection is a second old."""
+        successes = self.attempts - self.failures
+        return LinkSnapshot(
+            attempts=float(self.attempts),
+            failures=float(self.failures),
+            successes=float(successes),
+            response_time=float(successes * self.mean),
+            minimum_rtt=MinimumRtt(now, self.mean) if self.mean else None,
+            overloaded_reports=0,
+            consecutive_failures=0,
+            ejected_at=now - SECOND if self.ejected else None,
+            slow_start_since=None,
+        )
+
+
+class RestoredUnverified(msgspec.Struct, frozen=True):
+    """A backend that had neither answered a request nor a health check."""
+
+    backend: str
+
+
+class RestoredOverload(msgspec.Struct, frozen=True):
+    """The overload that a former process had met, and the demand of each class."""
+
+    admitted_share: float
+    demand: dict[str, int]
+
+
+Restored = RestoredLink | RestoredUnverified | RestoredOverload
+
+
+def load_report(
+    zone: str, backend: str, attempts: int, failures: int = 0, mean: int = 0, window: int = SECOND
+) -> events.LoadReport:
+    """What a zone's proxies saw at a backend over a second, `mean` in ns."""
+    return events.LoadReport(zone, backend, attempts, failures, mean, window, {})
+
+
+class EventReporter:
+    """A method for each event, and the settings that apply from the first one on."""
+
+    def __init__(self) -> None:
+        self.now = 0
+        self.settings: dict[str, Any] = {"zones": ["n", "s"], "classes": []}
+
+    def report(self, event: events.Event) -> None:
+        """Report one event at the present time."""
+        raise NotImplementedError
+
+    def configure(self, **settings: Any) -> None:
+        """Change settings, before the first event."""
+        self.settings.update(settings)
+
+    def request_class(self, name: str, effect: str, *, latency_objective: int, priority_weight: int) -> None:
+        """Add a request class, before the first event; it times out at three times its objective (ns)."""
+        self.settings["classes"].append(
+            {
+                "name": name,
+                "effect": effect,
+                "latency_objective": latency_objective,
+                "timeout": 3 * latency_objective,
+                "priority_weight": priority_weight,
+            }
+        )
+
+    def _list(self, form: events.ListForm, entries: tuple[Endpoint | str, ...]) -> None:
+        named = [entry if isinstance(entry, Endpoint) else endpoint(entry) for entry in entries]
+        self.report(events.EndpointListUpdate(form, named))
+
+    def list_restored(self, *entries: Endpoint | str) -> None:
+        """The list as a new watch tells it; a name alone is a ready endpoint of zone `n`."""
+        self._list(events.ListForm.RESTORED, entries)
+
+    def list_complete(self, *entries: Endpoint | str) -> None:
+        """The complete list: what it does not name is gone."""
+        self._list(events.ListForm.COMPLETE, entries)
+
+    def list_changes(self, *entries: Endpoint | str) -> None:
+        """The entries that changed."""
+        self._list(events.ListForm.CHANGES, entries)
+
+    def list_failed(self) -> None:
+        """The list could not be read."""
+        self._list(events.ListForm.FAILED, ())
+
+    def restore(self, *facts: Restored) -> None:
+        """Restore what a former process had learnt."""
+        fleet = FleetSnapshot(is_overloaded=False, admitted_share=1.0, success_ratio=1.0, demand={})
+        links: dict[str, dict[str, LinkSnapshot]] = {}
+        unverified = set()
+        for fact in facts:
+            if isinstance(fact, RestoredOverload):
+                fleet = FleetSnapshot(
+                    is_overloaded=True,
+                    admitted_share=fact.admitted_share,
+                    success_ratio=1.0,
+                    demand=dict(fact.demand),
+                )
+            elif isinstance(fact, RestoredUnverified):
+                links.setdefault(fact.backend, {})
+                unverified.add(fact.backend)
+            else:
+                links.setdefault(fact.backend, {})[fact.zone] = fact.snapshot(self.now)
+        backends = {name: _backend_snapshot(name not in unverified, each) for name, each in links.items()}
+        self.report(events.Restored(fleet, backends))
+
+    def join(self, proxy: int, zone: str = "n", rate: float = USUAL_RATE) -> None:
+        """A proxy's stream is ready; it holds the table that proxies start with."""
+        self.report(events.ProxyJoined(proxy, zone, True, rate))
+
+    def join_many(self, number: int, zone: str = "n") -> None:
+        """So many proxies join, numbered from 0."""
+        for proxy in range(number):
+            self.join(proxy, zone)
+
+    def leave(self, proxy: int) -> None:
+        """A proxy's stream has ended."""
+        self.report(events.ProxyLeft(proxy))
+
+    def load_report(
+        self, zone: str, backend: str, attempts: int, failures: int = 0, mean: int = 0, window: int = SECOND
+    ) -> None:
+        """What a zone's proxies saw at a backend; `mean` and `window` in ns."""
+        self.report(load_report(zone, backend, attempts, failures, mean, window))
+
+    def usage_report(
+        self, proxy: int, request_class: str, requests: int, unanswered: int = 0, window: int = SECOND
+    ) -> None:
+        """The requests of a class that reached a proxy."""
+        self.report(events.UsageReport(proxy, request_class, requests, unanswered, window))
+
+    def acknowledged(self, proxy: int, sequence: int, latency: int) -> None:
+        """A proxy acknowledges a barrier after so many ns."""
+        self.report(events.Acknowledged(proxy, sequence, latency))
+
+    def health_check(self, backend: str, outcome: str, latency: int) -> None:
+        """A health check ended so after so many ns."""
+        self.report(events.HealthCheckResult(backend, events.HealthCheckOutcome(outcome), latency, {}))
+
+    def gossip(self, peer: int, payload: str) -> None:
+        """A datagram of another coordinator, in hex."""
+        self.report(events.GossipReceived(peer, payload))
+
+    def slice_assigned(self, table: int, owned: bool) -> None:
+        """The coordinator owns a slice's table from now on, or no more."""
+        self.report(events.SliceAssigned(table, owned))
+
+    def slice_entry(self, table: int, backend: str, weight: float) -> None:
+        """An entry that the store holds of a slice."""
+        self.report(events.SliceEntry(table, backend, weight))
+
+    def slice_load(self, table: int, request_class: str, requests: int, unanswered: int, window: int) -> None:
+        """The requests of a class in a slice."""
+        self.report(events.SliceLoad(table, request_class, requests, unanswered, window))
+
+
+def _backend_snapshot(verified: bool, links: dict[str, LinkSnapshot]) -> BackendSnapshot:
+    return BackendSnapshot(
+        phase="ready",
+        zone=None,
+        machine_type=None,
+        configured_weight=1.0,
+        started_at=0,
+        left_ready_at=0,
+        slow_start_since=None,
+        verified=verified,
+        removal_unconfirmed=False,
+        links=links,
+    )
--- /dev/null
+++ b/tests/support/service_clients.py
@@ -0,0 +1,183 @@
+"""Stand-ins for proxies and collectors: connections to a service's proxy listener, by name."""
+
+import socket
+from collections import defaultdict
+from typing import TYPE_CHECKING, Any
+
+from support import wire_messages
+from support.sockets import END, FullSocket, received
+from support.wire_messages import HEARTBEAT, framed
+
+if TYPE_CHECKING:
+    from support.service_harness import ServiceHarness
+
+MOST_TURNS = 20_000  # that a message is written for
+PIECE = 60_000  # bytes of a large message that are written in one turn
+
+
+class ServiceClients:
+    """Connections by name; each collects what it was sent."""
+
+    def __init__(self, harness: "ServiceHarness") -> None:
+        self._harness = harness
+        self._sockets: dict[str, socket.socket] = {}
+        self._blocked: dict[str, tuple[Any, Any]] = {}  # name -> the service's connection, its socket
+        self.sent_to: defaultdict[str, str] = defaultdict(str)
+
+    def turn(self) -> None:
+        """Read what stands there."""
+        for name, sock in self._sockets.items():
+            if not self.sent_to[name].endswith(END):
+                self.sent_to[name] += received(sock)
+
+    # Connecting
+
+    def connect(self, name: str) -> None:
+        """Open a connection."""
+        self._sockets[name] = self._dial()
+        self._harness.turn()
+
+    def connect_many(self, prefix: str, number: int) -> None:
+        """Open so many, named PREFIX0, PREFIX1, ..."""
+        for position in range(number):
+            self.connect(f"{prefix}{position}")
+
+    def join(self, name: str, proxy: int, zone: str = "n") -> None:
+        """Open a connection and join on it as a proxy."""
+        self.connect(name)
+        self.send(name, wire_messages.joined(proxy, zone))
+
+    def join_before_accept(self, name: str, proxy: int, zone: str = "n") -> None:
+        """As `join`, but the message is sent before the service accepts the connection."""
+        sock = self._dial(framed(wire_messages.joined(proxy, zone)))
+        self._sockets[name] = sock
+        self._harness.turn()
+
+    def join_many_at_once(self, prefix: str, number: int, zone: str = "n") -> None:
+        """So many proxies join before the service runs again, named PREFIX0, PREFIX1, ..."""
+        with self._harness.suspended():
+            for proxy in range(number):
+                self.join_before_accept(f"{prefix}{proxy}", proxy, zone)
+
+    def _dial(self, first: bytes = b"") -> socket.socket:
+        sock = socket.create_connection(self._harness.instance.streams.listener.getsockname())
+        sock.sendall(first)
+        sock.setblocking(False)
+        return sock
+
+    def close(self, name: str) -> None:
+        """Close a connection."""
+        self._sockets.pop(name).close()
+        self._harness.turn()
+
+    def shut_down_sending(self, name: str) -> None:
+        """It has sent its last and still reads."""
+        self._sockets[name].shutdown(socket.SHUT_WR)
+        self._harness.turn()
+
+    def close_all(self) -> None:
+        """Close all sockets."""
+        for sock in self._sockets.values():
+            sock.close()
+
+    # Sending
+
+    def write(self, name: str, data: bytes) -> None:
+        """Write all bytes, with turns of the service in between where it must read first."""
+        view = memoryview(data)
+        for _ in range(MOST_TURNS):
+            try:
+                view = view[self._sockets[name].send(view) :]
+            except BlockingIOError:
+                pass
+            except ConnectionError:
+                return
+            if not view:
+                return
+            self._harness.wait()
+        assert not view, "not taken"
+
+    def send(self, name: str, message: str) -> None:
+        """Send one message."""
+        self.write(name, framed(message))
+        self._harness.turn()
+
+    def send_bytewise(self, name: str, message: str) -> None:
+        """Send one message, a byte a turn."""
+        for byte in framed(message):
+            self.send_bytes(name, bytes([byte]))
+
+    def send_repeatedly(self, name: str, times: int, message: str) -> None:
+        """Send the same message many times in one write."""
+        self.write(name, framed(message) * times)
+
+    def send_bytes(self, name: str, data: bytes) -> None:
+        """Send bytes as they stand."""
+        self.write(name, data)
+        self._harness.turn()
+
+    def send_all_but_last_byte(self, name: str, size: int) -> None:
+        """Send the length of a message and all of it but its last byte."""
+        self.write(name, size.to_bytes(4, "little"))
+        for start in range(0, size - 1, PIECE):
+            self.send_bytes(name, b" " * min(PIECE, size - 1 - start))
+
+    def send_at_once(self, name: str, message: str) -> None:
+        """Send a message without a turn of the service."""
+        self._sockets[name].sendall(framed(message))
+
+    def send_more_than_a_buffer(self, name: str) -> None:
+        """Send a buffer full of heartbeats and the beginning of one message more."""
+        size = self._harness.instance.streams.pool.size
+        heartbeats = framed(HEARTBEAT) * 1000
+        self._sockets[name].sendall(heartbeats[:size] + b"x" * 100)
+        self._harness.turn()
+
+    # Receiving
+
+    def wait_for(self, name: str, text: str) -> None:
+        """Wait until what it was sent holds this text."""
+        self._harness.wait_until(lambda: text in self.sent_to[name], (name, text))
+
+    def wait_for_end(self, name: str) -> None:
+        """Wait until the service has ended the connection."""
+        self.wait_for(name, END)
+
+    def wait_for_heartbeat(self, name: str) -> None:
+        """Send a heartbeat and wait for its answer."""
+        before = self.sent_to[name].count('"pong"')
+        self.send(name, HEARTBEAT)
+        self._harness.wait_until(lambda: self.sent_to[name].count('"pong"') > before, (name, "pong"))
+
+    def received(self, name: str) -> str:
+        """All that it was sent up to the answer to a heartbeat."""
+        self.wait_for_heartbeat(name)
+        return self.sent_to[name]
+
+    def forget_received(self, name: str) -> None:
+        """Forget what it was sent so far."""
+        self.sent_to[name] = ""
+
+    def ended_in_order(self, name: str) -> bool:
+        """Whether the connection ended without a reset."""
+        return self._sockets[name].recv(1) == b""
+
+    def stop_reading(self, name: str) -> None:
+        """It reads nothing any more: the service's writes to it find no room."""
+        peer = "{}:{}".format(*self._sockets[name].getsockname())
+        connection = next(each for each in self._harness.instance.streams.connections if each.peer == peer)
+        self._blocked[name] = connection, connection.sock
+        connection.sock = FullSocket(connection.sock)
+
+    def resume_reading(self, name: str) -> None:
+        """It reads again."""
+        connection, connection.sock = self._blocked.pop(name)
+        self._harness.turn()
+
+    def fail_writes(self, name: str, error: type[OSError], sent_before: str | None = None) -> None:
+        """Each write to it fails so from now on; it has sent this message before."""
+        if sent_before is not None:
+            self.send_at_once(name, sent_before)
+        connection, _ = self._blocked[name]
+        connection.sock.error = error
+        self._harness.turn()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,53 +1,62 @@
 """Counting across coordinators: what a coordinator tells of itself, and the reader that adds it up."""
 
+from contextlib import closing
+
 import pytest
-from stage import Sockets
+from support import wire_messages as messages
+from support.service_harness import ServiceHarness
 
 from bench import fleet
 from granitespool import operator_settings
+from granitespool.units import MILLISECOND, SECOND
 
 
-class Told(Sockets):
-    """A service that tells its figures each second."""
+class ReportingService(ServiceHarness):
+    """A service that logs its figures each second."""
 
     def __init__(self, name):
         super().__init__()
         self.name, self.figures = name, operator_settings.Figures(backends=2)
 
-    def config(self):
+    def configuration(self):
         return {
-            **super().config(),
+            **super().configuration(),
             "name": self.name,
             "operator": operator_settings.Operator(figures=self.figures),
         }
 
 
-def played(stage, lines):
-    try:
-        for step in filter(None, lines.replace("\n", "; ").split("; ")):
-            stage.play(step)
-        stage.do_feed()
-        return list(fleet.lines(stage.log.encode()))
-    finally:
-        stage.end()
+def start(service, backends):
+    """Play the first 1.5 seconds of a service: its backends, a proxy and the collector `k`."""
+    service.configure(proxies_expected=9, entries_per_s=100, backlog_limit=500, drain_grace=5 * SECOND)
+    service.backends.start(*backends)
+    service.clients.join("p", 1)
+    service.discovery.accept_watch()
+    service.clients.connect("k")
+    service.clients.send("k", messages.collector("n"))
+    service.advance_to(1500 * MILLISECOND)
+
+
+def report_failures(service, backend):
+    """Two load reports in which every attempt failed."""
+    for _ in range(2):
+        report = messages.load_report(backend, total=9, errors=9, rtt=0, interval=1000)
+        service.clients.send("k", report)
 
 
-DAY = """set proxies_expected=9 entries_per_s=100 backlog_limit=500 drain_grace=5s
-known a:n b:n c:n d:n e:n
-joins p 1 n
-grants
-open k
-say k {"type":"collector","locality":"n"}
-at 1500ms
-"""
-FAILS = """say k {"type":"heard","locality":"n","endpoint":"b","total":9,"errors":9,"rtt":0,"interval":1000}
-say k {"type":"heard","locality":"n","endpoint":"b","total":9,"errors":9,"rtt":0,"interval":1000}
-at 2200ms
-"""
+def logged_events(service):
+    return list(fleet.lines(service.log.text.encode()))
 
 
 def test_two_coordinators_are_put_on_one_axis_and_added_up():
-    logs = {name: played(Told(name), DAY + more) for name, more in (("x", FAILS), ("y", ""))}
+    logs = {}
+    for name in ("x", "y"):
+        with closing(ReportingService(name)) as service:
+            start(service, "abcde")
+            if name == "x":
+                report_failures(service, "b")
+                service.advance_to(2200 * MILLISECOND)
+            logs[name] = logged_events(service)
     assert any(event["event"] == "figures" for event in logs["x"])
     last = [
         row
@@ -69,16 +78,15 @@
 
 
 def test_no_more_backends_are_told_than_asked_and_nothing_where_it_is_off():
-    told = [
-        event
-        for event in played(
-            Told("x"),
-            DAY.replace("known a:n b:n c:n d:n e:n", "known " + " ".join(f"a{k}:n" for k in range(9)))
-            + "\n".join(FAILS.replace('"b"', f'"a{k}"').replace("at 2200ms\n", "") for k in range(3))
-            + "at 3500ms",
-        )
-        if event["event"] == "figures"
-    ]
+    with closing(ReportingService("x")) as service:
+        start(service, [f"a{number}" for number in range(9)])
+        for number in range(3):
+            report_failures(service, f"a{number}")
+        service.advance_to(3500 * MILLISECOND)
+        told = [event for event in logged_events(service) if event["event"] == "figures"]
     assert len(told[-1]["backends"]) == 2 and told[-1]["more"] == 1
-    off = [event["event"] for event in played(Sockets(), DAY + "at 3500ms")]
+    with closing(ServiceHarness()) as service:
+        start(service, "abcde")
+        service.advance_to(3500 * MILLISECOND)
+        off = [event["event"] for event in logged_events(service)]
     assert "serving" in off and "figures" not in off
