--- a/tests/support/events.py
+++ b/tests/support/events.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from granitespool.endpoints import Endpoint
+from granitespool.endpoints import Endpoint, Phase
 from granitespool.planner import events
 from granitespool.planner.records import MinimumRtt
 from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
@@ -121,7 +121,7 @@
                     is_overloaded=True,
                     admitted_share=fact.admitted_share,
                     success_ratio=1.0,
-                    demand=dict(fact.demand),
+                    demand={**fact.demand},
                 )
             elif isinstance(fact, RestoredUnverified):
                 links.setdefault(fact.backend, {})
@@ -183,7 +183,7 @@
 
 def _backend_snapshot(verified: bool, links: dict[str, LinkSnapshot]) -> BackendSnapshot:
     return BackendSnapshot(
-        phase="ready",
+        phase=Phase.READY,
         zone=None,
         machine_type=None,
         configured_weight=1.0,
--- a/tests/support/planner_harness.py
+++ b/tests/support/planner_harness.py
@@ -35,14 +35,14 @@
         return value < self.high
 
 
-def _matches(expected: Any, actual: Any) -> bool:
+def _matches(expected: object, actual: Any) -> bool:
     if isinstance(expected, Between | Below):
         return actual in expected
     if isinstance(expected, bool) or isinstance(actual, bool):
         return expected is actual
     if isinstance(actual, float):
-        return expected == float(f"{actual:g}")
-    return expected == actual
+        return bool(expected == float(f"{actual:g}"))
+    return bool(expected == actual)
 
 
 class RecordedActions:
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.now = 0
         self.calls: list[tuple[Any, ...]] = []
-        self.class_names: list[str] = []
+        self.class_names: list[str | None] = []
         self._timers: list[tuple[int, int, str]] = []
         self._timers_set = 0
 
--- a/tests/support/process_faults.py
+++ b/tests/support/process_faults.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from pathlib import Path
 from types import SimpleNamespace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from support.wire_messages import framed
 
@@ -24,9 +24,10 @@
 
     def stop_before_reading(self, duration: int, meanwhile: Callable[[], None]) -> None:
         """The process stops for so long after it was told of events; `meanwhile` happens in that time."""
-        loop, real = self._harness.instance.loop, self._harness.instance.loop.epoll
+        loop: Any = self._harness.instance.loop
+        real = loop.epoll
 
-        def poll(*_: object) -> list[tuple[int, int]]:
+        def poll(*_: object) -> Any:
             loop.epoll = real
             found = real.poll(0)
             meanwhile()
@@ -40,7 +41,8 @@
 
     def stop_while_waiting(self, duration: int) -> None:
         """The process stops for so long in its wait for events, which comes back empty."""
-        loop, real = self._harness.instance.loop, self._harness.instance.loop.epoll
+        loop: Any = self._harness.instance.loop
+        real = loop.epoll
         self._harness.now += duration
         empty: list[list[object]] = [[]]
         loop.epoll = SimpleNamespace(
@@ -76,7 +78,7 @@
 
     def send_as_an_update_is_written(self, name: str, message: str) -> None:
         """A message arrives just as an update is written, and is not read in that turn."""
-        streams = self._harness.instance.streams
+        streams: Any = self._harness.instance.streams
         real, dropped_before = streams.send, self._harness.log.text.count('"dropped"')
 
         def send(proxy: int) -> None:
--- a/tests/support/service_clients.py
+++ b/tests/support/service_clients.py
@@ -165,13 +165,15 @@
     def stop_reading(self, name: str) -> None:
         """It reads nothing any more: the service's writes to it find no room."""
         peer = "{}:{}".format(*self._sockets[name].getsockname())
-        connection = next(each for each in self._harness.instance.streams.connections if each.peer == peer)
+        connections: Any = self._harness.instance.streams.connections
+        connection = next(each for each in connections if each.peer == peer)
         self._blocked[name] = connection, connection.sock
         connection.sock = FullSocket(connection.sock)
 
     def resume_reading(self, name: str) -> None:
         """It reads again."""
-        connection, connection.sock = self._blocked.pop(name)
+        connection, sock = self._blocked.pop(name)
+        connection.sock = sock
         self._harness.turn()
 
     def fail_writes(self, name: str, error: type[OSError], sent_before: str | None = None) -> None:
--- a/tests/support/service_outlets.py
+++ b/tests/support/service_outlets.py
@@ -50,7 +50,9 @@
 
     def send(self, sender: socket.socket, data: bytes) -> None:
         """Send a datagram to the service's gossip listener."""
-        sender.sendto(data, self._harness.instance.peers.sock.getsockname())
+        gossip = self._harness.instance.peers
+        assert gossip is not None
+        sender.sendto(data, gossip.sock.getsockname())
         self._harness.turn()
 
     def next_datagram(self) -> bytes:
