--- a/tests/support/events.py
+++ b/tests/support/events.py
@@ -50,7 +50,7 @@
     """The overload that a former process had met, and the demand of each class."""
 
     admitted_share: float
-    demand: dict[str, int]
+    demand: dict[str | None, float]
 
 
 Restored = RestoredLink | RestoredUnverified | RestoredOverload
@@ -121,7 +121,7 @@
                     is_overloaded=True,
                     admitted_share=fact.admitted_share,
                     success_ratio=1.0,
-                    demand={**fact.demand},
+                    demand=fact.demand,
                 )
             elif isinstance(fact, RestoredUnverified):
                 links.setdefault(fact.backend, {})
