--- a/tests/coordinator/test_coordinator_messages.py
+++ b/tests/coordinator/test_coordinator_messages.py
@@ -121,7 +121,6 @@
     coordinator: CoordinatorHarness,
 ) -> None:
     """Other proxies get the exclusion with the backend's entry."""
-
     coordinator.configure(default_retries=1)
     coordinator.join(1)
     coordinator.join(2)
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -30,7 +30,6 @@
 
 def test_unlikely_events_are_survived(fleet: PlannerHarness, actions: RecordedActions) -> None:
     """Zero counts, unknown names, odd windows, reports after all have left, a backend listed twice."""
-
     fleet.list_restored("a", "a")
     fleet.join(1)
     fleet.join(1)
--- a/tests/planner/test_exclusion_of_draining.py
+++ b/tests/planner/test_exclusion_of_draining.py
@@ -10,7 +10,6 @@
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     """What a former process had ordered may have been lost with it."""
-
     fleet.configure(backlog_limit=60, message_header=3, bootstrap_entries=5)
     fleet.list_restored("a", "b", endpoint("c", phase="draining"))
     for proxy in range(1, 5):
--- a/tests/planner/test_outlier_ejection.py
+++ b/tests/planner/test_outlier_ejection.py
@@ -48,7 +48,6 @@
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     """Overloaded is over 80 percent utilization."""
-
     fleet.request_class("pay", "free", latency_objective=10 * SECOND, priority_weight=1)
     fleet.list_restored("a", "b", "c")
     fleet.join(1)
--- a/tests/planner/test_overload_admission.py
+++ b/tests/planner/test_overload_admission.py
@@ -31,7 +31,6 @@
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     """Once, also for the class whose requests are idempotent."""
-
     fleet.request_class("low", "free", latency_objective=SECOND, priority_weight=1)
     fleet.request_class("high", "single_shot", latency_objective=SECOND, priority_weight=5)
     fleet.list_restored("a", "b", "c")
--- a/tests/planner/test_publication.py
+++ b/tests/planner/test_publication.py
@@ -110,7 +110,6 @@
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     """Each message has a header to pay for."""
-
     fleet.configure(entries_per_s=5, message_header=3)
     fleet.list_restored("a", "b", "c")
     fleet.join(1)
--- a/tests/planner/test_slow_start.py
+++ b/tests/planner/test_slow_start.py
@@ -68,7 +68,6 @@
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     """Not only its part of the success ratio."""
-
     fleet.configure(warm_up_time=20 * SECOND, warm_up_start_share=0.2, overload_multiple=4)
     fleet.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
     fleet.list_restored("a", "b")
--- a/tests/planner/test_table_assignment.py
+++ b/tests/planner/test_table_assignment.py
@@ -70,7 +70,6 @@
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     """The table that they start with may hold a backend that is gone."""
-
     fleet.configure(backlog_limit=60, message_header=3, drain_grace=3 * SECOND, empty_table_limit=9 * SECOND)
     fleet.list_restored("a", "b", "c")
     fleet.join(1)
