--- a/tests/planner/test_simulator_adapter.py
+++ b/tests/planner/test_simulator_adapter.py
@@ -22,18 +22,23 @@
 BROKEN = {"type": "tick_due", "coordinator": 0, "cookie": 5}
 
 
-def run(monkeypatch, capsys, *lines):
+def run(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], *lines: str
+) -> tuple[int, str, str]:
+    """The exit code, output and errors of the adapter for these lines."""
     monkeypatch.setattr(sys, "stdin", io.StringIO("".join(line + "\n" for line in lines)))
     code = simulator_adapter.main()
-    return code, *capsys.readouterr()
+    out, err = capsys.readouterr()
+    return code, out, err
 
 
-def batch(*items):
+def batch(*items: object) -> str:
+    """A line of these items, 5 us after the start."""
     return json.dumps({"t_us": 5, "items": items})
 
 
 @pytest.mark.parametrize(
-    "line, words",
+    ("line", "words"),
     [
         ("hello", "not JSON"),
         ("[]", "not a batch"),
@@ -47,12 +52,20 @@
         (batch(3), "not an object"),
     ],
 )
-def test_invalid_input_is_reported_in_one_sentence(monkeypatch, capsys, line, words):
+def test_invalid_input_is_reported_in_one_sentence(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], line: str, words: str
+) -> None:
     code, out, err = run(monkeypatch, capsys, line)
-    assert code == 1 and out == "" and words in err and err.count("\n") == 1 and "Traceback" not in err
+    assert code == 1
+    assert out == ""
+    assert words in err
+    assert err.count("\n") == 1
+    assert "Traceback" not in err
 
 
-def test_names_and_units_of_the_wire(monkeypatch, capsys):
+def test_names_and_units_of_the_wire(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     code, out, err = run(
         monkeypatch,
         capsys,
@@ -61,15 +74,21 @@
         batch({"type": "shutdown", "coordinator": 0}, LEFT),
     )
     replies = [json.loads(line)["do"] for line in out.splitlines()]
-    assert code == 0 and err == "" and replies[0] == replies[2] == []
+    assert code == 0
+    assert err == ""
+    assert replies[0] == replies[2] == []
     assert {"type": "bind", "coordinator": 0, "agent": 3, "tbl": 0, "for_classes": 0} in replies[1]
     assert {"type": "weigh", "coordinator": 0, "tbl": 0, "backend": "a:1", "weight": 1.0} in replies[1]
     assert any(a["type"] == "wake_at" and a["offset_us"] == 1_000_000 for a in replies[1])
 
 
-def test_a_failure_is_reported_for_its_coordinator_alone(monkeypatch, capsys):
+def test_a_failure_is_reported_for_its_coordinator_alone(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     monkeypatch.setattr(simulator_adapter.Planner, "_remove_proxy", lambda *_: 1 / 0)
     other = {**START, "coordinator": 1}
     code, out, err = run(monkeypatch, capsys, batch(START, other, LIST, LEFT))
     faults = [a for a in json.loads(out)["do"] if a["type"] == "fatal"]
-    assert [a["coordinator"] for a in faults] == [0] and "ZeroDivisionError" in err and code == 0
+    assert [a["coordinator"] for a in faults] == [0]
+    assert "ZeroDivisionError" in err
+    assert code == 0
--- a/tests/service/test_service_configuration.py
+++ b/tests/service/test_service_configuration.py
@@ -6,6 +6,8 @@
 import socket
 import subprocess
 import sys
+from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -21,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, words",
+    ("told", "words"),
     [
         (None, "names no file"),
         ("/nowhere/at/all", "cannot be read"),
@@ -45,7 +47,13 @@
         ("taken", "in use"),
     ],
 )
-def test_an_invalid_configuration_is_reported_in_one_sentence(monkeypatch, capsys, tmp_path, told, words):
+def test_an_invalid_configuration_is_reported_in_one_sentence(
+    monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
+    tmp_path: Path,
+    told: str | dict[str, Any] | None,
+    words: str,
+) -> None:
     taken = socket.create_server(("127.0.0.1", 0))
     if told == "taken":
         told = {"listen": "{}:{}".format(*taken.getsockname())}
@@ -54,15 +62,17 @@
         path.write_text(told if isinstance(told, str) else json.dumps({**CONFIG, **told}))
         told = str(path)
     monkeypatch.setenv("LB_CONFIG", told or "")
-    monkeypatch.setattr(sys, "stdout", open(os.devnull, "w"))
-    code = main([])
+    with Path(os.devnull).open("w") as nowhere:
+        monkeypatch.setattr(sys, "stdout", nowhere)
+        code = main([])
     err = capsys.readouterr().err
+    taken.close()
     assert code == 1
     assert words in err
     assert err.count("\n") == 1
 
 
-def test_a_process_reloads_on_sighup_and_serves_until_sigterm(tmp_path):
+def test_a_process_reloads_on_sighup_and_serves_until_sigterm(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
     with subprocess.Popen(
@@ -71,6 +81,7 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     ) as process:
+        assert process.stdout is not None
         assert any('"serving"' in line for line in iter(process.stdout.readline, ""))
         for text, words in (("{", "reload_rejected"), (json.dumps(CONFIG), "reloaded"), ("", "not JSON")):
             path.write_text(text)
