--- a/tests/support/process_faults.py
+++ b/tests/support/process_faults.py
@@ -74,7 +74,7 @@
     def limit_buffers(self, more: int) -> None:
         """So many message buffers are left."""
         pool = self._harness.instance.streams.pool
-        pool.most = pool.out + more
+        pool.limit = pool.taken + more
 
     def send_as_an_update_is_written(self, name: str, message: str) -> None:
         """A message arrives just as an update is written, and is not read in that turn."""
@@ -89,5 +89,5 @@
         self._harness.actions.set_entry(0, "a", 2.5)
         self._harness.turn()
         streams.send = real
-        assert not self._harness.instance.log.waiting, self._harness.instance.log.waiting
+        assert not self._harness.instance.log.unread, self._harness.instance.log.unread
         assert self._harness.log.text.count('"message_dropped"') == dropped_before, self._harness.log.text
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -158,8 +158,8 @@
         if self._service:
             self._service.close()
             coordinator, loop = self._service.coordinator, self._service.loop
-            assert self._service.streams.pool.out == 0, "buffers are out"
-            assert loop.all == set(), "tasks still run"
+            assert self._service.streams.pool.taken == 0, "buffers are out"
+            assert loop.tasks == set(), "tasks still run"
             assert coordinator.proxies == {}, "proxies are joined"
         self.clients.close_all()
         for neighbour in (self.discovery, self.peers, self.backends, self.log):
--- a/tests/support/service_outlets.py
+++ b/tests/support/service_outlets.py
@@ -50,7 +50,7 @@
 
     def send(self, sender: socket.socket, data: bytes) -> None:
         """Send a datagram to the service's gossip listener."""
-        gossip = self._harness.instance.peers
+        gossip = self._harness.instance.gossip
         assert gossip is not None
         sender.sendto(data, gossip.sock.getsockname())
         self._harness.turn()
--- a/tests/support/service_state.py
+++ b/tests/support/service_state.py
@@ -44,7 +44,7 @@
     @property
     def buffers_out(self) -> int:
         """Message buffers that connections hold."""
-        return int(self._harness.instance.streams.pool.out)
+        return int(self._harness.instance.streams.pool.taken)
 
     def larger_than(self, limit: int) -> dict[str, int]:
         """The size of each thing kept by name, stream or time that exceeds a limit."""
@@ -60,8 +60,8 @@
             "unassigned": coordinator.loose,
             "excluded": coordinator.withdrawn,
             "timers": service.loop.timers,
-            "tasks": service.loop.all,
-            "watched tasks": service.loop.tasks,
+            "tasks": service.loop.tasks,
+            "watched tasks": service.loop.watching,
             "coordinator's timers": coordinator.timers,
             "connections": service.streams.connections,
             "pending": service.streams.pending,
