--- a/tests/service/test_service_configuration.py
+++ b/tests/service/test_service_configuration.py
@@ -13,6 +13,7 @@
 
 from granitespool.cli import main
 
+MISSING = "/nowhere/at/all"  # a file that is not there
 CONFIG = {
     "name": "n0",
     "listen": "127.0.0.1:0",
@@ -26,7 +27,7 @@
     ("told", "words"),
     [
         (None, "names no file"),
-        ("/nowhere/at/all", "cannot be read"),
+        (MISSING, "cannot be read"),
         ("{", "not JSON"),
         ("[]", "not an object"),
         ("{}", "'settings'"),
@@ -57,11 +58,12 @@
     taken = socket.create_server(("127.0.0.1", 0))
     if told == "taken":
         told = {"listen": "{}:{}".format(*taken.getsockname())}
-    if told and told != "/nowhere/at/all":
+    file = MISSING if told == MISSING else ""
+    if told and told != MISSING:
         path = tmp_path / "config.json"
         path.write_text(told if isinstance(told, str) else json.dumps({**CONFIG, **told}))
-        told = str(path)
-    monkeypatch.setenv("LB_CONFIG", told or "")
+        file = str(path)
+    monkeypatch.setenv("LB_CONFIG", file)
     with Path(os.devnull).open("w") as nowhere:
         monkeypatch.setattr(sys, "stdout", nowhere)
         code = main([])
