--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -217,7 +217,7 @@
         for queue in Queue:
             while (message := self.coordinator.pick(queue)) is not None:
                 if isinstance(message, InternalError):
-                    raise RuntimeError(f"the planner failed: {message.text}")
+                    raise RuntimeError(f"the planner failed: {message.text}")  # noqa: TRY004 not its type is wrong
                 if isinstance(message, HealthCheckRequest):
                     checks.append(message.backend)
         return checks
--- a/granitespool/cli/__init__.py
+++ b/granitespool/cli/__init__.py
@@ -45,6 +45,8 @@
 """
 
 import sys
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
 
 from docopt import DocoptExit, docopt
 
@@ -55,52 +57,73 @@
 MISUSED = 2  # exit code where the call itself is wrong
 
 
-def main(argv=None):
-    """Plays one call and returns its exit code; what a command alone needs is imported by it."""
-    argv = sys.argv[1:] if argv is None else argv
+OPTIONS = {
+    "--config",
+    "--operator",
+    "--set",
+    "--json",
+    "--seed",
+    "--report",
+    "--plot",
+    "--name",
+    "--user",
+    "--days",
+    "-h",
+    "--help",
+}
+Arguments = Mapping[str, Any]  # docopt's
+Command = Callable[[Arguments], int]  # returns the exit code
+
+
+def main(argv: Sequence[str] | None = None) -> int:
+    """Run one call and return its exit code; what a command alone needs is imported by it."""
+    words = sys.argv[1:] if argv is None else list(argv)
     try:
-        told = docopt(__doc__, argv)
+        arguments = docopt(__doc__, words)
     except DocoptExit:
         # the library's own words about a wrong call are a warning of several lines; ours is one sentence
-        print(f"granitespool: {_misuse(argv)}\n\n{_usage()}", file=sys.stderr)
+        print(f"granitespool: {_misuse(words)}\n\n{_usage()}", file=sys.stderr)
         return MISUSED
     except SystemExit:  # --help, printed
         return 0
     try:
-        return _command(told)(told)
+        return _command(arguments)(arguments)
     except (GranitespoolError, OSError) as error:
         print(f"granitespool: {error}", file=sys.stderr)
         return FAILED
 
 
-def _command(told):
-    if told["version"]:
+def _command(arguments: Arguments) -> Command:
+    run: Command
+    if arguments["version"]:
         return _version
-    if told["state"]:
+    if arguments["state"]:
         from granitespool.cli.state import run  # noqa: PLC0415
-    elif told["keys"]:
+    elif arguments["keys"]:
         from granitespool.cli.keys import run  # noqa: PLC0415
-    elif told["emulate"]:
+    elif arguments["emulate"]:
         from granitespool.cli.emulate import run  # noqa: PLC0415
-    elif told["scale"]:
+    elif arguments["scale"]:
         from granitespool.cli.scale import run  # noqa: PLC0415
-    elif told["check"]:
+    elif arguments["check"]:
         from granitespool.cli.check import run  # noqa: PLC0415
     else:
         from granitespool.cli.serve import run  # noqa: PLC0415
     return run
 
 
-def _version(_):
+def _version(_: Arguments) -> int:
     print(f"granitespool {__version__}")
     return 0
 
 
-def _usage():
-    return __doc__.partition("Usage:\n")[2].partition("\nCommands:")[0].join(("Usage:\n", "")).rstrip()
+def _usage() -> str:
+    return (
+        (__doc__ or "").partition("Usage:\n")[2].partition("\nCommands:")[0].join(("Usage:\n", "")).rstrip()
+    )
 
 
-def _misuse(argv):
+def _misuse(argv: Sequence[str]) -> str:
     """One sentence about a call that fits no line of the usage."""
     known = {word for line in _usage().splitlines()[1:] for word in line.split()[1:2] if word.isalpha()}
     known |= {"serve"}
@@ -108,23 +131,7 @@
     if first is not None and first not in known and argv[0] == first:
         return f"there is no command {first!r:.60}"
     options = {word.partition("=")[0] for word in argv if word.startswith("-")}
-    unknown = sorted(
-        options
-        - {
-            "--config",
-            "--operator",
-            "--set",
-            "--json",
-            "--seed",
-            "--report",
-            "--plot",
-            "--name",
-            "--user",
-            "--days",
-            "-h",
-            "--help",
-        }
-    )
+    unknown = sorted(options - OPTIONS)
     if unknown:
         return f"there is no option {unknown[0]!r:.60}"
     return "the call fits no line of the usage: " + (" ".join(argv)[:100] or "nothing")
--- a/granitespool/cli/emulate.py
+++ b/granitespool/cli/emulate.py
@@ -1,12 +1,13 @@
 """`emulate`: experiments in virtual time."""
 
 import sys
+from collections.abc import Mapping
 from typing import Any
 
 from granitespool.emulator import experiment, plot, report, schema
 
 
-def run(arguments: dict[str, Any]) -> int:
+def run(arguments: Mapping[str, Any]) -> int:
     """Lists experiments or runs one; the exit code. Raises InvalidInputError where it cannot be run."""
     if arguments["list"]:
         for name in schema.names():
--- a/granitespool/cli/files.py
+++ b/granitespool/cli/files.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from granitespool.net import config
+from granitespool.net.config import Configuration
 
 if TYPE_CHECKING:
     from granitespool.operator_settings import Operator
@@ -27,7 +28,9 @@
     return operator_settings.load(path)
 
 
-def read(arguments: Mapping[str, Any]) -> dict[str, Any]:
+def read(arguments: Mapping[str, Any]) -> Configuration:
     """The whole configuration; both files are read and checked before any part hears of either."""
     path, operator_path = paths(arguments)
-    return {**config.load(path), "operator": operator_of(operator_path)}
+    configuration = config.load(path)
+    configuration["operator"] = operator_of(operator_path)
+    return configuration
--- a/granitespool/cli/scale.py
+++ b/granitespool/cli/scale.py
@@ -1,6 +1,7 @@
 """`scale`: scenarios in real time, with real and hollow coordinators before stand-ins."""
 
 import sys
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Any
 
@@ -12,7 +13,7 @@
 from granitespool.simulation.plotting import require_matplotlib
 
 
-def run(arguments: dict[str, Any]) -> int:
+def run(arguments: Mapping[str, Any]) -> int:
     """Lists scenarios, plays one or plots reports; the exit code.
 
     Raises InvalidInputError where the scenario cannot be played."""
@@ -26,7 +27,7 @@
     return _play(arguments)
 
 
-def _play(arguments: dict[str, Any]) -> int:
+def _play(arguments: Mapping[str, Any]) -> int:
     if arguments["--plot"]:
         require_matplotlib()  # before a run of minutes
     changes = list(arguments["--set"])
--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -76,7 +76,7 @@
             ProxyLeft: self._on_proxy_left,
             EndpointListUpdate: self._on_endpoint_list,
         }
-        self.planner = Planner(self, now, seed, settings)
+        self.planner = Planner(self, seed, settings)
 
     def report(self, now: int, event: Event) -> None:
         """Tell what has happened at `now` (ns)."""
@@ -176,7 +176,7 @@
         former = {name: getattr(self.settings, name) for name in fixed}
         self.settings = msgspec.structs.replace(settings, **former)
         self.now = max(self.now, now)
-        self._contain(self.planner.new_settings, self.settings)
+        self._contain(lambda _: self.planner.new_settings(self.settings))
         return fixed
 
     # What may be asked
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -42,8 +42,11 @@
 
 
 class Service:
-    """`run` serves until `stop` is called, which a signal handler may do. So may it call `reload`: then what
-    `reread` returns replaces the configuration in force, unless it raises InvalidInputError."""
+    """One coordinator on sockets.
+
+    `run` serves until `stop` is called, which a signal handler may do. So may it call `reload`: then what
+    `reread` returns replaces the configuration in force, unless it raises InvalidInputError.
+    """
 
     def __init__(
         self,
--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -59,14 +59,14 @@
 class Planner:
     """Decides for one coordinator; `seed` is that of its one source of chance."""
 
-    def __init__(self, actions: PlannerActions, now: int, seed: int, settings: Settings) -> None:
+    def __init__(self, actions: PlannerActions, seed: int, settings: Settings) -> None:
         self._actions = actions
         self._random = Random(seed)
         self.settings = settings
         self._make_state(settings)
         self._make_parts(actions, settings)
         self._make_publication(actions, settings)
-        self.new_settings(now, settings)
+        self.new_settings(settings)
         if settings.subscribe:
             actions.subscribe(True)
         actions.set_timer(PERIOD, Timer.RECOMPUTE)
@@ -130,7 +130,7 @@
             fleet, self.costs, self.subsets, self.in_flight, self.assignment, self.overload, self.slow_start
         )
 
-    def new_settings(self, now: int, settings: Settings) -> None:
+    def new_settings(self, settings: Settings) -> None:
         """Settings that act from the next decision on."""
         self.settings = settings
         self.in_flight.new_settings(settings)
--- a/granitespool/planner/records.py
+++ b/granitespool/planner/records.py
@@ -50,18 +50,18 @@
 
     __slots__ = (
         "attempts",  # sums over the recent past, decayed each period
-        "failures",
-        "successes",
-        "response_time",  # of all successes
+        "consecutive_failures",
+        "cost",  # its own; None: that of its machine type in its zone
         "decayed_to",  # the period up to which the sums are decayed
-        "minimum_rtts",  # MinimumRtt of the window, the lowest first
         "ejected_at",
+        "failures",
         "last_resort",  # ejected past the cap: keeps a small weight
+        "minimum_rtts",  # MinimumRtt of the window, the lowest first
         "overloaded_reports",  # consecutive
-        "consecutive_failures",
-        "slow_start_since",
-        "cost",  # its own; None: that of its machine type in its zone
+        "response_time",  # of all successes
         "restored",  # its sums are from a snapshot of a former process
+        "slow_start_since",
+        "successes",
     )
 
     def __init__(self, period: int = 0) -> None:
--- a/granitespool/simulator_adapter.py
+++ b/granitespool/simulator_adapter.py
@@ -240,11 +240,11 @@
 class Instance:
     """One planner, and its actions."""
 
-    def __init__(self, number: int, now: int, message: Message, reply: list[dict[str, Any]]) -> None:
+    def __init__(self, number: int, message: Message, reply: list[dict[str, Any]]) -> None:
         seed = required_field(message, "entropy", int)
         settings = settings_from_wire(required_field(message, "settings", dict))
         self.actions = SimulatorActions(number, reply)
-        self.planner = Planner(self.actions, now, seed, settings)
+        self.planner = Planner(self.actions, seed, settings)
 
     def handle(self, now: int, kind: str, message: Message) -> None:
         """Hand one message to the planner."""
@@ -296,7 +296,7 @@
         self, now: int, kind: str, number: int, message: Message, reply: list[dict[str, Any]]
     ) -> None:
         if kind == "start":
-            self._instances[number] = Instance(number, now, message, reply)
+            self._instances[number] = Instance(number, message, reply)
         elif kind == "shutdown":
             self._instances.pop(number, None)
         elif kind != TIMER and kind not in EVENTS:
--- a/tests/reference/adapter.py
+++ b/tests/reference/adapter.py
@@ -125,12 +125,13 @@
 class ReferencePlanner:
     """The reference with the interface of `granitespool.planner.planner.Planner`."""
 
-    def __init__(self, actions, now, seed, settings):
-        self.former = Planner(FormerHost(actions), now, seed, former_settings(settings))
+    def __init__(self, actions, seed, settings):
+        self.actions = actions
+        self.former = Planner(FormerHost(actions), actions.now, seed, former_settings(settings))
         self.inspection = FormerInspection(self.former)
 
-    def new_settings(self, now, settings):
-        self.former.new_settings(now, former_settings(settings))
+    def new_settings(self, settings):
+        self.former.new_settings(self.actions.now, former_settings(settings))
 
     def on_timer(self, now, cookie):
         self.former.timer(now, cookie)
--- a/tests/reference/channel.py
+++ b/tests/reference/channel.py
@@ -23,7 +23,7 @@
 
 
 class Turn:
-    __slots__ = ("serial", "at", "lines", "ahead")
+    __slots__ = ("ahead", "at", "lines", "serial")
 
     def __init__(self, serial, at):
         self.serial, self.at, self.lines = serial, at, {}  # proxy -> lines of its message
@@ -101,7 +101,7 @@
         """The proxy has applied all up to this mark, or at least its oldest (None); True if one waited."""
         turns = self.held.get(proxy, ())
         turn = next((turn for turn in turns if turn.serial == serial), None)
-        if not turns or serial is not None and turn is None:
+        if not turns or (serial is not None and turn is None):
             return False
         if turn and took is not None:
             told = WAY + turn.ahead[proxy] / self.pace * SECOND
--- a/tests/reference/planner.py
+++ b/tests/reference/planner.py
@@ -280,7 +280,7 @@
         # hangs, silence, a cut link. u is none while the fleet strains: a cut would only move load.
         link.streak = 0 if failed < tries else link.streak + tries
         eased = answered and not self.strained and self.room >= 1
-        over = failed >= tries or eased and self._utilization(link, link.time / link.answered) > BETA
+        over = failed >= tries or (eased and self._utilization(link, link.time / link.answered) > BETA)
         link.over = link.over + 1 if over else 0
         if link.cut_at is not None and not over:
             link.cut_at, link.ramp_from = None, now
@@ -415,7 +415,7 @@
 
     def _want(self, now, rec, zone):
         link, average, part = rec.links[zone], self.average.get(zone), 1.0
-        out = link.cut_at is not None and not link.spare or rec.sent.get("out", False) is not False
+        out = (link.cut_at is not None and not link.spare) or rec.sent.get("out", False) is not False
         if out or rec.phase != "ready" or not (rec.proven or self.bare):
             return 0.0
         for since in (rec.ramp_from, link.ramp_from):
@@ -436,7 +436,7 @@
     def _flush(self, now, only=None):
         """Sends what differs, of one backend or all; only a rule's lines use the channel's second half."""
         merging = now == self.flushed_at  # one reply, one message: more of it costs no head
-        if only and self.short or now < self.next_flush and not merging:  # the oldest drains go first
+        if (only and self.short) or (now < self.next_flush and not merging):  # the oldest drains go first
             return self._flush_at(self.next_flush, now)
         if self.settings.get("slices"):
             return self._keep_slices(now)
@@ -459,11 +459,11 @@
             rec, users = self.backends[backend], self.users[table]
             back = self.host.returns(users, table, rec.id) if want and not rec.sent.get(table) else {}
             cost = len(back) + len(users) * (1 if table in touched else 1 + self.channel.head)
-            if urgency and held and (ordinary or table not in touched and len(users) > few):
+            if urgency and held and (ordinary or (table not in touched and len(users) > few)):
                 self.later = True  # an alarm to few keeps no gap where nothing waits
                 continue
             room = self.channel.room(part, AHEAD) if urgency else self.channel.room(RULE_PART * (not crowded))
-            if cost > max(0, room) or ordinary and cost > self.credit:
+            if cost > max(0, room) or (ordinary and cost > self.credit):
                 self.short = self.short or not urgency  # nothing else may use what frees until this fits
                 left = 4 if self.credit > cost and not self.unbound else left
                 continue
@@ -497,10 +497,10 @@
             want, sent = self._want(now, rec, zone) if holds else 0.0, rec.sent.get(table, 0.0)
             less, moved = want < sent * (1 - RESEND), abs(want - sent)
             cut = rec.links[zone].cut_at is not None
-            alarm = not want or not sent or less and (cut or self.warm(now, rec) < 1)
+            alarm = not want or not sent or (less and (cut or self.warm(now, rec) < 1))
             if want != sent and (rec.phase != "ready" or not self.lines[table]):
                 yield 0, (rec.gone_at, table), rec.id, table, want, False
-            elif want != sent and (alarm or not only and moved > RESEND * sent):
+            elif want != sent and (alarm or (not only and moved > RESEND * sent)):
                 if want or self.lines[table] > 1:  # who comes in ranks by what it will carry
                     yield 1, -(moved if sent else rec.listed), rec.id, table, want, not alarm
 
@@ -526,7 +526,7 @@
             out, recent = rec.sent.get("out", False), now - rec.gone_at < KEPT * grace
             if out and recent and waits >= TOGETHER * grace:
                 out = rec.sent["out"] = None  # not told to all
-            want = recent and (late or "out" in rec.sent) or out
+            want = (recent and (late or "out" in rec.sent)) or out
             want = bool(want and self.unbound and rec.phase != "ready")
             if out != want and not any(weight for table, weight in rec.sent.items() if table != "out"):
                 turned.append((rec, want))
--- a/tests/support/planner_harness.py
+++ b/tests/support/planner_harness.py
@@ -181,7 +181,7 @@
         if self._planner is None:
             settings = settings_of(self.settings)
             self.actions.class_names = [each.name for each in settings.classes]
-            self._planner = Planner(self.actions, self.now, SEED, settings)
+            self._planner = Planner(self.actions, SEED, settings)
         return self._planner
 
     def _run_timers(self, until: int) -> None:
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("number", [1024, 2000])
 def test_a_configuration_of_thousands_starts_reloads_and_ends(number, tmp_path):
     path, agent = tmp_path / "config.json", socket.create_server(("127.0.0.1", 0))
-    written = told(number, number, discovery="127.0.0.1:{}".format(agent.getsockname()[1]))
+    written = told(number, number, discovery=f"127.0.0.1:{agent.getsockname()[1]}")
     path.write_text(json.dumps(written))
     process = subprocess.Popen(
         [sys.executable, "-m", "granitespool", "serve", "--config", str(path)],
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -49,7 +49,7 @@
 
         self.gnmi = "127.0.0.1", free_port()
         self.operator = msgspec.structs.replace(
-            self.operator, gnmi=Gnmi(listen="127.0.0.1:{}".format(self.gnmi[1]), sessions=6, streams=16)
+            self.operator, gnmi=Gnmi(listen=f"127.0.0.1:{self.gnmi[1]}", sessions=6, streams=16)
         )
         self.channels = []
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,6 +1,7 @@
 """Levels are ordered by groups of classes that are let in alike, whatever the number of classes."""
 
 import time
+from itertools import pairwise
 from random import Random
 
 import pytest
@@ -43,7 +44,7 @@
     assert all(0.09 <= share <= 1 for share in found)
     worth = [(kind.priority_weight / kind.latency_objective, share) for kind, share in zip(classes, found)]
     held = sorted(each for each, kind in zip(worth, classes) if asked.get(kind.name))
-    assert all(low <= high + SHARE_STEP for (_, low), (_, high) in zip(held, held[1:]))
+    assert all(low <= high + SHARE_STEP for (_, low), (_, high) in pairwise(held))
 
 
 def test_classes_of_one_level_are_one_order_and_come_again_only_where_they_differ():
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -610,7 +610,7 @@
         authority = made.x509.load_pem_x509_certificate(file.read())
     key = made.new_key()
 
-    past = datetime.datetime.now(datetime.timezone.utc) - datetime.timedelta(days=9)
+    past = datetime.datetime.now(datetime.UTC) - datetime.timedelta(days=9)
     subject = made.Subject("operations", made.ExtendedKeyUsageOID.CLIENT_AUTH)
     old = made.issue(subject, made.Validity(past, 5), key, made.Issuer(authority, authority_key))
     (tmp_path / "ca.pem").write_bytes(authority.public_bytes(made.serialization.Encoding.PEM))
