--- a/tests/test_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -5,6 +5,7 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from support.interleavings import BUSY, fitting, played
 from support.traced_coordinator import TracedCoordinator
 from support.traced_fleet import SETTINGS, ChannelSettings, TracedFleet
 
@@ -23,9 +24,7 @@
     RequestExecuted,
     TableHeld,
 )
-from granitespool.units import SECOND
 
-CALM = 25  # s after the last step, in which all must come right; more where the channels are slow
 COORDINATOR = st.integers(0, 4)
 STEPS = st.lists(
     st.one_of(
@@ -46,49 +45,6 @@
 )
 
 
-def take(fleet, kind, value):
-    """Does one step."""
-    if kind in ("release", "restart", "crash"):
-        getattr(fleet.backends, kind)(value)
-    elif kind == "loses":
-        fleet.lose_streams(value)
-    elif kind in ("dies", "replaced"):
-        fleet.end_coordinator(value, (6 if kind == "dies" else 1) * SECOND)
-    elif kind == "go_home":
-        fleet.go_home()
-    elif kind == "wait":
-        fleet.run(value)
-    elif kind == "late":
-        number, seconds = value
-        fleet.coordinators[number % len(fleet.coordinators)].list_delay = seconds * SECOND
-    else:
-        send_list_again(fleet.coordinators[value % len(fleet.coordinators)], kind)
-
-
-def send_list_again(coordinator, kind):
-    """A complete list, or the last change once more, for a coordinator that runs."""
-    if not coordinator.up:
-        return
-    if kind == "complete":
-        coordinator.send_complete_list()
-    else:
-        coordinator.repeat_change()
-
-
-def fitting(coordinators, proxies, backends, table_takes=0.1, **more):
-    channel = ChannelSettings.fitting(coordinators, proxies, backends, table_takes)
-    return TracedFleet(channel, coordinators, proxies, backends, **more)
-
-
-def played(steps, fleet):
-    fleet.run(3)
-    for kind, value in steps:
-        take(fleet, kind, value)
-        fleet.run(1)
-    fleet.run(CALM * fleet.slowdown)
-    return fleet
-
-
 def broken(fleet):
     return [(each.rule, each.text) for each in check(fleet.events(), fleet.limits())]
 
@@ -120,20 +76,6 @@
 
 # What the interleavings are made of is there, and a program that breaks a rule is found
 
-BUSY = [
-    ("late", (1, 3)),
-    ("release", 6),
-    ("dies", 0),
-    ("again", 1),
-    ("wait", 4),
-    ("restart", 3),
-    ("complete", 2),
-    ("loses", 5),
-    ("wait", 8),
-    ("crash", 2),
-    ("go_home", 0),
-]
-
 
 def test_a_busy_day_holds_all_that_the_rules_are_about():
     fleet = played(BUSY, fitting(3, 6, 18))
--- a/tests/test_worklist.py
+++ b/tests/planner/test_dirty_set.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from twins import SECOND, Twins
+from support.planner_comparison import SECOND, PlannerComparison
 
 from granitespool.planner.cost import CostTable, ObservedCost
 from granitespool.planner.events import LoadReport, ProxyJoined, Restored, SliceAssigned, SliceEntry
@@ -22,83 +22,83 @@
 SEEDS = st.integers(0, 10**6)
 
 
-def played(twins, events):
+def played(comparison, events):
     for _ in range(events):
-        twins.event()
-        twins.run(twins.random.choice((1, 3, 12)))
-    return twins
+        comparison.event()
+        comparison.run(comparison.random.choice((1, 3, 12)))
+    return comparison
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(3, 40), st.integers(1, 6), st.integers(1, 20), st.sampled_from(PACES))
 def test_small_drawn_fleets_are_decided_on_as_by_the_reference(seed, backends, zones, proxies, pace):
-    assert played(Twins(seed, backends, zones, proxies, pace), 25).ordered
+    assert played(PlannerComparison(seed, backends, zones, proxies, pace), 25).ordered
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(100, 200), st.integers(8, 50), st.sampled_from(PACES))
 def test_large_drawn_fleets_are_decided_on_as_by_the_reference(seed, backends, zones, pace):
-    assert played(Twins(seed, backends, zones, 20, pace), 8).ordered
+    assert played(PlannerComparison(seed, backends, zones, 20, pace), 8).ordered
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(45, 80), st.sampled_from((300.0, 2000.0)))
 def test_drawn_fleets_in_subsets_are_decided_on_as_by_the_reference(seed, backends, pace):
-    twins = Twins(seed, backends, 3, 40, pace, drain_grace=SECOND)
-    twins.run(40)
-    assert twins.changed.planner.subsets.count > 1
+    comparison = PlannerComparison(seed, backends, 3, 40, pace, drain_grace=SECOND)
+    comparison.run(40)
+    assert comparison.changed.planner.subsets.count > 1
     for _ in range(8):
-        twins.event()
-        subset = twins.random.randrange(twins.changed.planner.subsets.count)
-        fleet = twins.changed.planner.fleet.backends.values()
-        held = [rec.name for rec in fleet if rec.subset == subset and rec.name in twins.entries]
-        if len(held) < len(twins.entries) - 10:  # a subset is lost, and the others make it up
-            twins.lose(held[: twins.random.randrange(len(held) + 1)])
-        twins.run(60)
-    assert twins.ordered
+        comparison.event()
+        subset = comparison.random.randrange(comparison.changed.planner.subsets.count)
+        fleet = comparison.changed.planner.fleet.backends.values()
+        held = [rec.name for rec in fleet if rec.subset == subset and rec.name in comparison.entries]
+        if len(held) < len(comparison.entries) - 10:  # a subset is lost, and the others make it up
+            comparison.lose(held[: comparison.random.randrange(len(held) + 1)])
+        comparison.run(60)
+    assert comparison.ordered
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_backend_past_its_ramp_and_not_yet_warm_is_decided_on_as_by_the_reference(seed):
-    twins = Twins(seed, 10, 2, 6, 1e6, warm_up_time=25 * SECOND)
-    twins.run(20)
-    twins.restart("s3")
+    comparison = PlannerComparison(seed, 10, 2, 6, 1e6, warm_up_time=25 * SECOND)
+    comparison.run(20)
+    comparison.restart("s3")
     for _ in range(30):
-        twins.run(10)
-        twins.hear(0.8, failed=0.3 * (seed % 2), but="s3", zones=twins.zones[:1])
-    assert twins.ordered
+        comparison.run(10)
+        comparison.hear(0.8, failed=0.3 * (seed % 2), but="s3", zones=comparison.zones[:1])
+    assert comparison.ordered
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_backend_without_a_ramp_that_starts_anew_is_decided_on_as_by_the_reference(seed):
-    twins = Twins(seed, 10, 2, 6, 1e6, warm_up_time=0)
+    comparison = PlannerComparison(seed, 10, 2, 6, 1e6, warm_up_time=0)
     for _ in range(6):
-        twins.hear(1.0)
-        twins.run(5)
-    for name in list(twins.entries)[:4]:
-        twins.restart(name)
-        twins.run(1 + seed * 2)
-    twins.run(40)
-    assert twins.ordered
+        comparison.hear(1.0)
+        comparison.run(5)
+    for name in list(comparison.entries)[:4]:
+        comparison.restart(name)
+        comparison.run(1 + seed * 2)
+    comparison.run(40)
+    assert comparison.ordered
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_what_was_heard_long_ago_counts_as_by_the_reference(seed):
     # Links are not faded while nobody reports of them: half of the periods here are past those multiplied out
-    twins = played(Twins(seed, 12, 3, 6, 2000.0), 10)
+    comparison = played(PlannerComparison(seed, 12, 3, 6, 2000.0), 10)
     for quiet in (EXACT_PERIODS_MAX - 5, EXACT_PERIODS_MAX + 30, 5):
-        twins.run(10 * quiet)
-        twins.hear(0.7)
-        twins.run(15)
-    assert twins.ordered
+        comparison.run(10 * quiet)
+        comparison.hear(0.7)
+        comparison.run(15)
+    assert comparison.ordered
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_recalled_life_is_decided_on_as_by_the_reference(seed):
-    former = played(Twins(seed, 20, 3, 8, 2000.0), 15)
+    former = played(PlannerComparison(seed, 20, 3, 8, 2000.0), 15)
     former.hear(1.0)
     snapshot = former.changed.snapshot(list(former.entries))
-    later = Twins(seed + 1, 20, 3, 8, 2000.0)
+    later = PlannerComparison(seed + 1, 20, 3, 8, 2000.0)
     backends = {name: each for name, each in snapshot.backends.items() if name in later.entries}
     later.report(Restored(snapshot.fleet, backends))
     later.run(5)
@@ -107,23 +107,23 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_slices_are_kept_as_by_the_reference(seed):
-    twins = Twins(seed, 10, 2, 5, 2000.0, slices=4, one_owner=bool(seed))
+    comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, one_owner=bool(seed))
     for table in range(3):
-        twins.report(SliceAssigned(table=table, owned=True))
-        twins.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
-    assert played(twins, 12).ordered
+        comparison.report(SliceAssigned(table=table, owned=True))
+        comparison.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
+    assert played(comparison, 12).ordered
 
 
 def quiet_fleet(backends, zones, proxies=5):
     """A fleet whose lines are all at rest."""
-    twins = Twins(
+    comparison = PlannerComparison(
         4, backends, zones, proxies, 1e9, coordinators=1, proxies_expected=proxies, warm_up_time=SECOND
     )
-    twins.run(80)
-    return twins
+    comparison.run(80)
+    return comparison
 
 
-def looked_at(twins, monkeypatch, act):
+def looked_at(comparison, monkeypatch, act):
     """How many weights the planner works out while this is done."""
     counted, wanted = Counter(), EntryWeights.wanted
 
@@ -134,40 +134,40 @@
     with monkeypatch.context() as patched:
         patched.setattr(EntryWeights, "wanted", counting)
         act()
-    return counted[twins.changed.planner.weights]
+    return counted[comparison.changed.planner.weights]
 
 
 @pytest.mark.parametrize("backends, zones", [(50, 4), (300, 4), (300, 16)])
 def test_nothing_is_looked_at_in_an_idle_second(backends, zones, monkeypatch):
-    twins = quiet_fleet(backends, zones)
-    assert looked_at(twins, monkeypatch, lambda: twins.run(30)) == 0
+    comparison = quiet_fleet(backends, zones)
+    assert looked_at(comparison, monkeypatch, lambda: comparison.run(30)) == 0
 
 
 def test_the_work_for_a_changed_entry_does_not_grow_with_the_fleet(monkeypatch):
     work = []
     for backends in (50, 400):
-        twins = quiet_fleet(backends, 6)
-        name = next(iter(twins.entries))
+        comparison = quiet_fleet(backends, 6)
+        name = next(iter(comparison.entries))
 
-        def change(twins=twins, name=name):
-            entry = {**twins.entries[name], "weight": 5.0}
-            twins.list("changes", [entry])
-            twins.run(3)
+        def change(comparison=comparison, name=name):
+            entry = {**comparison.entries[name], "weight": 5.0}
+            comparison.list("changes", [entry])
+            comparison.run(3)
 
-        work.append(looked_at(twins, monkeypatch, change))
+        work.append(looked_at(comparison, monkeypatch, change))
     assert 6 <= work[0] == work[1] <= 60
 
 
 def test_one_link_heard_is_looked_at_alone(monkeypatch):
-    twins = quiet_fleet(200, 8)
+    comparison = quiet_fleet(200, 8)
 
     def hear():
-        twins.report(
+        comparison.report(
             LoadReport(zone="z1", backend="s7", attempts=9, failures=0, mean=10**7, window=SECOND, load={})
         )
-        twins.run(12)  # a round is among them
+        comparison.run(12)  # a round is among them
 
-    assert 1 <= looked_at(twins, monkeypatch, hear) <= 20
+    assert 1 <= looked_at(comparison, monkeypatch, hear) <= 20
 
 
 def test_a_zones_first_joiner_has_that_zones_lines_looked_at_alone(monkeypatch):
@@ -179,22 +179,22 @@
         "warm_up_time": SECOND,
         "health_checks_allowed": False,
     }
-    twins = Twins(4, 60, 12, 3, 2000.0, **told)
-    twins.run(60)
-    assert twins.changed.planner.subsets.count > 1
-    unused = next(zone for zone in twins.zones if zone not in twins.proxies.values())
+    comparison = PlannerComparison(4, 60, 12, 3, 2000.0, **told)
+    comparison.run(60)
+    assert comparison.changed.planner.subsets.count > 1
+    unused = next(zone for zone in comparison.zones if zone not in comparison.proxies.values())
 
     def join():
-        twins.report(ProxyJoined(proxy=9, zone=unused, bootstrap=True, rate=1.0))
-        twins.run(30)
+        comparison.report(ProxyJoined(proxy=9, zone=unused, bootstrap=True, rate=1.0))
+        comparison.run(30)
 
-    assert 60 <= looked_at(twins, monkeypatch, join) <= 3 * 60
+    assert 60 <= looked_at(comparison, monkeypatch, join) <= 3 * 60
 
 
 def test_links_are_made_where_something_is_met():
-    twins = quiet_fleet(100, 8)
-    twins.hear(0.02)
-    links = sum(len(rec.links) for rec in twins.changed.planner.fleet.backends.values())
+    comparison = quiet_fleet(100, 8)
+    comparison.hear(0.02)
+    links = sum(len(rec.links) for rec in comparison.changed.planner.fleet.backends.values())
     assert 1 <= links <= 50
 
 
--- a/tests/reference/planner.py
+++ b/tests/reference/planner.py
@@ -1,4 +1,4 @@
-"""The planner as it was before it looked only at what changed: the plain reference of tests/test_worklist.py.
+"""The planner as it was before it looked only at what changed: the reference of planner/test_dirty_set.py.
 
 It walks every backend, zone and table at each flush. It is kept as it stood, but for decisions that were
 changed on purpose since, which are changed in both: joiners are bound within a third of the grace and before
--- a/tests/test_owed.py
+++ b/tests/service/test_service_endings.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 
 import pytest
+from support.large_configuration import large_configuration
 from support.service_thread import free_port
 from support.wire_messages import framed, joined
-from test_full_size import told
 
 from bench.ready import Sizes, restarts
 from granitespool.errors import InvalidInputError
@@ -45,7 +45,7 @@
                 it.kill()
 
 
-HERE = {**told(1, 3), "peer_listen": None}
+HERE = {**large_configuration(1, 3), "peer_listen": None}
 
 
 @contextmanager
@@ -145,7 +145,7 @@
 
 
 def test_the_deploy_file_starts_the_process_deaf_to_sighup_and_gives_way_to_it():
-    run = tomllib.loads((Path(__file__).parent.parent / "deploy/balancer.toml").read_text())["run"]
+    run = tomllib.loads((Path(__file__).parents[2] / "deploy/balancer.toml").read_text())["run"]
     asks = "import os, signal; print(signal.getsignal(signal.SIGHUP).name, os.getpid())"
     shown = run.replace(".venv/bin/python -m granitespool serve", f"{sys.executable} -c '{asks}'")
     with subprocess.Popen(["/bin/sh", "-c", shown], stdout=subprocess.PIPE, text=True) as it:
@@ -512,7 +512,7 @@
 )
 def test_what_cannot_be_served_is_refused_in_one_sentence(change, words):
     with pytest.raises(InvalidInputError, match=words):
-        config.checked({**told(1, 3), **change})
+        config.checked({**large_configuration(1, 3), **change})
 
 
 def test_a_reload_takes_another_deployments_settings_whole_and_names_what_waits(tmp_path):
--- a/tests/test_full_size.py
+++ b/tests/service/test_service_large_fleets.py
@@ -11,6 +11,7 @@
 from contextlib import ExitStack, suppress
 
 import pytest
+from support.large_configuration import large_configuration
 from support.proxy_fleet import ProxyFleet
 from support.wire_messages import framed
 
@@ -22,51 +23,6 @@
 STREAMS = 4096
 
 
-def told(peers, backends, **more):
-    return {
-        "name": "t",
-        "listen": "127.0.0.1:0",
-        "discovery": "127.0.0.1:9",
-        "seed": "1f",
-        "limits": {"sockets": 16384, "memory_mb": 192},
-        "peer_listen": "127.0.0.1:0",
-        "peers": [f"127.1.{n // 250}.{n % 250}:7946" for n in range(peers)],
-        "peers_all": "127.1.255.1:7946",
-        "known": {
-            "index": 1,
-            "snapshot": True,
-            "endpoints": [
-                {
-                    "name": f"s{n}",
-                    "address": f"127.2.{n // 250}.{n % 250}:80",
-                    "zone": f"z{n % 3}",
-                    "type": "m",
-                    "group": n // 8,
-                    "status": "ready",
-                    "weight": 1.0,
-                    "since_ms": 0,
-                }
-                for n in range(backends)
-            ],
-        },
-        "settings": {
-            "zones": ["z0", "z1", "z2"],
-            "balancers": peers,
-            "permissions": {"peers": True},
-            "classes": [{"name": "a", "aim_us": 1000000}],
-            "family_info": {
-                "egress_per_s": 20000.0,
-                "most_waiting": 400000.0,
-                "envelope": 3.0,
-                "proxy_count": 8192,
-                "admit": "fraction",
-            },
-            "rules": {"stop_sending_within_us": 30000000},
-        },
-        **more,
-    }
-
-
 def test_four_thousand_streams_in_one_instant_are_all_taken_and_bound():
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -78,7 +34,7 @@
         stack.callback(resource.setrlimit, resource.RLIMIT_NOFILE, (soft, hard))
         stack.callback(os.close, read)
         stack.callback(os.close, write)
-        service = Service(config.checked(told(5, 200)), write, lambda: now[0])
+        service = Service(config.checked(large_configuration(5, 200)), write, lambda: now[0])
         stack.callback(service.close)
         where, proxies = service.streams.listener.getsockname(), []
         for number in range(streams):
@@ -126,7 +82,7 @@
 @pytest.mark.parametrize("number", [1024, 2000])
 def test_a_configuration_of_thousands_starts_reloads_and_ends(number, tmp_path):
     path, agent = tmp_path / "config.json", socket.create_server(("127.0.0.1", 0))
-    written = told(number, number, discovery=f"127.0.0.1:{agent.getsockname()[1]}")
+    written = large_configuration(number, number, discovery=f"127.0.0.1:{agent.getsockname()[1]}")
     path.write_text(json.dumps(written))
     process = subprocess.Popen(
         [sys.executable, "-m", "granitespool", "serve", "--config", str(path)],
--- a/tests/twins.py
+++ b/tests/support/planner_comparison.py
@@ -7,7 +7,6 @@
 from unittest.mock import patch
 
 from reference.adapter import ReferencePlanner
-from support.records import endpoint, settings_of
 
 from granitespool.coordinator import Coordinator
 from granitespool.outgoing import HealthCheckRequest, ProxyUpdate, Queue
@@ -22,6 +21,7 @@
     ProxyLeft,
     UsageReport,
 )
+from support.records import endpoint, settings_of
 
 SECOND = 10**9  # ns
 TURN = SECOND // 10
@@ -70,7 +70,7 @@
     setattr(Recorder, _name, _recorded(_name))
 
 
-class Twins:
+class PlannerComparison:
     """A drawn fleet; `check` compares the two after each turn."""
 
     def __init__(self, seed, backends, zones, proxies, pace, **more):
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from support import recordings
-from test_interleavings import BUSY, fitting, played
+from support.interleavings import BUSY, fitting, played
 
 from granitespool.net.loop import SECOND
 from granitespool.scale import fleet, report, schema
