--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -10,7 +10,7 @@
 import sys
 
 import pytest
-from stage import Desk, Sockets, Stage
+from stage import Desk, Stage
 
 from granitespool import simulator_adapter
 from granitespool.cli import main
@@ -26,7 +26,7 @@
     "file, text", [pytest.param(file, text, id=f"{file}: {name}") for file, name, text in SCENARIOS]
 )
 def test_scenario(file, text):
-    stage = {"facade": Desk, "sockets": Sockets}.get(file, Stage)()
+    stage = {"facade": Desk}.get(file, Stage)()
     try:
         for line in text.splitlines():
             for step in line.split("; ") if line and not line.startswith("#") else ():
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -11,43 +11,34 @@
 from collections.abc import Callable
 
 import pytest
-import stage
-from stage import EPOCH, Sockets
+from support.service_harness import CLOSED, ServiceHarness
+
+from granitespool.units import SECOND
 
 FOLDER = pathlib.Path(__file__).parent / "data" / "wire"
-EMPTY_LINE = "1\r\n\n\r\n"
-END = "<end>"
+EMPTY_LINE = b"1\r\n\n\r\n"
 
 
-class RecordingSockets(Sockets):
+class RecordingHarness(ServiceHarness):
     """A service on loopback that notes what each of its connections was written."""
 
     def __init__(self) -> None:
         super().__init__()
         self.written: dict[str, list[str]] = {}  # whose connection -> a text for each, in order
-        self.streams: dict[socket.socket, tuple[str, int]] = {}  # whose it is, its place among these
+        self.places: dict[socket.socket, int] = {}  # a connection's place among its owner's
 
-    def note(self, sock, text: str) -> str:
+    def received_of(self, owner: str, sock: socket.socket) -> str:
         """Adds what was just read from a connection of the service to its record."""
-        if sock not in self.streams:
-            owner = self.owner_of(sock)
-            texts = self.written.setdefault(owner, [])
+        text = super().received_of(owner, sock)
+        texts = self.written.setdefault(owner, [])
+        if sock not in self.places:
+            self.places[sock] = len(texts)
             texts.append("")
-            self.streams[sock] = owner, len(texts) - 1
-        owner, place = self.streams[sock]
-        if not self.written[owner][place].endswith(END):
-            self.written[owner][place] += text
+        place = self.places[sock]
+        if not texts[place].endswith(CLOSED):
+            texts[place] += text
         return text
 
-    def owner_of(self, sock) -> str:
-        """The party that holds this end of a connection."""
-        if sock in self.watches:
-            return "discovery"
-        for probing, backend in self.probing:
-            if probing is sock:
-                return backend
-        return next(name for name, party in self.parties.items() if party is sock)
-
     def stable(self) -> dict[str, list[str]]:
         """What was written, with names in place of the addresses that the system chose."""
         names = {"{}:{}".format(*self.discovery.getsockname()): "DISCOVERY"}
@@ -62,19 +53,13 @@
             text = text.replace(address, name)
         return text
 
-    def steps(self, text: str) -> None:
-        """Plays the steps of a scenario, one a line or split by `; `."""
-        for line in text.strip().splitlines():
-            for step in line.split("; "):
-                self.play(step)
-
-    def dialled(self, number: int) -> None:
+    def expect_watch(self, number: int) -> None:
         """Lets time pass until discovery has been asked for so many watches, at most two seconds each."""
         for _ in range(20 * number):
             requests = self.written.get("discovery", [])
             if len(requests) >= number and requests[number - 1].endswith("\r\n\r\n"):
                 return
-            self.do_at(f"{(self.now - EPOCH) / 1e9 + 0.1:.3f}s")
+            self.advance(0.1)
         raise AssertionError(self.written)
 
 
@@ -83,173 +68,215 @@
     return {"name": name, "address": f"@{name}", "zone": "n", "status": "ready", **fields}
 
 
-def news(index: int, *entries: dict[str, object], snapshot: bool = False) -> str:
-    """The step that has discovery send a line of the list."""
-    return "news " + json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries})
+def update(index: int, *entries: dict[str, object], snapshot: bool = False) -> str:
+    """A line of the list."""
+    return json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries})
 
 
-def watch_from_known(played: RecordingSockets) -> None:
+def watch_from_known(harness: RecordingHarness) -> None:
     """The first watch asks from the version that the configuration holds."""
-    played.steps("known a:n b:n")
-    played.dialled(1)
+    harness.list_backends(a="n", b="n")
+    harness.expect_watch(1)
 
 
-def watch_from_nothing(played: RecordingSockets) -> None:
+def watch_from_nothing(harness: RecordingHarness) -> None:
     """A coordinator that knows no list asks from version 0; the whole list answers."""
-    config = played.config
-    played.config = lambda: {**config(), "known": {"index": 0, "endpoints": []}}
-    played.dialled(1)
-    played.steps("grants\nknown a:n")
-    played.play(news(41, entry("a"), snapshot=True))
-    played.play('logged "index":41')
-    played.play("breaks")
-    played.dialled(2)
-
-
-def watch_after_gap(played: RecordingSockets) -> None:
+    config = harness.config
+    harness.config = lambda: {**config(), "known": {"index": 0, "endpoints": []}}
+    harness.expect_watch(1)
+    harness.accept_watch()
+    harness.list_backends(a="n")
+    harness.send_list(update(41, entry("a"), snapshot=True))
+    harness.expect_logged('"index":41')
+    harness.reset_watch()
+    harness.expect_watch(2)
+
+
+def watch_after_gap(harness: RecordingHarness) -> None:
     """A watch that ends is dialled again from the newest version that was told."""
-    played.steps("known a:n b:n")
-    played.dialled(1)
-    played.steps("grants")
-    played.play(news(8, entry("a", status="draining")))
-    played.play(news(9, entry("b", weight=0.5)))
-    played.play("breaks")
-    played.dialled(2)
-    played.steps("grants")
-    played.play(news(5, entry("a", status="gone")))
-    played.play("logged stale_endpoint_list")
-    played.play("breaks")
-    played.dialled(3)
-
-
-def watch_after_silence(played: RecordingSockets) -> None:
+    harness.list_backends(a="n", b="n")
+    harness.expect_watch(1)
+    harness.accept_watch()
+    harness.send_list(update(8, entry("a", status="draining")))
+    harness.send_list(update(9, entry("b", weight=0.5)))
+    harness.reset_watch()
+    harness.expect_watch(2)
+    harness.accept_watch()
+    harness.send_list(update(5, entry("a", status="gone")))
+    harness.expect_logged("stale_endpoint_list")
+    harness.reset_watch()
+    harness.expect_watch(3)
+
+
+def watch_after_silence(harness: RecordingHarness) -> None:
     """A watch that brings nothing, not even its empty line, is dialled again."""
-    played.steps("known a:n")
-    played.dialled(1)
-    played.steps("grants")
-    played.play(news(12, entry("a")))
-    played.dialled(2)
+    harness.list_backends(a="n")
+    harness.expect_watch(1)
+    harness.accept_watch()
+    harness.send_list(update(12, entry("a")))
+    harness.expect_watch(2)
 
 
-def watch_after_errors(played: RecordingSockets) -> None:
+def watch_after_errors(harness: RecordingHarness) -> None:
     """A watch that is answered by an error or by what is no list is dialled again from the same version."""
-    played.steps("known a:n")
-    played.dialled(1)
-    played.play("tells HTTP/1.1 503 Busy\\r\\nContent-Length: 0\\r\\n\\r\\n")
-    played.dialled(2)
-    played.play("tells nonsense\\r\\n\\r\\n")
-    played.dialled(3)
-    played.steps("grants\ntells 4\\r\\nabc\\n\\r\\n")
-    played.dialled(4)
-    played.steps("grants\ntells 0\\r\\n\\r\\n")
-    played.dialled(5)
-
-
-def watch_after_unreadable_entry(played: RecordingSockets) -> None:
-    """An entry that cannot be read is asked for again, from the version before it, until it is readable."""
-    played.steps("known a:n")
-    played.dialled(1)
-    played.steps("grants")
-    played.play(news(8, entry("a", weight="much")))
-    played.play(news(9, entry("a")))
+    harness.list_backends(a="n")
+    harness.expect_watch(1)
+    harness.send_raw_list("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+    harness.expect_watch(2)
+    harness.send_raw_list("nonsense\r\n\r\n")
+    harness.expect_watch(3)
+    harness.accept_watch()
+    harness.send_raw_list("4\r\nabc\n\r\n")
+    harness.expect_watch(4)
+    harness.accept_watch()
+    harness.send_raw_list("0\r\n\r\n")
+    harness.expect_watch(5)
+
+
+def watch_after_unreadable_entry(harness: RecordingHarness) -> None:
+    """An entry that cannot be read is polled again, from the version before it, until it is readable."""
+    harness.list_backends(a="n")
+    harness.expect_watch(1)
+    harness.accept_watch()
+    harness.send_list(update(8, entry("a", weight="much")))
+    harness.send_list(update(9, entry("a")))
     for _ in range(12):
-        played.do_at(f"{(played.now - EPOCH) / 1e9 + 0.1:.3f}s")
-    played.watches[-1].sendall(EMPTY_LINE.encode())
-    played.dialled(2)
-    played.steps("grants")
-    played.play(news(9, entry("a")))
-    played.play("breaks")
-    played.dialled(3)
+        harness.advance(0.1)
+    harness.watches[-1].sendall(EMPTY_LINE)
+    harness.expect_watch(2)
+    harness.accept_watch()
+    harness.send_list(update(9, entry("a")))
+    harness.reset_watch()
+    harness.expect_watch(3)
 
 
-def watch_after_new_address(played: RecordingSockets) -> None:
+def watch_after_new_address(harness: RecordingHarness) -> None:
     """A configuration with another address of discovery has the watch dialled there."""
-    played.steps("known a:n")
-    played.dialled(1)
-    played.steps("grants")
-    played.play(news(8, entry("a")))
-    played.steps("moves\nreload")
-    played.dialled(2)
-    former, latest = played.written["discovery"]
-    played.written["discovery"] = [former.split("Host: ")[0], latest]  # the former address has no name now
-
-
-def health_checks(played: RecordingSockets) -> None:
+    harness.list_backends(a="n")
+    harness.expect_watch(1)
+    harness.accept_watch()
+    harness.send_list(update(8, entry("a")))
+    harness.move_discovery()
+    harness.reload()
+    harness.expect_watch(2)
+    former, latest = harness.written["discovery"]
+    harness.written["discovery"] = [former.split("Host: ")[0], latest]  # the former address has no name now
+
+
+def health_checks(harness: RecordingHarness) -> None:
     """A new backend is asked for its load, whatever it answers."""
-    played.steps("set health_checks_allowed=true\nknown a:n\njoins p 1 n\ngets p whole")
-    played.dialled(1)
-    played.steps("grants\nknown c:n d:n")
-    played.play("answers d HTTP/1.1 503 Busy\\r\\nContent-Length: 0\\r\\n\\r\\n")
-    played.play(news(9, entry("c"), entry("d")))
-    played.steps('logged "backend":"c","status":"ok"\nlogged "backend":"d","status":"full"')
+    harness.set_settings(health_checks_allowed=True)
+    harness.list_backends(a="n")
+    harness.join_proxy("p", 1, "n")
+    harness.expect_received("p", "whole")
+    harness.expect_watch(1)
+    harness.accept_watch()
+    harness.list_backends(c="n", d="n")
+    harness.set_health_answer("d", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+    harness.send_list(update(9, entry("c"), entry("d")))
+    harness.expect_logged('"backend":"c","status":"ok"')
+    harness.expect_logged('"backend":"d","status":"full"')
     for owner in ("p", "discovery"):
-        del played.written[owner]
-    played.written = {owner: texts[:1] for owner, texts in sorted(played.written.items())}
+        del harness.written[owner]
+    harness.written = {owner: texts[:1] for owner, texts in sorted(harness.written.items())}
 
 
-def datagrams(played: RecordingSockets) -> None:
+def datagrams(harness: RecordingHarness) -> None:
     """A datagram goes to one peer by its number or to all; one over 256 bytes or to no peer is not sent."""
-    played.steps("set gossip_allowed=true\nknown a:n\nopen k")
+    harness.set_settings(gossip_allowed=True)
+    harness.list_backends(a="n")
+    harness.connect("k")
     written = []
-    played.peer.settimeout(5)
-    for step in ("host post 0 6a", "host post -1 6a6b", "host post 0 00ff", f"host post -1 {'ab' * 256}"):
-        played.play(step)
-        written.append(played.peer.recv(1024).hex())
-    played.steps(f"host post 0 {'ab' * 257}\nhost post 7 6b")
-    played.peer.setblocking(False)
+    harness.peer.settimeout(5)
+    for peer, payload in ((0, "6a"), (-1, "6a6b"), (0, "00ff"), (-1, "ab" * 256)):
+        harness.act("send_gossip", peer, payload)
+        written.append(harness.peer.recv(1024).hex())
+    harness.act("send_gossip", 0, "ab" * 257)
+    harness.act("send_gossip", 7, "6b")
+    harness.peer.setblocking(False)
     with pytest.raises(BlockingIOError):
-        played.peer.recv(1024)
-    played.written = {"peer": written}
+        harness.peer.recv(1024)
+    harness.written = {"peer": written}
 
 
-def readiness(played: RecordingSockets) -> None:
+def readiness(harness: RecordingHarness) -> None:
     """A ping is answered on any connection."""
-    played.steps("known a:n\nopen pending\nalive pending\nopen k")
-    played.steps('say k {"type":"collector","locality":"n"}\nalive k')
-    played.steps("joins p 1 n\ngets p whole\nalive p")
-    played.written.pop("discovery", None)
-
-
-REFUSED_FIRST_MESSAGES = {  # none whose reason holds words of a library
-    "kind": 'say kind {"type":"applied","node":1,"nonce":1,"latency":1.0}',
-    "zone": 'say zone {"type":"joined","node":1,"locality":"x","w":1.0,"cold":true}',
-    "proxy": 'say proxy {"type":"joined","node":4,"locality":"n","w":1.0,"cold":true}',
-    "field": 'say field {"type":"joined","node":1,"locality":"n","w":1.0}',
-    "untyped": "raw untyped 020000007b7d",
-    "length": "raw length 01040000",
-    "collector": 'say collector {"type":"collector"}',
+    harness.list_backends(a="n")
+    harness.connect("pending")
+    harness.expect_pong("pending")
+    harness.connect("k")
+    harness.say("k", {"type": "collector", "locality": "n"})
+    harness.expect_pong("k")
+    harness.join_proxy("p", 1, "n")
+    harness.expect_received("p", "whole")
+    harness.expect_pong("p")
+    harness.written.pop("discovery", None)
+
+
+JOINING = {"type": "joined", "node": 1, "locality": "n", "w": 1.0, "cold": True}
+REFUSED_MESSAGES = {  # none whose reason holds words of a library
+    "kind": {"type": "applied", "node": 1, "nonce": 1, "latency": 1.0},
+    "zone": {**JOINING, "locality": "x"},
+    "proxy": {**JOINING, "node": 4},
+    "field": {"type": "joined", "node": 1, "locality": "n", "w": 1.0},
 }
+REFUSED_FRAMES = {"untyped": "020000007b7d", "length": "01040000"}
 
 
-def refused_streams(played: RecordingSockets) -> None:
+def refused_streams(harness: RecordingHarness) -> None:
     """Who does not say who it is as the protocol has it is written the reason, and the connection ends."""
-    played.steps("set proxies_expected=4\nknown a:n")
-    for name, step in REFUSED_FIRST_MESSAGES.items():
-        played.steps(f"open {name}\n{step}\nended {name}")
-    played.play("open silent")
-    played.do_at(f"{(played.now - EPOCH) / 1e9 + 1.6:.3f}s")
-    played.play("ended silent")
-    played.written.pop("discovery", None)
-
-
-def finished_streams(played: RecordingSockets) -> None:
+    harness.set_settings(proxies_expected=4)
+    harness.list_backends(a="n")
+    for name, message in REFUSED_MESSAGES.items():
+        harness.connect(name)
+        harness.say(name, message)
+        harness.expect_closed(name)
+    for name, digits in REFUSED_FRAMES.items():
+        harness.connect(name)
+        harness.send_hex(name, digits)
+        harness.expect_closed(name)
+    harness.connect("collector")
+    harness.say("collector", {"type": "collector"})
+    harness.expect_closed("collector")
+    harness.connect("silent")
+    harness.advance(1.6)
+    harness.expect_closed("silent")
+    harness.written.pop("discovery", None)
+
+
+def finished_streams(harness: RecordingHarness) -> None:
     """As the service finishes each connection is written what waits for it, and ends in good order."""
-    played.steps("known a:n b:n\nopen silent\nopen k")
-    played.steps('say k {"type":"collector","locality":"n"}\njoins p 1 n\ngets p whole\nhost weigh 0 a 2.5')
-    played.service.streams.finish()
-    played.steps("ended p\nended k\nended silent")
-    played.written.pop("discovery", None)
-
-
-def orders(played: RecordingSockets) -> None:
+    harness.list_backends(a="n", b="n")
+    harness.connect("silent")
+    harness.connect("k")
+    harness.say("k", {"type": "collector", "locality": "n"})
+    harness.join_proxy("p", 1, "n")
+    harness.expect_received("p", "whole")
+    harness.act("set_entry", 0, "a", 2.5)
+    harness.service.streams.finish()
+    for name in ("p", "k", "silent"):
+        harness.expect_closed(name)
+    harness.written.pop("discovery", None)
+
+
+def orders(harness: RecordingHarness) -> None:
     """A joined proxy is written its table, then changes, levels and marks."""
-    played.steps("class look read 1s 2\nclass buy write 1s 9\nknown a:n b:n\njoins p 1 n\ngets p whole")
-    played.steps("host weigh 0 a 2.5\ngets p 2.5\nhost weigh 0 b 0\nhost level 0 1 0.75 2\nhost mark 2 true")
-    played.steps('gets p "ticket":2\nalive p')
-    played.written.pop("discovery", None)
-
-
-SCENARIOS: list[Callable[[RecordingSockets], None]] = [
+    harness.add_class("look", "read", SECOND, 2)
+    harness.add_class("buy", "write", SECOND, 9)
+    harness.list_backends(a="n", b="n")
+    harness.join_proxy("p", 1, "n")
+    harness.expect_received("p", "whole")
+    harness.act("set_entry", 0, "a", 2.5)
+    harness.expect_received("p", "2.5")
+    harness.act("set_entry", 0, "b", 0)
+    harness.act("set_admission", 0, 1, 0.75, 2)
+    harness.act("request_acknowledgement", 2, True)
+    harness.expect_received("p", '"ticket":2')
+    harness.expect_pong("p")
+    harness.written.pop("discovery", None)
+
+
+SCENARIOS: list[Callable[[RecordingHarness], None]] = [
     watch_from_known,
     watch_from_nothing,
     watch_after_gap,
@@ -267,15 +294,13 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
-def test_what_is_written_is_as_recorded(monkeypatch, scenario):
-    played = RecordingSockets()
-    received = stage.received
-    monkeypatch.setattr(stage, "received", lambda sock: played.note(sock, received(sock)))
+def test_what_is_written_is_as_recorded(scenario):
+    harness = RecordingHarness()
     try:
-        scenario(played)
-        written = played.stable()
+        scenario(harness)
+        written = harness.stable()
     finally:
-        played.end()
+        harness.close()
     path = FOLDER / f"{scenario.__name__}.json"
     if os.environ.get("GRANITESPOOL_RECORD"):
         path.write_text(json.dumps(written, indent=1) + "\n")
