--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -137,11 +137,6 @@
     if not measured:
         return None
     metrics = [row.metrics for row in measured if row.metrics]
-    outliers = _outliers_of(metrics)
-    attempts: Counter[str] = Counter()
-    for each in metrics:
-        for reason, tried, _, _ in each["outliers"].values():
-            attempts[reason] += tried
     return FleetRow(
         joined=sum(each["joined"] for each in metrics),
         unassigned=sum(each["unassigned"] for each in metrics),
@@ -158,11 +153,19 @@
         list_age_s=max(each["list_age_ms"] for each in metrics) / 1000,
         longest_turn_ms=max(each["longest_turn_us"] for each in metrics) / 1000,
         health_checks=sum(row.events["health_check"] for row in found),
-        attempts=attempts,
-        outliers=outliers,
+        attempts=_attempts_by_reason(metrics),
+        outliers=_outliers_of(metrics),
     )
 
 
+def _attempts_by_reason(metrics: Iterable[Event]) -> Counter[str]:
+    attempts: Counter[str] = Counter()
+    for each in metrics:
+        for reason, tried, _, _ in each["outliers"].values():
+            attempts[reason] += tried
+    return attempts
+
+
 def _outliers_of(metrics: Iterable[Event]) -> dict[str, OutlierTotals]:
     totals: dict[str, OutlierTotals] = defaultdict(OutlierTotals)
     for each in metrics:
--- a/granitespool/net/__init__.py
+++ b/granitespool/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets round the coordinator: one epoll loop, generators as coroutines, one owner a resource."""
+"""The sockets around the coordinator: one epoll loop, generators as coroutines, one owner a resource."""
--- a/granitespool/net/acceptor.py
+++ b/granitespool/net/acceptor.py
@@ -1,6 +1,6 @@
 """Listening at the coordinator's address and taking connections.
 
-Owns the listening socket. It never reads from a connection and never decides who gives way: it asks
+Owns the listening socket. It never reads from a connection and never decides which is evicted: it asks
 `admission` for room and hands each socket on."""
 
 import errno
--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which connections are open, and who gives way when places, descriptors or buffers are short.
+"""Admission: which connections are open, and which are evicted when places, descriptors or buffers are short.
 
 Owns the two registries of open connections and the limit on them. It never accepts, reads or writes, and it
 never ends a proxy's stream: pending connections give way first, then collectors, which dial again."""
@@ -9,8 +9,8 @@
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop
 
-PENDING_GRACE = SECOND // 20  # ns for which a pending one does not give way: a joining may be on its way
-PENDING_RESERVE = 4  # places for pending ones beyond those who joined; from the descriptors kept for others
+PENDING_GRACE = SECOND // 20  # ns for which a pending one is not evicted: a joining may be on its way
+PENDING_RESERVE = 4  # places for pending ones beyond those that joined; from the descriptors kept for others
 
 
 class Admission:
@@ -18,7 +18,7 @@
 
     def __init__(self, loop: Loop, log: Log, connections_limit: int) -> None:
         self.loop, self.log = loop, log
-        self.connections_limit = connections_limit  # of those who joined; a lower one ends nobody
+        self.connections_limit = connections_limit  # of those that joined; a lower one ends no connection
         self.connections: dict[Connection, None] = {}
         self.pending: dict[Connection, None] = {}  # those of them that have not joined
 
@@ -34,7 +34,7 @@
     def is_full(self) -> bool:
         """Whether another may be accepted only once somebody gives way.
 
-        Who comes while those who joined hold all places has one of a few more until it says who it is: a
+        While those that joined hold all places, a new connection has one of a few more until it joins: a
         flood of pending connections must not cost a collector its place."""
         return len(self.connections) >= self.connections_limit and len(self.pending) >= PENDING_RESERVE
 
@@ -52,7 +52,7 @@
     def end_pending(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
         """Ends the oldest pending connection that may give way, and returns whether there was one.
 
-        `holds_buffer` asks for one that holds a buffer; `requester`, who seeks the room, never gives way.
+        `holds_buffer` asks for one that holds a buffer; `requester`, which needs it, is never evicted.
         In a flood of connections that never join, the older ones give way to one that may be a proxy, but not
         before their own joining can have come. The same holds when all proxies dial at once: past the limit
         the others wait."""
--- a/granitespool/net/connection.py
+++ b/granitespool/net/connection.py
@@ -1,6 +1,6 @@
 """The record of one accepted connection, and how bytes are written to it and its end is made orderly.
 
-Owns the socket, the reader and the bytes that are not yet sent. It never decides who keeps a place, never
+Owns the socket, the reader and the bytes that are not yet sent. It never decides which keeps a place, never
 reads what a message means and reports nothing: that is for `admission`, `messages` and `membership`."""
 
 import socket
--- a/tests/test_full_size.py
+++ b/tests/test_full_size.py
@@ -11,8 +11,8 @@
 from contextlib import ExitStack, suppress
 
 import pytest
-from stage import framed
 from support.proxy_fleet import ProxyFleet
+from support.service_harness import framed
 
 from granitespool.net import config
 from granitespool.net.service import Service
@@ -92,17 +92,15 @@
         for number, sock in enumerate(proxies):
             sock.send(
                 framed(
-                    [
-                        json.dumps(
-                            {
-                                "type": "joined",
-                                "node": number,
-                                "locality": f"z{number % 3}",
-                                "w": 1.0,
-                                "cold": True,
-                            }
-                        )
-                    ]
+                    json.dumps(
+                        {
+                            "type": "joined",
+                            "node": number,
+                            "locality": f"z{number % 3}",
+                            "w": 1.0,
+                            "cold": True,
+                        }
+                    )
                 )
             )
         planner = service.coordinator.planner
@@ -117,9 +115,7 @@
                     assert data, f"{number} was closed"
                     mark = int(data.rpartition(b'"ticket":')[2].partition(b"}")[0])
                     sock.send(
-                        framed(
-                            [json.dumps({"type": "applied", "node": number, "nonce": mark, "latency": 1.0})]
-                        )
+                        framed(json.dumps({"type": "applied", "node": number, "nonce": mark, "latency": 1.0}))
                     )
             if len(planner.assignment.proxies) == streams and not planner.assignment.unassigned:
                 break
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -27,7 +27,8 @@
     thread.start()
     loop.stop()
     thread.join(5)
-    assert seen.is_set() and loop.wake_fd is None
+    assert seen.is_set()
+    assert loop.wake_fd is None
 
 
 def test_a_wake_after_the_end_writes_to_nobody_elses_descriptor():
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from stage import framed, joining
+from support.service_harness import Peers, framed
 from support.service_thread import free_port
 from test_full_size import told
 
@@ -64,7 +64,7 @@
 
 
 def joins(sock, service, zone="z0"):
-    sock.sendall(framed([json.dumps({"type": "joined", "node": 1, "locality": zone, "w": 1, "cold": True})]))
+    sock.sendall(framed(json.dumps({"type": "joined", "node": 1, "locality": zone, "w": 1, "cold": True})))
     while 1 not in service.streams.proxies:
         service.turn(SECOND)
 
@@ -186,7 +186,7 @@
             former.send_signal(signal.SIGTERM)
             event(successor, "serving")
             with dialled(where) as sock:
-                sock.sendall(framed(['{"type":"ping"}']))
+                sock.sendall(framed('{"type":"ping"}'))
                 assert b"pong" in sock.recv(100)
             successor.send_signal(signal.SIGTERM)
             assert successor.wait(LONG) == former.wait(LONG) == 0
@@ -208,16 +208,16 @@
     with process(configured(tmp_path / "config.json", listen=where)) as it:
         event(it, "serving")
         with dialled(where) as sock:
-            sock.sendall(framed([joining(1, "z0")]))
+            sock.sendall(framed(Peers.joining(1, "z0")))
             event(it, "joined")
-            sock.sendall(framed(['{"type":"ping"}']))
+            sock.sendall(framed('{"type":"ping"}'))
             while b"pong" not in sock.recv(1 << 16, socket.MSG_PEEK):
                 pass  # it was written; it stays unread here
             it.send_signal(signal.SIGSTOP)
 
             def floods():  # far more than is read in one turn
                 with suppress(OSError):
-                    sock.sendall(framed(['{"type":"odd"}']) * 200_000)
+                    sock.sendall(framed('{"type":"odd"}') * 200_000)
 
             flood = threading.Thread(target=floods)
             flood.start()
@@ -433,7 +433,7 @@
 
 # A message that is cut
 
-JOINING = framed([joining(1, "z0")])
+JOINING = framed(Peers.joining(1, "z0"))
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "silence"])
@@ -479,11 +479,9 @@
         joins(sock, service, name)
         sock.sendall(
             framed(
-                [
-                    json.dumps(
-                        {"type": "usage", "node": 1, "route": name, "total": 5, "errors": 0, "interval": 1000}
-                    )
-                ]
+                json.dumps(
+                    {"type": "usage", "node": 1, "route": name, "total": 5, "errors": 0, "interval": 1000}
+                )
             )
         )
         sock.setblocking(False)
