--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -45,7 +45,12 @@
 from granitespool.settings import Settings
 
 # Settings that hold for the life of a coordinator, since what it keeps is built on them
-FIXED_SETTINGS = ("classes", "slices", "subscribe", "coordinator_index")
+FIXED_SETTINGS = {  # field -> the name that operators know it by: that of the deployment's settings
+    "classes": "classes",
+    "slices": "slices",
+    "subscribe": "subscribe",
+    "coordinator_index": "index",
+}
 
 
 class _Timer(NamedTuple):
@@ -164,20 +169,25 @@
     # Settings
 
     def fixed_settings_changed(self, settings: Settings) -> list[str]:
-        """Return the names of settings that differ from those in force and would wait for a restart."""
-        names = [name for name in FIXED_SETTINGS if getattr(settings, name) != getattr(self.settings, name)]
-        if "classes" in names and settings.class_names == self.classes:
-            names.remove("classes")  # tables and levels go by their order; their figures may change
-        return names
+        """Return the operators' names of settings that differ and would wait for a restart."""
+        return [FIXED_SETTINGS[field] for field in self._fixed_fields_changed(settings)]
+
+    def _fixed_fields_changed(self, settings: Settings) -> list[str]:
+        fields = [
+            field for field in FIXED_SETTINGS if getattr(settings, field) != getattr(self.settings, field)
+        ]
+        if "classes" in fields and settings.class_names == self.classes:
+            fields.remove("classes")  # tables and levels go by their order; their values may change
+        return fields
 
     def new_settings(self, now: int, settings: Settings) -> list[str]:
         """Take settings for what is decided from now on; return the names of those that wait."""
-        fixed = self.fixed_settings_changed(settings)
-        former = {name: getattr(self.settings, name) for name in fixed}
+        fixed = self._fixed_fields_changed(settings)
+        former = {field: getattr(self.settings, field) for field in fixed}
         self.settings = msgspec.structs.replace(settings, **former)
         self.now = max(self.now, now)
         self._contain(lambda _: self.planner.new_settings(self.settings))
-        return fixed
+        return [FIXED_SETTINGS[field] for field in fixed]
 
     # What may be asked
 
