--- a/bench/manage.py
+++ b/bench/manage.py
@@ -16,7 +16,7 @@
 import tempfile
 import threading
 import time
-from collections.abc import Callable, Iterator, Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from types import TracebackType
 from typing import Any, NamedTuple, Self
