--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -249,10 +249,11 @@
         self.updates.exclude(backend, excluded)
 
     def exclusion_cost(
-        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
+        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> Mapping[int, float]:
         """Return the table entries that `exclude` would cost now, by proxy."""
-        del unassigned, known  # estimates, which are not needed where it is known what each proxy was told
+        # Both serve estimates, which are not needed here: the state of each proxy is recorded
+        del unassigned, backend_count
         return self.updates.exclusion_cost(backend, excluded)
 
     def readmission_cost(
@@ -265,10 +266,10 @@
         """Set the admitted share of some classes, and how proxies retry them (0 to 3)."""
         self.updates.set_admission(table, classes, AdmissionLevel(share, retries))
 
-    def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
+    def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
         """Have each proxy that gets a message at this time acknowledge once it has applied it."""
         self._barrier = sequence
-        if everyone:
+        if all_proxies:
             self.updates.touch_all()
 
     def check_health(self, backend: str) -> None:
@@ -277,12 +278,12 @@
         if request not in self.queues[Queue.HEALTH_CHECKS]:
             self.queues[Queue.HEALTH_CHECKS].append(request)
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Drop what is kept of a backend: nothing will name it again, unless the endpoint list does."""
         self.updates.forget(backend)
         self.queues[Queue.FORGOTTEN].append(ForgottenBackend(backend))
 
-    def subscribe(self, on: bool) -> None:
+    def subscribe(self, enabled: bool) -> None:
         """Do nothing: the watch of the endpoint list runs as long as the service does."""
 
     def fetch_endpoints(self) -> None:
--- a/granitespool/planner/actions.py
+++ b/granitespool/planner/actions.py
@@ -27,7 +27,7 @@
         """Exclude a backend from everything that joined proxies hold, or readmit it."""
 
     def exclusion_cost(
-        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
+        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> Mapping[int, float]:
         """Table entries that `exclude` would cost now, by proxy.
 
@@ -46,16 +46,16 @@
     def set_admission(self, table: int, classes: int, share: float, retries: int) -> None:
         """Set the admitted share of some classes, and how proxies retry them (0 to 3)."""
 
-    def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
+    def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
         """Have each proxy that gets a message at this time acknowledge once it has applied it."""
 
     def check_health(self, backend: str) -> None:
         """Send one health check."""
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Drop what is kept of a backend: nothing will name it again, unless the endpoint list does."""
 
-    def subscribe(self, on: bool) -> None:
+    def subscribe(self, enabled: bool) -> None:
         """Ask for changes of the endpoint list from now on, or stop them."""
 
     def fetch_endpoints(self) -> None:
--- a/granitespool/planner/budget.py
+++ b/granitespool/planner/budget.py
@@ -4,7 +4,7 @@
 changes. Ordinary changes have a token bucket of their own besides, since each order has a price.
 """
 
-from granitespool.planner.fleet import PERIOD
+from granitespool.planner.fleet import RECOMPUTATION_PERIOD
 from granitespool.planner.in_flight import UNLIMITED, InFlightAccount
 from granitespool.settings import Settings
 from granitespool.units import SECOND
@@ -30,4 +30,6 @@
     def refill(self) -> None:
         """A period has passed."""
         rate = self.account.observed_rate
-        self.tokens = min(self.tokens + ORDINARY_RATE_SHARE * rate * PERIOD / SECOND, BURST_TIME * rate)
+        self.tokens = min(
+            self.tokens + ORDINARY_RATE_SHARE * rate * RECOMPUTATION_PERIOD / SECOND, BURST_TIME * rate
+        )
--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -64,7 +64,7 @@
         self._weights.update_fallback()
         candidates = []
         for entry in entries:
-            weight = self._weights.wanted(now, entry.backend, entry.zone) if entry.is_held else 0.0
+            weight = self._weights.target_weight(now, entry.backend, entry.zone) if entry.is_held else 0.0
             if weight == entry.backend.published.get(entry.table, 0.0):
                 continue
             candidate = self._candidate(now, entry, weight, is_single=only is not None)
@@ -81,7 +81,7 @@
             return self._dirty.entries_of(only)
         return self._dirty.entries(
             self._fleet.backends.values(),
-            lambda backend, zone: self._weights.wanted(now, backend, zone),
+            lambda backend, zone: self._weights.target_weight(now, backend, zone),
             has_moved,
         )
 
--- a/granitespool/planner/cost.py
+++ b/granitespool/planner/cost.py
@@ -66,14 +66,14 @@
         self._began: list[Backend] = []  # backends whose links began after the last evaluation
 
     @property
-    def is_any_known(self) -> bool:
+    def has_zone_mean(self) -> bool:
         """Whether any cost is known: until then what has just begun is like all others."""
         return any(mean is not None for mean in self.zone_means.values())
 
-    def restart(self, backend: Backend) -> None:
+    def reset_backend(self, backend: Backend) -> None:
         """A backend's links begin anew."""
         backend.links.clear()
-        backend.costed = False
+        backend.costs_evaluated = False
         self._began.append(backend)
 
     def reset_link(self, link: Link) -> None:
@@ -85,7 +85,7 @@
         for link in self._own:
             link.cost = None
         for backend in self._began:
-            backend.costed = True
+            backend.costs_evaluated = True
         self._own = []
         self._began = []
 
@@ -109,19 +109,19 @@
         self._type_means[zone] = type_means
         return moved
 
-    def of(self, backend: Backend, zone: str) -> float | None:
+    def attempt_cost(self, backend: Backend, zone: str) -> float | None:
         """What an attempt costs: by the link itself, else by its machine type; None where nothing tells."""
         link = backend.links.get(zone)
         if link is not None and link.cost is not None:
             return link.cost or None
-        if not backend.costed:
+        if not backend.costs_evaluated:
             return None
         return self._type_means.get(zone, {}).get(backend.machine_type)
 
     def freeze(self, backend: Backend, zones: Iterable[str], period: int) -> None:
         """Until the next evaluation a backend keeps its costs, whatever its machine type is by then."""
         links = [(zone, backend.link(zone, period)) for zone in zones]
-        for link, cost in [(link, self.of(backend, zone)) for zone, link in links]:
+        for link, cost in [(link, self.attempt_cost(backend, zone)) for zone, link in links]:
             self._set_own(link, cost or UNKNOWN)
 
     def _set_own(self, link: Link, cost: float) -> None:
--- a/granitespool/planner/dirty_set.py
+++ b/granitespool/planner/dirty_set.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from granitespool.planner.cost import ObservedCost
-from granitespool.planner.records import BY_SEQUENCE, READY, Backend, Backends, Link
+from granitespool.planner.records import BY_SEQUENCE, READY, Backend, BackendSet, Link
 from granitespool.planner.settled_entries import HasMoved, SettledEntries, WeightOf
 from granitespool.planner.subsets import Subsets
 
@@ -40,12 +40,12 @@
     """The backends and entries to look at next."""
 
     def __init__(self, subsets: Subsets) -> None:
-        self.changed: Backends = {}  # phase, zone, machine type or verification, since `take_changed`
-        self.dirty: Backends = {}
-        self.watching: Backends = {}  # have watched entries
-        self.absent: Backends = {}  # not ready, or excluded
-        self.ejected: Backends = {}  # have an ejected link, or had one
-        self.observed: defaultdict[str, Backends] = defaultdict(
+        self.changed: BackendSet = {}  # phase, zone, machine type or verification, since `take_changed`
+        self.dirty: BackendSet = {}
+        self.watching: BackendSet = {}  # have watched entries
+        self.absent: BackendSet = {}  # not ready, or excluded
+        self.ejected: BackendSet = {}  # have an ejected link, or had one
+        self.observed: defaultdict[str, BackendSet] = defaultdict(
             dict
         )  # zone -> enough for a cost of their own
         self._settled = SettledEntries()
@@ -67,13 +67,13 @@
         """Have each entry of a backend looked at until it is clean again."""
         self._settled.remove_all(backend)
         self.dirty[backend] = None
-        if backend.phase != READY or backend.exclusion.is_in_force:
+        if backend.phase != READY or backend.exclusion.is_active:
             self.absent[backend] = None
 
     def watch(self, backend: Backend, zone: str) -> None:
         """Have the entry of a backend in a zone looked at until its link decides nothing on its own."""
         self._settled.remove(backend, zone)
-        backend.watched[zone] = None
+        backend.watched_zones[zone] = None
         self.watching[backend] = None
 
     def mark_observed(self, backend: Backend, zone: str) -> None:
@@ -144,7 +144,7 @@
             (backend, zone)
             for backend in self.watching
             if backend not in self.dirty
-            for zone in backend.watched
+            for zone in backend.watched_zones
         ]
         some += self._settled.moving(weight_of, has_moved)
         for backend, zone in some:
@@ -199,15 +199,15 @@
             self._settle_watched(backend, is_slow_start_over)
 
     def _settle_watched(self, backend: Backend, is_slow_start_over: IsSlowStartOver) -> None:
-        for zone in list(backend.watched):
+        for zone in list(backend.watched_zones):
             link = backend.links.get(zone)
             if link is None or (
                 self._is_idle(link, is_slow_start_over) and backend not in self.observed[zone]
             ):
-                del backend.watched[zone]
+                del backend.watched_zones[zone]
                 if backend.phase == READY:
                     self._settle(backend, zone)
-        if not backend.watched:
+        if not backend.watched_zones:
             del self.watching[backend]
 
     @staticmethod
@@ -216,7 +216,7 @@
             backend.phase == READY
             and backend.verified
             and backend.subset is not None
-            and not backend.exclusion.is_in_force
+            and not backend.exclusion.is_active
             and is_slow_start_over(backend.slow_start_since)
             and is_warm(backend)
         )
--- a/granitespool/planner/ejection.py
+++ b/granitespool/planner/ejection.py
@@ -11,7 +11,7 @@
 from granitespool.planner.cost import OVERLOADED_UTILIZATION, CostTable, utilization
 from granitespool.planner.dirty_set import DirtySet
 from granitespool.planner.events import HealthCheckOutcome
-from granitespool.planner.fleet import PERIOD, Fleet
+from granitespool.planner.fleet import RECOMPUTATION_PERIOD, Fleet
 from granitespool.planner.overload import OverloadDetector
 from granitespool.planner.records import READY, Backend, Link
 from granitespool.units import SECOND
@@ -25,13 +25,13 @@
 FAST_REJECTION = SECOND // 4  # ns: a rejection is fast; a slower one is of a backend whose check hung
 
 
-class Verdict(Enum):
+class LinkAction(Enum):
     """What a load report makes of its link."""
 
     UNCHANGED = "unchanged"
     EJECT = "eject"
     READMIT = "readmit"
-    CHECK = "check"  # failures alone, and too few: a health check tells more
+    CHECK_HEALTH = "check"  # failures alone, and too few: a health check tells more
 
 
 class OutlierEjection:
@@ -43,22 +43,22 @@
         self._costs = costs
         self._overload = overload
 
-    def judge(self, link: Link, attempts: float, failures: float, successes: float) -> Verdict:
+    def evaluate_report(self, link: Link, attempts: float, failures: float, successes: float) -> LinkAction:
         """What a load report, which its link's sums hold already, makes of the link."""
         only_failures = failures >= attempts
         link.consecutive_failures = link.consecutive_failures + attempts if only_failures else 0
         is_overloaded = only_failures or self._is_overloaded(link, successes)
         link.overloaded_reports = link.overloaded_reports + 1 if is_overloaded else 0
         if link.is_ejected and not is_overloaded:
-            return Verdict.READMIT
+            return LinkAction.READMIT
         is_confirmed = link.consecutive_failures >= FAILURES_MIN or successes
         if link.overloaded_reports >= OVERLOADED_REPORTS and not link.is_ejected and is_confirmed:
-            return Verdict.EJECT
-        return Verdict.CHECK if only_failures else Verdict.UNCHANGED
+            return LinkAction.EJECT
+        return LinkAction.CHECK_HEALTH if only_failures else LinkAction.UNCHANGED
 
     def _is_overloaded(self, link: Link, successes: float) -> bool:
         # Utilization tells nothing while the fleet is overloaded: an ejection would only move load
-        if not successes or not self._overload.is_at_ease:
+        if not successes or not self._overload.is_normal:
             return False
         return utilization(link, link.response_time / link.successes) > OVERLOADED_UTILIZATION
 
@@ -89,7 +89,7 @@
         for zone, link in ejected:
             if link.last_resort or link.ejected_at is None:
                 continue
-            if now - link.ejected_at < UNOBSERVED_PERIODS * PERIOD:
+            if now - link.ejected_at < UNOBSERVED_PERIODS * RECOMPUTATION_PERIOD:
                 continue
             fresh = backend.links[zone] = Link(self._fleet.period)
             fresh.slow_start_since = now
--- a/granitespool/planner/exclusion.py
+++ b/granitespool/planner/exclusion.py
@@ -107,11 +107,11 @@
             key=lambda each: (max(each.left_ready_at, self.told_at), -each.left_ready_at),
         )
         for backend in by_urgency:
-            if backend.phase == READY and not backend.exclusion.is_in_force:
+            if backend.phase == READY and not backend.exclusion.is_active:
                 del self._dirty.absent[backend]
                 continue
             is_recent = now - backend.left_ready_at < GRACES_KNOWN * self._grace
-            was_excluded = backend.exclusion.is_in_force
+            was_excluded = backend.exclusion.is_active
             if was_excluded and is_recent and waiting_time >= COLLECT_GRACE_SHARE * self._grace:
                 backend.exclusion = Exclusion.PARTIAL
             excluded = self._should_exclude(backend, is_recent, late)
--- a/granitespool/planner/fleet.py
+++ b/granitespool/planner/fleet.py
@@ -3,7 +3,8 @@
 from granitespool.planner.records import Backend
 from granitespool.units import SECOND
 
-PERIOD = 1 * SECOND  # ns between recomputations: the period of the reports, so each weight moves little
+# ns between recomputations. It is the period of the load reports, so that each step moves weights little.
+RECOMPUTATION_PERIOD = 1 * SECOND
 
 
 class Fleet:
@@ -17,7 +18,7 @@
     def create(self, name: str, now: int) -> Backend:
         """A new backend, gone until its endpoint entry is applied."""
         self._created += 1
-        backend = self.backends[name] = Backend(name, now, self._created, -PERIOD)
+        backend = self.backends[name] = Backend(name, now, self._created, -RECOMPUTATION_PERIOD)
         return backend
 
     def remove(self, name: str) -> None:
--- a/granitespool/planner/health.py
+++ b/granitespool/planner/health.py
@@ -1,7 +1,7 @@
 """Verification by health check: who is asked, and how often."""
 
 from granitespool.planner.actions import PlannerActions
-from granitespool.planner.fleet import PERIOD
+from granitespool.planner.fleet import RECOMPUTATION_PERIOD
 from granitespool.planner.records import Backend
 from granitespool.settings import Settings
 
@@ -17,6 +17,6 @@
         """Send a health check, unless one was sent within the period and this one is not `at_once`."""
         if not self.settings.health_checks_allowed:
             return
-        if at_once or now - backend.health_checked_at >= PERIOD:
+        if at_once or now - backend.health_checked_at >= RECOMPUTATION_PERIOD:
             backend.health_checked_at = now
             self._actions.check_health(backend.name)
--- a/granitespool/planner/inspection.py
+++ b/granitespool/planner/inspection.py
@@ -117,7 +117,7 @@
         link = backend.links.get(zone)
         return EntryStatus(
             weight=max(backend.published.get(table, 0.0) for table in tables),
-            cost=self._costs.of(backend, zone),
+            cost=self._costs.attempt_cost(backend, zone),
             is_ejected=link is not None and link.is_ejected,
         )
 
--- a/granitespool/planner/load_reports.py
+++ b/granitespool/planner/load_reports.py
@@ -2,7 +2,7 @@
 
 from granitespool.planner.cost import SUCCESSES_MIN
 from granitespool.planner.dirty_set import DirtySet
-from granitespool.planner.ejection import OutlierEjection, Verdict
+from granitespool.planner.ejection import LinkAction, OutlierEjection
 from granitespool.planner.events import LoadReport
 from granitespool.planner.fleet import Fleet
 from granitespool.planner.overload import OverloadDetector
@@ -28,7 +28,7 @@
         self._ejection = ejection
         self._overload = overload
 
-    def add(self, report: LoadReport, successes: float, backend: Backend, link: Link) -> Verdict:
+    def add(self, report: LoadReport, successes: float, backend: Backend, link: Link) -> LinkAction:
         """Add a report, with so many successes, to the records; returns what it makes of the link."""
         attempts = report.attempts
         if link.restored and attempts >= SUCCESSES_MIN:
@@ -39,4 +39,4 @@
         backend.observe(attempts, failures, successes, response_time)
         if link.successes >= SUCCESSES_MIN:
             self._dirty.mark_observed(backend, report.zone)
-        return self._ejection.judge(link, attempts, report.failures, successes)
+        return self._ejection.evaluate_report(link, attempts, report.failures, successes)
--- a/granitespool/planner/membership.py
+++ b/granitespool/planner/membership.py
@@ -60,7 +60,7 @@
         before = None if backend is None else _listed_state(backend)
         if backend is None:
             backend = self._fleet.create(entry.name, now)
-            self._costs.restart(backend)
+            self._costs.reset_backend(backend)
         was_ready = backend.phase == READY
         is_removal = entry.phase == GONE and was_ready
         backend.removal_unconfirmed = bool(is_removal and self.settings.removal_needs_drain)
@@ -71,7 +71,7 @@
             backend.left_ready_at = now
         if entry.phase == READY and (not was_ready or entry.started_at > backend.started_at):
             self._start(now, backend, entry.started_at)
-        if entry.machine_type != backend.machine_type and backend.costed:
+        if entry.machine_type != backend.machine_type and backend.costs_evaluated:
             self._costs.freeze(backend, self._subsets.tables, self._fleet.period)
         backend.zone = entry.zone
         backend.machine_type = entry.machine_type
@@ -87,7 +87,7 @@
         Of the first list only those still cold are new; an overload may be on, whose levels are lost.
         """
         is_cold = self._slow_start.is_cold_at_start(now, started_at)
-        self._costs.restart(backend)
+        self._costs.reset_backend(backend)
         backend.slow_start_since = now if self._has_list or is_cold else None
         backend.verified = not (self._has_list and self.settings.health_checks_allowed)
         if not backend.verified:
--- a/granitespool/planner/overload.py
+++ b/granitespool/planner/overload.py
@@ -5,7 +5,7 @@
 of overload, not above what was answered of the demand, and back up without it.
 """
 
-from granitespool.planner.records import BY_SEQUENCE, Backend, Backends
+from granitespool.planner.records import BY_SEQUENCE, Backend, BackendSet
 from granitespool.planner.status import FleetSnapshot
 from granitespool.settings import DEFAULT_LATENCY_OBJECTIVE, Settings
 from granitespool.units import SECOND
@@ -31,10 +31,10 @@
         self.admitted_share = 1.0  # of all work
         self.demand: dict[str | None, float] = {}  # request class -> requests of about the last second
         self._restored_until = 0  # ns until which a restored overload holds; 0: none is
-        self._recent: Backends = {}  # backends that reports of the last minutes told of
+        self._recent: BackendSet = {}  # backends that reports of the last minutes told of
 
     @property
-    def is_at_ease(self) -> bool:
+    def is_normal(self) -> bool:
         """Whether nothing is shed and no overload is on."""
         return not self.is_overloaded and self.admitted_share >= 1
 
@@ -46,7 +46,7 @@
         """Requests of a class reached a proxy."""
         self.demand[request_class] = self.demand.get(request_class, 0) + requests
 
-    def forget(self, backend: Backend) -> None:
+    def remove(self, backend: Backend) -> None:
         """A backend is removed."""
         self._recent.pop(backend, None)
 
--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -14,7 +14,7 @@
 from granitespool.planner.candidates import CandidateSelection
 from granitespool.planner.cost import CostTable
 from granitespool.planner.dirty_set import DirtySet
-from granitespool.planner.ejection import OutlierEjection, Verdict, effective_outcome
+from granitespool.planner.ejection import LinkAction, OutlierEjection, effective_outcome
 from granitespool.planner.events import (
     Acknowledged,
     EndpointListUpdate,
@@ -33,7 +33,7 @@
     UsageReport,
 )
 from granitespool.planner.exclusion import ExclusionControl
-from granitespool.planner.fleet import PERIOD, Fleet
+from granitespool.planner.fleet import RECOMPUTATION_PERIOD, Fleet
 from granitespool.planner.health import HealthVerification
 from granitespool.planner.in_flight import InFlightAccount
 from granitespool.planner.inspection import PlannerInspection
@@ -69,7 +69,7 @@
         self.new_settings(settings)
         if settings.subscribe:
             actions.subscribe(True)
-        actions.set_timer(PERIOD, Timer.RECOMPUTE)
+        actions.set_timer(RECOMPUTATION_PERIOD, Timer.RECOMPUTE)
 
     def _make_state(self, settings: Settings) -> None:
         self.fleet = Fleet()
@@ -182,7 +182,7 @@
     def on_timer(self, now: int, cookie: str) -> None:
         """A timer has fired that `set_timer` was asked for."""
         if cookie == Timer.RECOMPUTE:
-            self._actions.set_timer(PERIOD, Timer.RECOMPUTE)
+            self._actions.set_timer(RECOMPUTATION_PERIOD, Timer.RECOMPUTE)
             self._recomputation.run(now)
             self._publish(now)
         elif cookie == Timer.PUBLISH:
@@ -193,7 +193,7 @@
 
     def _on_endpoint_list(self, now: int, update: EndpointListUpdate) -> None:
         if update.form == ListForm.FAILED:
-            delay = int(PERIOD * self._random.uniform(*POLL_RETRY_JITTER))
+            delay = int(RECOMPUTATION_PERIOD * self._random.uniform(*POLL_RETRY_JITTER))
             self._actions.set_timer(delay, Timer.SUBSCRIBE)
             return
         self._membership.apply(now, update)
@@ -211,14 +211,14 @@
         successes = successes_of(report)
         if successes and not backend.verified:
             self._verify(now, backend)
-        verdict = self._load_reports.add(report, successes, backend, link)
-        if verdict == Verdict.READMIT:
+        link_action = self._load_reports.add(report, successes, backend, link)
+        if link_action == LinkAction.READMIT:
             self._ejection.readmit(now, link)
             self._publish(now, backend)
-        elif verdict == Verdict.EJECT:
+        elif link_action == LinkAction.EJECT:
             self._ejection.eject(now, zone, backend)
             self._publish(now, backend)
-        elif verdict == Verdict.CHECK:
+        elif link_action == LinkAction.CHECK_HEALTH:
             self._health.check(now, backend)
 
     def _on_health_check(self, now: int, result: HealthCheckResult) -> None:
--- a/granitespool/planner/publication.py
+++ b/granitespool/planner/publication.py
@@ -19,7 +19,7 @@
 from granitespool.planner.cost import CostTable
 from granitespool.planner.dirty_set import DirtySet
 from granitespool.planner.exclusion import ExclusionControl
-from granitespool.planner.fleet import PERIOD
+from granitespool.planner.fleet import RECOMPUTATION_PERIOD
 from granitespool.planner.outbox import Outbox
 from granitespool.planner.records import Backend
 from granitespool.planner.slow_start import SlowStart
@@ -31,7 +31,7 @@
 HEADER_RATE_SHARE = 0.15  # share of the channel's rate for headers: sets the gap between complete passes
 FEW_SUBSCRIBERS = 8  # a table of at most one in so many proxies: a message to all of them is cheap
 HELD_BACK_GAP_DIVISOR = 4  # of the gap after a pass in which an update had tokens and no capacity
-RESCHEDULE_DELAY_MIN = PERIOD // 4  # ns
+RESCHEDULE_DELAY_MIN = RECOMPUTATION_PERIOD // 4  # ns
 
 
 class PublicationPass:
@@ -132,7 +132,7 @@
     def _prepare(self, current: PublicationPass, candidates: list[Candidate]) -> None:
         """Set the limits of this pass by what the channel and the rules leave."""
         account = self._budget.account
-        if account.capacity_left(1, PERIOD // 4) > 0:
+        if account.capacity_left(1, RECOMPUTATION_PERIOD // 4) > 0:
             current.few_subscribers = len(self._assignment.proxies) // FEW_SUBSCRIBERS
         if self._budget.is_rule_waiting:
             current.queue_share = 0  # updates would keep a congestion up, by what frees: they stand still
@@ -203,10 +203,10 @@
         self._dirty.published(backend, table, weight)
 
     def _mark_clean(self, now: int) -> None:
-        is_any_cost_known = self._costs.is_any_known
+        is_any_cost_known = self._costs.has_zone_mean
         self._dirty.mark_clean(
             lambda backend: (
-                (backend.costed or not is_any_cost_known) and self._slow_start.is_warm(now, backend)
+                (backend.costs_evaluated or not is_any_cost_known) and self._slow_start.is_warm(now, backend)
             ),
             lambda since: self._slow_start.is_over(now, since),
         )
--- a/granitespool/planner/recomputation.py
+++ b/granitespool/planner/recomputation.py
@@ -56,7 +56,7 @@
     def evaluate_costs(self, now: int) -> None:
         """Work out all costs anew, by the reports so far."""
         self._costs.begin_evaluation()
-        is_overloaded = not self._overload.is_at_ease
+        is_overloaded = not self._overload.is_normal
         for zone in self._subsets.tables:
             observed = self._dirty.observed_costs(zone, lambda link: link_cost(now, link, is_overloaded))
             if self._costs.evaluate_zone(zone, observed):
@@ -76,6 +76,6 @@
 
     def _forget(self, backend: Backend) -> None:
         self._dirty.forget(backend)
-        self._overload.forget(backend)
+        self._overload.remove(backend)
         self._fleet.remove(backend.name)
-        self._actions.forget(backend.name)
+        self._actions.remove_backend(backend.name)
--- a/granitespool/planner/records.py
+++ b/granitespool/planner/records.py
@@ -26,22 +26,22 @@
     EXCLUDED = ("excluded", True)
     PARTIAL = ("partial", True)  # excluded, but some joined since and were not told
 
-    def __init__(self, label: str, is_in_force: bool) -> None:
+    def __init__(self, label: str, is_active: bool) -> None:
         self.label = label
-        self.is_in_force = is_in_force  # some proxies may hold the backend excluded
+        self.is_active = is_active  # some proxies may hold the backend excluded
 
 
 class UnassignedProxy(NamedTuple):
     """A joined proxy that has no table of ours yet."""
 
-    known_entries: int  # entries of others' tables that it holds, at most
+    foreign_entries_max: int  # entries of others' tables that it holds, at most
     since: int  # ns
 
 
 class MinimumRtt(NamedTuple):
     """A mean round trip that was the lowest since it was observed."""
 
-    at: int  # ns
+    observed_at: int  # ns
     mean: float  # ns
 
 
@@ -96,7 +96,7 @@
         while self.minimum_rtts and self.minimum_rtts[-1].mean >= mean:
             self.minimum_rtts.pop()
         self.minimum_rtts.append(MinimumRtt(now, mean))
-        while self.minimum_rtts[0].at < now - window:
+        while self.minimum_rtts[0].observed_at < now - window:
             self.minimum_rtts.popleft()
 
     def decay(self, factor: float) -> None:
@@ -122,7 +122,7 @@
 
     __slots__ = (
         "configured_weight",  # the endpoint list's
-        "costed",  # costs were worked out since its links began
+        "costs_evaluated",  # costs were worked out since its links began
         "exclusion",
         "health_checked_at",
         "left_ready_at",  # when the list last told that it is not ready any more
@@ -143,7 +143,7 @@
         "subset",  # where the fleet is split
         "subset_key",  # the subset, zone and machine type that it is counted for there
         "verified",  # a health check or an attempt has succeeded
-        "watched",  # zones whose link decides on its own
+        "watched_zones",  # zones whose link decides on its own
         "zone",
     )
 
@@ -169,9 +169,9 @@
         self.removal_unconfirmed = False
         self.verified = True
         self.left_ready_at = now
-        self.costed = False
+        self.costs_evaluated = False
         self.settled: dict[str, dict[Backend, None]] = {}
-        self.watched: dict[str, None] = {}
+        self.watched_zones: dict[str, None] = {}
 
     @property
     def is_in_tables(self) -> bool:
@@ -211,4 +211,4 @@
 
 
 BY_SEQUENCE = attrgetter("sequence")  # a sort key of Backend: oldest first
-Backends = dict[Backend, None]  # a set that keeps its order, so that runs repeat
+BackendSet = dict[Backend, None]  # a set that keeps its order, so that runs repeat
--- a/granitespool/planner/settled_entries.py
+++ b/granitespool/planner/settled_entries.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from granitespool.endpoints import Label
-from granitespool.planner.records import Backend, Backends
+from granitespool.planner.records import Backend, BackendSet
 
 Weights = tuple[float, ...]
 WeightOf = Callable[[Backend, str], float]  # (backend, zone) -> the weight wanted
@@ -31,7 +31,7 @@
     """Groups of settled entries, by what their weight follows from and by the weights last published."""
 
     def __init__(self) -> None:
-        self._groups: dict[SharedInputs, dict[Weights, Backends]] = {}
+        self._groups: dict[SharedInputs, dict[Weights, BackendSet]] = {}
         self._by_zone: dict[str, dict[SharedInputs, None]] = {}
         self._invalid: dict[SharedInputs, None] = {}  # those to be judged next
 
--- a/granitespool/planner/weights.py
+++ b/granitespool/planner/weights.py
@@ -36,13 +36,13 @@
             backend.phase == READY and backend.verified for backend in self._fleet.backends.values()
         )
 
-    def wanted(self, now: int, backend: Backend, zone: str) -> float:
+    def target_weight(self, now: int, backend: Backend, zone: str) -> float:
         """The weight that a backend should have in the tables of a zone; 0: no entry."""
         link = backend.links.get(zone)
         is_ejected = link is not None and link.ejected_at is not None
         if is_ejected and not (link and link.last_resort):
             return 0.0
-        if backend.phase != READY or backend.exclusion.is_in_force:
+        if backend.phase != READY or backend.exclusion.is_active:
             return 0.0
         if not backend.verified and not self._uses_unverified:
             return 0.0
@@ -50,7 +50,7 @@
         if is_ejected:
             share = min(share, LAST_RESORT_SHARE)
         zone_mean = self._costs.zone_means.get(zone)
-        cost = self._costs.of(backend, zone)
+        cost = self._costs.attempt_cost(backend, zone)
         warm_up_share = self._slow_start.warm_up_share(now, backend)
         if warm_up_share < 1:
             share = min(share, self._guarded_share(share, warm_up_share))
--- a/granitespool/simulator_adapter.py
+++ b/granitespool/simulator_adapter.py
@@ -79,10 +79,13 @@
         self._write("pull", backend=backend, flag=excluded)
 
     def exclusion_cost(
-        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
+        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> dict[int, float]:
         """As likely as a proxy holds the backend: the channel leaves out those that do not."""
-        return {proxy: min(each.known_entries, known) / known for proxy, each in unassigned.items()}
+        return {
+            proxy: min(each.foreign_entries_max, backend_count) / backend_count
+            for proxy, each in unassigned.items()
+        }
 
     def readmission_cost(
         self, proxies: Iterable[int], table: int, backend: str | None = None
@@ -94,20 +97,20 @@
         """Write the level."""
         self._write("level", tbl=table, for_classes=classes, level=share, how=retries)
 
-    def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
+    def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
         """Write the barrier."""
-        self._write("fence_post", serial=sequence, flag=everyone)
+        self._write("fence_post", serial=sequence, flag=all_proxies)
 
     def check_health(self, backend: str) -> None:
         """Write the health check."""
         self._write("health_check", backend=backend)
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Do nothing: nothing is kept here."""
 
-    def subscribe(self, on: bool) -> None:
+    def subscribe(self, enabled: bool) -> None:
         """Write the subscription."""
-        self._write("observe", flag=on)
+        self._write("observe", flag=enabled)
 
     def fetch_endpoints(self) -> None:
         """Write the request."""
--- a/granitespool/state/restore_policy.py
+++ b/granitespool/state/restore_policy.py
@@ -210,7 +210,7 @@
         is_likely = confidence >= MIN_CONFIDENCE
         minimum_rtt = None
         if link.minimum_rtt is not None:
-            minimum_rtt = MinimumRtt(min(link.minimum_rtt.at, self.now), link.minimum_rtt.mean)
+            minimum_rtt = MinimumRtt(min(link.minimum_rtt.observed_at, self.now), link.minimum_rtt.mean)
         return LinkSnapshot(
             attempts=link.attempts * confidence,
             failures=link.failures * confidence,
--- a/tests/coordinator/test_drawn_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -130,13 +130,13 @@
 
 
 def test_one_that_gives_a_cold_backend_the_work_of_many_is_found(monkeypatch):
-    wanted = EntryWeights.wanted
+    wanted = EntryWeights.target_weight
 
     def pushes(self, now, rec, zone):
         weight = wanted(self, now, rec, zone)
         return 1000.0 if weight and rec.started_at else weight
 
-    monkeypatch.setattr(EntryWeights, "wanted", pushes)
+    monkeypatch.setattr(EntryWeights, "target_weight", pushes)
     assert rules_broken(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
 
 
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -125,14 +125,14 @@
 
 def looked_at(comparison, monkeypatch, act):
     """How many weights the planner works out while this is done."""
-    counted, wanted = Counter(), EntryWeights.wanted
+    counted, wanted = Counter(), EntryWeights.target_weight
 
     def counting(weights, *words):
         counted[weights] += 1
         return wanted(weights, *words)
 
     with monkeypatch.context() as patched:
-        patched.setattr(EntryWeights, "wanted", counting)
+        patched.setattr(EntryWeights, "target_weight", counting)
         act()
     return counted[comparison.changed.planner.weights]
 
@@ -247,19 +247,19 @@
 def test_costs_of_what_began_after_the_last_look_are_unknown_until_the_next():
     costs, rec, other = CostTable(), record(1), record(2)
     for each in (rec, other):
-        costs.restart(each)
+        costs.reset_backend(each)
     costs.begin_evaluation()
     observed = [ObservedCost(rec, rec.link("z0", 0), 50.0)]
-    assert costs.evaluate_zone("z0", observed) and costs.of(other, "z0") == 50.0
+    assert costs.evaluate_zone("z0", observed) and costs.attempt_cost(other, "z0") == 50.0
     later = record(3)
-    costs.restart(later)
-    assert costs.of(later, "z0") is None
+    costs.reset_backend(later)
+    assert costs.attempt_cost(later, "z0") is None
     costs.freeze(other, ["z0"], 0)
     other.machine_type = "else"
-    assert costs.of(other, "z0") == 50.0  # as of the last look, whatever it is by now
+    assert costs.attempt_cost(other, "z0") == 50.0  # as of the last look, whatever it is by now
     costs.begin_evaluation()
     assert not costs.evaluate_zone("z0", observed)
-    assert costs.of(later, "z0") == 50.0 and costs.of(other, "z0") is None
+    assert costs.attempt_cost(later, "z0") == 50.0 and costs.attempt_cost(other, "z0") is None
 
 
 SLOW = Settings(entries_per_s=800.0, drain_grace=36 * SECOND, proxies_expected=1500, coordinators=5)
--- a/tests/reference/adapter.py
+++ b/tests/reference/adapter.py
@@ -89,6 +89,7 @@
         "probe": "check_health",
         "observe": "subscribe",
         "lookup": "fetch_endpoints",
+        "forget": "remove_backend",
         "wake": "set_timer",
         "post": "send_gossip",
         "remark": "log",
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -32,7 +32,7 @@
     "set_admission",
     "request_acknowledgement",
     "check_health",
-    "forget",
+    "remove_backend",
     "set_timer",
     "subscribe",
 )
--- a/tests/support/planner_harness.py
+++ b/tests/support/planner_harness.py
@@ -95,10 +95,10 @@
         self.calls.append(("exclude", backend, excluded))
 
     def exclusion_cost(
-        self, _backend: str, _excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
+        self, _backend: str, _excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> Mapping[int, float]:
         """As the simulator's channel has it: a part of an entry for each proxy without a table."""
-        return {proxy: min(held, known) / known for proxy, (held, _) in unassigned.items()}
+        return {proxy: min(held, backend_count) / backend_count for proxy, (held, _) in unassigned.items()}
 
     def readmission_cost(
         self, _proxies: Iterable[int], _table: int, _backend: str | None = None
@@ -112,21 +112,21 @@
             if classes >> position & 1:
                 self.calls.append(("set_admission", table, self.class_names[position], share, retries))
 
-    def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
+    def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
         """Recorded."""
-        self.calls.append(("request_acknowledgement", sequence, everyone))
+        self.calls.append(("request_acknowledgement", sequence, all_proxies))
 
     def check_health(self, backend: str) -> None:
         """Recorded."""
         self.calls.append(("check_health", backend))
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Recorded."""
-        self.calls.append(("forget", backend))
+        self.calls.append(("remove_backend", backend))
 
-    def subscribe(self, on: bool) -> None:
+    def subscribe(self, enabled: bool) -> None:
         """Recorded."""
-        self.calls.append(("subscribe", on))
+        self.calls.append(("subscribe", enabled))
 
     def fetch_endpoints(self) -> None:
         """Recorded."""
