--- a/granitespool/planner/__init__.py
+++ b/granitespool/planner/__init__.py
@@ -1,5 +1,5 @@
-"""All decisions of granitespool, one module for each; no I/O.
+"""Load balancing decisions, one module for each kind; no I/O.
 
-`planner.Planner` takes events (`events`) and calls the parts in order; what it wants done goes to its
-`actions.PlannerActions`. Nothing here reads a clock, a socket or a file.
+`planner.Planner` handles the events (`events`) by calling the other modules in a fixed order. Side effects go
+through its `actions.PlannerActions`. No module here reads a clock, a socket or a file.
 """
--- a/granitespool/planner/ejection.py
+++ b/granitespool/planner/ejection.py
@@ -1,9 +1,9 @@
-"""Outlier ejection: which links leave the tables for failures or overload, and when they return.
+"""Outlier ejection: which links leave the tables after failures or overload, and when they return.
 
-A link is ejected after consecutive reports above 80 % utilization, or of failures alone once enough attempts
-stand behind them. At most a third of a subset's ready backends is ejected in a zone; one past that cap stays
-as a last resort with a small weight, so that its recovery is observed, or all weigh alike. An ejected link
-that nobody reports of returns after some periods, into slow start.
+A link is ejected after consecutive load reports above 80 % utilization, or of failures only if these are
+enough attempts. In a zone at most a third of the ready backends of a subset is ejected. A link past that cap
+stays in the tables as a last resort with a small weight, so that its recovery is observed, or all weights are
+equal. An ejected link without load reports returns after some periods, into slow start.
 """
 
 from enum import Enum
@@ -16,22 +16,23 @@
 from granitespool.planner.records import READY, Backend, Link
 from granitespool.units import SECOND
 
-OVERLOADED_REPORTS = 2  # consecutive overloaded reports before an ejection: the design page's
-FAILURES_MIN = 5  # consecutive failures that an ejection for failures rests on: one or two are chance
-MAX_EJECTION_SHARE = 3  # at most one in this many ready backends is ejected: the design page's
-UNOBSERVED_PERIODS = 2  # periods that an ejected link stays unobserved before it returns: the design page's
-LATE_CHECK_FAILURES = 2  # failures that a health check which timed out stands for: it may wait in the queue
-#                          like a request
-FAST_REJECTION = SECOND // 4  # ns: a rejection is fast; a slower one is of a backend whose check hung
+OVERLOADED_REPORTS_MIN = 2  # consecutive overloaded load reports before an ejection
+CONSECUTIVE_FAILURES_MIN = 5  # consecutive failures that confirm an ejection: one or two are chance
+BACKENDS_PER_EJECTION = 3  # ready backends for each ejected one, at least
+UNOBSERVED_PERIODS_MIN = 2  # periods after which an ejected link without load reports returns
+# Failures that a timed out health check counts for: fewer than CONSECUTIVE_FAILURES_MIN, as it may wait in a
+# queue like a request
+TIMED_OUT_CHECK_FAILURES = 2
+FAST_REJECTION_MAX = SECOND // 4  # ns; a slower rejection comes from a backend whose health check hung
 
 
 class LinkAction(Enum):
-    """What a load report makes of its link."""
+    """What to do with the link of a load report."""
 
     UNCHANGED = "unchanged"
     EJECT = "eject"
     READMIT = "readmit"
-    CHECK_HEALTH = "check"  # failures alone, and too few: a health check tells more
+    CHECK_HEALTH = "check"  # failures only, and too few to eject: a health check may confirm them
 
 
 class OutlierEjection:
@@ -44,70 +45,77 @@
         self._overload = overload
 
     def evaluate_report(self, link: Link, attempts: float, failures: float, successes: float) -> LinkAction:
-        """What a load report, which its link's sums hold already, makes of the link."""
+        """Return what to do with a link after a load report that was added to its sums."""
         only_failures = failures >= attempts
         link.consecutive_failures = link.consecutive_failures + attempts if only_failures else 0
         is_overloaded = only_failures or self._is_overloaded(link, successes)
         link.overloaded_reports = link.overloaded_reports + 1 if is_overloaded else 0
         if link.is_ejected and not is_overloaded:
             return LinkAction.READMIT
-        is_confirmed = link.consecutive_failures >= FAILURES_MIN or successes
-        if link.overloaded_reports >= OVERLOADED_REPORTS and not link.is_ejected and is_confirmed:
+        is_confirmed = link.consecutive_failures >= CONSECUTIVE_FAILURES_MIN or successes
+        if link.overloaded_reports >= OVERLOADED_REPORTS_MIN and not link.is_ejected and is_confirmed:
             return LinkAction.EJECT
         return LinkAction.CHECK_HEALTH if only_failures else LinkAction.UNCHANGED
 
     def _is_overloaded(self, link: Link, successes: float) -> bool:
-        # Utilization tells nothing while the fleet is overloaded: an ejection would only move load
+        # During an overload of the fleet utilization identifies no outlier: an ejection would only move load
         if not successes or not self._overload.is_normal:
             return False
         return utilization(link, link.response_time / link.successes) > OVERLOADED_UTILIZATION
 
     def eject(self, now: int, zone: str, backend: Backend) -> None:
-        """Eject a backend's link in a zone, as a last resort where too many are ejected already."""
-        peers = [
-            each.links.get(zone)
-            for each in self._fleet.backends.values()
-            if each.phase == READY and each.subset == backend.subset
+        """Eject a backend's link in a zone; past the cap on ejections it becomes a last resort."""
+        peer_links = [
+            peer.links.get(zone)
+            for peer in self._fleet.backends.values()
+            if peer.phase == READY and peer.subset == backend.subset
         ]
-        ejected = sum(1 for each in peers if each and each.is_ejected and not each.last_resort)
+        ejected = sum(
+            1 for peer_link in peer_links if peer_link and peer_link.is_ejected and not peer_link.last_resort
+        )
         link = backend.link(zone, self._fleet.period)
         self._dirty.ejected[backend] = None
         self._dirty.watch(backend, zone)
-        link.last_resort = (ejected + 1) * MAX_EJECTION_SHARE > len(peers)
+        link.last_resort = (ejected + 1) * BACKENDS_PER_EJECTION > len(peer_links)
         link.ejected_at = now
 
     def readmit(self, now: int, link: Link) -> None:
-        """A load report shows that a link is well again: it returns into slow start."""
+        """Readmit a link into slow start after a load report that shows its recovery."""
         link.ejected_at = None
         link.slow_start_since = now
 
     def readmit_unobserved(self, now: int, backend: Backend) -> None:
-        """Readmit the backend's links that nobody could report of for long enough."""
+        """Readmit ejected links of a backend after UNOBSERVED_PERIODS_MIN without load reports."""
         ejected = backend.ejected_links
         if not ejected:
             self._dirty.ejected.pop(backend, None)
         for zone, link in ejected:
             if link.last_resort or link.ejected_at is None:
                 continue
-            if now - link.ejected_at < UNOBSERVED_PERIODS * RECOMPUTATION_PERIOD:
+            if now - link.ejected_at < UNOBSERVED_PERIODS_MIN * RECOMPUTATION_PERIOD:
                 continue
-            fresh = backend.links[zone] = Link(self._fleet.period)
-            fresh.slow_start_since = now
-            self._costs.reset_link(fresh)
+            new_link = backend.links[zone] = Link(self._fleet.period)
+            new_link.slow_start_since = now
+            self._costs.reset_link(new_link)
 
     def health_check_failed(self, now: int, backend: Backend, timed_out: bool) -> None:
-        """A health check got no answer: it confirms reports of failures and keeps ejected links out."""
+        """Extend ejections after an unanswered health check, and eject links with reported failures."""
         for zone, link in backend.links.items():
             if link.is_ejected:
                 link.ejected_at = now
             elif link.consecutive_failures:
-                link.consecutive_failures += LATE_CHECK_FAILURES if timed_out else FAILURES_MIN
-                if link.consecutive_failures >= FAILURES_MIN:
+                link.consecutive_failures += (
+                    TIMED_OUT_CHECK_FAILURES if timed_out else CONSECUTIVE_FAILURES_MIN
+                )
+                if link.consecutive_failures >= CONSECUTIVE_FAILURES_MIN:
                     self.eject(now, zone, backend)
 
 
 def effective_outcome(outcome: HealthCheckOutcome, latency: int) -> HealthCheckOutcome:
-    """What a health check's outcome means, by the time (ns) that it took."""
-    if outcome == HealthCheckOutcome.REJECTED and latency > FAST_REJECTION:
+    """Return the outcome by which a health check is handled, given its latency (ns).
+
+    A rejection that took longer than FAST_REJECTION_MAX counts as a timeout.
+    """
+    if outcome == HealthCheckOutcome.REJECTED and latency > FAST_REJECTION_MAX:
         return HealthCheckOutcome.TIMED_OUT
     return outcome
--- a/granitespool/planner/events.py
+++ b/granitespool/planner/events.py
@@ -1,7 +1,7 @@
-"""What can happen to a planner: one typed event for each kind of input.
+"""Input events of the planner, one type for each kind.
 
-Times are whole nanoseconds. Fields were checked at the border (`granitespool.net.messages`,
-`granitespool.simulator_adapter`), so nothing is checked again here.
+Times are whole nanoseconds. Fields are validated where messages enter the process
+(`granitespool.net.messages`, `granitespool.simulator_adapter`) and not again here.
 """
 
 from enum import StrEnum
@@ -15,11 +15,11 @@
 
 
 class ListForm(StrEnum):
-    """How an endpoint list relates to the ones before."""
+    """How an endpoint list relates to the previous ones."""
 
-    CHANGES = "changes"  # only the entries that changed
-    COMPLETE = "complete"  # all entries; what it does not name is gone
-    RESTORED = "restored"  # all entries, as a watch that starts anew tells them
+    CHANGES = "changes"  # changed entries only
+    COMPLETE = "complete"  # all entries; a backend that is not listed is gone
+    RESTORED = "restored"  # all entries, from a watch that was started anew
     FAILED = "failed"  # the list could not be read
 
 
@@ -28,7 +28,7 @@
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "full"  # answered, but at its limit
+    REJECTED = "full"  # answered: the backend is at its limit
     TIMED_OUT = "timeout"
     UNREACHABLE = "unreachable"
     RESET = "reset"
@@ -39,57 +39,57 @@
 
 
 class EndpointListUpdate(Event, frozen=True):
-    """The endpoint list, or changes of it."""
+    """A complete endpoint list, or changes of it."""
 
     form: ListForm
     entries: list[Endpoint]
 
 
 class LoadReport(Event, frozen=True, gc=False):
-    """What the proxies of a zone saw at a backend."""
+    """Attempts of the proxies of a zone at a backend."""
 
     zone: str
     backend: str
     attempts: int | float
     failures: int | float
-    mean: int  # ns that a successful attempt took
-    window: int  # ns that the report covers
-    load: LoadMetrics  # empty where the backend reported none
+    mean: int  # mean response time of the successful attempts, ns
+    window: int  # duration that the report covers, ns
+    load: LoadMetrics  # empty if the backend reported none
 
 
 class UsageReport(Event, frozen=True, gc=False):
-    """The requests of one class that reached a proxy."""
+    """Requests of one class that reached a proxy."""
 
     proxy: int
     request_class: str
     requests: int | float
     unanswered: int | float
-    window: int  # ns that the report covers
+    window: int  # duration that the report covers, ns
 
 
 class ProxyJoined(Event, frozen=True):
-    """A proxy's stream is ready."""
+    """The stream of a proxy is ready."""
 
     proxy: int
     zone: str
-    bootstrap: bool  # it holds only the table that proxies start with
-    rate: float  # requests a second, roughly; 0 where it was not told
-    resumed: bool = False  # on the stream that was unreachable for a while
+    bootstrap: bool  # it has only the bootstrap table
+    rate: float  # approximate requests a second; 0 if unknown
+    resumed: bool = False  # on its former stream, which was unreachable for a while
 
 
 class ProxyLeft(Event, frozen=True):
-    """A proxy's stream has ended, or is unreachable."""
+    """The stream of a proxy has ended or is unreachable."""
 
     proxy: int
-    unreachable: bool = False  # what waits for it may still be on its way
+    unreachable: bool = False  # queued messages may still be delivered to it
 
 
 class Acknowledged(Event, frozen=True, gc=False):
     """A proxy has applied everything up to an acknowledgement barrier."""
 
     proxy: int
-    sequence: int | None  # None: an older one than it named, at least the oldest
-    latency: int | None  # ns since the barrier was sent; None where that is not known
+    sequence: int | None  # None: invalid; the oldest barrier in flight is acknowledged
+    latency: int | None  # ns since the barrier was sent; None if unknown
 
 
 class HealthCheckResult(Event, frozen=True):
@@ -102,21 +102,21 @@
 
 
 class GossipReceived(Event, frozen=True):
-    """A datagram of another coordinator."""
+    """A datagram from another coordinator."""
 
     peer: int
     payload: str  # hex
 
 
 class SliceAssigned(Event, frozen=True):
-    """This coordinator owns a slice's table from now on, or no more."""
+    """A slice was assigned to this coordinator, or withdrawn from it."""
 
     table: int
     owned: bool
 
 
 class SliceEntry(Event, frozen=True):
-    """One entry that the store holds of an owned slice."""
+    """An entry that the store contains for an owned slice."""
 
     table: int
     backend: str
@@ -124,17 +124,20 @@
 
 
 class SliceLoad(Event, frozen=True):
-    """The requests of one class in a slice."""
+    """Requests of one class in a slice."""
 
     table: int
     request_class: str
     requests: int | float
     unanswered: int | float
-    window: int  # ns that the report covers
+    window: int  # duration that the report covers, ns
 
 
 class Restored(Event, frozen=True):
-    """What is believed of a former process's snapshot; at a start, after the first endpoint list."""
+    """The trusted part of a former process's snapshot.
+
+    It is sent at a start, after the first endpoint list.
+    """
 
     fleet: FleetSnapshot
-    backends: dict[str, BackendSnapshot]  # by name; all of them are in the list
+    backends: dict[str, BackendSnapshot]  # by name; all are in the endpoint list
--- a/granitespool/planner/fleet.py
+++ b/granitespool/planner/fleet.py
@@ -1,4 +1,4 @@
-"""The backends that the planner knows, and the number of the present period."""
+"""The backends of the planner, and the number of the current period."""
 
 from granitespool.planner.records import Backend
 from granitespool.units import SECOND
@@ -8,7 +8,7 @@
 
 
 class Fleet:
-    """All known backends by name, in creation sequence."""
+    """All backends by name, in creation sequence."""
 
     def __init__(self) -> None:
         self.backends: dict[str, Backend] = {}
@@ -16,11 +16,11 @@
         self._created = 0
 
     def create(self, name: str, now: int) -> Backend:
-        """A new backend, gone until its endpoint entry is applied."""
+        """Create a backend; its phase is gone until its endpoint list entry is applied."""
         self._created += 1
         backend = self.backends[name] = Backend(name, now, self._created, -RECOMPUTATION_PERIOD)
         return backend
 
     def remove(self, name: str) -> None:
-        """Nothing is known of a backend any more."""
+        """Remove a backend and its observations."""
         del self.backends[name]
--- a/granitespool/planner/health.py
+++ b/granitespool/planner/health.py
@@ -1,4 +1,4 @@
-"""Verification by health check: who is asked, and how often."""
+"""Verification of backends by health checks, at a limited rate."""
 
 from granitespool.planner.actions import PlannerActions
 from granitespool.planner.fleet import RECOMPUTATION_PERIOD
@@ -7,14 +7,17 @@
 
 
 class HealthVerification:
-    """Sends health checks, where the deployment permits them, at most one a period and backend."""
+    """Sends health checks if the settings permit them, at most one per period and backend."""
 
     def __init__(self, actions: PlannerActions, settings: Settings) -> None:
         self.settings = settings
         self._actions = actions
 
     def check(self, now: int, backend: Backend, at_once: bool = False) -> None:
-        """Send a health check, unless one was sent within the period and this one is not `at_once`."""
+        """Send a health check unless one was sent within the period.
+
+        With `at_once` it is sent in any case.
+        """
         if not self.settings.health_checks_allowed:
             return
         if at_once or now - backend.health_checked_at >= RECOMPUTATION_PERIOD:
--- a/granitespool/planner/inspection.py
+++ b/granitespool/planner/inspection.py
@@ -1,4 +1,4 @@
-"""Reads a planner's state as typed records (`granitespool.planner.status`), and changes none of it."""
+"""Read-only access to the state of a planner, as the records of `granitespool.planner.status`."""
 
 from collections.abc import Iterable
 
@@ -25,12 +25,12 @@
 from granitespool.planner.subsets import Subsets
 from granitespool.units import SECOND
 
-RECOVERING_FOR = 20 * SECOND  # ns after slow start began for which a backend is shown as recovering
-ATTEMPTS_SHOWN_MIN = 0.5  # recent attempts from which a backend that is not ready is shown
+RECOVERING_DURATION = 20 * SECOND  # ns after the begin of slow start that a backend is shown as recovering
+ATTEMPTS_SHOWN_MIN = 0.5  # fewest recent attempts of a shown backend that is not ready
 
 
 class PlannerInspection:
-    """Snapshots, operational state and metrics."""
+    """Reads snapshots, operational state and metrics of a planner."""
 
     def __init__(
         self,
@@ -52,24 +52,24 @@
         self._slow_start = slow_start
 
     def backend(self, name: str) -> Backend | None:
-        """The record of a backend, or None where it is not known."""
+        """Return the record of a backend, or None if it is not in the fleet."""
         return self._fleet.backends.get(name)
 
     def backends(self) -> Iterable[Backend]:
-        """The records of all known backends, oldest first."""
+        """Return the records of all backends, oldest first."""
         return self._fleet.backends.values()
 
     def tables(self) -> dict[str, list[int]]:
-        """Each zone's tables."""
+        """Return the tables of each zone."""
         return self._subsets.tables
 
     def joined_zones(self) -> set[str]:
-        """Zones that proxies have joined from."""
+        """Return the zones of joined proxies."""
         return {self._subsets.zone_of(joined.table) for joined in self._assignment.proxies.values()}
 
     def snapshot(self, names: Iterable[str]) -> Snapshot:
-        """What is known of the fleet as a whole, and of these backends as far as they are known."""
-        known = (self._fleet.backends.get(name) for name in names)
+        """Return a snapshot of the fleet and of these backends, without those that are not in the fleet."""
+        found = (self._fleet.backends.get(name) for name in names)
         return Snapshot(
             fleet=FleetSnapshot(
                 is_overloaded=self._overload.is_overloaded,
@@ -77,7 +77,7 @@
                 success_ratio=self._overload.success_ratio,
                 demand=self._overload.demand,
             ),
-            backends={backend.name: self._backend_snapshot(backend) for backend in known if backend},
+            backends={backend.name: self._backend_snapshot(backend) for backend in found if backend},
         )
 
     def _backend_snapshot(self, backend: Backend) -> BackendSnapshot:
@@ -98,7 +98,7 @@
         )
 
     def backend_status(self, name: str) -> BackendStatus | None:
-        """A backend's operational state, or None where it is not known."""
+        """Return the operational state of a backend, or None if it is not in the fleet."""
         backend = self._fleet.backends.get(name)
         if backend is None:
             return None
@@ -122,7 +122,7 @@
         )
 
     def status(self) -> PlannerStatus:
-        """The planner's operational state."""
+        """Return the operational state of the planner."""
         return PlannerStatus(
             joined=len(self._assignment.proxies),
             unassigned=len(self._assignment.unassigned),
@@ -134,7 +134,7 @@
         )
 
     def metrics(self) -> PlannerMetrics:
-        """What can be summed over coordinators."""
+        """Return the figures that can be summed over coordinators."""
         links = [link for backend in self._fleet.backends.values() for link in backend.links.values()]
         return PlannerMetrics(
             joined=len(self._assignment.proxies),
@@ -154,7 +154,7 @@
         )
 
     def outliers(self, now: int, limit: int) -> Outliers:
-        """The backends that carry no ordinary share, those with most recent attempts first."""
+        """Return at most `limit` backends without their ordinary share, most recent attempts first."""
         found = {
             backend.name: Outlier(
                 reason=reason,
@@ -172,7 +172,7 @@
         )
 
     def _reason(self, now: int, backend: Backend) -> str | None:
-        """Why a backend carries no ordinary share; None where it does, or where nobody would miss it."""
+        """Return why a backend lacks its ordinary share; None if it has it or if it is unused."""
         if backend.phase != READY:
             is_used = backend.recent_attempts >= ATTEMPTS_SHOWN_MIN or backend.is_in_tables
             return str(backend.phase) if is_used or backend.exclusion == Exclusion.EXCLUDED else None
@@ -189,8 +189,8 @@
     @staticmethod
     def _is_recovering(now: int, backend: Backend) -> bool:
         starts = [backend.slow_start_since, *(link.slow_start_since for link in backend.links.values())]
-        known = [start for start in starts if start is not None]
-        return bool(known) and now - max(known) < RECOVERING_FOR
+        begun = [start for start in starts if start is not None]
+        return bool(begun) and now - max(begun) < RECOVERING_DURATION
 
 
 def _link_snapshot(link: Link) -> LinkSnapshot:
--- a/granitespool/planner/load_reports.py
+++ b/granitespool/planner/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what they add to the records, and what they make of the reported link."""
+"""Load reports update the records, and may have their link ejected or readmitted."""
 
 from granitespool.planner.cost import SUCCESSES_MIN
 from granitespool.planner.dirty_set import DirtySet
@@ -7,18 +7,18 @@
 from granitespool.planner.fleet import Fleet
 from granitespool.planner.overload import OverloadDetector
 from granitespool.planner.records import Backend, Link
-from granitespool.planner.restoration import drop_contradicted
+from granitespool.planner.restoration import discard_contradicted
 
-DECAY_FACTOR = 0.92  # of the sums each period: a mean over some twelve seconds
+DECAY_FACTOR = 0.92  # of the sums of a link, per period: averages over about twelve seconds
 
 
 def successes_of(report: LoadReport) -> int | float:
-    """The attempts of a report that got an answer; none where it tells no time of them."""
+    """Return the successful attempts of a report; none if it contains no response time."""
     return max(0, report.attempts - report.failures) if report.mean > 0 else 0
 
 
 class LoadReports:
-    """Adds load reports to the links and backends."""
+    """Adds load reports to links and backends."""
 
     def __init__(
         self, fleet: Fleet, dirty: DirtySet, ejection: OutlierEjection, overload: OverloadDetector
@@ -29,10 +29,10 @@
         self._overload = overload
 
     def add(self, report: LoadReport, successes: float, backend: Backend, link: Link) -> LinkAction:
-        """Add a report, with so many successes, to the records; returns what it makes of the link."""
+        """Add a report with its number of successes to the records; return what to do with the link."""
         attempts = report.attempts
         if link.restored and attempts >= SUCCESSES_MIN:
-            drop_contradicted(link, attempts, report.failures, report.mean, bool(successes))
+            discard_contradicted(link, attempts, report.failures, report.mean, bool(successes))
         failures = min(report.failures, attempts)
         response_time = successes * report.mean
         link.observe(attempts, failures, successes, response_time)
--- a/granitespool/planner/membership.py
+++ b/granitespool/planner/membership.py
@@ -1,8 +1,8 @@
-"""Membership: what the endpoint list makes of the fleet.
+"""Membership of the fleet, by the endpoint list.
 
-The list may be old or wrong: a backend that comes in while the planner runs earns its place by a health check
-or an answer, where health checks are permitted, and where only a drain binds, a health check confirms what
-the list alone removes.
+The list may be old or wrong. Where health checks are permitted, a backend that is added while the planner
+runs is used after a health check or an attempt has succeeded. Where backends have to be drained before their
+removal, one that is only missing from the list is removed once a health check fails.
 """
 
 from granitespool.endpoints import Endpoint
@@ -17,11 +17,11 @@
 from granitespool.planner.subsets import Subsets
 from granitespool.settings import Settings
 
-DEFAULT_WEIGHT = 1.0  # where the list tells none above 0
+DEFAULT_WEIGHT = 1.0  # used if the endpoint list contains no weight above 0
 
 
 class FleetMembership:
-    """Applies endpoint lists."""
+    """Applies endpoint lists to the fleet."""
 
     def __init__(
         self,
@@ -42,18 +42,18 @@
         self._slow_start = slow_start
         self._health = health
         self._overload = overload
-        self._has_list = False  # since the first one was applied
+        self._list_applied = False
 
     def apply(self, now: int, update: EndpointListUpdate) -> None:
-        """Apply a list that could be read."""
+        """Apply a list; its form is not `ListForm.FAILED`."""
         for entry in update.entries:
             self._apply_entry(now, entry)
         if update.form != ListForm.CHANGES:
-            named = {entry.name for entry in update.entries}
+            listed = {entry.name for entry in update.entries}
             for backend in list(self._fleet.backends.values()):
-                if backend.name not in named:
+                if backend.name not in listed:
                     self._apply_entry(now, _removal_of(backend))
-        self._has_list = True
+        self._list_applied = True
 
     def _apply_entry(self, now: int, entry: Endpoint) -> None:
         backend = self._fleet.backends.get(entry.name)
@@ -82,18 +82,19 @@
             self._dirty.mark_changed(backend)
 
     def _start(self, now: int, backend: Backend, started_at: int) -> None:
-        """A backend is new, has returned or has restarted: its links and its slow start begin anew.
+        """Reset the links and the slow start of a backend that is new, has returned or has restarted.
 
-        Of the first list only those still cold are new; an overload may be on, whose levels are lost.
+        Of the first list only backends that are still cold enter slow start. In that case the fleet may be
+        overloaded, with admission levels that are lost.
         """
         is_cold = self._slow_start.is_cold_at_start(now, started_at)
         self._costs.reset_backend(backend)
-        backend.slow_start_since = now if self._has_list or is_cold else None
-        backend.verified = not (self._has_list and self.settings.health_checks_allowed)
+        backend.slow_start_since = now if self._list_applied or is_cold else None
+        backend.verified = not (self._list_applied and self.settings.health_checks_allowed)
         if not backend.verified:
             self._health.check(now, backend, at_once=True)
-        if is_cold and not self._has_list:
-            self._overload.expect_cold_start()
+        if is_cold and not self._list_applied:
+            self._overload.assume_cold_start()
 
 
 def _listed_state(backend: Backend) -> tuple[object, ...]:
@@ -107,7 +108,7 @@
 
 
 def _removal_of(backend: Backend) -> Endpoint:
-    """The entry that stands for a complete list which does not name a backend."""
+    """Return the entry for a backend that a complete list does not contain."""
     return Endpoint(
         name=backend.name,
         zone=backend.zone,
--- a/granitespool/planner/recomputation.py
+++ b/granitespool/planner/recomputation.py
@@ -1,4 +1,4 @@
-"""The periodic recomputation: costs, overload, decay of observations, and the backends due for review."""
+"""Periodic recomputation: costs, overload, decay of observations, and the review of dirty backends."""
 
 from granitespool.planner.actions import PlannerActions
 from granitespool.planner.budget import ChannelBudget
@@ -13,12 +13,13 @@
 from granitespool.planner.subsets import Subsets
 from granitespool.units import SECOND
 
-REMOVED_RETENTION = 20 * SECOND  # ns that a removed backend is known: joiners with old tables are assigned
-#                                  within a few seconds
+# ns that the record of a removed backend is kept: proxies may join with old tables that contain it. They are
+# assigned within a few seconds.
+REMOVED_BACKEND_RETENTION = 20 * SECOND
 
 
 class Recomputation:
-    """What happens once a period, before the publication."""
+    """Runs once a period, before the publication."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         self._overload = overload
 
     def run(self, now: int) -> None:
-        """A period has passed."""
+        """Recompute everything that changes from period to period."""
         self.evaluate_costs(now)
         self._budget.refill()
         self._overload.evaluate(now)
@@ -54,7 +55,7 @@
         self._budget.account.expire(now)
 
     def evaluate_costs(self, now: int) -> None:
-        """Work out all costs anew, by the reports so far."""
+        """Evaluate all costs by the load reports so far."""
         self._costs.begin_evaluation()
         is_overloaded = not self._overload.is_normal
         for zone in self._subsets.tables:
@@ -63,18 +64,18 @@
                 self._dirty.invalidate_zone(zone)
 
     def _review(self, now: int, backend: Backend) -> None:
-        """Check the health of a backend that needs it, readmit its links, and forget it once it is over."""
+        """Check the health of a backend if needed, readmit its links, and remove it after the retention."""
         if backend.phase == READY and not backend.verified:
             self._health.check(now, backend)
         if backend.ejected_links:
             self._health.check(now, backend)
         self._ejection.readmit_unobserved(now, backend)
         is_used = backend.is_in_tables or backend.exclusion == Exclusion.EXCLUDED
-        is_over = now - backend.left_ready_at > REMOVED_RETENTION
-        if backend.phase == GONE and not is_used and is_over:
-            self._forget(backend)
+        is_retention_over = now - backend.left_ready_at > REMOVED_BACKEND_RETENTION
+        if backend.phase == GONE and not is_used and is_retention_over:
+            self._remove(backend)
 
-    def _forget(self, backend: Backend) -> None:
+    def _remove(self, backend: Backend) -> None:
         self._dirty.forget(backend)
         self._overload.remove(backend)
         self._fleet.remove(backend.name)
--- a/granitespool/planner/restoration.py
+++ b/granitespool/planner/restoration.py
@@ -1,7 +1,8 @@
-"""Restoration: what a snapshot of a former process makes of the fleet, at a start.
+"""Restoration of the fleet from the snapshot of a former process, at a start.
 
-It is applied before any proxy joins, as far as it is believed (`granitespool.state`). The first load reports
-of a backend outweigh it, ejections keep to their cap and are checked, cold backends stay guarded.
+The trusted part of the snapshot (`granitespool.state`) is applied before any proxy joins. The first load
+report of a link replaces observations that it contradicts. Restored ejections are limited by the cap on
+ejections and verified by health checks; cold backends stay in slow start.
 """
 
 from collections import deque
@@ -18,13 +19,15 @@
 from granitespool.planner.status import BackendSnapshot, LinkSnapshot
 from granitespool.settings import Settings
 
-CONTRADICTION_FACTOR = 2.5  # between restored and reported means that is no chance: an eighth of the means of
-#                             three successes pass it
-CONTRADICTION_SHARE = 0.35  # the same, between failed shares
+# Ratio of a reported to a restored mean (or its inverse) that is no longer chance: an eighth of the means of
+# three successes are beyond it
+CONTRADICTION_FACTOR = 2.5
+# Difference between a reported and a restored failed share that is no longer chance
+CONTRADICTION_SHARE = 0.35
 
 
 class Restoration:
-    """Applies a snapshot."""
+    """Applies a snapshot to the fleet."""
 
     def __init__(
         self,
@@ -43,7 +46,7 @@
         self._overload = overload
 
     def apply(self, now: int, restored: Restored) -> None:
-        """Take over what is believed of the backends and of the fleet."""
+        """Restore the backends, their links and the load of the fleet."""
         for name, snapshot in restored.backends.items():
             backend = self._fleet.backends[name]
             self._restore_backend(now, backend, snapshot)
@@ -73,7 +76,7 @@
 
 
 def restore_link(link: Link, period: int, snapshot: LinkSnapshot) -> None:
-    """Take over what a former process observed, sums as of this period."""
+    """Restore the observations of a former process; their sums start to decay at this period."""
     link.attempts = snapshot.attempts
     link.failures = snapshot.failures
     link.successes = snapshot.successes
@@ -87,14 +90,16 @@
     link.restored = link.attempts > 0
 
 
-def drop_contradicted(link: Link, attempts: float, failures: float, mean: float, has_successes: bool) -> None:
-    """Drop what was restored of a link where its first load report contradicts it."""
+def discard_contradicted(
+    link: Link, attempts: float, failures: float, mean: float, has_successes: bool
+) -> None:
+    """Discard the restored observations of a link that its first load report contradicts."""
     link.restored = False
     share_moved = abs(failures / attempts - link.failures / link.attempts)
     ratio = 1.0
     if has_successes and link.response_time:
         ratio = mean * link.successes / link.response_time
-    is_like_before = 1 / CONTRADICTION_FACTOR < ratio < CONTRADICTION_FACTOR
-    if share_moved > CONTRADICTION_SHARE or not is_like_before:
+    is_ratio_plausible = 1 / CONTRADICTION_FACTOR < ratio < CONTRADICTION_FACTOR
+    if share_moved > CONTRADICTION_SHARE or not is_ratio_plausible:
         link.decay(0.0)
         link.minimum_rtts.clear()
--- a/granitespool/planner/status.py
+++ b/granitespool/planner/status.py
@@ -1,6 +1,6 @@
-"""What can be read of a planner: snapshots to restore from, operational state and metrics. Records alone.
+"""Records of a planner's state: snapshots to restore from, operational state and metrics.
 
-Times are ns, costs are ns, weights and shares have no unit.
+Times and costs are in ns; weights and shares have no unit.
 """
 
 import msgspec
@@ -10,21 +10,21 @@
 
 
 class FleetSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The load of the fleet as a whole, to be restored by a later process."""
+    """The load of the whole fleet, to be restored by a later process."""
 
     is_overloaded: bool
     admitted_share: float
     success_ratio: float  # of attempts
-    demand: dict[str | None, float]  # request class -> requests of about the last second
+    demand: dict[str | None, float]  # request class -> requests in about the last second
 
 
 class LinkSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What the proxies of one zone observed at a backend; sums are decayed up to the snapshot."""
+    """Observations of one zone's proxies at a backend; sums are decayed up to the snapshot."""
 
     attempts: float
     failures: float
     successes: float
-    response_time: float  # ns of all successes
+    response_time: float  # sum over all successes, ns
     overloaded_reports: int
     consecutive_failures: float
     ejected_at: int | None
@@ -48,17 +48,17 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What a planner knows of the fleet and of some backends."""
+    """The load of the fleet and the state of some backends."""
 
     fleet: FleetSnapshot
     backends: dict[str, BackendSnapshot]  # by name
 
 
 class EntryStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend in the tables of one zone."""
+    """The entries of a backend in the tables of one zone."""
 
-    weight: float  # the largest published
-    cost: float | None  # ns; None where nothing tells
+    weight: float  # the largest that is published
+    cost: float | None  # of an attempt, ns; None if unknown
     is_ejected: bool
 
 
@@ -75,8 +75,8 @@
 class PlannerStatus(msgspec.Struct, frozen=True, kw_only=True):
     """A planner's operational state."""
 
-    joined: int  # proxies
-    unassigned: int  # of them
+    joined: int  # number of proxies
+    unassigned: int  # number of the joined proxies without a table
     in_flight: float  # table entries
     acknowledgement_latency: int  # ns, the last
     is_overloaded: bool
@@ -85,7 +85,7 @@
 
 
 class PlannerMetrics(msgspec.Struct, frozen=True, kw_only=True):
-    """What can be summed over coordinators: gauges, and totals since the start."""
+    """Gauges, and totals since the start, that can be summed over coordinators."""
 
     joined: int
     unassigned: int
@@ -104,16 +104,16 @@
 
 
 class Outlier(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend that carries no ordinary share."""
+    """A backend without its ordinary share of the traffic."""
 
     reason: str
-    attempts: float  # of about the last second
-    failures: float
-    weight: float  # of all its entries
+    attempts: float  # in about the last second
+    failures: float  # in about the last second
+    weight: float  # sum of all its entries
 
 
 class Outliers(msgspec.Struct, frozen=True, kw_only=True):
-    """Those with most attempts, and how many more there are."""
+    """The outliers with most attempts, and the number of omitted ones."""
 
     backends: dict[str, Outlier]  # by name, most attempts first
     omitted: int
--- a/granitespool/planner/weights.py
+++ b/granitespool/planner/weights.py
@@ -1,4 +1,4 @@
-"""The weight that a backend's entry should have in the tables of a zone."""
+"""Target weights of backends in the tables of a zone."""
 
 from granitespool.planner.cost import CostTable
 from granitespool.planner.fleet import Fleet
@@ -7,13 +7,14 @@
 from granitespool.planner.slow_start import SlowStart
 from granitespool.settings import Settings
 
-LAST_RESORT_SHARE = 0.02  # share of its weight that a last resort keeps: some attempts to observe it
-OVERLOAD_GUARD = 0.5  # share of the multiple of its work, at which a warming backend fails, that it may get
-WEIGHT_MIN = 0.0001  # what rounding leaves of a weight above 0: an entry must not vanish by it
+LAST_RESORT_SHARE = 0.02  # share of its weight that a last resort keeps, for some attempts to observe it
+# Share of the overload multiple that a warming up backend may get: at the whole multiple of its work it fails
+OVERLOAD_GUARD = 0.5
+WEIGHT_MIN = 0.0001  # smallest weight of an entry: rounding to 0 would remove it
 
 
 class EntryWeights:
-    """Weights by cost, slow start and ejection."""
+    """Calculates weights from cost, slow start and ejection."""
 
     def __init__(
         self,
@@ -28,16 +29,16 @@
         self._costs = costs
         self._slow_start = slow_start
         self._overload = overload
-        self._uses_unverified = False  # since nobody is verified
+        self._uses_unverified = False  # while no ready backend is verified
 
     def update_fallback(self) -> None:
-        """Unverified backends get entries as long as no ready one is verified."""
+        """Allow entries for unverified backends as long as no ready backend is verified."""
         self._uses_unverified = not any(
             backend.phase == READY and backend.verified for backend in self._fleet.backends.values()
         )
 
     def target_weight(self, now: int, backend: Backend, zone: str) -> float:
-        """The weight that a backend should have in the tables of a zone; 0: no entry."""
+        """Return the weight that a backend should have in the tables of a zone; 0: no entry."""
         link = backend.links.get(zone)
         is_ejected = link is not None and link.ejected_at is not None
         if is_ejected and not (link and link.last_resort):
@@ -54,7 +55,8 @@
         warm_up_share = self._slow_start.warm_up_share(now, backend)
         if warm_up_share < 1:
             share = min(share, self._guarded_share(share, warm_up_share))
-            zone_mean = min(zone_mean or 0, cost or 0)  # an idle cold backend is fast: no more for that
+            # An idle cold backend is fast, which must not raise its weight
+            zone_mean = min(zone_mean or 0, cost or 0)
         cost_ratio = zone_mean / cost if zone_mean and cost else 1.0
         return max(WEIGHT_MIN, round(backend.configured_weight * cost_ratio * share, 4))
 
@@ -67,10 +69,11 @@
         return share
 
     def _guarded_share(self, share: float, warm_up_share: float) -> float:
-        """The share that a cold backend may have while attempts fail.
+        """Return the share that a cold backend may have while attempts fail.
 
-        During an overload a quarter of a weight is many times a quarter of the work: it gets its share of
-        what is answered, or by its warm-up what stays below the multiple at which it would fail.
+        In an overload a quarter of a weight is many times a quarter of the work. The backend therefore gets
+        its share of the answered attempts, or as much as its warm-up share allows below the overload multiple
+        at which it would fail.
         """
         allowed = OVERLOAD_GUARD * self.settings.overload_multiple * warm_up_share
         return self._overload.success_ratio * max(share, allowed)
