--- a/granitespool/planner/inspection.py
+++ b/granitespool/planner/inspection.py
@@ -25,12 +25,12 @@
 from granitespool.planner.subsets import Subsets
 from granitespool.units import SECOND
 
-RECOVERING_DURATION = 20 * SECOND  # ns after the begin of slow start that a backend is shown as recovering
+RECOVERING_DURATION = 20 * SECOND  # ns after slow start began for which a backend is shown as recovering
 ATTEMPTS_SHOWN_MIN = 0.5  # fewest recent attempts of a shown backend that is not ready
 
 
 class PlannerInspection:
-    """Reads snapshots, operational state and metrics of a planner."""
+    """Provides snapshots, operational state and metrics of a planner."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         overload: OverloadDetector,
         slow_start: SlowStart,
     ) -> None:
-        self.acknowledgement_latency = 0  # ns, the last
+        self.acknowledgement_latency = 0  # of the last acknowledgement, ns
         self._fleet = fleet
         self._costs = costs
         self._subsets = subsets
--- a/granitespool/planner/status.py
+++ b/granitespool/planner/status.py
@@ -78,7 +78,7 @@
     joined: int  # number of proxies
     unassigned: int  # number of the joined proxies without a table
     in_flight: float  # table entries
-    acknowledgement_latency: int  # ns, the last
+    acknowledgement_latency: int  # of the last acknowledgement, ns
     is_overloaded: bool
     admitted_share: float
     success_ratio: float
@@ -94,7 +94,7 @@
     configured_rate: float  # entries a second
     observed_rate: float
     total_entries: float
-    acknowledgement_latency: int  # ns, the last
+    acknowledgement_latency: int  # of the last acknowledgement, ns
     is_overloaded: bool
     admitted_share: float
     success_ratio: float
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -29,7 +29,7 @@
 
 
 def test_unlikely_events_do_not_stop_the_planner(fleet: PlannerHarness, actions: RecordedActions) -> None:
-    """Zero counts, unknown names, windows of 0 and 90 s, repeated leaves, a backend that is listed twice."""
+    """Zero counts, unknown names, windows of 0 and 90 s, empty lists, a backend that is listed twice."""
     fleet.list_restored("a", "a")
     fleet.join(1)
     fleet.join(1)
@@ -54,7 +54,7 @@
     assert actions.made("assign", 1, 0, 0)
 
 
-def test_where_only_draining_removes_an_unlisted_backend_stays_while_health_checks_succeed(
+def test_if_a_removal_needs_a_drain_an_unlisted_backend_stays_while_health_checks_succeed(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(removal_needs_drain=True, health_checks_allowed=True)
