--- a/bench/manage.py
+++ b/bench/manage.py
@@ -24,7 +24,13 @@
 from granitespool.net.config import Configuration
 from granitespool.net.loop import Waits
 from granitespool.net.service import Service
-from granitespool.operator_settings import Gnmi, Netconf, Operator, Tls, User
+from granitespool.operator_settings import (
+    GnmiSettings,
+    NetconfSettings,
+    OperatorSettings,
+    TlsSettings,
+    UserSettings,
+)
 from granitespool.planner.events import LoadReport, ProxyJoined
 from granitespool.settings import settings_from_wire
 from granitespool.units import SECOND
@@ -152,12 +158,14 @@
     }
 
 
-def _operator(keys: str, ports: Sequence[int]) -> Operator:
-    return Operator(
-        tls=Tls(certificate=f"{keys}/server.pem", key=f"{keys}/server.key", authorities=f"{keys}/ca.pem"),
-        netconf=Netconf(listen=f"127.0.0.1:{ports[0]}", sessions=8),
-        gnmi=Gnmi(listen=f"127.0.0.1:{ports[1]}", sessions=8, streams=200),
-        users={"operations": User(certificate="cn:operations", write="*")},
+def _operator(keys: str, ports: Sequence[int]) -> OperatorSettings:
+    return OperatorSettings(
+        tls=TlsSettings(
+            certificate=f"{keys}/server.pem", key=f"{keys}/server.key", authorities=f"{keys}/ca.pem"
+        ),
+        netconf=NetconfSettings(listen=f"127.0.0.1:{ports[0]}", sessions=8),
+        gnmi=GnmiSettings(listen=f"127.0.0.1:{ports[1]}", sessions=8, streams=200),
+        users={"operations": UserSettings(certificate="cn:operations", write="*")},
     )
 
 
--- a/bench/state.py
+++ b/bench/state.py
@@ -21,7 +21,7 @@
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import Endpoint, Phase
 from granitespool.net.loop import Loop, Waits
-from granitespool.operator_settings import State
+from granitespool.operator_settings import StateSettings
 from granitespool.planner.events import EndpointListUpdate, ListForm, LoadReport
 from granitespool.settings import RequestClass, Settings
 from granitespool.state import record
@@ -160,7 +160,7 @@
     """
     fleet = Fleet(backends, zones)
     coordinator = Coordinator(settings(zones), 1, BEGAN)
-    recovery = Recovery(State(folder="x"), identity(zones))
+    recovery = Recovery(StateSettings(folder="x"), identity(zones))
     store = Store(StateFolder(folder), 64 * MB, header(zones, BEGAN))
     fleet.tell(coordinator, BEGAN)
     for second in range(seconds):
@@ -203,13 +203,13 @@
     size = folder_size(folder)
     coordinator = Coordinator(settings(10), 1, BEGAN + 16 * SECOND)
     now = BEGAN + 16 * SECOND
-    recovery = Recovery(State(folder="x"), identity(10))
+    recovery = Recovery(StateSettings(folder="x"), identity(10))
     began = time.perf_counter()
     content = read_folder(StateFolder(folder), 64 * MB)
     read = time.perf_counter()
     recovery.load(content.state, content.record, None, Clocks(now, now))
     carried = time.perf_counter()
-    known = recovery.choose_list({"index": -1})
+    known = recovery.choose_endpoint_list({"index": -1})
     listed = time.perf_counter()
     entries = [
         Endpoint(each["name"], each["zone"], each["type"], 0, Phase.READY, 1.0, 0)
@@ -275,7 +275,7 @@
     loop: Loop, coordinator: Coordinator, fleet: Fleet, folder: StateFolder, zones: int
 ) -> Snapshotter:
     """A snapshotter at work on a coordinator."""
-    options = State(folder=folder.path, every_ms=1000)
+    options = StateSettings(folder=folder.path, every_ms=1000)
     snapshotter = Snapshotter(loop, NoLog(), options, "n0", settings(zones), time.monotonic_ns, folder)
     snapshotter.start(coordinator, ListedFleet(fleet))
     return snapshotter
--- a/granitespool/cli/__init__.py
+++ b/granitespool/cli/__init__.py
@@ -53,11 +53,11 @@
 from granitespool import __version__
 from granitespool.errors import GranitespoolError
 
-FAILED = 1  # exit code where something that was read cannot be used
-MISUSED = 2  # exit code where the call itself is wrong
+EXIT_FAILURE = 1  # exit code where something that was read cannot be used
+EXIT_USAGE = 2  # exit code where the call itself is wrong
 
 
-OPTIONS = {
+KNOWN_OPTIONS = {
     "--config",
     "--operator",
     "--set",
@@ -83,14 +83,14 @@
     except DocoptExit:
         # the library's own words about a wrong call are a warning of several lines; ours is one sentence
         print(f"granitespool: {_misuse(words)}\n\n{_usage()}", file=sys.stderr)
-        return MISUSED
+        return EXIT_USAGE
     except SystemExit:  # --help, printed
         return 0
     try:
         return _command(arguments)(arguments)
     except (GranitespoolError, OSError) as error:
         print(f"granitespool: {error}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
 
 
 def _command(arguments: Arguments) -> Command:
@@ -131,7 +131,7 @@
     if first is not None and first not in known and argv[0] == first:
         return f"there is no command {first!r:.60}"
     options = {word.partition("=")[0] for word in argv if word.startswith("-")}
-    unknown = sorted(options - OPTIONS)
+    unknown = sorted(options - KNOWN_OPTIONS)
     if unknown:
         return f"there is no option {unknown[0]!r:.60}"
     return "the call fits no line of the usage: " + (" ".join(argv)[:100] or "nothing")
--- a/granitespool/cli/files.py
+++ b/granitespool/cli/files.py
@@ -8,10 +8,10 @@
 from granitespool.net.config import Configuration
 
 if TYPE_CHECKING:
-    from granitespool.operator_settings import Operator
+    from granitespool.operator_settings import OperatorSettings
 
 
-def paths(arguments: Mapping[str, Any]) -> tuple[str | None, str | None]:
+def file_paths(arguments: Mapping[str, Any]) -> tuple[str | None, str | None]:
     """(configuration, operator's settings) of docopt's arguments, None for one that is not named."""
     return (
         arguments["--config"] or os.environ.get("LB_CONFIG"),
@@ -19,7 +19,7 @@
     )
 
 
-def operator_of(path: str | None) -> "Operator | None":
+def load_operator_settings(path: str | None) -> "OperatorSettings | None":
     """The operator's settings; None where no file is named, and then nothing of them is imported."""
     if not path:
         return None
@@ -28,9 +28,9 @@
     return operator_settings.load(path)
 
 
-def read(arguments: Mapping[str, Any]) -> Configuration:
+def load_configuration(arguments: Mapping[str, Any]) -> Configuration:
     """The whole configuration; both files are read and checked before any part hears of either."""
-    path, operator_path = paths(arguments)
+    path, operator_path = file_paths(arguments)
     configuration = config.load(path)
-    configuration["operator"] = operator_of(operator_path)
+    configuration["operator"] = load_operator_settings(operator_path)
     return configuration
--- a/granitespool/cli/scale.py
+++ b/granitespool/cli/scale.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from granitespool.cli import FAILED
+from granitespool.cli import EXIT_FAILURE
 from granitespool.errors import InvalidInputError
 from granitespool.scale import plot, report, runner, schema
 from granitespool.simulation.plotting import require_matplotlib
@@ -42,7 +42,7 @@
         plot.plot([result], arguments["--plot"])
     if not result.passed:
         print("granitespool: the scenario did not pass", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
     return 0
 
 
--- a/granitespool/cli/serve.py
+++ b/granitespool/cli/serve.py
@@ -38,7 +38,9 @@
         signal.signal(number, lambda *_: sys.exit(0))  # nobody is owed anything yet
     # The files are read once SIGHUP is heard: one that is written anew and then told of is read now or then.
     # What takes long to import comes after, for the same reason.
-    from granitespool.cli.files import read  # noqa: PLC0415
+    from granitespool.cli.files import load_configuration  # noqa: PLC0415
     from granitespool.net.service import Service  # noqa: PLC0415
 
-    return Service(read(arguments), sys.stdout.fileno(), reread=lambda: read(arguments))
+    return Service(
+        load_configuration(arguments), sys.stdout.fileno(), reread=lambda: load_configuration(arguments)
+    )
--- a/granitespool/cli/state.py
+++ b/granitespool/cli/state.py
@@ -11,14 +11,14 @@
 from granitespool.coordinator_status import EndpointState
 from granitespool.endpoints import Phase
 from granitespool.errors import InvalidInputError
-from granitespool.operator_settings import State
+from granitespool.operator_settings import StateSettings
 from granitespool.planner.status import LinkSnapshot
 from granitespool.state import record as records
 from granitespool.state import restore_policy
 from granitespool.state.disk import StateFolder
 from granitespool.state.errors import CorruptRecordError, FolderLockedError, UnsupportedFormatError
 from granitespool.state.record import BackendRecord, Clocks, FleetRecord, LinkRecord, Record
-from granitespool.state.restore_policy import Identity, Policy, Situation
+from granitespool.state.restore_policy import Identity, Policy, RestoreContext
 from granitespool.state.store import Store, StoredState, classify_names, read_file, read_newest
 from granitespool.units import MILLISECOND, SECOND
 
@@ -62,7 +62,7 @@
             counts.append(f"{name}: whole, {state.frame_count} frames, {len(state.values)} values")
     for line in [*problems, *counts]:
         print(line)
-    for name in files.aside:
+    for name in files.incomplete:
         print(f"{name}: written aside and never finished; the next start removes it")
     if not files.complete:
         print(f"{folder.path}: holds no state file")
@@ -101,7 +101,7 @@
     now = Clocks(time.time_ns(), time.monotonic_ns())
     _print_summary(state, record, now)
     header = state.header
-    usual = State(folder=folder.path)
+    usual = StateSettings(folder=folder.path)
     policy = Policy(int(usual.half_life_s * SECOND), max_age=int(usual.oldest_s * SECOND))
     identity = Identity(header.name, header.class_names, header.zones)
     reason = restore_policy.rejection_reason(header, state.clocks, now, identity, policy.max_age)
@@ -139,18 +139,18 @@
 
 
 def _print_restored(state: StoredState, record: Record, now: Clocks, policy: Policy) -> None:
-    situation = Situation(
-        written=state.clocks,
+    situation = RestoreContext(
+        written_at=state.clocks,
         now=now,
         endpoints={
             name: EndpointState(Phase(backend.facts.phase), backend.facts.started_at)
             for name, backend in record.backends.items()
         },
         zones=frozenset(state.header.zones),
-        is_own_list=True,
+        uses_stored_list=True,
     )
     restored = restore_policy.restore(record, situation, policy)
-    left_out = "".join(f"; {count} left out: {reason}" for reason, count in restored.left_out.items())
+    left_out = "".join(f"; {count} left out: {reason}" for reason, count in restored.skipped.items())
     print(
         f"believed now, with a half-life of {policy.half_life / SECOND:g} s: "
         f"{len(restored.backends)} backends, {restored.link_count} links, {restored.ejected_count} cuts"
@@ -191,7 +191,7 @@
         state.header, format_version=records.FORMAT_VERSION, program_version=__version__
     )
     store = Store(folder, MAX_FILE_SIZE, lambda: header)
-    store.stage(dict(records.encode_values(records.values_of(record))))
+    store.stage(dict(records.encode_values(records.record_values(record))))
     before = sum(folder.size(name) for name in classify_names(folder.names()).complete.values())
     store.write_snapshot(state.clocks)
     print(f"{folder.path}: {before} bytes before, {store.size} now, {len(store.values)} values")
--- a/granitespool/endpoints.py
+++ b/granitespool/endpoints.py
@@ -38,7 +38,7 @@
     started_at: int  # ns, Unix time; 0 where the list does not tell
 
 
-class EntryNames(msgspec.Struct, frozen=True):
+class WireEntryNames(msgspec.Struct, frozen=True):
     """What one wire calls the fields and phases of an entry."""
 
     name: str
@@ -50,7 +50,7 @@
     phases: dict[str, Phase]
 
 
-SIMULATOR_ENTRY = EntryNames(
+SIMULATOR_ENTRY = WireEntryNames(
     name="backend",
     machine_type="machine",
     cell="pack",
@@ -59,7 +59,7 @@
     time_unit=MICROSECOND,
     phases={"live": Phase.READY, "quiescing": Phase.DRAINING, "dead": Phase.GONE},
 )
-SOCKET_ENTRY = EntryNames(
+SOCKET_ENTRY = WireEntryNames(
     name="name",
     machine_type="type",
     cell="group",
@@ -80,7 +80,7 @@
 }
 
 
-def endpoint_from_wire(row: object, names: EntryNames) -> Endpoint:
+def endpoint_from_wire(row: object, names: WireEntryNames) -> Endpoint:
     """An entry as one of the wires has it.
 
     An unknown phase counts as gone. Raises InvalidInputError where a field that decisions rest on is missing
@@ -103,7 +103,7 @@
     )
 
 
-def _started_at(row: Mapping[str, Any], names: EntryNames) -> int:
+def _started_at(row: Mapping[str, Any], names: WireEntryNames) -> int:
     if row.get(names.started_at) is None:
         return 0
     return int(required_number(row, names.started_at) * names.time_unit)
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from granitespool.management.data_tree import Tree, Value
-from granitespool.operator_settings import Operator, State
+from granitespool.operator_settings import OperatorSettings, StateSettings
 from granitespool.settings import RequestClass, Settings
 from granitespool.units import MICROSECOND
 
@@ -124,7 +124,7 @@
     }
 
 
-def _state_tree(state: State) -> Tree:
+def _state_tree(state: StateSettings) -> Tree:
     values = {key.replace("_", "-"): value for key, value in msgspec.structs.asdict(state).items()}
     for leaf in OPERATOR_DECIMALS:
         values[leaf] = decimal_text(values[leaf], OPERATOR_DIGITS)
@@ -170,7 +170,7 @@
     return msgspec.structs.replace(former, **changes)
 
 
-def _operator_of(tree: Tree, former: Operator | None) -> Operator:
+def _operator_of(tree: Tree, former: OperatorSettings | None) -> OperatorSettings:
     state = None
     if tree.get("state"):
         values = {leaf.replace("-", "_"): value for leaf, value in tree["state"].items()}
@@ -178,5 +178,5 @@
             key = leaf.replace("-", "_")
             if key in values:
                 values[key] = float(values[key])
-        state = State(**values)
-    return msgspec.structs.replace(former or Operator(), state=state)
+        state = StateSettings(**values)
+    return msgspec.structs.replace(former or OperatorSettings(), state=state)
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -14,7 +14,7 @@
 from granitespool.settings import Settings, settings_from_wire
 
 if TYPE_CHECKING:
-    from granitespool.operator_settings import Operator
+    from granitespool.operator_settings import OperatorSettings
 
 DEFAULT_SOCKETS = 1024  # descriptors where no limit is told: the platform's largest
 DEFAULT_MEMORY_MB = 192  # MB where no limit is told: the platform's largest
@@ -73,7 +73,9 @@
     peers: list[Address]
     peers_all: Address | None
     settings: Settings
-    operator: NotRequired["Operator | None"]  # the operator's settings, where the program was given some
+    operator: NotRequired[
+        "OperatorSettings | None"
+    ]  # the operator's settings, where the program was given some
 
 
 def address(text: object) -> Address:
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -26,7 +26,7 @@
     ManagementConnection,
 )
 from granitespool.net.tls import TlsError
-from granitespool.operator_settings import Gnmi, Netconf
+from granitespool.operator_settings import GnmiSettings, NetconfSettings
 
 BACKLOG = 16  # connections the system holds for us: management clients are few
 HANDSHAKE_TIMEOUT = 5 * SECOND  # ns: a long way and a slow client's signature
@@ -58,7 +58,7 @@
         log: Log,
         name: str,
         context: ssl.SSLContext,
-        settings: Netconf | Gnmi,
+        settings: NetconfSettings | GnmiSettings,
         find_user: FindUser,
         make: MakeProtocol,
     ) -> None:
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -23,7 +23,7 @@
 from granitespool.net.settings_host import SettingsHost
 from granitespool.net.shared_state import SharedState
 from granitespool.net.tls import server_context
-from granitespool.operator_settings import Operator
+from granitespool.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
     from granitespool.net.service import Service
@@ -182,17 +182,17 @@
     return FolderFigures(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
 
 
-def _users(operator: Operator) -> list[User]:
+def _users(operator: OperatorSettings) -> list[User]:
     return [User(name, user.certificate, user.read, user.write) for name, user in operator.users.items()]
 
 
-def _context(operator: Operator, name: str) -> ssl.SSLContext:
+def _context(operator: OperatorSettings, name: str) -> ssl.SSLContext:
     tls = operator.tls
     assert tls is not None, "the operator's settings are checked to have [tls] with a listener"
     return server_context(tls.certificate, tls.key, tls.authorities, ALPN[name])
 
 
-def _operator_of(config: Configuration) -> Operator:
+def _operator_of(config: Configuration) -> OperatorSettings:
     operator = config.get("operator")
     assert operator is not None, "managers are on by the operator's settings"
     return operator
--- a/granitespool/net/metrics.py
+++ b/granitespool/net/metrics.py
@@ -7,7 +7,7 @@
 from granitespool.net.discovery import Discovery
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop, Waits
-from granitespool.operator_settings import Figures
+from granitespool.operator_settings import FiguresSettings
 from granitespool.planner.status import Outlier
 from granitespool.units import MICROSECOND, MILLISECOND
 
@@ -19,7 +19,7 @@
     """Writes the event `metrics`; `options` may be replaced while it runs."""
 
     def __init__(
-        self, loop: Loop, coordinator: Coordinator, log: Log, options: Figures, discovery: Discovery
+        self, loop: Loop, coordinator: Coordinator, log: Log, options: FiguresSettings, discovery: Discovery
     ) -> None:
         self.loop = loop
         self.coordinator = coordinator
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -35,7 +35,7 @@
     from granitespool.management.data_tree import Tree
     from granitespool.net.management_service import ManagementService
     from granitespool.net.metrics import Metrics
-    from granitespool.operator_settings import State
+    from granitespool.operator_settings import StateSettings
     from granitespool.state.snapshotter import Snapshotter
 
 Clock = Callable[[], int]  # ns
@@ -120,14 +120,14 @@
         if operator and operator.state:
             self.snapshotter = self._make_snapshotter(config, operator.state)
             config = config.copy()
-            config["known"] = self.snapshotter.choose_list(config["known"])
-        if operator and operator.managed:
+            config["known"] = self.snapshotter.choose_endpoint_list(config["known"])
+        if operator and operator.has_management_listener:
             config = without_management_sockets(self._with_managed_settings(config))
         self._make_network(config)
         self.reconfiguration = Reconfiguration(self, config)
         if self.snapshotter:
             self.snapshotter.start(self.coordinator, self.discovery)
-        if operator and operator.managed:
+        if operator and operator.has_management_listener:
             from granitespool.net.management_service import ManagementService  # noqa: PLC0415 only where it is on
 
             self.management = ManagementService(self, self.loop, self.log)
@@ -149,7 +149,7 @@
         self.pool = Pool(config["buffers"])
         self.streams = Streams(loop, self.coordinator, log, self.pool, config, addresses)
 
-    def _make_snapshotter(self, config: Configuration, options: "State") -> "Snapshotter":
+    def _make_snapshotter(self, config: Configuration, options: "StateSettings") -> "Snapshotter":
         from granitespool.state.snapshotter import Snapshotter  # noqa: PLC0415 only where it is on
 
         return Snapshotter(self.loop, self.log, options, config["name"], config["settings"], self.mono)
--- a/granitespool/operator_settings.py
+++ b/granitespool/operator_settings.py
@@ -12,7 +12,7 @@
 from granitespool.errors import InvalidInputError
 
 
-class State(msgspec.Struct, frozen=True, kw_only=True):
+class StateSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[state]: what has been learnt outlasts the process in a folder (docs/state.md)."""
 
     folder: Annotated[str, Meta(min_length=1)]
@@ -28,7 +28,7 @@
             raise ValueError(reason)
 
 
-class Tls(msgspec.Struct, frozen=True, kw_only=True):
+class TlsSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[tls]: what management listeners show and trust (docs/tls.md); PEM files."""
 
     certificate: Annotated[str, Meta(min_length=1)]
@@ -36,7 +36,7 @@
     authorities: Annotated[str, Meta(min_length=1)]
 
 
-class Netconf(msgspec.Struct, frozen=True, kw_only=True):
+class NetconfSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[netconf]: NETCONF over TLS (docs/netconf.md)."""
 
     listen: Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
@@ -44,7 +44,7 @@
     idle_s: Annotated[float, Meta(ge=1, le=86_400)] = 600.0
 
 
-class Gnmi(msgspec.Struct, frozen=True, kw_only=True):
+class GnmiSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[gnmi]: gNMI over gRPC (docs/gnmi.md)."""
 
     listen: Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
@@ -53,7 +53,7 @@
     streams: Annotated[int, Meta(ge=1, le=1024)] = 64
 
 
-class User(msgspec.Struct, frozen=True, kw_only=True):
+class UserSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[user.NAME]: who a client's certificate stands for, and what that user may do (docs/tls.md)."""
 
     certificate: Annotated[str, Meta(min_length=1)]
@@ -61,35 +61,35 @@
     write: str = ""
 
 
-class Figures(msgspec.Struct, frozen=True, kw_only=True):
+class FiguresSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[figures]: a line of the log each so often to count across coordinators (docs/fleet.md)."""
 
     every_ms: Annotated[int, Meta(ge=100, le=600_000)] = 1_000
     backends: Annotated[int, Meta(ge=0, le=4_096)] = 64
 
 
-class Operator(msgspec.Struct, frozen=True, kw_only=True):
+class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True):
     """All of the file; None for a section that is absent."""
 
-    state: State | None = None
-    tls: Tls | None = None
-    netconf: Netconf | None = None
-    gnmi: Gnmi | None = None
-    figures: Figures | None = None
-    users: dict[str, User] = {}
+    state: StateSettings | None = None
+    tls: TlsSettings | None = None
+    netconf: NetconfSettings | None = None
+    gnmi: GnmiSettings | None = None
+    figures: FiguresSettings | None = None
+    users: dict[str, UserSettings] = {}
 
     @property
-    def managed(self) -> bool:
+    def has_management_listener(self) -> bool:
         """Whether any management protocol is on."""
         return self.netconf is not None or self.gnmi is not None
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
-    "state": State,
-    "tls": Tls,
-    "netconf": Netconf,
-    "gnmi": Gnmi,
-    "figures": Figures,
+    "state": StateSettings,
+    "tls": TlsSettings,
+    "netconf": NetconfSettings,
+    "gnmi": GnmiSettings,
+    "figures": FiguresSettings,
 }
 CERTIFICATE_KINDS = ("cn", "dns", "email", "uri", "sha256")  # what of a certificate a user may be known by
 WRITABLE = ("*", "class", "zone", "channel", "permissions", "drain", "cold", "operator")  # of the YANG module
@@ -100,36 +100,36 @@
 )  # values that are paths: relative ones stand beside the file
 
 
-def load(path: str) -> Operator:
+def load(path: str) -> OperatorSettings:
     """The settings of an INI file.
 
     Raises:
         InvalidInputError: the file cannot be read or is wrong; one sentence says where and how.
     """
-    sections = ini.load(path, {**SECTIONS, USER_PREFIX + "*": User}, PATH_KEYS)
+    sections = ini.load(path, {**SECTIONS, USER_PREFIX + "*": UserSettings}, PATH_KEYS)
     users = {
         name.removeprefix(USER_PREFIX): section
         for name, section in sections.items()
-        if isinstance(section, User)
+        if isinstance(section, UserSettings)
     }
     subsystems = {name: section for name, section in sections.items() if name in SECTIONS}
-    operator = Operator(users=users, **subsystems)  # type: ignore[arg-type]  # each of its section's type
+    operator = OperatorSettings(users=users, **subsystems)  # type: ignore[arg-type]  # each of its section's type
     _check_management(path, operator)
     for name, user in users.items():
         _check_user(path, name, user)
     return operator
 
 
-def _check_management(path: str, operator: Operator) -> None:
-    if operator.managed and operator.tls is None:
+def _check_management(path: str, operator: OperatorSettings) -> None:
+    if operator.has_management_listener and operator.tls is None:
         reason = f"{path}: a door for managers needs the section [tls]"
         raise InvalidInputError(reason)
-    if operator.managed and not operator.users:
+    if operator.has_management_listener and not operator.users:
         reason = f"{path}: a door for managers needs a section [user.NAME], or nobody could come in"
         raise InvalidInputError(reason)
 
 
-def _check_user(path: str, name: str, user: User) -> None:
+def _check_user(path: str, name: str, user: UserSettings) -> None:
     kind, _, value = user.certificate.partition(":")
     if kind not in CERTIFICATE_KINDS or not value:
         wanted = ", ".join(f"{known}:..." for known in CERTIFICATE_KINDS)
@@ -144,7 +144,7 @@
             raise InvalidInputError(reason)
 
 
-def restart_names(before: Operator | None, now: Operator | None) -> list[str]:
+def restart_names(before: OperatorSettings | None, now: OperatorSettings | None) -> list[str]:
     """The names, as section.key, of what differs and cannot change while the service runs."""
     names = [
         f"{section}.{key}"
@@ -156,15 +156,15 @@
     return names
 
 
-def _value(operator: Operator | None, section: str, key: str) -> object:
+def _value(operator: OperatorSettings | None, section: str, key: str) -> object:
     return getattr(getattr(operator, section, None), key, None)
 
 
-def _has_figures(operator: Operator | None) -> bool:
+def _has_figures(operator: OperatorSettings | None) -> bool:
     return operator is not None and operator.figures is not None
 
 
-def summary(operator: Operator) -> str:
+def summary(operator: OperatorSettings) -> str:
     """One line for a person: which sections are on, and with what."""
     sections = ((name, getattr(operator, name)) for name in SECTIONS)
     on = [_section_summary(name, section) for name, section in sections if section is not None]
--- a/granitespool/planner/slices.py
+++ b/granitespool/planner/slices.py
@@ -56,7 +56,7 @@
         ready = {each.name: each for each in self._fleet.backends.values() if each.phase == READY}
         for backend in self._fleet.backends.values():
             self._update_exclusion(now, backend, backend.name not in ready)
-        if ready and not self.settings.one_owner:
+        if ready and not self.settings.single_owner:
             for table, entries in self._entries.items():
                 self._replace(now, table, entries, ready)
 
--- a/granitespool/settings.py
+++ b/granitespool/settings.py
@@ -81,12 +81,12 @@
     empty_table_limit: int | None = None  # ns
     proxies_expected: int | None = None
     slices: int | None = None
-    one_owner: bool = False  # a slice has a single owner
-    lease: int | None = None  # ns
-    write_life: int | None = None  # ns
-    hold_time: int | None = None  # ns
+    single_owner: bool = False  # a slice has a single owner
+    lease_duration: int | None = None  # ns
+    write_lifetime: int | None = None  # ns
+    buffer_time: int | None = None  # ns
     drain_grace: int | None = None  # ns that a draining backend may still be sent requests
-    poll_within: int | None = None  # ns
+    poll_interval_max: int | None = None  # ns
     warm_up_time: int | None = None  # ns until a new backend can do its whole work
     warm_up_start_share: float | None = None  # of its work that it can do at once
     overload_multiple: float = 0  # of its work at which a warming backend fails
@@ -109,7 +109,7 @@
         return [each.name for each in self.classes]
 
 
-class WireField(NamedTuple):
+class WireSetting(NamedTuple):
     """Where the wire has a setting, and what it holds."""
 
     path: str
@@ -117,23 +117,23 @@
     is_number: bool = False
 
 
-def _time(path: str) -> WireField:
-    return WireField(path, is_time=True)
+def _time(path: str) -> WireSetting:
+    return WireSetting(path, is_time=True)
 
 
-def _number(path: str) -> WireField:
-    return WireField(path, is_number=True)
+def _number(path: str) -> WireSetting:
+    return WireSetting(path, is_number=True)
 
 
 SETTING_FIELDS = {
-    "zones": WireField("zones"),
-    "zone": WireField("zone"),
+    "zones": WireSetting("zones"),
+    "zone": WireSetting("zone"),
     "coordinator_index": _number("index"),
     "coordinators": _number("balancers"),
-    "health_checks_allowed": WireField("permissions.probes"),
-    "gossip_allowed": WireField("permissions.peers"),
+    "health_checks_allowed": WireSetting("permissions.probes"),
+    "gossip_allowed": WireSetting("permissions.peers"),
     "connect_timeout": _time("permissions.connect_timeout_us"),
-    "admission": WireField("family_info.admit"),
+    "admission": WireSetting("family_info.admit"),
     "entries_per_s": _number("family_info.egress_per_s"),
     "message_header": _number("family_info.envelope"),
     "backlog_limit": _number("family_info.most_waiting"),
@@ -150,22 +150,22 @@
     "empty_table_limit": _time("family_info.empty_for_us"),
     "proxies_expected": _number("family_info.proxy_count"),
     "slices": _number("family_info.slices"),
-    "one_owner": WireField("family_info.one_owner"),
-    "lease": _time("family_info.lease_us"),
-    "write_life": _time("family_info.write_life_us"),
-    "hold_time": _time("family_info.buffer_for_us"),
+    "single_owner": WireSetting("family_info.one_owner"),
+    "lease_duration": _time("family_info.lease_us"),
+    "write_lifetime": _time("family_info.write_life_us"),
+    "buffer_time": _time("family_info.buffer_for_us"),
     "drain_grace": _time("rules.stop_sending_within_us"),
-    "poll_within": _time("rules.ask_within_us"),
+    "poll_interval_max": _time("rules.ask_within_us"),
     "warm_up_time": _time("rules.cold_us"),
     "warm_up_start_share": _number("rules.cold_from"),
     "overload_multiple": _number("rules.fall_multiple"),
     "overload_time": _time("rules.fall_us"),
-    "removal_needs_drain": WireField("rules.soft_removal"),
+    "removal_needs_drain": WireSetting("rules.soft_removal"),
 }
 CLASS_FIELDS = {
-    "name": WireField("name"),
-    "effect": WireField("semantics"),
-    "idempotency_scope": WireField("key_scope"),
+    "name": WireSetting("name"),
+    "effect": WireSetting("semantics"),
+    "idempotency_scope": WireSetting("key_scope"),
     "idempotency_window": _time("window_us"),
     "latency_objective": _time("aim_us"),
     "timeout": _time("give_up_us"),
@@ -200,7 +200,7 @@
     return [RequestClass(**values) for values in classes]
 
 
-def _values(source: Mapping[str, Any], fields: Mapping[str, WireField]) -> dict[str, Any]:
+def _values(source: Mapping[str, Any], fields: Mapping[str, WireSetting]) -> dict[str, Any]:
     """Our name -> value, for what is told; numbers are checked."""
     values = {}
     for name, field in fields.items():
--- a/granitespool/state/record.py
+++ b/granitespool/state/record.py
@@ -258,7 +258,7 @@
     return values
 
 
-def values_of(record: Record) -> Values:
+def record_values(record: Record) -> Values:
     """Return the values of a record that the planner learns anew, by backend (None: the fleet) and key."""
     values: Values = {}
     for name, backend in record.backends.items():
--- a/granitespool/state/recovery.py
+++ b/granitespool/state/recovery.py
@@ -18,11 +18,11 @@
 from granitespool.state import restore_policy
 from granitespool.state.change_filter import ChangeFilter
 from granitespool.state.record import Changes, Clocks, Record, Values
-from granitespool.state.restore_policy import Identity, Policy, Situation
+from granitespool.state.restore_policy import Identity, Policy, RestoreContext
 from granitespool.state.store import StoredState
 from granitespool.units import SECOND
 
-NO_RECORD = "the folder holds no record"  # a first start: no log line is worth it
+NO_RECORD_REASON = "the folder holds no record"  # a first start: no log line is worth it
 
 
 class AgeOptions(Protocol):
@@ -45,9 +45,9 @@
 
     def __init__(self, options: AgeOptions, identity: Identity) -> None:
         self.identity = identity
-        self.rejection: str | None = NO_RECORD
-        self.written: Clocks | None = None  # when the record was last written
-        self.uses_own_list = False  # whether the coordinator started from the record's list
+        self.rejection: str | None = NO_RECORD_REASON
+        self.written_at: Clocks | None = None  # when the record was last written
+        self.uses_stored_list = False  # whether the coordinator started from the record's list
         self.change_filter = ChangeFilter(0)
         self._record: Record | None = None
         self.set_options(options)
@@ -68,26 +68,26 @@
         """
         self.rejection = reason
         if reason is None and (stored is None or record is None):
-            self.rejection = NO_RECORD
+            self.rejection = NO_RECORD_REASON
         if self.rejection or stored is None or record is None:
             return {}
-        self.written = stored.clocks
+        self.written_at = stored.clocks
         self.rejection = restore_policy.rejection_reason(
-            stored.header, self.written, clocks, self.identity, self.policy.max_age
+            stored.header, self.written_at, clocks, self.identity, self.policy.max_age
         )
         if self.rejection:
             return {}
         self._record = record
-        self.change_filter.written = records.values_of(record)
+        self.change_filter.written = records.record_values(record)
         return records.encode_values(self.change_filter.written)
 
-    def choose_list(self, known: dict[str, Any]) -> dict[str, Any]:
+    def choose_endpoint_list(self, known: dict[str, Any]) -> dict[str, Any]:
         """Return the record's endpoint list where it is newer than the one that is known, else that one."""
         newer = None
         if self._record is not None:
             index = known.get("index")
             newer = restore_policy.newer_list(self._record, index if isinstance(index, int) else 0)
-        self.uses_own_list = newer is not None
+        self.uses_stored_list = newer is not None
         return newer or known
 
     def restore(self, coordinator: Coordinator, now: int, clocks: Clocks) -> restore_policy.Restored | None:
@@ -97,14 +97,14 @@
         """
         record = self._record
         self._record = None  # it is not needed any more
-        if record is None or self.written is None:
+        if record is None or self.written_at is None:
             return None
-        situation = Situation(
-            written=self.written,
+        situation = RestoreContext(
+            written_at=self.written_at,
             now=clocks,
             endpoints=coordinator.listed(),
             zones=frozenset(self.identity.zones),
-            is_own_list=self.uses_own_list,
+            uses_stored_list=self.uses_stored_list,
         )
         restored = restore_policy.restore(record, situation, self.policy)
         coordinator.report(now, Restored(restored.fleet, restored.backends))
--- a/granitespool/state/restore_policy.py
+++ b/granitespool/state/restore_policy.py
@@ -51,14 +51,14 @@
     max_age: int  # ns
 
 
-class Situation(NamedTuple):
+class RestoreContext(NamedTuple):
     """What a start knows when it restores a record."""
 
-    written: Clocks  # when the record was last written
+    written_at: Clocks  # when the record was last written
     now: Clocks
     endpoints: Mapping[str, EndpointState]  # of the newest list, by backend
     zones: Set[str]
-    is_own_list: bool  # whether that list is the record's own
+    uses_stored_list: bool  # whether that list is the record's own
 
 
 class Restored(NamedTuple):
@@ -66,7 +66,7 @@
 
     fleet: FleetSnapshot
     backends: dict[str, BackendSnapshot]
-    left_out: dict[str, int]  # reason -> backends
+    skipped: dict[str, int]  # reason -> backends
     link_count: int
     ejected_count: int
 
@@ -138,7 +138,7 @@
     }
 
 
-def restore(record: Record, situation: Situation, policy: Policy) -> Restored:
+def restore(record: Record, situation: RestoreContext, policy: Policy) -> Restored:
     """Return what of a record is restored that no `rejection_reason` stands against."""
     return _Restoration(situation, policy).run(record)
 
@@ -146,7 +146,7 @@
 class _Restoration:
     """One application of a policy to a record."""
 
-    def __init__(self, situation: Situation, policy: Policy) -> None:
+    def __init__(self, situation: RestoreContext, policy: Policy) -> None:
         self.situation = situation
         self.policy = policy
         self.now = situation.now.wall
@@ -165,7 +165,7 @@
         return Restored(self._fleet(record.fleet), backends, dict(left_out), len(links), ejected)
 
     def _confidence(self, taken_at: int) -> float:
-        age = self.now - min(taken_at, self.situation.written.wall)
+        age = self.now - min(taken_at, self.situation.written_at.wall)
         if age > self.policy.max_age:
             return 0.0
         return float(0.5 ** (age / self.policy.half_life))
@@ -199,7 +199,7 @@
             left_ready_at=facts.left_ready_at or 0,
             slow_start_since=self._not_after_now(facts.slow_start_since),
             verified=facts.verified,
-            removal_unconfirmed=facts.removal_unconfirmed and self.situation.is_own_list,
+            removal_unconfirmed=facts.removal_unconfirmed and self.situation.uses_stored_list,
             links=links,
         )
 
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -12,12 +12,12 @@
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
 from granitespool.net.loop import Loop, Waits
-from granitespool.operator_settings import State
+from granitespool.operator_settings import StateSettings
 from granitespool.settings import Settings
 from granitespool.state import record as records
 from granitespool.state.disk import Folder, StateFolder
 from granitespool.state.record import Clocks, Header, ManagedSettings, Tree
-from granitespool.state.recovery import NO_RECORD, Recovery
+from granitespool.state.recovery import NO_RECORD_REASON, Recovery
 from granitespool.state.restore_policy import Identity
 from granitespool.state.writer import FolderContent, Writer
 from granitespool.units import MILLISECOND, SECOND
@@ -26,7 +26,7 @@
 CLOSE_TIMEOUT = 0.25  # s for the last snapshot after SIGTERM: 0.7 s pass at least until SIGKILL
 LINKS_PER_STEP = 200  # links taken out in one step: a millisecond
 FIRST_LIST_POLL = SECOND // 20  # ns between looks whether any list has come
-NOT_IN_TIME = "the folder could not be read in time"
+FOLDER_READ_TIMED_OUT = "the folder could not be read in time"
 
 
 class EventLog(Protocol):
@@ -52,7 +52,7 @@
         """The address of each backend, None where none was told."""
 
 
-class ManagedTrees(NamedTuple):
+class ManagedSettingsTrees(NamedTuple):
     """Trees of settings as managers left them in a former life."""
 
     base: Tree  # of the files
@@ -77,7 +77,7 @@
         self,
         loop: Loop,
         log: EventLog,
-        options: State,
+        options: StateSettings,
         name: str,
         settings: Settings,
         monotonic: Callable[[], int],
@@ -92,7 +92,7 @@
         self.recovery = Recovery(options, self.identity)
         self.coordinator: Coordinator | None = None
         self.discovery: EndpointSource | None = None
-        self.managed_settings: ManagedTrees | None = None
+        self.managed_settings: ManagedSettingsTrees | None = None
         self.writer = Writer(
             folder or StateFolder(options.folder),
             options.most_mb,
@@ -100,21 +100,21 @@
             loop.wake,
             self._clocks,
         )
-        self._take_content(self.writer.wait_opened(OPEN_TIMEOUT))
+        self._take_content(self.writer.wait_until_open(OPEN_TIMEOUT))
 
     def _take_content(self, content: FolderContent | None) -> None:
         if content is None:
-            self.recovery.rejection = NOT_IN_TIME
+            self.recovery.rejection = FOLDER_READ_TIMED_OUT
             return
-        if content.locked:
-            raise InvalidInputError(content.locked)
+        if content.lock_error:
+            raise InvalidInputError(content.lock_error)
         for problem in content.problems:
             self.log.event("state_corrupt", reason=problem)
         carried = self.recovery.load(content.state, content.record, content.reason, self._clocks())
         managed = content.record.managed if content.record else None
         if managed is not None and content.state and content.state.header.name == self.identity.name:
             # Unlike what was learnt these do not age, but they are this coordinator's alone.
-            self.managed_settings = ManagedTrees(managed.base, managed.tree)
+            self.managed_settings = ManagedSettingsTrees(managed.base, managed.tree)
             carried[records.MANAGED_SETTINGS_KEY] = records.encode_value(managed)
         if carried:
             self.writer.submit(dict(carried))
@@ -138,9 +138,9 @@
         writer = self.writer
         return StateMetrics(writer.bytes_written, writer.batches_written, writer.is_failing)
 
-    def choose_list(self, known: dict[str, Any]) -> dict[str, Any]:
+    def choose_endpoint_list(self, known: dict[str, Any]) -> dict[str, Any]:
         """Return the endpoint list to start from, in discovery's form."""
-        return self.recovery.choose_list(known)
+        return self.recovery.choose_endpoint_list(known)
 
     def start(self, coordinator: Coordinator, discovery: EndpointSource) -> None:
         """Begin to take snapshots of a coordinator that was told the first list, or will be."""
@@ -148,7 +148,7 @@
         self.discovery = discovery
         self.loop.spawn(self._run(coordinator, discovery))
 
-    def set_options(self, options: State) -> None:
+    def set_options(self, options: StateSettings) -> None:
         """Take what may change while the service runs: how often, how much, how long it counts."""
         self.options = options
         self.recovery.set_options(options)
@@ -189,7 +189,7 @@
 
     def _restore(self, coordinator: Coordinator) -> None:
         restored = self.recovery.restore(coordinator, self.loop.now, self._clocks())
-        written = self.recovery.written
+        written = self.recovery.written_at
         if restored and written:
             self.log.event(
                 "snapshot_restored",
@@ -199,10 +199,10 @@
                 ejected=restored.ejected_count,
                 overloaded=restored.fleet.is_overloaded,
                 admitted_share=round(restored.fleet.admitted_share, 3),
-                skipped=restored.left_out,
-                own_list=self.recovery.uses_own_list,
+                skipped=restored.skipped,
+                own_list=self.recovery.uses_stored_list,
             )
-        elif self.recovery.rejection != NO_RECORD:
+        elif self.recovery.rejection != NO_RECORD_REASON:
             self.log.event("snapshot_ignored", reason=self.recovery.rejection)
 
     def _submit_changes(
--- a/granitespool/state/store.py
+++ b/granitespool/state/store.py
@@ -34,12 +34,12 @@
     """The files of a folder that are a store's."""
 
     complete: dict[int, str]  # generation -> name
-    aside: list[str]  # written aside and never finished
+    incomplete: list[str]  # written aside and never finished
 
     @property
     def highest_generation(self) -> int:
         """The highest generation that any name tells, 0 without any."""
-        return max([0, *self.complete, *map(_generation_in, self.aside)])
+        return max([0, *self.complete, *map(_generation_in, self.incomplete)])
 
 
 def file_name(generation: int) -> str:
@@ -59,7 +59,7 @@
     for name in names:
         match = FILE_NAME.fullmatch(name)
         if match and match[2]:
-            files.aside.append(name)
+            files.incomplete.append(name)
         elif match:
             files.complete[int(match[1], 16)] = name
     return files
@@ -85,14 +85,14 @@
                 self.values[key] = value
 
 
-class FileReading(NamedTuple):
+class FileReadResult(NamedTuple):
     """What was read of one file: its state, None where no snapshot is complete; what is wrong, or None."""
 
     state: StoredState | None
     problem: str | None
 
 
-class FolderReading(NamedTuple):
+class FolderReadResult(NamedTuple):
     """The newest complete state of a folder, or None; and what was wrong on the way."""
 
     state: StoredState | None
@@ -154,17 +154,17 @@
         self.is_complete = True
 
 
-def read_file(name: str, data: bytes) -> FileReading:
+def read_file(name: str, data: bytes) -> FileReadResult:
     """Return what one file's bytes hold; raise UnsupportedFormatError for a newer format's."""
     reader = _FileReader(name)
     try:
         reader.read(data)
     except TornWriteError as error:
-        return FileReading(reader.state if reader.is_complete else None, f"{name}: {error}")
-    return FileReading(reader.state, None)
+        return FileReadResult(reader.state if reader.is_complete else None, f"{name}: {error}")
+    return FileReadResult(reader.state, None)
 
 
-def read_newest(folder: Folder, max_size: int) -> FolderReading:
+def read_newest(folder: Folder, max_size: int) -> FolderReadResult:
     """Return the newest complete state of a folder.
 
     Files of more than `max_size` bytes are not ours and not read. Raises UnsupportedFormatError where any
@@ -182,8 +182,8 @@
         if problem:
             problems.append(problem)
         if state:
-            return FolderReading(state, problems)
-    return FolderReading(None, problems)
+            return FolderReadResult(state, problems)
+    return FolderReadResult(None, problems)
 
 
 class Store:
@@ -254,7 +254,7 @@
             self.folder.close_file(self._name)
         self._name = None
         files = classify_names(self.folder.names())
-        for name in files.aside:  # a former write that was never finished
+        for name in files.incomplete:  # a former write that was never finished
             self.folder.unlink(name)
         self._make_room(files)
         generation = max(self.generation, files.highest_generation) + 1
--- a/granitespool/state/writer.py
+++ b/granitespool/state/writer.py
@@ -38,7 +38,7 @@
     record: Record | None = None
     problems: list[str] = field(default_factory=list)
     reason: str | None = None  # one sentence where nothing was read
-    locked: str | None = None  # one sentence where another process owns the folder
+    lock_error: str | None = None  # one sentence where another process owns the folder
     is_writable: bool = True  # False: it is of a newer format and left untouched
 
 
@@ -105,7 +105,7 @@
 
     # The loop's side
 
-    def wait_opened(self, timeout: float) -> FolderContent | None:
+    def wait_until_open(self, timeout: float) -> FolderContent | None:
         """Return what the folder held, or None where it could not be read within `timeout` s.
 
         What it held is not restored then.
@@ -204,7 +204,7 @@
                 self.folder.acquire_lock()
                 content = read_folder(self.folder, self.max_size)
             except FolderLockedError as error:
-                self._content = FolderContent(reason=str(error), locked=str(error))
+                self._content = FolderContent(reason=str(error), lock_error=str(error))
                 if self._is_opened.is_set():
                     self._report("state_write_failed", reason=str(error), retry=False)
                 return None
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_slices_are_kept_as_by_the_reference(seed):
-    comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, one_owner=bool(seed))
+    comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, single_owner=bool(seed))
     for table in range(3):
         comparison.report(SliceAssigned(table=table, owned=True))
         comparison.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
--- a/tests/planner/test_slices.py
+++ b/tests/planner/test_slices.py
@@ -26,7 +26,7 @@
 def test_a_slice_with_one_owner_is_not_moved_and_its_lost_owner_is_only_excluded(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
-    fleet.configure(slices=2, one_owner=True)
+    fleet.configure(slices=2, single_owner=True)
     fleet.list_restored("a", "b")
     fleet.join(1)
     fleet.slice_assigned(0, True)
--- a/tests/reference/adapter.py
+++ b/tests/reference/adapter.py
@@ -22,6 +22,7 @@
     "warm_up_start_share": "cold_share",
     "overload_multiple": "fall_multiple",
     "removal_needs_drain": "drain_needs_entry",
+    "single_owner": "one_owner",
 }
 CLASS = {"latency_objective": "promised_time", "timeout": "time_limit", "priority_weight": "benefit"}
 FORMS = {events.ListForm.COMPLETE: "whole"}
--- a/tests/support/external_names.py
+++ b/tests/support/external_names.py
@@ -15,7 +15,7 @@
 from granitespool import cli, operator_settings
 from granitespool.emulator import report as emulator_report
 from granitespool.emulator import schema as emulator_schema
-from granitespool.endpoints import LOAD_METRICS, SIMULATOR_ENTRY, SOCKET_ENTRY, EntryNames, Phase
+from granitespool.endpoints import LOAD_METRICS, SIMULATOR_ENTRY, SOCKET_ENTRY, Phase, WireEntryNames
 from granitespool.net.connection import Role
 from granitespool.planner.events import HealthCheckOutcome, ListForm
 from granitespool.scale import report as scale_report
@@ -120,7 +120,7 @@
         yield body[0].value
 
 
-def _entry_names(names: EntryNames) -> set[str]:
+def _entry_names(names: WireEntryNames) -> set[str]:
     fields = {names.name, names.machine_type, names.cell, names.phase, names.started_at, "zone", "weight"}
     return fields | set(names.phases) | {phase.value for phase in Phase if phase.value in names.phases}
 
@@ -158,7 +158,9 @@
 
 
 def _operator_keys() -> set[str]:
-    keys = _schema_keys(operator_settings.SECTIONS, {operator_settings.USER_PREFIX: operator_settings.User})
+    keys = _schema_keys(
+        operator_settings.SECTIONS, {operator_settings.USER_PREFIX: operator_settings.UserSettings}
+    )
     return keys | set(operator_settings.CERTIFICATE_KINDS) | set(operator_settings.WRITABLE)
 
 
--- a/tests/support/service_thread.py
+++ b/tests/support/service_thread.py
@@ -13,7 +13,13 @@
 from granitespool.cli.keys import make
 from granitespool.net import config
 from granitespool.net.service import Service
-from granitespool.operator_settings import Netconf, Operator, State, Tls, User
+from granitespool.operator_settings import (
+    NetconfSettings,
+    OperatorSettings,
+    StateSettings,
+    TlsSettings,
+    UserSettings,
+)
 from granitespool.simulation.netconf_client import NetconfClient
 from support.records import told_settings
 
@@ -86,21 +92,23 @@
         self.operator = self._operator(state, netconf)
         self.write()
 
-    def _operator(self, state: bool, netconf: dict[str, Any]) -> Operator:
+    def _operator(self, state: bool, netconf: dict[str, Any]) -> OperatorSettings:
         _, port = self.where
-        tls = Tls(
+        tls = TlsSettings(
             certificate=f"{self.keys}/server.pem",
             key=f"{self.keys}/server.key",
             authorities=f"{self.keys}/ca.pem",
         )
-        return Operator(
+        return OperatorSettings(
             tls=tls,
-            netconf=Netconf(listen=f"{LOOPBACK}:{port}", **netconf),
-            state=State(folder=str(self.path / "state"), every_ms=STATE_INTERVAL_MS) if state else None,
+            netconf=NetconfSettings(listen=f"{LOOPBACK}:{port}", **netconf),
+            state=StateSettings(folder=str(self.path / "state"), every_ms=STATE_INTERVAL_MS)
+            if state
+            else None,
             users={
-                "operations": User(certificate="cn:operations", write="*"),
-                "reader": User(certificate="cn:reader"),
-                "pacer": User(certificate="cn:pacer", write="channel"),
+                "operations": UserSettings(certificate="cn:operations", write="*"),
+                "reader": UserSettings(certificate="cn:reader"),
+                "pacer": UserSettings(certificate="cn:pacer", write="channel"),
             },
         )
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,13 +16,13 @@
 
     def __init__(self, name):
         super().__init__()
-        self.name, self.figures = name, operator_settings.Figures(backends=2)
+        self.name, self.figures = name, operator_settings.FiguresSettings(backends=2)
 
     def configuration(self):
         return {
             **super().configuration(),
             "name": self.name,
-            "operator": operator_settings.Operator(figures=self.figures),
+            "operator": operator_settings.OperatorSettings(figures=self.figures),
         }
 
 
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -16,7 +16,7 @@
 
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi import paths
-from granitespool.operator_settings import Gnmi
+from granitespool.operator_settings import GnmiSettings
 from granitespool.rpc.errors import StatusCode
 from granitespool.rpc.http2 import MAX_COSTLY_FRAMES
 from granitespool.simulation.netconf_client import client_context, tag_of
@@ -49,7 +49,7 @@
 
         self.gnmi = "127.0.0.1", free_port()
         self.operator = msgspec.structs.replace(
-            self.operator, gnmi=Gnmi(listen=f"127.0.0.1:{self.gnmi[1]}", sessions=6, streams=16)
+            self.operator, gnmi=GnmiSettings(listen=f"127.0.0.1:{self.gnmi[1]}", sessions=6, streams=16)
         )
         self.channels = []
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -19,7 +19,7 @@
 from granitespool.management.operational_state import FolderFigures, OperationalState, ServiceFacts
 from granitespool.management.settings_trees import CANDIDATE, RUNNING, STARTUP
 from granitespool.net import config
-from granitespool.operator_settings import Operator, State
+from granitespool.operator_settings import OperatorSettings, StateSettings
 from granitespool.planner.admission_levels import AdmissionLevel
 from granitespool.planner.status import BackendStatus, EntryStatus, PlannerStatus
 from granitespool.settings import RequestClass
@@ -153,7 +153,7 @@
                 **settings,
             }
         ),
-        "operator": Operator(state=State(folder="x", half_life_s=12.5)),
+        "operator": OperatorSettings(state=StateSettings(folder="x", half_life_s=12.5)),
     }
 
 
@@ -181,7 +181,7 @@
     assert new["settings"].classes == [
         RequestClass(name="pay", latency_objective=100_000, writes=True, priority_weight=2)
     ]
-    assert new["operator"].state == State(folder="x", half_life_s=12.5, every_ms=250)
+    assert new["operator"].state == StateSettings(folder="x", half_life_s=12.5, every_ms=250)
     gone = mapping.config_of(
         edited(SETTINGS, tree, [node("drain", op="delete"), node("operator", op="delete")]), new
     )
--- a/tests/test_operator_files.py
+++ b/tests/test_operator_files.py
@@ -74,7 +74,7 @@
     sections = {name: keys_of(struct) for name, struct in operator_settings.SECTIONS.items()}
     compare_with_record(
         "management/operator_keys.json",
-        json_of({**sections, "user.NAME": keys_of(operator_settings.User)}),
+        json_of({**sections, "user.NAME": keys_of(operator_settings.UserSettings)}),
         tmp_path,
     )
 
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -69,8 +69,8 @@
 def test_an_empty_file_has_everything_off_and_relative_folders_are_beside_it(tmp_path):
     path = tmp_path / "operator.ini"
     path.write_text("; nothing\n")
-    assert operator_settings.load(str(path)) == operator_settings.Operator()
-    assert "off" in operator_settings.summary(operator_settings.Operator())
+    assert operator_settings.load(str(path)) == operator_settings.OperatorSettings()
+    assert "off" in operator_settings.summary(operator_settings.OperatorSettings())
     path.write_text("[state]\nfolder = memory\nevery_ms = 250\n")
     state = operator_settings.load(str(path)).state
     assert (state.folder, state.every_ms, state.half_life_s) == (str(tmp_path / "memory"), 250, 30.0)
@@ -78,7 +78,7 @@
 
 def test_the_example_names_every_key_and_is_off_as_it_comes(tmp_path):
     lines = EXAMPLE.read_text().splitlines()
-    assert operator_settings.load(str(EXAMPLE)) == operator_settings.Operator()
+    assert operator_settings.load(str(EXAMPLE)) == operator_settings.OperatorSettings()
     on = "\n".join(
         line[1:] if line[:2] in ("#[",) or (line[:1] == "#" and "=" in line and line[1:2] != " ") else line
         for line in lines
@@ -86,7 +86,7 @@
     path = tmp_path / "on.ini"
     path.write_text(on)
     read = operator_settings.load(str(path))
-    for name, struct in [*operator_settings.SECTIONS.items(), ("users", operator_settings.User)]:
+    for name, struct in [*operator_settings.SECTIONS.items(), ("users", operator_settings.UserSettings)]:
         assert getattr(read, name), name
         for field in struct.__struct_fields__:
             assert any(line.startswith(f"#{field} =") for line in lines), field
@@ -94,9 +94,10 @@
 
 def test_what_waits_for_a_restart_is_named():
     one, other = (
-        operator_settings.Operator(state=operator_settings.State(folder=name, every_ms=500)) for name in "ab"
+        operator_settings.OperatorSettings(state=operator_settings.StateSettings(folder=name, every_ms=500))
+        for name in "ab"
     )
-    same = operator_settings.Operator(state=operator_settings.State(folder="a"))
+    same = operator_settings.OperatorSettings(state=operator_settings.StateSettings(folder="a"))
     assert (
         operator_settings.restart_names(one, other)
         == operator_settings.restart_names(one, None)
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -11,7 +11,7 @@
 from granitespool.coordinator import Coordinator
 from granitespool.coordinator_status import EndpointState
 from granitespool.endpoints import Phase
-from granitespool.operator_settings import State
+from granitespool.operator_settings import StateSettings
 from granitespool.outgoing import Queue
 from granitespool.planner.events import EndpointListUpdate, ListForm, LoadReport, Restored
 from granitespool.planner.records import MinimumRtt
@@ -20,7 +20,7 @@
 from granitespool.state.change_filter import ChangeFilter
 from granitespool.state.record import Clocks, StoredBackend
 from granitespool.state.recovery import Recovery
-from granitespool.state.restore_policy import Identity, Policy, Situation
+from granitespool.state.restore_policy import Identity, Policy, RestoreContext
 
 S = 10**9
 W = 10**18  # ns: the wall clock when the record was last written
@@ -90,7 +90,7 @@
         name: (facts.phase, facts.started_at) for name, (facts, _) in record_.backends.items()
     }
     endpoints = {name: EndpointState(Phase(phase), started) for name, (phase, started) in listed.items()}
-    situation = Situation(Clocks(W, 5 * S), now, endpoints, frozenset(WHO.zones), own_list)
+    situation = RestoreContext(Clocks(W, 5 * S), now, endpoints, frozenset(WHO.zones), own_list)
     return restore_policy.restore(record_, situation, Policy(HALF, OLDEST))
 
 
@@ -166,7 +166,7 @@
     belief = believed(
         kept(a=(then, {"n": link()}), b=link()), listed={"b": ("ready", 0), **({"a": now} if now else {})}
     )
-    assert belief.left_out == ({reason: 1} if reason else {}) and ("a" in belief.backends) == (reason is None)
+    assert belief.skipped == ({reason: 1} if reason else {}) and ("a" in belief.backends) == (reason is None)
     assert "b" in belief.backends
 
 
@@ -337,7 +337,7 @@
     for name, each in snapshot.backends.items():
         groups[name] = record.backend_values(name, each, None, now)
     held = record.encode_values(groups)
-    recovery = Recovery(State(folder="x"), WHO)
+    recovery = Recovery(StateSettings(folder="x"), WHO)
 
     class Found:
         header, clocks = HEADER, Clocks(now, now)
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -22,7 +22,7 @@
 from granitespool.cli import main
 from granitespool.errors import InvalidInputError
 from granitespool.net.service import Service
-from granitespool.operator_settings import Operator, State
+from granitespool.operator_settings import OperatorSettings, StateSettings
 from granitespool.planner.events import LoadReport
 from granitespool.state import framing, record
 from granitespool.state.disk import StateFolder
@@ -115,7 +115,7 @@
     disk = FaultyFolder()
     disk.fails = {"create": errno.EACCES}
     writer = writer_on(disk)
-    assert writer.wait_opened(5).reason == "the folder cannot be used: Permission denied"
+    assert writer.wait_until_open(5).reason == "the folder cannot be used: Permission denied"
     writer.submit({b"a": b"1"})
     disk.fails = {}
     assert until(lambda: writer.batches_written) and events(writer) == [
@@ -129,7 +129,7 @@
     disk, gate = FaultyFolder(), threading.Event()
     disk.names = lambda: gate.wait(10) and []
     writer = writer_on(disk)
-    assert writer.wait_opened(0.05) is None
+    assert writer.wait_until_open(0.05) is None
     gate.set()
     assert writer.close(5)
 
@@ -138,7 +138,7 @@
     StateFolder(str(tmp_path)).append(file_name(5), newer_file(5))
     before = (tmp_path / file_name(5)).read_bytes()
     writer = writer_on(StateFolder(str(tmp_path)))
-    assert "left untouched" in writer.wait_opened(5).reason
+    assert "left untouched" in writer.wait_until_open(5).reason
     writer.submit({b"a": b"1"})
     writer.close(5)
     assert sorted(os.listdir(tmp_path)) == ["lock", file_name(5)]
@@ -177,7 +177,7 @@
             "peers_all": None,
             "known": {"index": 1, "endpoints": self.known},
             "settings": settings_of(self.settings),
-            "operator": Operator(state=State(folder=str(self.path), **state)),
+            "operator": OperatorSettings(state=StateSettings(folder=str(self.path), **state)),
         }
 
     known = [
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -212,7 +212,7 @@
         2,
         {
             key: record.encode_value(value)
-            for values in record.values_of(stored).values()
+            for values in record.record_values(stored).values()
             for key, value in values.items()
         },
     )
