--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -16,7 +16,7 @@
 from bench.capacity.wire import MESSAGE_HEAD, PACE, row_of, wire_settings
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
-from granitespool.net.frames import LENGTH_SIZE, parsed, updates
+from granitespool.net.frames import LENGTH_SIZE, encode_update, parse_body
 from granitespool.outgoing import HealthCheckRequest, InternalError, ProxyUpdate, Queue
 from granitespool.planner.events import (
     Acknowledged,
@@ -162,7 +162,7 @@
     def bring(self, frames: Sequence[bytes]) -> None:
         """Reads frames of reports and reports them, as the streams do."""
         began = time.process_time_ns()
-        messages = [parsed(body[LENGTH_SIZE:]) for body in frames]
+        messages = [parse_body(body[LENGTH_SIZE:]) for body in frames]
         self.read_ns += time.process_time_ns() - began
         self.read_bytes += sum(map(len, frames))
         events = [event_of(message) for message in messages]
@@ -194,7 +194,7 @@
 
     def _write(self, proxy: int, message: ProxyUpdate) -> None:
         began = time.process_time_ns()
-        data = updates(message)
+        data = encode_update(message)
         self.written_ns += time.process_time_ns() - began
         entries = entries_of(data)
         for table in message.tables:
--- a/bench/manage.py
+++ b/bench/manage.py
@@ -22,7 +22,7 @@
 from typing import Any, NamedTuple, Self
 
 from granitespool.net.config import Configuration
-from granitespool.net.loop import Waits
+from granitespool.net.loop import Coroutine
 from granitespool.net.service import Service
 from granitespool.operator_settings import Gnmi, Netconf, Operator, Tls, User
 from granitespool.planner.events import LoadReport, ProxyJoined
@@ -128,7 +128,7 @@
         "discovery": ("127.0.0.1", 9),
         "seed": 1,
         "sockets": 1024,
-        "probes": 4,
+        "health_checks": 4,
         "connections": 900,
         "buffers": 64,
         "peer_listen": None,
@@ -171,7 +171,7 @@
     coordinator.updates.waiting.clear()
 
 
-def _reports(service: Service, backends: Sequence[str]) -> Waits:
+def _reports(service: Service, backends: Sequence[str]) -> Coroutine:
     """Each backend from each zone once a second, in parts; nothing is written to anyone."""
     coordinator = service.coordinator
     loop = service.loop
--- a/bench/state.py
+++ b/bench/state.py
@@ -20,7 +20,7 @@
 
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import Endpoint, Phase
-from granitespool.net.loop import Loop, Waits
+from granitespool.net.loop import Coroutine, Loop
 from granitespool.operator_settings import State
 from granitespool.planner.events import EndpointListUpdate, ListForm, LoadReport
 from granitespool.settings import RequestClass, Settings
@@ -266,7 +266,7 @@
     """What a snapshotter reads of the discovery."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.named = True
+        self.has_listed_backends = True
         self.addresses = fleet.addresses
         self.index = 1
 
@@ -307,7 +307,7 @@
     return Stalls(times[-1], times[int(len(times) * 0.999)], sum(times) / len(times))
 
 
-def _reports(loop: Loop, coordinator: Coordinator, fleet: Fleet) -> Waits:
+def _reports(loop: Loop, coordinator: Coordinator, fleet: Fleet) -> Coroutine:
     while True:
         for piece in range(PIECES):
             fleet.report(coordinator, loop.now, slice(piece, None, PIECES))
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -15,11 +15,11 @@
 from pathlib import Path
 from typing import Any
 
-from granitespool.net.buffers import Pool
+from granitespool.net.buffers import BufferPool
 from granitespool.net.client import dial, receive, send
-from granitespool.net.config import Address, address
+from granitespool.net.config import Address, parse_address
 from granitespool.net.frames import MESSAGE_MAX, Message, Reader, frame
-from granitespool.net.loop import IN, SECOND, Loop, Waits
+from granitespool.net.loop import IN, SECOND, Coroutine, Loop
 
 CONFIG_PATH = Path(__file__).parent / "config.json"
 DRAIN_AT = 4 * SECOND  # ns after the start
@@ -50,9 +50,9 @@
         self.table: dict[str, float] = {}  # the proxy's: backend -> weight
         self.tables_seen = 0
         self.exit_code = 0
-        self.loop.spawn(self.accept(address(config["discovery"]), self.serve_watch))
+        self.loop.spawn(self.accept(parse_address(config["discovery"]), self.serve_watch))
         for backend in self.backends:
-            self.loop.spawn(self.accept(address(backend["address"]), self.serve_load_report))
+            self.loop.spawn(self.accept(parse_address(backend["address"]), self.serve_load_report))
         self.loop.spawn(self.run_proxy())
 
     @property
@@ -79,7 +79,7 @@
         self.exit_code = 1
         self.loop.stop()
 
-    def accept(self, where: Address, serve: Callable[[socket.socket], Waits]) -> Waits:
+    def accept(self, where: Address, serve: Callable[[socket.socket], Coroutine]) -> Coroutine:
         """Serves each connection at an address."""
         with socket.create_server(where) as listener:
             listener.setblocking(False)
@@ -91,7 +91,7 @@
 
     # Discovery and backends
 
-    def serve_watch(self, sock: socket.socket) -> Waits:
+    def serve_watch(self, sock: socket.socket) -> Coroutine:
         """A watch: an empty line each two seconds, and one change."""
         with sock:
             yield from receive(sock, self.loop.now + SECOND)
@@ -101,7 +101,7 @@
             except OSError:
                 return  # the coordinator has ended
 
-    def send_lines(self, sock: socket.socket) -> Waits:
+    def send_lines(self, sock: socket.socket) -> Coroutine:
         """The lines of a watch, for ever."""
         has_told = False
         while True:
@@ -119,7 +119,7 @@
         entry = {**self.backends[DRAINING_BACKEND], "status": "draining"}
         return json.dumps({"index": 2, "snapshot": False, "endpoints": [entry]}).encode() + b"\n"
 
-    def serve_load_report(self, sock: socket.socket) -> Waits:
+    def serve_load_report(self, sock: socket.socket) -> Coroutine:
         """A backend's answer to a health check."""
         with sock:
             yield from receive(sock, self.loop.now + SECOND)
@@ -128,10 +128,10 @@
 
     # The proxy
 
-    def run_proxy(self) -> Waits:
+    def run_proxy(self) -> Coroutine:
         """Joins, applies what is ordered and reports each second, until the end."""
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
-            yield from dial(sock, address(self.config["listen"]), self.loop.now + SECOND)
+            yield from dial(sock, parse_address(self.config["listen"]), self.loop.now + SECOND)
             joining = {"type": "joined", "node": 0, "locality": "north", "w": 20.0, "cold": True}
             yield from send(sock, frame(joining), None)
             self.say("the proxy joined")
@@ -142,9 +142,9 @@
         self.exit_code = 0 if self.tables_seen and is_drained else 1
         self.loop.stop()
 
-    def exchange(self, sock: socket.socket) -> Waits:
+    def exchange(self, sock: socket.socket) -> Coroutine:
         """Reads orders and writes reports; raises OSError where the coordinator ends the stream."""
-        reader = Reader(Pool(BUFFERS), MESSAGE_MAX)
+        reader = Reader(BufferPool(BUFFERS), MESSAGE_MAX)
         reported_at = self.loop.now
         while self.elapsed < END_AT:
             if self.loop.now - reported_at >= REPORT_PERIOD:
--- a/granitespool/cli/serve.py
+++ b/granitespool/cli/serve.py
@@ -41,4 +41,4 @@
     from granitespool.cli.files import read  # noqa: PLC0415
     from granitespool.net.service import Service  # noqa: PLC0415
 
-    return Service(read(arguments), sys.stdout.fileno(), reread=lambda: read(arguments))
+    return Service(read(arguments), sys.stdout.fileno(), read_configuration=lambda: read(arguments))
--- a/granitespool/management/impact_check.py
+++ b/granitespool/management/impact_check.py
@@ -68,7 +68,7 @@
 def _check_limits(configuration: Configuration) -> None:
     """The process may be given less than it was started with, not more."""
     limits = configuration.get("limits") or {}
-    maxima = configuration.get("limits_told") or {}
+    maxima = configuration.get("configured_limits") or {}
     exceeded = sorted(name for name, limit in limits.items() if limit > maxima.get(name, limit))
     if exceeded:
         name = exceeded[0]
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -139,7 +139,7 @@
         limits = tree.get("limits", {})
         result["limits"] = {name: limits[leaf] for leaf, name in LIMITS.items() if leaf in limits}
         if not result["limits"]:
-            result["limits"] = dict(config["limits_told"])
+            result["limits"] = dict(config["configured_limits"])
     if tree.get("operator") != before.get("operator"):
         result["operator"] = _operator_of(tree.get("operator", {}), config.get("operator"))
     return result
--- a/granitespool/net/acceptor.py
+++ b/granitespool/net/acceptor.py
@@ -11,7 +11,7 @@
 from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
 from granitespool.net.log_events import log_rejected
-from granitespool.net.loop import IN, SECOND, Loop, Waits
+from granitespool.net.loop import IN, SECOND, Coroutine, Loop
 
 BACKLOG = 4096  # connections the system holds for us: all proxies at once after a restart
 ACCEPTS_PER_TURN = 64  # connections taken in one turn: the others are served between
@@ -42,7 +42,7 @@
         self.listener.listen(BACKLOG)
         self.task = loop.spawn(self._run())
 
-    def _run(self) -> Waits:
+    def _run(self) -> Coroutine:
         with self.listener:
             while True:
                 yield self.listener.fileno(), IN, None
--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -75,7 +75,7 @@
         return False
 
     def _end(self, connection: Connection) -> None:
-        self.log.often("evicted", peer=connection.peer, role=connection.role)
+        self.log.rate_limited_event("evicted", peer=connection.peer, role=connection.role)
         self.loop.end(connection.running)
 
 
--- a/granitespool/net/buffers.py
+++ b/granitespool/net/buffers.py
@@ -6,25 +6,25 @@
 FREE_MAX = 32  # free buffers kept for use again, 512 KiB: more are only needed after a burst
 
 
-class Pool:
+class BufferPool:
     """A pool of buffers; `limit` may change, and a lower one takes no buffer back."""
 
     def __init__(self, limit: int, size: int = BUFFER_SIZE) -> None:
         """`limit` is a number of buffers, `size` the bytes of each."""
         self.size = size
         self.limit = limit
-        self.taken = 0
+        self.in_use = 0
         self.free: list[bytearray] = []
 
-    def take(self) -> bytearray | None:
+    def acquire(self) -> bytearray | None:
         """A buffer, or None when too many are out; whoever takes one gives it back."""
-        if self.taken >= self.limit:
+        if self.in_use >= self.limit:
             return None
-        self.taken += 1
+        self.in_use += 1
         return self.free.pop() if self.free else bytearray(self.size)
 
-    def give(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         """Takes a buffer back."""
-        self.taken -= 1
+        self.in_use -= 1
         if len(self.free) < FREE_MAX:
             self.free.append(buffer)
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -49,7 +49,7 @@
     """What the limits leave to each part."""
 
     sockets: int  # descriptors in all
-    probes: int  # health checks in flight
+    health_checks: int  # health checks in flight
     connections: int
     buffers: int  # receive buffers
 
@@ -68,7 +68,7 @@
     listen: Address
     seed: int
     limits: Limits
-    limits_told: Limits  # as the file has them, whatever managers have changed since
+    configured_limits: Limits  # as the file has them, whatever managers have changed since
     peer_listen: Address | None
     peers: list[Address]
     peers_all: Address | None
@@ -76,7 +76,7 @@
     operator: NotRequired["Operator | None"]  # the operator's settings, where the program was given some
 
 
-def address(text: object) -> Address:
+def parse_address(text: object) -> Address:
     """(host, port) of `host:port`; raises InvalidInputError."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or int(port) > PORT_MAX:
@@ -84,13 +84,13 @@
     return host, int(port)
 
 
-def address_text(host_and_port: Address) -> str:
+def format_address(host_and_port: Address) -> str:
     """`host:port` of an address."""
     host, port = host_and_port
     return f"{host}:{port}"
 
 
-def quotas(limits: Mapping[str, Any]) -> Quotas:
+def compute_quotas(limits: Mapping[str, Any]) -> Quotas:
     """What the limits leave to each part; raises InvalidInputError where they leave no room to serve."""
     told = {"type": "limits", "sockets": DEFAULT_SOCKETS, "memory_mb": DEFAULT_MEMORY_MB, **limits}
     sockets: int = required_number(told, "sockets", int)
@@ -102,7 +102,7 @@
     health_checks = min(HEALTH_CHECKS_MAX, sockets // SOCKETS_PER_HEALTH_CHECK)
     return {
         "sockets": sockets,
-        "probes": max(1, health_checks),
+        "health_checks": max(1, health_checks),
         "connections": max(CONNECTIONS_MIN, sockets - RESERVED_SOCKETS - health_checks),
         "buffers": int(memory_mb) * MIB // MEMORY_PER_BUFFERS // BUFFER_SIZE,
     }
@@ -112,13 +112,13 @@
     """The configuration with other quotas."""
     replaced = config.copy()
     replaced["sockets"] = quota["sockets"]
-    replaced["probes"] = quota["probes"]
+    replaced["health_checks"] = quota["health_checks"]
     replaced["connections"] = quota["connections"]
     replaced["buffers"] = quota["buffers"]
     return replaced
 
 
-def limits_of(limits: Mapping[str, Any]) -> Limits:
+def limits_with_defaults(limits: Mapping[str, Any]) -> Limits:
     """The limits as they are told, or the usual ones."""
     sockets = limits.get("sockets")
     memory_mb = limits.get("memory_mb")
@@ -142,12 +142,12 @@
     if not isinstance(told, dict):
         raise InvalidInputError(f"the configuration {path} is not an object")
     try:
-        return checked({"type": "configuration", **told})
+        return parse_configuration({"type": "configuration", **told})
     except (TypeError, AttributeError) as error:
         raise InvalidInputError(f"the configuration {path} has a field of another type: {error}") from None
 
 
-def checked(told: Mapping[str, Any]) -> Configuration:
+def parse_configuration(told: Mapping[str, Any]) -> Configuration:
     """The configuration of the file's object; raises InvalidInputError, TypeError or AttributeError."""
     seed = _seed(told.get("seed") or 0)
     limits = told.get("limits") or {}
@@ -156,22 +156,22 @@
     if not isinstance(limits, dict):
         raise InvalidInputError("the limits are not a JSON object")
     name = required_field(told, "name", str)
-    listen = address(required_field(told, "listen", str))
-    discovery = address(required_field(told, "discovery", str))
-    quota = quotas({key: limit for key, limit in limits.items() if limit is not None})
+    listen = parse_address(required_field(told, "listen", str))
+    discovery = parse_address(required_field(told, "discovery", str))
+    quota = compute_quotas({key: limit for key, limit in limits.items() if limit is not None})
     return {
         "name": name,
         "listen": listen,
         "discovery": discovery,
         "seed": seed,
         "sockets": quota["sockets"],
-        "probes": quota["probes"],
+        "health_checks": quota["health_checks"],
         "connections": quota["connections"],
         "buffers": quota["buffers"],
-        "limits": limits_of(limits),
-        "limits_told": limits_of(limits),
+        "limits": limits_with_defaults(limits),
+        "configured_limits": limits_with_defaults(limits),
         "peer_listen": _optional_address(told.get("peer_listen")),
-        "peers": [address(peer) for peer in told.get("peers") or ()],
+        "peers": [parse_address(peer) for peer in told.get("peers") or ()],
         "peers_all": _optional_address(told.get("peers_all")),
         "known": required_field({"known": {"index": 0, "endpoints": []}, **told}, "known", dict),
         "settings": settings_from_wire(wire_settings),
@@ -182,7 +182,7 @@
     """One line for a person: what this configuration holds."""
     settings = config["settings"]
     return (
-        f"{config['name']} listens on {address_text(config['listen'])}, "
+        f"{config['name']} listens on {format_address(config['listen'])}, "
         f"{len(settings.zones or ())} zones, {len(settings.classes)} classes, "
         f"{len(config['known'].get('endpoints') or ())} backends known, {len(config['peers'])} peers, "
         f"{config['sockets']} sockets"
@@ -198,7 +198,7 @@
 
 
 def _optional_address(told: object) -> Address | None:
-    return address(told) if told else None
+    return parse_address(told) if told else None
 
 
 def _check_settings_types(wire_settings: Mapping[str, Any]) -> None:
--- a/granitespool/net/connection.py
+++ b/granitespool/net/connection.py
@@ -8,8 +8,8 @@
 from enum import StrEnum
 
 from granitespool.net.frames import Reader
-from granitespool.net.loop import IN, OUT, SECOND, Loop, Task, Waits
-from granitespool.net.messages import ProxyJoining
+from granitespool.net.loop import IN, OUT, SECOND, Coroutine, Loop, Task
+from granitespool.net.messages import ProxyJoin
 
 DISCARD_SIZE = 16 * 1024  # bytes read at once of what nobody is to hear any more
 READ_PER_TURN = 256 * 1024  # bytes read from one peer in one turn: twice what may stand unread
@@ -45,11 +45,11 @@
     task: Task | None = None  # its coroutine in the loop
     unsent: bytes = b""
     proxy: int | None = None  # the proxy whose stream it is
-    joining: ProxyJoining | None = None  # what that proxy said of itself
+    join: ProxyJoin | None = None  # what that proxy said of itself
     awaiting_since: int | None = None  # ns of the oldest mark after which nothing came yet
     is_unreachable: bool = False  # its proxy was silent for too long, and counts as left
-    ended_by_us: bool = False
-    leaving_reported: bool = False
+    ended_by_coordinator: bool = False
+    leave_reported: bool = False
     end_reason: str = CLOSED_BY_PEER  # for the log
 
     @property
@@ -69,7 +69,7 @@
             sent = 0
         self.unsent = unsent[sent:]
 
-    def linger(self, loop: Loop) -> Waits:
+    def linger(self, loop: Loop) -> Coroutine:
         """Writes what waits, ends our side and waits for the other side's end, for `LINGER_TIMEOUT` at most.
 
         What still comes is dropped: a close over bytes that were not read resets, and takes with it what was
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -15,8 +15,8 @@
 from granitespool.errors import GranitespoolError, InvalidInputError
 from granitespool.fields import required_field, required_number
 from granitespool.net.client import dial, http_get, receive
-from granitespool.net.config import Address, WatchConfiguration, address
-from granitespool.net.loop import SECOND, Loop, Waits
+from granitespool.net.config import Address, WatchConfiguration, parse_address
+from granitespool.net.loop import SECOND, Coroutine, Loop
 from granitespool.planner.events import EndpointListUpdate, ListForm
 from granitespool.units import MILLISECOND
 
@@ -50,7 +50,7 @@
     def event(self, name: str, /, **fields: object) -> None:
         """Writes an event."""
 
-    def often(self, name: str, /, **fields: object) -> None:
+    def rate_limited_event(self, name: str, /, **fields: object) -> None:
         """Writes an event that peers can cause at will."""
 
 
@@ -103,21 +103,21 @@
         self.coordinator = coordinator
         self.log = log
         self.uniform = uniform
-        self.agent = config["discovery"]
+        self.watch_address = config["discovery"]
         self.index = 0  # the version that is held
-        self.told_at = loop.now  # ns, when a message was taken last
-        self.heard_at = loop.now  # ns, when a line came last, empty or not
+        self.last_update_at = loop.now  # ns, when a message was taken last
+        self.last_received_at = loop.now  # ns, when a line came last, empty or not
         self.position = WatchPosition()
         self.redial_backoff = REDIAL_BACKOFF_MIN  # ns
         self.addresses: dict[str, Address | None] = {}  # of every backend listed and not forgotten
-        self.named = False  # whether any list has named anyone
+        self.has_listed_backends = False  # whether any list has named anyone
         self.handle_message(config["known"])
         self.task = loop.spawn(self._run())
 
-    def new_config(self, config: WatchConfiguration) -> None:
+    def reconfigure(self, config: WatchConfiguration) -> None:
         """Watches at the new address, from the version that is held; the list stays meanwhile."""
-        if config["discovery"] != self.agent:
-            self.agent = config["discovery"]
+        if config["discovery"] != self.watch_address:
+            self.watch_address = config["discovery"]
             self.loop.end(self.task)
             self.task = self.loop.spawn(self._run())
 
@@ -135,17 +135,17 @@
         if index < self.position.version and not is_snapshot:
             # Another replica of discovery may lag: what is held is newer. A complete list stands for itself,
             # whatever its version. By the protocol changes come in order, so nothing is lost.
-            self.log.often("stale_endpoint_list", index=index, held_index=self.index)
+            self.log.rate_limited_event("stale_endpoint_list", index=index, held_index=self.index)
             return
         rows = required_field(fields, "endpoints", list)
         entries = self._readable(rows)
         has_unreadable = len(entries) < len(rows)
         self.index = index
-        self.told_at = self.loop.now
+        self.last_update_at = self.loop.now
         self.position.advance(self.loop.now, index, has_unreadable)
-        is_first = not self.named
-        self.named = self.named or bool(self.addresses)
-        if self.named:  # the first list that names anyone is the one to start from
+        is_first = not self.has_listed_backends
+        self.has_listed_backends = self.has_listed_backends or bool(self.addresses)
+        if self.has_listed_backends:  # the first list that names anyone is the one to start from
             self._report(_form(is_first, is_snapshot, has_unreadable), index, entries)
 
     def _readable(self, rows: list[Any]) -> list[Endpoint]:
@@ -155,25 +155,25 @@
             try:
                 entry = endpoint_from_wire(row, SOCKET_ENTRY)
             except InvalidInputError as error:
-                self.log.often("endpoint_skipped", reason=str(error))
+                self.log.rate_limited_event("endpoint_skipped", reason=str(error))
                 continue
             entries.append(entry)
-            self._address(entry.name, row.get("address"))
+            self._update_address(entry.name, row.get("address"))
         return entries
 
-    def _address(self, backend: str, told: str | None) -> None:
+    def _update_address(self, backend: str, told: str | None) -> None:
         known = self.addresses.setdefault(backend)
         try:
-            self.addresses[backend] = address(told) if told else known
+            self.addresses[backend] = parse_address(told) if told else known
         except InvalidInputError as error:  # the entry holds; only its health checks keep the former address
-            self.log.often("endpoint_skipped", backend=backend, reason=str(error))
+            self.log.rate_limited_event("endpoint_skipped", backend=backend, reason=str(error))
 
     def _report(self, form: ListForm, index: int, entries: list[Endpoint]) -> None:
         if entries or form != ListForm.CHANGES:
             self.coordinator.report(self.loop.now, EndpointListUpdate(form, entries))
         self.log.event("endpoint_list", kind=form, index=index, entries=len(entries))
 
-    def _run(self) -> Waits:
+    def _run(self) -> Coroutine:
         self.redial_backoff = REDIAL_BACKOFF_MIN
         while True:
             try:
@@ -183,21 +183,21 @@
                     "watch_ended",
                     reason=str(error) or type(error).__name__,
                     index=self.index,
-                    silence_ms=(self.loop.now - self.heard_at) // MILLISECOND,
+                    silence_ms=(self.loop.now - self.last_received_at) // MILLISECOND,
                 )
             yield None, 0, self.loop.now + int(self.redial_backoff * self.uniform(*REDIAL_JITTER))
             self.redial_backoff = min(REDIAL_BACKOFF_MAX, self.redial_backoff * REDIAL_BACKOFF_FACTOR)
 
-    def _watch(self) -> Waits:
+    def _watch(self) -> Coroutine:
         """One watch; it ends by an exception alone."""
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
-            yield from dial(sock, self.agent, self.loop.now + DIAL_TIMEOUT)
+            yield from dial(sock, self.watch_address, self.loop.now + DIAL_TIMEOUT)
             target = f"/discovery/hosts?watch=1&after={self.position.version}"
-            http = yield from http_get(sock, self.agent, target, self.loop.now + DIAL_TIMEOUT)
+            http = yield from http_get(sock, self.watch_address, target, self.loop.now + DIAL_TIMEOUT)
             self.position.is_at_start = True
             yield from self._read(sock, http)
 
-    def _read(self, sock: socket.socket, http: h11.Connection) -> Waits:
+    def _read(self, sock: socket.socket, http: h11.Connection) -> Coroutine:
         partial_line = b""
         line_deadline = self.loop.now + LINE_TIMEOUT
         while True:
@@ -213,10 +213,10 @@
                 self.redial_backoff = REDIAL_BACKOFF_MIN
                 *lines, partial_line = (partial_line + event.data).split(b"\n")
                 if lines:
-                    self.heard_at = self.loop.now
+                    self.last_received_at = self.loop.now
                     line_deadline = self.loop.now + LINE_TIMEOUT
                 for line in filter(bytes.strip, lines):
-                    self._line(line)
+                    self._handle_line(line)
                 self._check_position(partial_line)
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 raise WatchEndedError("the list's watch was ended")
@@ -228,7 +228,7 @@
         if self.position.is_poll_due(self.loop.now):
             raise WatchEndedError("what could not be read is asked for again")
 
-    def _line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         try:
             message = orjson.loads(line)
         except ValueError:
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -70,10 +70,10 @@
             raise InvalidInputError("a message is not an object with a type")
 
     def _join_proxy(self, connection: Connection, message: Message) -> None:
-        self.membership.join_proxy(connection, messages.proxy_joining(message, self.names))
+        self.membership.join_proxy(connection, messages.parse_proxy_join(message, self.names))
 
     def _join_collector(self, connection: Connection, message: Message) -> None:
-        self.membership.join_collector(connection, messages.collector_zone(message, self.names))
+        self.membership.join_collector(connection, messages.parse_collector_zone(message, self.names))
 
     def _report(self, connection: Connection, kind: str, message: Message) -> None:
         try:
@@ -92,7 +92,7 @@
         if connection.role is not Role.PROXY or connection.proxy is None:
             raise InvalidInputError("only a proxy's own stream brings its 'applied'")
         try:
-            applied = messages.mark_applied(message, self.names, connection.proxy)
+            applied = messages.parse_acknowledgement(message, self.names, connection.proxy)
         except InvalidInputError:
             # It has answered some mark, at least the oldest: otherwise its entries would stay in the
             # in-flight account until that mark counts as lost. The same goes for answers of another version.
@@ -102,18 +102,19 @@
             )
             raise
         self.coordinator.report(
-            self.loop.now, Acknowledged(proxy=connection.proxy, sequence=applied.mark, latency=applied.took)
+            self.loop.now,
+            Acknowledged(proxy=connection.proxy, sequence=applied.barrier, latency=applied.latency),
         )
 
     def _report_link(self, _: Connection, message: Message) -> None:
-        report = messages.link_report(message, self.names)
+        report = messages.parse_link_report(message, self.names)
         self.coordinator.report(
             self.loop.now,
             LoadReport(
                 zone=report.zone,
                 backend=report.backend,
-                attempts=report.tries,
-                failures=report.failed,
+                attempts=report.attempts,
+                failures=report.failures,
                 mean=report.mean,
                 window=report.window,
                 load=report.load,
@@ -121,7 +122,7 @@
         )
 
     def _report_usage(self, connection: Connection, message: Message) -> None:
-        report = messages.usage_report(message, self.names, connection.proxy)
+        report = messages.parse_usage_report(message, self.names, connection.proxy)
         self.coordinator.report(
             self.loop.now,
             UsageReport(
--- a/granitespool/net/fleet_notifier.py
+++ b/granitespool/net/fleet_notifier.py
@@ -8,7 +8,7 @@
 from granitespool.coordinator import Coordinator
 from granitespool.coordinator_status import CoordinatorStatus
 from granitespool.management.mapping import decimal_text
-from granitespool.net.loop import SECOND, Loop, Waits
+from granitespool.net.loop import SECOND, Coroutine, Loop
 
 PERIOD = SECOND  # ns: the planner's period
 BACKENDS_PER_STEP = 200
@@ -40,7 +40,7 @@
         self.ejected: dict[Link, bool] = {}
         loop.spawn(self._run())
 
-    def _run(self) -> Waits:
+    def _run(self) -> Coroutine:
         while True:
             yield None, 0, self.loop.now + PERIOD
             if not self.has_subscribers():
@@ -66,7 +66,7 @@
                 self.notify("levels-changed", zone=zone, share=decimal_text(share), **{"class": name})
         self.admitted_shares = shares
 
-    def _compare_ejections(self) -> Waits:
+    def _compare_ejections(self) -> Coroutine:
         seen: dict[Link, bool] = {}
         for number, name in enumerate(list(self.coordinator.listed()), 1):
             backend = self.coordinator.backend_status(name)
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -10,7 +10,7 @@
 import orjson
 
 from granitespool.errors import InvalidInputError
-from granitespool.net.buffers import Pool
+from granitespool.net.buffers import BufferPool
 from granitespool.outgoing import LevelUpdate, ProxyUpdate, TableUpdate
 
 MESSAGE_MAX = 1 << 20  # bytes of a message at most: the protocol's
@@ -32,7 +32,7 @@
 PONG = frame({"type": "pong"})
 
 
-def parsed(body: bytes) -> Any:
+def parse_body(body: bytes) -> Any:
     """The JSON value of a frame's body; raises InvalidInputError."""
     try:
         return orjson.loads(body)
@@ -48,7 +48,7 @@
 class Reader:
     """The bytes that one peer has sent and that are not read yet; owns the buffers it took from the pool."""
 
-    def __init__(self, pool: Pool, message_max: int) -> None:
+    def __init__(self, pool: BufferPool, message_max: int) -> None:
         """`message_max` is the bytes of a message at most, for now."""
         self.pool = pool
         self.message_max = message_max
@@ -59,7 +59,7 @@
     def free_space(self) -> memoryview | None:
         """Where to receive into, or None when the pool has no buffer left."""
         if not self.buffers or self.buffers[-1][1] == self.pool.size:
-            buffer = self.pool.take()
+            buffer = self.pool.acquire()
             if buffer is None:
                 return None
             self.buffers.append((buffer, 0))
@@ -83,12 +83,12 @@
             self._skip(LENGTH_SIZE)
             body = self._bytes(size)
             self._skip(size)
-            yield _typed(parsed(body))
+            yield _typed(parse_body(body))
 
     def close(self) -> None:
         """Gives back all buffers."""
         while self.buffers:
-            self.pool.give(self.buffers.pop()[0])
+            self.pool.release(self.buffers.pop()[0])
         self.offset = 0
         self.available = 0
 
@@ -110,7 +110,7 @@
         while self.buffers and self.offset >= self.buffers[0][1]:
             buffer, filled = self.buffers.pop(0)
             self.offset -= filled
-            self.pool.give(buffer)
+            self.pool.release(buffer)
 
 
 def _typed(value: object) -> Message:
@@ -119,7 +119,7 @@
     return message if isinstance(message.get("type"), str) else {**message, "type": UNTYPED}
 
 
-def updates(update: ProxyUpdate) -> bytes:
+def encode_update(update: ProxyUpdate) -> bytes:
     """The frames of one message to a proxy."""
     parts: list[Message] = [*_table_parts(update.tables), *_level_parts(update.levels)]
     if not parts:
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -11,7 +11,7 @@
 from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
 from granitespool.net.log_events import log_message_dropped
-from granitespool.net.loop import IN, Loop, Waits
+from granitespool.net.loop import IN, Coroutine, Loop
 from granitespool.planner.events import GossipReceived
 
 DATAGRAM_MAX = 256  # bytes of a datagram at most: the protocol's
@@ -27,13 +27,13 @@
         self.loop = loop
         self.coordinator = coordinator
         self.log = log
-        self.new_config(config)
+        self.reconfigure(config)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         assert config["peer_listen"] is not None, "gossip is on where there is an address for it"
         bind(self.sock, config["peer_listen"], log)
         self.task = loop.spawn(self._run())
 
-    def new_config(self, config: Configuration) -> None:
+    def reconfigure(self, config: Configuration) -> None:
         """Takes the peers' addresses; the socket stays."""
         self.peers = config["peers"]
         self.all_peers = config["peers_all"]
@@ -55,7 +55,7 @@
             return self.all_peers
         return self.peers[peer] if peer < len(self.peers) else None
 
-    def _run(self) -> Waits:
+    def _run(self) -> Coroutine:
         with self.sock:
             while True:
                 yield self.sock.fileno(), IN, None
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -13,7 +13,7 @@
 from granitespool.net.client import dial, http_get, receive
 from granitespool.net.config import Address, Configuration
 from granitespool.net.log import Log
-from granitespool.net.loop import SECOND, Loop, Wait, Waits
+from granitespool.net.loop import SECOND, Coroutine, Loop, Wait
 from granitespool.outgoing import Queue
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult
 from granitespool.units import MILLISECOND
@@ -43,12 +43,12 @@
         self.log = log
         self.addresses = addresses
         self.in_flight = 0
-        self.new_config(config)
+        self.reconfigure(config)
 
-    def new_config(self, config: Configuration) -> None:
+    def reconfigure(self, config: Configuration) -> None:
         """Takes the limit and the time for a connection; those in flight keep the time they began with."""
         self.dial_timeout = config["settings"].connect_timeout or DIAL_TIMEOUT
-        self.limit = config["probes"]
+        self.limit = config["health_checks"]
 
     def start(self) -> None:
         """Starts those that the coordinator asks for, as many as the limit permits."""
@@ -58,7 +58,7 @@
                 return
             self.loop.spawn(self._check(request.backend))
 
-    def _check(self, backend: str) -> Waits:
+    def _check(self, backend: str) -> Coroutine:
         started_at = self.loop.now
         self.in_flight += 1
         try:
--- a/granitespool/net/log.py
+++ b/granitespool/net/log.py
@@ -61,7 +61,7 @@
             self.unread.append(line)
             self.unread_size += len(line)
 
-    def often(self, name: str, /, **fields: object) -> None:
+    def rate_limited_event(self, name: str, /, **fields: object) -> None:
         """An event that peers can cause at will: some lines of it a second, then only their number."""
         second = self.clock() // SECOND
         if second != self.second:
--- a/granitespool/net/log_events.py
+++ b/granitespool/net/log_events.py
@@ -8,9 +8,9 @@
 
 def log_rejected(log: Log, *, peer: str, reason: str) -> None:
     """A connection was closed before its peer had joined; `peer` is its host or "host:port"."""
-    log.often("rejected", peer=peer, reason=reason)
+    log.rate_limited_event("rejected", peer=peer, reason=reason)
 
 
 def log_message_dropped(log: Log, *, peer: str, reason: str, proxy: int | None = None) -> None:
     """One message or datagram of "host:port" was wrong; `proxy` where it came on a proxy's stream."""
-    log.often("message_dropped", peer=peer, proxy=proxy, reason=reason)
+    log.rate_limited_event("message_dropped", peer=peer, proxy=proxy, reason=reason)
--- a/granitespool/net/loop.py
+++ b/granitespool/net/loop.py
@@ -19,7 +19,7 @@
 
 from granitespool.units import SECOND
 
-__all__ = ["IN", "OUT", "SECOND", "Loop", "Task", "Wait", "Waits"]
+__all__ = ["IN", "OUT", "SECOND", "Coroutine", "Loop", "Task", "Wait"]
 
 IN = select.EPOLLIN
 OUT = select.EPOLLOUT
@@ -27,7 +27,7 @@
 IDLE_WAIT_MAX = 60 * SECOND  # ns that the loop waits at most: a bound for the system call alone
 
 Wait = tuple[int | None, int, int | None]  # descriptor, events, deadline in ns
-Waits = Generator[Wait, int, None]  # a coroutine
+Coroutine = Generator[Wait, int, None]  # a coroutine
 EndOfTurn = Callable[[int], int | None]  # the turn's time in ns -> when the next turn is due at the latest
 
 
@@ -35,7 +35,7 @@
 class Task:
     """A coroutine in the loop, and what it waits for."""
 
-    coroutine: Waits
+    coroutine: Coroutine
     fd: int | None = None
     events: int = 0
     deadline: int | None = None  # ns
@@ -65,7 +65,7 @@
         self.wake_fd: int | None = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self.epoll.register(self.wake_fd, IN)
 
-    def spawn(self, coroutine: Waits) -> Task:
+    def spawn(self, coroutine: Coroutine) -> Task:
         """Runs a coroutine to its first wait, so that its `finally` holds from then on."""
         task = Task(coroutine)
         self.tasks.add(task)
--- a/granitespool/net/management_connection.py
+++ b/granitespool/net/management_connection.py
@@ -35,7 +35,7 @@
         self.task: Task | None = None
         self.ending: str | None = None  # why it is about to end
         self.accepted_at = listener.loop.now  # ns
-        self.heard_at = listener.loop.now  # ns
+        self.last_received_at = listener.loop.now  # ns
 
     @property
     def unsent(self) -> int:
@@ -79,7 +79,7 @@
             data = self.sock.recv(READ_SIZE)
         except BlockingIOError:
             return None
-        self.heard_at = self.now()
+        self.last_received_at = self.now()
         plain = self.tls.feed(data)
         self.unsent_bytes += self.tls.outgoing()
         return plain, not data or self.tls.has_ended
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -20,7 +20,7 @@
 from granitespool.net.connection import CLOSED_BY_COORDINATOR, CLOSED_BY_PEER
 from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
-from granitespool.net.loop import IN, OUT, SECOND, Loop, Waits
+from granitespool.net.loop import IN, OUT, SECOND, Coroutine, Loop
 from granitespool.net.management_connection import (
     UNSENT_READ_LIMIT,
     ManagementConnection,
@@ -98,7 +98,7 @@
         listening.listen(BACKLOG)
         return listening
 
-    def _accept(self) -> Waits:
+    def _accept(self) -> Coroutine:
         with self.socket:
             while True:
                 yield self.socket.fileno(), IN, None
@@ -132,7 +132,7 @@
             self.loop.end(in_handshake[0].task)
         return len(self.connections) < self.sessions_max + limit
 
-    def _serve(self, connection: ManagementConnection) -> Waits:
+    def _serve(self, connection: ManagementConnection) -> Coroutine:
         reason = CLOSED_BY_PEER
         try:
             yield from self._exchange(connection)
@@ -149,7 +149,7 @@
         finally:
             self._close(connection, reason)
 
-    def _exchange(self, connection: ManagementConnection) -> Waits:
+    def _exchange(self, connection: ManagementConnection) -> Coroutine:
         """Reads, works and writes until one side ends; raises TlsError or OSError."""
         while connection.ending is None:
             mask = (OUT if connection.unsent else 0) | (IN if connection.is_readable else 0)
@@ -168,7 +168,7 @@
             return connection.accepted_at + HANDSHAKE_TIMEOUT
         if connection.is_busy:
             return now + 1  # a step in each turn; with a deadline of now it would be resumed in this one
-        idle_at = None if protocol.keeps else connection.heard_at + self.idle_timeout
+        idle_at = None if protocol.keeps else connection.last_received_at + self.idle_timeout
         deadlines = [deadline for deadline in (idle_at, protocol.due()) if deadline is not None]
         return max(min(deadlines), now + 1) if deadlines else None
 
@@ -178,7 +178,7 @@
             if now >= connection.accepted_at + HANDSHAKE_TIMEOUT:
                 connection.end("no handshake in time")
             return
-        if now >= connection.heard_at + self.idle_timeout and not connection.protocol.keeps:
+        if now >= connection.last_received_at + self.idle_timeout and not connection.protocol.keeps:
             connection.end("idle")
         connection.protocol.tick(now)
 
@@ -188,7 +188,7 @@
         if received is None:
             return True
         plain, has_ended = received
-        if connection.protocol is None and connection.tls.is_up:
+        if connection.protocol is None and connection.tls.is_established:
             self._begin_session(connection)
         if plain and connection.ending is None and connection.protocol is not None:
             connection.protocol.received(plain)
@@ -246,4 +246,6 @@
                 reason=reason,
             )
         elif reason not in (CLOSED_BY_PEER, CLOSED_BY_COORDINATOR):
-            self.log.often("manager_rejected", listener=self.name, peer=connection.peer, reason=reason)
+            self.log.rate_limited_event(
+                "manager_rejected", listener=self.name, peer=connection.peer, reason=reason
+            )
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -115,7 +115,7 @@
                 rejected=stores.rejected,
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_changed_at,
-                list_named=service.discovery.named,
+                list_named=service.discovery.has_listed_backends,
                 folder=_folder_figures(service),
             ),
         )
@@ -141,13 +141,13 @@
         """When `end_of_turn` is to be called at the latest, ns; None for never."""
         return self.settings.due()
 
-    def reread(self, config: Configuration) -> list[str]:
+    def reload(self, config: Configuration) -> list[str]:
         """Takes the files that were read anew; returns the names of what waits for a restart.
 
         Raises InvalidInputError or ManagementError, and nothing changes."""
         operator = _operator_of(config)
         contexts = {listener.name: _context(operator, listener.name) for listener in self.listeners}
-        restart_required = self.settings.reread(config)
+        restart_required = self.settings.reload(config)
         self.users = _users(operator)
         for listener in self.listeners:
             listener.context = contexts[listener.name]
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -9,7 +9,7 @@
 from granitespool.net.connection import Connection, Role
 from granitespool.net.log import Log
 from granitespool.net.loop import Loop
-from granitespool.net.messages import ProxyJoining
+from granitespool.net.messages import ProxyJoin
 from granitespool.planner.events import ProxyJoined, ProxyLeft
 
 
@@ -25,7 +25,7 @@
         self.admission.admit(connection, Role.COLLECTOR)
         self.log.event("collector_joined", peer=connection.peer, zone=zone)
 
-    def join_proxy(self, connection: Connection, joining: ProxyJoining) -> None:
+    def join_proxy(self, connection: Connection, joining: ProxyJoin) -> None:
         """Makes a pending connection a proxy's current stream and ends the one before it.
 
         Raises InvalidInputError where no place is free, or where the proxy has joined on a later one."""
@@ -36,15 +36,15 @@
             raise InvalidInputError(f"the proxy {joining.proxy} has joined on a later connection")
         self.admission.admit(connection, Role.PROXY, replaces=former is not None)
         connection.proxy = joining.proxy
-        connection.joining = joining
+        connection.join = joining
         self.proxies[joining.proxy] = connection
         self.log.event(
-            "joined", peer=connection.peer, proxy=joining.proxy, zone=joining.zone, cold=joining.standing
+            "joined", peer=connection.peer, proxy=joining.proxy, zone=joining.zone, cold=joining.bootstrap
         )
         self.coordinator.report(
             self.loop.now,
             ProxyJoined(
-                proxy=joining.proxy, zone=joining.zone, bootstrap=joining.standing, rate=joining.rate
+                proxy=joining.proxy, zone=joining.zone, bootstrap=joining.bootstrap, rate=joining.rate
             ),
         )
         if former:  # it has moved on: the old stream carries nothing more
@@ -56,9 +56,9 @@
             del self.proxies[connection.proxy]
             # What we end ourselves has not left by the protocol: what waits for it stays in the account
             self.coordinator.report(
-                self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=connection.ended_by_us)
+                self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=connection.ended_by_coordinator)
             )
-            connection.leaving_reported = True
+            connection.leave_reported = True
 
     def mark_unreachable(self, connection: Connection) -> None:
         """Reports a silent proxy as left until it speaks.
@@ -73,7 +73,7 @@
 
     def mark_reachable(self, connection: Connection) -> None:
         """An unreachable proxy has spoken: it counts as joined anew, with the tables that it was written."""
-        joining = connection.joining
+        joining = connection.join
         assert joining is not None, "only a proxy's stream is ever unreachable"
         connection.is_unreachable = False
         self.log.event("reachable", peer=connection.peer, proxy=connection.proxy)
--- a/granitespool/net/messages.py
+++ b/granitespool/net/messages.py
@@ -24,7 +24,7 @@
 LINK_REPORT = "heard"
 USAGE_REPORT = "usage"
 
-MARK_MAX = 65535  # the highest mark: the protocol's
+BARRIER_MAX = 65535  # the highest mark: the protocol's
 
 
 @dataclass(slots=True)
@@ -37,20 +37,20 @@
     proxies_expected: int = 0  # proxies are numbered from 0 up to this less 1
 
 
-class ProxyJoining(msgspec.Struct, frozen=True, kw_only=True):
+class ProxyJoin(msgspec.Struct, frozen=True, kw_only=True):
     """The first message of a proxy's stream."""
 
     proxy: int
     zone: str
-    standing: bool  # "cold" on the wire: the proxy holds no table that was ordered
+    bootstrap: bool  # "cold" on the wire: the proxy holds no table that was ordered
     rate: float  # requests a second, roughly; 0 where it was not told
 
 
-class MarkApplied(msgspec.Struct, frozen=True, kw_only=True):
+class Acknowledgement(msgspec.Struct, frozen=True, kw_only=True):
     """A proxy has applied everything up to a mark."""
 
-    mark: int
-    took: int  # ns
+    barrier: int
+    latency: int  # ns
 
 
 class LinkReport(msgspec.Struct, frozen=True, kw_only=True):
@@ -58,8 +58,8 @@
 
     zone: str
     backend: str
-    tries: int | float
-    failed: int | float
+    attempts: int | float
+    failures: int | float
     mean: int  # ns that a try took, of those that did not fail
     window: int  # ns that the report covers
     load: dict[str, int | float]  # the latest load report in our words; empty where there was none
@@ -75,46 +75,46 @@
     window: int  # ns that the report covers
 
 
-def proxy_joining(message: Message, names: KnownNames) -> ProxyJoining:
+def parse_proxy_join(message: Message, names: KnownNames) -> ProxyJoin:
     """A joining with known names, or `InvalidInputError`."""
     proxy = _proxy_number(message, names)
     zone = _known_name(message, "locality", names.zones)
     rate = required_number(message, "w") if message.get("w") is not None else 0
-    return ProxyJoining(proxy=proxy, zone=zone, standing=required_field(message, "cold", bool), rate=rate)
+    return ProxyJoin(proxy=proxy, zone=zone, bootstrap=required_field(message, "cold", bool), rate=rate)
 
 
-def collector_zone(message: Message, names: KnownNames) -> str:
+def parse_collector_zone(message: Message, names: KnownNames) -> str:
     """The zone whose reports a collector forwards, or `InvalidInputError`."""
     return _known_name(message, "locality", names.zones)
 
 
-def mark_applied(message: Message, names: KnownNames, sender: int) -> MarkApplied:
+def parse_acknowledgement(message: Message, names: KnownNames, sender: int) -> Acknowledgement:
     """An answer to a mark on the stream of the proxy `sender`, or `InvalidInputError`."""
-    mark = required_number(message, "nonce", int, MARK_MAX)
-    took = _time(message, "latency")
+    barrier = required_number(message, "nonce", int, BARRIER_MAX)
+    latency = _time(message, "latency")
     _own_proxy(message, names, sender)
-    return MarkApplied(mark=mark, took=took)
+    return Acknowledgement(barrier=barrier, latency=latency)
 
 
-def link_report(message: Message, names: KnownNames) -> LinkReport:
+def parse_link_report(message: Message, names: KnownNames) -> LinkReport:
     """A zone's report of a backend, or `InvalidInputError`."""
-    tries = _count(message, "total")
-    failed = _count(message, "errors")
+    attempts = _count(message, "total")
+    failures = _count(message, "errors")
     load = required_field(message, "metrics", dict) if message.get("metrics") is not None else None
-    if failed > tries:
-        raise InvalidInputError(f"a 'heard' tells {failed!r:.20} errors of {tries!r:.20} tries")
+    if failures > attempts:
+        raise InvalidInputError(f"a 'heard' tells {failures!r:.20} errors of {attempts!r:.20} tries")
     return LinkReport(
         zone=_known_name(message, "locality", names.zones),
         backend=_known_name(message, "endpoint", names.backends),
-        tries=tries,
-        failed=failed,
+        attempts=attempts,
+        failures=failures,
         mean=_time(message, "rtt"),
         window=_time(message, "interval"),
         load=load_metrics(load),
     )
 
 
-def usage_report(message: Message, names: KnownNames, sender: int | None) -> UsageReport:
+def parse_usage_report(message: Message, names: KnownNames, sender: int | None) -> UsageReport:
     """A proxy's usage, or `InvalidInputError`; `sender` is its stream's proxy, None for a collector."""
     return UsageReport(
         proxy=_own_proxy(message, names, sender),
--- a/granitespool/net/metrics.py
+++ b/granitespool/net/metrics.py
@@ -6,7 +6,7 @@
 from granitespool.coordinator import Coordinator
 from granitespool.net.discovery import Discovery
 from granitespool.net.log import Log
-from granitespool.net.loop import Loop, Waits
+from granitespool.net.loop import Coroutine, Loop
 from granitespool.operator_settings import Figures
 from granitespool.planner.status import Outlier
 from granitespool.units import MICROSECOND, MILLISECOND
@@ -33,7 +33,7 @@
         """Notes how long a turn took that began at `began_at` (ns) and ends now; called last in it."""
         self.longest_turn = max(self.longest_turn, self.loop.clock() - began_at)
 
-    def _run(self) -> Waits:
+    def _run(self) -> Coroutine:
         while True:
             yield None, 0, self.loop.now + self.options.every_ms * MILLISECOND
             self._write_line()
@@ -61,7 +61,7 @@
             ejected_links=metrics.ejected_links,
             last_resort_links=metrics.last_resort_links,
             list_index=self.discovery.index,
-            list_age_ms=(self.loop.now - self.discovery.told_at) // MILLISECOND,
+            list_age_ms=(self.loop.now - self.discovery.last_update_at) // MILLISECOND,
             longest_turn_us=self.longest_turn // MICROSECOND,
             outliers={name: _outlier_fields(outlier) for name, outlier in outliers.backends.items()},
             outliers_omitted=outliers.omitted,
--- a/granitespool/net/reconfiguration.py
+++ b/granitespool/net/reconfiguration.py
@@ -35,13 +35,13 @@
     def __init__(self, service: "Service", config: Configuration) -> None:
         self.service = service
         self.config = config
-        self.started_with = config
+        self.initial_config = config
         self.restart_required: list[str] = []  # of the last one that was taken
 
-    def waiting_for_restart(self, config: Configuration) -> list[str]:
+    def restart_required_by(self, config: Configuration) -> list[str]:
         """Names of what differs in this configuration and would wait for a restart."""
         service = self.service
-        names = _fixed_differences(self.started_with, config)
+        names = _fixed_differences(self.initial_config, config)
         if (service.gossip is not None) != may_gossip(config):
             names.append("peers")
         operator = config.get("operator")
@@ -52,21 +52,21 @@
         names += service.coordinator.fixed_settings_changed(config["settings"])
         return names
 
-    def take(self, config: Configuration) -> list[str]:
+    def apply(self, config: Configuration) -> list[str]:
         """Has each part take what is its own; returns the names of what waits for a restart.
 
         Where one part fails, all have the former configuration again, and its exception is raised."""
-        names = self.waiting_for_restart(config)
+        names = self.restart_required_by(config)
         try:
-            self._give(config)
+            self._apply_to_parts(config)
         except Exception:
-            self._give(self.config)
+            self._apply_to_parts(self.config)
             raise
         self.config = config
         self.restart_required = names
         return names
 
-    def _give(self, config: Configuration) -> None:
+    def _apply_to_parts(self, config: Configuration) -> None:
         service = self.service
         operator = config.get("operator")
         if service.snapshotter and operator and operator.state:
@@ -74,11 +74,11 @@
         if service.metrics and operator and operator.figures:
             service.metrics.options = operator.figures
         service.coordinator.new_settings(service.loop.now, config["settings"])
-        service.discovery.new_config(config)
-        service.health_checks.new_config(config)
-        service.streams.new_config(config)
+        service.discovery.reconfigure(config)
+        service.health_checks.reconfigure(config)
+        service.streams.reconfigure(config)
         if service.gossip:
-            service.gossip.new_config(config)
+            service.gossip.reconfigure(config)
         service.pool.limit = config["buffers"]
 
 
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -12,8 +12,8 @@
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
 from granitespool.management.errors import ManagementError
-from granitespool.net.buffers import Pool
-from granitespool.net.config import Configuration, address_text
+from granitespool.net.buffers import BufferPool
+from granitespool.net.config import Configuration, format_address
 from granitespool.net.connection import LINGER_TIMEOUT
 from granitespool.net.discovery import Discovery
 from granitespool.net.gossip import Gossip
@@ -45,7 +45,7 @@
     """One coordinator on sockets.
 
     `run` serves until `stop` is called, which a signal handler may do. So may it call `reload`: then what
-    `reread` returns replaces the configuration in force, unless it raises InvalidInputError.
+    `read_configuration` returns replaces the configuration in force, unless it raises InvalidInputError.
     """
 
     def __init__(
@@ -53,16 +53,16 @@
         config: Configuration,
         log_fd: int,
         clock: Clock | None = None,
-        reread: Callable[[], Configuration] | None = None,
-        mono: Clock = time.monotonic_ns,
+        read_configuration: Callable[[], Configuration] | None = None,
+        monotonic_clock: Clock = time.monotonic_ns,
     ) -> None:
-        """`clock` is the loop's; `mono` is a clock that no setting of the time moves, for the state folder.
+        """`clock` is the loop's; `monotonic_clock` is not moved by a setting of the time (state folder).
 
         Raises InvalidInputError or OSError where the service cannot start."""
-        self.reread = reread
-        self.mono = mono
-        self.is_reload_wanted = False
-        self.stops = 0  # how often `stop` was called
+        self.read_configuration = read_configuration
+        self.monotonic_clock = monotonic_clock
+        self.is_reload_requested = False
+        self.stop_count = 0  # how often `stop` was called
         self.snapshotter: Snapshotter | None = None  # of the state folder, where it is on
         self.management: ManagementService | None = None  # where a management listener is on
         self.metrics: Metrics | None = None  # where its section is on
@@ -94,19 +94,19 @@
 
     def reload(self) -> None:
         """Reads the configuration anew in the next turn; may be called from a signal handler."""
-        self.is_reload_wanted = self.reread is not None
+        self.is_reload_requested = self.read_configuration is not None
         self.loop.wake()
 
     def stop(self) -> None:
         """Ends `run`; may be called from a signal handler."""
-        self.stops += 1
+        self.stop_count += 1
         self.loop.stop()
 
     def close(self) -> None:
         """Gives back what all parts own."""
         for part in (self.management, self.snapshotter):
             if part:
-                self._contained(part.close)
+                self._run_guarded(part.close)
         self.log.event("stopped")
         self.loop.close()
         self.log.close()
@@ -135,7 +135,7 @@
             from granitespool.net.metrics import Metrics  # noqa: PLC0415 only where it is on
 
             self.metrics = Metrics(self.loop, self.coordinator, self.log, operator.figures, self.discovery)
-        self.log.event("serving", listen=address_text(config["listen"]))
+        self.log.event("serving", listen=format_address(config["listen"]))
 
     def _make_network(self, config: Configuration) -> None:
         loop, log = self.loop, self.log
@@ -146,13 +146,15 @@
         self.health_checks = HealthChecks(loop, self.coordinator, log, config, addresses)
         if may_gossip(config):
             self.gossip = Gossip(loop, self.coordinator, log, config)
-        self.pool = Pool(config["buffers"])
+        self.pool = BufferPool(config["buffers"])
         self.streams = Streams(loop, self.coordinator, log, self.pool, config, addresses)
 
     def _make_snapshotter(self, config: Configuration, options: "State") -> "Snapshotter":
         from granitespool.state.snapshotter import Snapshotter  # noqa: PLC0415 only where it is on
 
-        return Snapshotter(self.loop, self.log, options, config["name"], config["settings"], self.mono)
+        return Snapshotter(
+            self.loop, self.log, options, config["name"], config["settings"], self.monotonic_clock
+        )
 
     def _with_managed_settings(self, config: Configuration) -> Configuration:
         """The configuration with what managers changed before the restart.
@@ -176,15 +178,15 @@
     # Turns
 
     def _end_of_turn(self, now: int) -> int | None:
-        if self.is_reload_wanted:
-            self._contained(self._reload)
+        if self.is_reload_requested:
+            self._run_guarded(self._reload)
         if self.management:
-            self._contained(self.management.end_of_turn, now)
+            self._run_guarded(self.management.end_of_turn, now)
         due: int | None = self.coordinator.tick(now)
         if self.management and (other := self.management.due()) is not None:
             due = other if due is None else min(due, other)
         for recipient in self.coordinator.recipients():
-            self._contained(self._write, recipient)
+            self._run_guarded(self._write, recipient)
         if self.metrics:
             self.metrics.turn_ended(now)
         self.log.flush()
@@ -192,19 +194,19 @@
 
     def _reload(self) -> None:
         """Reads and checks the whole file before any part hears of it; then each takes what is its own."""
-        self.is_reload_wanted = False  # first: a call from here on asks for another reading
-        assert self.reread is not None
+        self.is_reload_requested = False  # first: a call from here on asks for another reading
+        assert self.read_configuration is not None
         try:
-            config = without_management_sockets(self.reread())
+            config = without_management_sockets(self.read_configuration())
             if self.management:
-                restart_required = self.management.reread(config)
+                restart_required = self.management.reload(config)
             else:
-                restart_required = self.reconfiguration.take(config)
+                restart_required = self.reconfiguration.apply(config)
         except (InvalidInputError, ManagementError) as error:
             self.log.event("reload_rejected", reason=str(error))
             return
         self.log.event(
-            "reloaded", discovery=address_text(config["discovery"]), restart_required=restart_required
+            "reloaded", discovery=format_address(config["discovery"]), restart_required=restart_required
         )
 
     def _write(self, recipient: Recipient) -> None:
@@ -234,13 +236,13 @@
         decision is taken any more."""
         until = self.loop.clock() + LINGER_TIMEOUT
         self.streams.finish()
-        while self.streams.connections and self.stops < 2 and (left := until - self.loop.clock()) > 0:
+        while self.streams.connections and self.stop_count < 2 and (left := until - self.loop.clock()) > 0:
             self.loop.turn(self._end_of_last_turn, left)
 
     def _end_of_last_turn(self, _now: int) -> None:
         self.log.flush()
 
-    def _contained(self, step: Callable[..., None], *arguments: object) -> None:
+    def _run_guarded(self, step: Callable[..., None], *arguments: object) -> None:
         """Runs a step; its failure is logged and must not end what is served to others."""
         try:
             step(*arguments)
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -14,7 +14,7 @@
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.model import Model
 from granitespool.management.settings_trees import RUNNING, STARTUP
-from granitespool.net.config import Configuration, quotas, with_quotas
+from granitespool.net.config import Configuration, compute_quotas, with_quotas
 from granitespool.net.fleet_notifier import Notify
 from granitespool.net.loop import SECOND
 from granitespool.net.reconfiguration import without_management_sockets
@@ -61,7 +61,7 @@
         """Raises ManagementError where the service could not run on a tree, or it would do harm."""
         config = self._config(tree)
         coordinator = self.service.coordinator
-        waiting = [] if self.reloaded else self.service.reconfiguration.waiting_for_restart(config)
+        waiting = [] if self.reloaded else self.service.reconfiguration.restart_required_by(config)
         impact_check.check(
             config,
             self.service.config,
@@ -74,7 +74,7 @@
         """Has the service run on a tree within the call, or raises ManagementError and changes nothing."""
         config = self._config(tree)
         try:
-            restart_required = self.service.reconfiguration.take(config)
+            restart_required = self.service.reconfiguration.apply(config)
         except Exception as error:
             self.service.loop.report_failure(error)
             raise ManagementError(ErrorTag.OPERATION_FAILED, NOT_APPLIED) from None
@@ -146,7 +146,7 @@
         deadlines = [self.datastores.due(), *(save.deadline for save in self.pending)]
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
-    def reread(self, config: Configuration) -> list[str]:
+    def reload(self, config: Configuration) -> list[str]:
         """Takes the files that were read anew; returns the names of what waits for a restart.
 
         Raises ManagementError, and nothing changes. Where the files hold what they held before, what managers
@@ -155,7 +155,7 @@
         tree = mapping.tree_of(config)
         if tree == self.file_tree:
             running = mapping.config_of(self.datastores.tree(RUNNING), config)
-            return reconfiguration.take(cast(Configuration, running))
+            return reconfiguration.apply(cast(Configuration, running))
         self.model.check(tree)
         self.reloaded = config
         try:
@@ -173,5 +173,5 @@
             return self.reloaded
         config = cast(Configuration, mapping.config_of(tree, self.service.config))
         if config.get("limits") != self.service.config.get("limits"):
-            config = without_management_sockets(with_quotas(config, quotas(config["limits"])))
+            config = without_management_sockets(with_quotas(config, compute_quotas(config["limits"])))
         return config
--- a/granitespool/net/shared_state.py
+++ b/granitespool/net/shared_state.py
@@ -23,7 +23,7 @@
         """`make_reader` begins a new reading."""
         self.make_reader = make_reader
         self.tree: Tree | None = None
-        self.begun_at: int | None = None  # ns
+        self.started_at: int | None = None  # ns
         self.reader: StateReader | None = None
         self.steps: Iterator[None] | None = None
         self.flat: dict[tuple[str, int], Any] = {}
@@ -32,10 +32,10 @@
     def look(self, now: int) -> Tree | None:
         """A tree whose reading began `VALID_FOR` ago at most, or None after a step towards it; ns."""
         if self.steps is None or self.reader is None:
-            if self.begun_at is not None and now - self.begun_at < VALID_FOR:
+            if self.started_at is not None and now - self.started_at < VALID_FOR:
                 return self.tree
             self.reader = self.make_reader()
-            self.begun_at = now
+            self.started_at = now
             self.steps = self.reader.steps()
         if not self._has_ended(self.steps):
             return None
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -12,7 +12,7 @@
 from granitespool.errors import InvalidInputError
 from granitespool.net.acceptor import Acceptor
 from granitespool.net.admission import Admission
-from granitespool.net.buffers import Pool
+from granitespool.net.buffers import BufferPool
 from granitespool.net.config import Configuration
 from granitespool.net.connection import (
     CLOSED_BY_COORDINATOR,
@@ -24,10 +24,10 @@
     Role,
 )
 from granitespool.net.dispatch import Dispatcher
-from granitespool.net.frames import Reader, frame, updates
+from granitespool.net.frames import Reader, encode_update, frame
 from granitespool.net.log import Log
 from granitespool.net.log_events import log_rejected
-from granitespool.net.loop import IN, OUT, SECOND, Loop, Waits
+from granitespool.net.loop import IN, OUT, SECOND, Coroutine, Loop
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames
 
@@ -46,7 +46,7 @@
         loop: Loop,
         coordinator: Coordinator,
         log: Log,
-        pool: Pool,
+        pool: BufferPool,
         config: Configuration,
         backends: Mapping[str, object],
     ) -> None:
@@ -60,7 +60,7 @@
         self.dispatcher = Dispatcher(loop, coordinator, log, self.membership, self.names)
         self.accepted_count = 0  # connections so far
         self.finishing = False  # all connections are to end
-        self.new_config(config)
+        self.reconfigure(config)
         self.acceptor = Acceptor(loop, log, self.admission, config["listen"], self._open)
 
     @property
@@ -83,7 +83,7 @@
         """Each joined proxy's current stream."""
         return self.membership.proxies
 
-    def new_config(self, config: Configuration) -> None:
+    def reconfigure(self, config: Configuration) -> None:
         """Who has joined stays, whatever the new figures are; they hold for who comes from now on."""
         settings = config["settings"]
         self.names.zones = set(settings.zones or ())
@@ -102,7 +102,7 @@
         update = self.coordinator.pick(proxy)
         if update is None:
             return
-        data = updates(update)
+        data = encode_update(update)
         try:
             connection.write(data)
         except OSError:
@@ -128,7 +128,7 @@
         self.admission.add(connection)
         connection.task = self.loop.spawn(self._serve(connection))
 
-    def _serve(self, connection: Connection) -> Waits:
+    def _serve(self, connection: Connection) -> Coroutine:
         try:
             yield from self._exchange(connection)
         except GeneratorExit:
@@ -142,12 +142,12 @@
         except OSError as error:
             connection.end_reason = error.strerror or str(error)
         except Exception:
-            connection.ended_by_us = True
+            connection.ended_by_coordinator = True
             raise
         finally:
             self._close(connection)
 
-    def _exchange(self, connection: Connection) -> Waits:
+    def _exchange(self, connection: Connection) -> Coroutine:
         """Reads and writes until one side ends.
 
         Raises InvalidInputError for what must end the connection, and OSError where it is broken."""
@@ -201,7 +201,7 @@
         ):
             view = connection.reader.free_space()
         if view is None:
-            connection.ended_by_us = True
+            connection.ended_by_coordinator = True
             raise InvalidInputError("no buffer is free for its message")
         return view
 
@@ -218,7 +218,7 @@
             raise InvalidInputError("it has not joined in time")
         self.membership.mark_unreachable(connection)
 
-    def _reject(self, connection: Connection) -> Waits:
+    def _reject(self, connection: Connection) -> Coroutine:
         """Writes the reason as a last word, which must not be lost with the close."""
         reason = connection.end_reason
         connection.end_reason = REJECTED
@@ -233,7 +233,7 @@
         self.admission.remove(connection)
         connection.close()
         self.membership.leave(connection)
-        if connection.role is Role.PROXY and not connection.leaving_reported:
+        if connection.role is Role.PROXY and not connection.leave_reported:
             connection.end_reason = REPLACED
         if connection.role is not Role.PENDING:
             self.log.event(
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -58,7 +58,7 @@
         self.incoming = ssl.MemoryBIO()
         self.to_network = ssl.MemoryBIO()
         self.tls = context.wrap_bio(self.incoming, self.to_network, server_side=True)
-        self.is_up = False  # the handshake is done
+        self.is_established = False  # the handshake is done
         self.has_ended = False  # the other side has said its end
 
     def feed(self, data: bytes) -> bytes:
@@ -71,9 +71,9 @@
             self.incoming.write_eof()
         plain: list[bytes] = []
         try:
-            if not self.is_up:
+            if not self.is_established:
                 self.tls.do_handshake()
-                self.is_up = True
+                self.is_established = True
             while not self.has_ended:
                 piece = self.tls.read(READ_SIZE)
                 if not piece:
@@ -82,7 +82,7 @@
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLError as error:
-            if not (self.is_up and isinstance(error, ssl.SSLEOFError | ssl.SSLZeroReturnError)):
+            if not (self.is_established and isinstance(error, ssl.SSLEOFError | ssl.SSLZeroReturnError)):
                 raise TlsError(_reason(error)) from None
             self.has_ended = True
         return b"".join(plain)
--- a/granitespool/scale/backends.py
+++ b/granitespool/scale/backends.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from granitespool.net.client import receive, send
-from granitespool.net.config import address
+from granitespool.net.config import parse_address
 from granitespool.net.loop import IN, Loop, Task
 from granitespool.scale.coroutines import Wait
 from granitespool.scale.fleet import ListedBackend
@@ -40,7 +40,7 @@
 
     def start(self, entry: ListedBackend, started: int = 0) -> None:
         """A backend begins to listen at its address; `started` in ns of Unix time."""
-        listener = socket.create_server(address(entry.address), backlog=BACKLOG)
+        listener = socket.create_server(parse_address(entry.address), backlog=BACKLOG)
         listener.setblocking(False)
         self.living[entry.name] = self.loop.spawn(self._accept(listener))
         self.started[entry.name] = started
--- a/granitespool/scale/hollow/connection.py
+++ b/granitespool/scale/hollow/connection.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from granitespool.errors import InvalidInputError
-from granitespool.net.buffers import Pool
+from granitespool.net.buffers import BufferPool
 from granitespool.net.frames import MESSAGE_MAX, Reader
 from granitespool.net.loop import Loop, Task
 
@@ -14,7 +14,7 @@
 class Connection:
     """Owned by its coroutine, which closes it."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, pool: Pool) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, pool: BufferPool) -> None:
         self.loop = loop
         self.sock = sock
         self.reader = Reader(pool, MESSAGE_MAX)
--- a/granitespool/scale/hollow/coordinator.py
+++ b/granitespool/scale/hollow/coordinator.py
@@ -20,7 +20,7 @@
 from granitespool.endpoints import Phase
 from granitespool.errors import InvalidInputError
 from granitespool.fields import required_number
-from granitespool.net.buffers import Pool
+from granitespool.net.buffers import BufferPool
 from granitespool.net.config import WatchConfiguration
 from granitespool.net.discovery import Discovery
 from granitespool.net.frames import PONG, UNTYPED
@@ -57,7 +57,7 @@
         """Takes one line of the log."""
         self.counts.watches_ended += event == "watch_ended"
 
-    often = event
+    rate_limited_event = event
 
 
 class _Watch(Discovery):
@@ -69,11 +69,11 @@
         log = _WatchLog(coordinator.counts)
         super().__init__(coordinator.loop, coordinator, log, config, Random(seed).uniform)
 
-    def _line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         self.counts.add_received("list", len(line) + 1)
-        super()._line(line)
+        super()._handle_line(line)
 
-    def _address(self, _backend: str, _address: str | None) -> None:
+    def _update_address(self, _backend: str, _address: str | None) -> None:
         self.addresses[ANY_ADDRESS] = None  # no health check: what counts is whether any was named
 
 
@@ -86,7 +86,7 @@
         self.name = name
         self.profile = profile
         self.counts = Counts()
-        self.pool = Pool(BUFFERS)
+        self.pool = BufferPool(BUFFERS)
         self.connections: dict[Connection, None] = {}
         self.proxies: dict[int, Connection] = {}  # in order of joining
         self.awaiting_list: dict[int, None] = {}  # proxies that joined before the first list
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from granitespool.errors import InvalidInputError
-from granitespool.net.buffers import Pool
+from granitespool.net.buffers import BufferPool
 from granitespool.net.client import dial, send
 from granitespool.net.frames import LENGTH_SIZE, MESSAGE_MAX, Reader, frame
 from granitespool.net.loop import IN, Loop, Task
@@ -145,7 +145,7 @@
         self._record_table()
         self.joined = True
         self.recorder.add(ProxyJoined(at=self.loop.clock(), proxy=self.number, coordinator=endpoint.name))
-        reader = Reader(Pool(BUFFERS), MESSAGE_MAX)
+        reader = Reader(BufferPool(BUFFERS), MESSAGE_MAX)
         try:
             yield from self._serve(sock, endpoint, reader)
         finally:
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -11,7 +11,7 @@
 from granitespool import __version__
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
-from granitespool.net.loop import Loop, Waits
+from granitespool.net.loop import Coroutine, Loop
 from granitespool.operator_settings import State
 from granitespool.settings import Settings
 from granitespool.state import record as records
@@ -40,7 +40,7 @@
     """What discovery has told."""
 
     @property
-    def named(self) -> bool:
+    def has_listed_backends(self) -> bool:
         """Whether any list has named a backend."""
 
     @property
@@ -156,7 +156,7 @@
 
     def close(self) -> None:
         """Write a last snapshot, as far as the disk takes it in time."""
-        if self.coordinator and self.discovery and self.discovery.named:
+        if self.coordinator and self.discovery and self.discovery.has_listed_backends:
             names = list(self.coordinator.listed())
             self._submit_changes(self.coordinator, self.discovery, names, is_last=True)
         if not self.writer.close(CLOSE_TIMEOUT):
@@ -169,8 +169,8 @@
     def _clocks(self) -> Clocks:
         return Clocks(self.loop.clock(), self.monotonic())
 
-    def _run(self, coordinator: Coordinator, discovery: EndpointSource) -> Waits:
-        while not discovery.named:  # the first list that names anyone is the one to start from
+    def _run(self, coordinator: Coordinator, discovery: EndpointSource) -> Coroutine:
+        while not discovery.has_listed_backends:  # the first list that names anyone is the one to start from
             yield None, 0, self.loop.now + FIRST_LIST_POLL
             self._log_reports()
         self._restore(coordinator)
--- a/tests/service/test_service_endings.py
+++ b/tests/service/test_service_endings.py
@@ -297,7 +297,7 @@
 def test_the_last_lines_wait_for_a_reader_that_is_slow(monkeypatch):
     monkeypatch.setattr(logging, "CLOSE_TIMEOUT", LONG)  # not on this machine's speed
     read, write = os.pipe()
-    service = Service(config.checked(HERE), write)
+    service = Service(config.parse_configuration(HERE), write)
     os.set_blocking(read, False)
     for _ in range(1000):
         service.log.event("internal_error", detail="a-word-" * 20)
@@ -458,7 +458,7 @@
                 if not streams.connections:
                     break
             assert not streams.connections and not streams.pending, cut
-            assert streams.pool.taken == 0 and not service.coordinator.updates.proxies, cut
+            assert streams.pool.in_use == 0 and not service.coordinator.updates.proxies, cut
         assert "failed" not in service.text()
 
 
@@ -512,7 +512,7 @@
 )
 def test_what_cannot_be_served_is_refused_in_one_sentence(change, words):
     with pytest.raises(InvalidInputError, match=words):
-        config.checked({**large_configuration(1, 3), **change})
+        config.parse_configuration({**large_configuration(1, 3), **change})
 
 
 def test_a_reload_takes_another_deployments_settings_whole_and_names_what_waits(tmp_path):
@@ -527,7 +527,7 @@
         },
     }
     with serving(tmp_path) as service, serving(tmp_path) as beside:
-        service.reread = lambda: config.checked(there)
+        service.read_configuration = lambda: config.parse_configuration(there)
         service.reload()
         service.turn(0)
         beside.turn(0)
--- a/tests/service/test_service_large_fleets.py
+++ b/tests/service/test_service_large_fleets.py
@@ -34,7 +34,7 @@
         stack.callback(resource.setrlimit, resource.RLIMIT_NOFILE, (soft, hard))
         stack.callback(os.close, read)
         stack.callback(os.close, write)
-        service = Service(config.checked(large_configuration(5, 200)), write, lambda: now[0])
+        service = Service(config.parse_configuration(large_configuration(5, 200)), write, lambda: now[0])
         stack.callback(service.close)
         where, proxies = service.streams.listener.getsockname(), []
         for number in range(streams):
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -169,7 +169,7 @@
 
     def __enter__(self):
         self.service = Service(
-            self.config, os.open(os.devnull, os.O_WRONLY), clock=lambda: START, mono=lambda: START
+            self.config, os.open(os.devnull, os.O_WRONLY), clock=lambda: START, monotonic_clock=lambda: START
         )
         self.service.snapshotter.metrics = lambda: StateMetrics(40_960, 12, False)
         self.service.snapshotter.is_durable = lambda ticket: True
--- a/tests/support/process_faults.py
+++ b/tests/support/process_faults.py
@@ -74,7 +74,7 @@
     def limit_buffers(self, more: int) -> None:
         """So many message buffers are left."""
         pool = self._harness.instance.streams.pool
-        pool.limit = pool.taken + more
+        pool.limit = pool.in_use + more
 
     def send_as_an_update_is_written(self, name: str, message: str) -> None:
         """A message arrives just as an update is written, and is not read in that turn."""
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -11,7 +11,7 @@
 import orjson
 
 from granitespool.coordinator import Coordinator
-from granitespool.net.frames import LENGTH_SIZE, updates
+from granitespool.net.frames import LENGTH_SIZE, encode_update
 from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner.events import (
     Acknowledged,
@@ -214,7 +214,7 @@
             self.turn()
 
     def _write(self, proxy: int, message: ProxyUpdate) -> None:
-        size = size_of(updates(message))
+        size = size_of(encode_update(message))
         assert size.parts <= PARTS_LIMIT
         entries = size.entries + self.settings.message_header
         pace = self.settings.entries_per_s / self.slowdown / SECOND
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -6,7 +6,7 @@
 from typing import Any, cast
 
 from granitespool.errors import InvalidInputError
-from granitespool.net.config import Configuration, quotas
+from granitespool.net.config import Configuration, compute_quotas
 from granitespool.net.service import Service
 from granitespool.units import MILLISECOND
 from support.backend_stand_ins import BackendStandIns
@@ -69,7 +69,7 @@
             "listen": ("127.0.0.1", 0),
             "discovery": self.discovery.address,
             "seed": 1,
-            **quotas(self.limits),
+            **compute_quotas(self.limits),
             "peer_listen": ("127.0.0.1", 0),
             "peers": [self.peers.peer.getsockname()],
             "peers_all": self.peers.peer.getsockname(),
@@ -159,7 +159,7 @@
         if self._service:
             self._service.close()
             coordinator, loop = self._service.coordinator, self._service.loop
-            assert self._service.streams.pool.taken == 0, "buffers are out"
+            assert self._service.streams.pool.in_use == 0, "buffers are out"
             assert loop.tasks == set(), "tasks still run"
             assert coordinator.updates.proxies == {}, "proxies are joined"
         self.clients.close_all()
--- a/tests/support/service_state.py
+++ b/tests/support/service_state.py
@@ -45,7 +45,7 @@
     @property
     def buffers_out(self) -> int:
         """Message buffers that connections hold."""
-        return int(self._harness.instance.streams.pool.taken)
+        return int(self._harness.instance.streams.pool.in_use)
 
     def larger_than(self, limit: int) -> dict[str, int]:
         """The size of each thing kept by name, stream or time that exceeds a limit."""
--- a/tests/support/service_thread.py
+++ b/tests/support/service_thread.py
@@ -124,7 +124,7 @@
 
     def __enter__(self) -> "ServiceThread":
         read_end, self.log_end = os.pipe()
-        self.service = Service(self.read(), self.log_end, reread=self.read)
+        self.service = Service(self.read(), self.log_end, read_configuration=self.read)
         self.thread = threading.Thread(target=self.service.run)
         self.log_reader = threading.Thread(target=self._read_log, args=(read_end,))
         self.log_reader.start()
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from granitespool.coordinator import Coordinator
-from granitespool.net.frames import LENGTH_SIZE, updates
+from granitespool.net.frames import LENGTH_SIZE, encode_update
 from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult, LoadReport
 from granitespool.scale.trace import (
@@ -225,7 +225,7 @@
             proxy=proxy,
             entries=size.entries,
             parts=size.parts,
-            largest_part=_largest_part(updates(message)),
+            largest_part=_largest_part(encode_update(message)),
         )
         self.fleet.record(written)
         self._record_backlog()
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from granitespool.net.buffers import Pool
-from granitespool.net.config import quotas
+from granitespool.net.buffers import BufferPool
+from granitespool.net.config import compute_quotas
 from granitespool.net.frames import LENGTH_SIZE, MESSAGE_MAX, Reader, frame
 from granitespool.net.loop import SECOND, Loop
 from granitespool.net.service import Service
@@ -53,7 +53,7 @@
             "listen": ("127.0.0.1", 0),
             "discovery": discovery,
             "seed": 1,
-            **quotas({}),
+            **compute_quotas({}),
             "peer_listen": None,
             "peers": [],
             "peers_all": None,
@@ -96,7 +96,7 @@
     def close(self):
         self.coordinator.close()
         assert not self.loop.tasks
-        assert self.coordinator.pool.taken == 0
+        assert self.coordinator.pool.in_use == 0
         assert not self.coordinator.connections
         self.loop.close()
 
@@ -111,7 +111,7 @@
         self.sent, self.got = defaultdict(Traffic), defaultdict(Traffic)  # by kind
         self.asked, self.watches = [], []  # what discovery was asked for; who watches
         self.proxies, self.readers, self.parts = {}, {}, defaultdict(tuple)
-        self.pool = Pool(64)
+        self.pool = BufferPool(64)
         self.discovery = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         self.discovery.setblocking(False)
         self.subject = subject(self.discovery.getsockname(), lambda: self.now, *words)
@@ -466,7 +466,7 @@
     lines = [[f"s{number}", 1.0] for number in range(500)]
     data = update_of((900, 400, 300), lines, True, 7)
     assert len(data) == 1600
-    reader = Reader(Pool(4), MESSAGE_MAX)
+    reader = Reader(BufferPool(4), MESSAGE_MAX)
     reader.free_space()[: len(data)] = data
     reader.received(len(data))
     first, second, last = reader.messages()
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -8,7 +8,7 @@
 ROOT = pathlib.Path(__file__).parents[1]
 PACKAGE = ROOT / "granitespool"
 TABLE = ROOT / "docs" / "on-call.md"
-LOG_METHODS = {"event", "often"}  # of the log itself
+LOG_METHODS = {"event", "rate_limited_event"}  # of the log itself
 WRITER_MODULE = "state/writer.py"  # a thread, whose reports the loop writes to the log
 WRITER_METHOD = "_report"
 LOG_MODULE = "net/log.py"
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -205,7 +205,7 @@
 )
 def test_the_impact_check_rejects_harmful_changes(change, proxies, waits, words):
     limits = {"sockets": change.pop("limits", 1024)}
-    new = {**configuration(**change), "limits": limits, "limits_told": {"sockets": 1024}}
+    new = {**configuration(**change), "limits": limits, "configured_limits": {"sockets": 1024}}
     if words is None:
         return impact_check.check(new, configuration(), proxies, {"n"}, waits)
     assert words in rejection_of(impact_check.check, new, configuration(), proxies, {"n", "s"}, waits)[1]
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -402,12 +402,12 @@
         if len(calls) == 1:
             raise RuntimeError("a part that cannot")
 
-    real, probes.new_config = probes.new_config, fails
+    real, probes.reconfigure = probes.reconfigure, fails
     one.edit(PACE.format("500"))
     answer = one.commit()
     assert tag_of(answer) == "operation-failed" and "former" in answer and house.settings() == before
     assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
-    probes.new_config = real
+    probes.reconfigure = real
     assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
     house.logged("task_failed")  # read by then: the log has a thread of its own
     house.lines[:] = [line for line in house.lines if line["event"] != "task_failed"]
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -23,7 +23,7 @@
 
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import Phase
-from granitespool.net.frames import updates
+from granitespool.net.frames import encode_update
 from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner import events
 from granitespool.planner.records import MinimumRtt
@@ -190,7 +190,7 @@
 def picked(coordinator, recorded_party):
     message = coordinator.pick(party_of(recorded_party))
     if isinstance(message, ProxyUpdate):
-        return updates(message).decode("latin-1")
+        return encode_update(message).decode("latin-1")
     if message is None or len(message) > 1:
         return plain(message)
     return message[0]  # a queue's message of one field
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 
 from granitespool.cli import main
 from granitespool.errors import InvalidInputError
-from granitespool.net.config import checked
+from granitespool.net.config import parse_configuration
 from granitespool.net.discovery import Discovery
 from granitespool.net.loop import Loop
 from granitespool.scale import fleet, report, runner, schema
@@ -111,7 +111,7 @@
     scenario = schema.load("ci")
     told = {"name": "c", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"}
     read = [
-        checked({**told, "settings": fleet.settings(scenario, "r0-z0", 0, version)})["settings"]
+        parse_configuration({**told, "settings": fleet.settings(scenario, "r0-z0", 0, version)})["settings"]
         for version in (0, 1)
     ]
     assert read[1].proxies_expected == read[0].proxies_expected + 1 == fleet.proxy_base(scenario) + 1
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -169,7 +169,7 @@
             "discovery": ("127.0.0.1", 9),
             "seed": 1,
             "sockets": 64,
-            "probes": 4,
+            "health_checks": 4,
             "connections": 32,
             "buffers": 64,
             "peer_listen": None,
@@ -201,8 +201,8 @@
                 self.config(),
                 self.pipe[1],
                 lambda: self.now,
-                reread=lambda: self.config(every_ms=300),
-                mono=lambda: self.mono,
+                read_configuration=lambda: self.config(every_ms=300),
+                monotonic_clock=lambda: self.mono,
             )
         except BaseException:
             self._shut()
