--- a/granitespool/cli/serve.py
+++ b/granitespool/cli/serve.py
@@ -42,5 +42,7 @@
     from granitespool.net.service import Service  # noqa: PLC0415
 
     return Service(
-        load_configuration(arguments), sys.stdout.fileno(), reread=lambda: load_configuration(arguments)
+        load_configuration(arguments),
+        sys.stdout.fileno(),
+        read_configuration=lambda: load_configuration(arguments),
     )
