--- a/bench/manage.py
+++ b/bench/manage.py
@@ -34,7 +34,7 @@
 
     from granitespool.cli.keys import make
     from granitespool.gnmi import gnmi_pb2 as pb
-    from granitespool.simulation.netconf_client import NetconfClient, tag_of
+    from granitespool.simulation.netconf_client import NetconfClient, reply_tag
 
 MS_PER_S = 1e3
 ZONES = ("n", "s")
@@ -366,8 +366,8 @@
     session = child.netconf()
     begun = time.perf_counter()
     for number in range(COMMITS):
-        assert tag_of(session.edit(f"<drain><grace>{5_000_000 + number}</grace></drain>")) == "ok"
-        assert tag_of(session.commit()) == "ok"
+        assert reply_tag(session.edit(f"<drain><grace>{5_000_000 + number}</grace></drain>")) == "ok"
+        assert reply_tag(session.commit()) == "ok"
     return COMMITS / (time.perf_counter() - begun)
 
 
--- a/granitespool/gnmi/connection.py
+++ b/granitespool/gnmi/connection.py
@@ -25,7 +25,7 @@
 class GnmiConnection:
     """The protocol of one connection: a management.interfaces.ProtocolSession."""
 
-    subscribed = None  # NETCONF's notifications are not for it
+    subscribed_events = None  # NETCONF's notifications are not for it
 
     def __init__(self, service: ManagementService, user: User, transport: Transport, number: int) -> None:
         self.service = service
@@ -34,59 +34,59 @@
         self.number = number
         context = CallContext(service, user, transport, self)
         methods = {name: partial(method, context) for name, method in METHODS.items()}
-        self.calls = Calls(methods, transport.now, service.failed, transport.wake)
+        self.calls = Calls(methods, transport.now, service.log_failure, transport.wake)
         self.http2 = Http2Connection(self.calls, transport.listener.streams or MAX_STREAMS)
         self.calls.http2 = self.http2
 
     @property
-    def busy(self) -> bool:
+    def has_work(self) -> bool:
         """Whether `work` has something to do."""
-        return self.http2.ready or self.calls.busy
+        return self.http2.can_send or self.calls.has_work
 
     @property
-    def keeps(self) -> bool:
+    def is_exempt_from_idle_timeout(self) -> bool:
         """Whether silence is no reason to end the connection: a call is open."""
         return bool(self.calls.open)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Sends the server's preface; the connection is up."""
-        self.http2.begin()
+        self.http2.start()
         self._flush()
 
-    def received(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Takes plain bytes of the client."""
         try:
-            self.http2.received(data, self.transport.now())
+            self.http2.receive(data, self.transport.now())
         except Http2Error as error:
             self.transport.end(str(error))
         self._flush()
 
     def work(self) -> None:
         """One step: of what waits to be sent, or else of a call."""
-        if self.http2.ready:
+        if self.http2.can_send:
             self.http2.step()
         else:
             self.calls.work()
         self._flush()
 
-    def due(self) -> int | None:
+    def next_deadline(self) -> int | None:
         """When `tick` is to be called at the latest, None for never."""
-        return self.calls.due()
+        return self.calls.next_deadline()
 
     def tick(self, now: int) -> None:
         """Ends and resumes calls whose time it is."""
         self.calls.tick(now)
         self._flush()
 
-    def leave(self) -> None:
+    def announce_shutdown(self) -> None:
         """Tells the client that the server goes."""
-        self.http2.leave()
+        self.http2.send_goaway()
         self._flush()
 
-    def closed(self, _why: str) -> None:
+    def on_closed(self, _why: str) -> None:
         """The connection has ended."""
         self.calls.close()
-        self.service.left(self)
+        self.service.on_session_closed(self)
 
     def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
         """Nothing: gNMI's clients subscribe to paths instead."""
--- a/granitespool/gnmi/context.py
+++ b/granitespool/gnmi/context.py
@@ -33,7 +33,7 @@
         if config:
             coordinator[model.SETTINGS] = self.service.datastores.tree(RUNNING)
         if state:
-            while (tree := self.service.shared.look(self.transport.now())) is None:
+            while (tree := self.service.shared_state.poll(self.transport.now())) is None:
                 yield
             coordinator[model.STATE] = tree
         return {model.TOP: coordinator}
--- a/granitespool/gnmi/edits.py
+++ b/granitespool/gnmi/edits.py
@@ -3,7 +3,7 @@
 from granitespool.gnmi.paths import MODULE_PREFIX, path_text
 from granitespool.management import model
 from granitespool.management.data_tree import NodePath, PathElement, Tree, Value
-from granitespool.management.edits import REMOVALS, Change, edited
+from granitespool.management.edits import REMOVALS, Change, apply_changes
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.model import SchemaNode
 
@@ -25,7 +25,7 @@
     if not below:
         return {}
     try:
-        return edited(node, tree, _changes_at(node, below, "delete"), "none")
+        return apply_changes(node, tree, _changes_at(node, below, "delete"), "none")
     except ManagementError as error:
         if error.tag == ErrorTag.DATA_MISSING:
             return tree  # the specification: deleting what is not there is no error
@@ -38,11 +38,11 @@
     below = path[len(SETTINGS_PATH) :]
     if not below:
         changes = _json_changes(node, _settings_within(path, value))[0].children
-        return edited(node, {} if operation == "replace" else tree, changes)
+        return apply_changes(node, {} if operation == "replace" else tree, changes)
     first = below[0].name
     if operation == "replace" and node.child(first).kind == "leaf-list":
         tree = {name: each for name, each in tree.items() if name != first}
-    return edited(node, tree, _changes_at(node, below, operation, value))
+    return apply_changes(node, tree, _changes_at(node, below, operation, value))
 
 
 def _settings_within(path: NodePath, value: Value) -> Value:
--- a/granitespool/gnmi/set.py
+++ b/granitespool/gnmi/set.py
@@ -8,7 +8,7 @@
 from granitespool.gnmi.values import plain_value
 from granitespool.management.authorization import require_write
 from granitespool.management.data_tree import Tree
-from granitespool.management.edits import differing
+from granitespool.management.edits import differing_names
 from granitespool.management.errors import ManagementError
 from granitespool.management.model import SchemaNode
 from granitespool.rpc.calls import Call, Steps
@@ -24,7 +24,7 @@
 
     def changed(tree: Tree) -> Tree:
         new_tree = _changed(settings, tree, request)
-        require_write(context.user, differing(tree, new_tree))
+        require_write(context.user, differing_names(tree, new_tree))
         return new_tree
 
     answers: list[ManagementError | None] = []
--- a/granitespool/gnmi/subscribe.py
+++ b/granitespool/gnmi/subscribe.py
@@ -71,7 +71,7 @@
     """Sends all values at first, and then what has changed whenever a subscription is due."""
     for each in subscriptions:
         values = yield from sender.current(each)
-        each.begin(values, sender.now())
+        each.start(values, sender.now())
         if not updates_only:
             yield from sender.send(values)
     call.send(SYNC_RESPONSE)
@@ -114,19 +114,19 @@
         """The leaves that a subscription matches now; shared by all subscriptions of the same path."""
         tree = yield from self.context.read_tree()
         service = self.context.service
-        shared = service.shared
+        shared = service.shared_state
         key = (path_text(subscription.path), service.datastores.version)
-        known: LeafValues | None = shared.flat.get(key)
+        known: LeafValues | None = shared.leaf_values.get(key)
         if known is not None:
             return known
-        flat = shared.flat  # of this reading, which may not be the newest any more at the end
+        flat = shared.leaf_values  # of this reading, which may not be the newest any more at the end
         values: dict[Leaf, Value] = {}
         for match in matches(RootNode(service.model.top), tree, subscription.path):
             for part in leaves(match):
                 text = path_text(part.path)
-                leaf = shared.leaves.get(text)
+                leaf = shared.leaf_cache.get(text)
                 if leaf is None:
-                    leaf = shared.leaves[text] = Leaf(part.path, part.node)
+                    leaf = shared.leaf_cache[text] = Leaf(part.path, part.node)
                 values[leaf] = part.value
                 if len(values) % UPDATES_PER_STEP == 0:
                     yield
--- a/granitespool/gnmi/subscription.py
+++ b/granitespool/gnmi/subscription.py
@@ -78,7 +78,7 @@
             mode = pb.ON_CHANGE if self.path[1:2] == SETTINGS_PATH[1:2] else pb.SAMPLE
         return mode
 
-    def begin(self, leaves: LeafValues, now: int) -> None:
+    def start(self, leaves: LeafValues, now: int) -> None:
         """The first values are being sent."""
         self.sent = leaves
         self.due = now + self.interval
--- a/granitespool/management/authorization.py
+++ b/granitespool/management/authorization.py
@@ -42,7 +42,7 @@
         """Whether the user may change all of these names at the top of the settings."""
         return ALL in self.write or self.write.issuperset(sections)
 
-    def is_meant_by(self, identities: Collection[Identity]) -> bool:
+    def matches(self, identities: Collection[Identity]) -> bool:
         """Whether a certificate with these identities stands for the user."""
         if self.identity in identities:
             return True
@@ -66,7 +66,7 @@
 
 def find_user(users: Iterable[User], identities: Collection[Identity]) -> User | None:
     """The first user that these identities stand for."""
-    return next((user for user in users if user.is_meant_by(identities)), None)
+    return next((user for user in users if user.matches(identities)), None)
 
 
 def require_read(user: User) -> None:
--- a/granitespool/management/changes.py
+++ b/granitespool/management/changes.py
@@ -8,10 +8,10 @@
 from granitespool.management.model import Model
 from granitespool.management.settings_trees import STARTUP, SettingsTrees
 
-Answer: TypeAlias = Callable[[ManagementError | None], object]
+CompletionCallback: TypeAlias = Callable[[ManagementError | None], object]
 """Is called once, with None for success."""
 
-Kept: TypeAlias = Callable[[str | None], object]
+SaveCallback: TypeAlias = Callable[[str | None], object]
 """Is called once, with None or why the tree could not be kept."""
 
 
@@ -21,26 +21,26 @@
     def check(self, tree: Tree, running: Tree) -> None:
         """Raises ManagementError where the service could not run on a tree, or it would do harm."""
 
-    def keep(self, tree: Tree, version: int, answer: Kept) -> object:
+    def save(self, tree: Tree, version: int, answer: SaveCallback) -> object:
         """Has a tree outlast the process, and answers once that is safe or has failed."""
 
-    def unkeep(self, tree: Tree, version: int) -> None:
+    def replace_saved(self, tree: Tree, version: int) -> None:
         """Has this tree outlast the process instead of the one that was kept last."""
 
     def apply(self, tree: Tree, by: str) -> None:
         """Has the service run on a tree within the call, or raises ManagementError and changes nothing."""
 
-    def refused(self, by: str, why: str) -> None:
+    def on_rejected(self, by: str, why: str) -> None:
         """Is called for each change that was rejected."""
 
 
 class _Change(NamedTuple):
-    """A tree on its way to running; `outlasts`: a restart is to begin with it."""
+    """A tree on its way to running; `is_durable`: a restart is to begin with it."""
 
     tree: Tree
     by: str
-    outlasts: bool
-    answer: Answer
+    is_durable: bool
+    answer: CompletionCallback
 
 
 class ChangeSequence:
@@ -52,7 +52,7 @@
         self.model = model
         self.host = host
         self.trees = trees
-        self.busy: object = None
+        self.committing_session: object = None
         self.commits = 0
         self.rejected = 0
 
@@ -64,20 +64,24 @@
     def reject(self, by: str, error: ManagementError) -> ManagementError:
         """Counts and tells a rejected change; gives its error back."""
         self.rejected += 1
-        self.host.refused(by, error.reason)
+        self.host.on_rejected(by, error.reason)
         return error
 
-    def start(self, session: object, by: str, tree: Tree, answer: Answer, *, outlasts: bool = True) -> None:
+    def start(
+        self, session: object, by: str, tree: Tree, answer: CompletionCallback, *, is_durable: bool = True
+    ) -> None:
         """Checks, keeps and applies a tree; what may be undone must not outlast the process."""
-        self._start(session, _Change(tree, by, outlasts, answer), self.validate)
+        self._start(session, _Change(tree, by, is_durable, answer), self.validate)
 
-    def restore(self, session: object, by: str, tree: Tree, answer: Answer) -> None:
+    def restore(self, session: object, by: str, tree: Tree, answer: CompletionCallback) -> None:
         """Applies a tree that ran before, unchecked: what the checks go by may have changed meanwhile."""
         self._start(session, _Change(tree, by, False, answer), lambda _: None)
 
     def _start(self, session: object, change: _Change, check: Callable[[Tree], None]) -> None:
-        if self.busy is not None:
-            error = ManagementError(ErrorTag.IN_USE, "another commit is being kept", session=self.busy)
+        if self.committing_session is not None:
+            error = ManagementError(
+                ErrorTag.IN_USE, "another commit is being kept", session=self.committing_session
+            )
             change.answer(self.reject(change.by, error))
             return
         try:
@@ -85,22 +89,22 @@
         except ManagementError as error:
             change.answer(self.reject(change.by, error))
             return
-        self.busy = session
-        if change.outlasts:
-            self.host.keep(change.tree, self.trees.version + 1, lambda why: self._finish(change, why))
+        self.committing_session = session
+        if change.is_durable:
+            self.host.save(change.tree, self.trees.version + 1, lambda why: self._finish(change, why))
         else:
             self._finish(change, None)
 
     def _finish(self, change: _Change, why_not_kept: str | None) -> None:
-        self.busy = None
+        self.committing_session = None
         try:
             self._apply(change, why_not_kept)
         except ManagementError as error:
-            if change.outlasts:  # it may be on the disk, or come there yet: no restart may begin with it
-                self.host.unkeep(self.trees.tree(STARTUP), self.trees.version)
+            if change.is_durable:  # it may be on the disk, or come there yet: no restart may begin with it
+                self.host.replace_saved(self.trees.tree(STARTUP), self.trees.version)
             change.answer(self.reject(change.by, error))
             return
-        self.trees.replace_running(change.tree, change.outlasts)
+        self.trees.replace_running(change.tree, change.is_durable)
         self.commits += 1
         change.answer(None)
 
--- a/granitespool/management/confirmation.py
+++ b/granitespool/management/confirmation.py
@@ -18,23 +18,23 @@
     persist_id: str | None = None
 
 
-STANDING = CommitOptions()
+PERMANENT_COMMIT = CommitOptions()
 
 
-class Confirmation(NamedTuple):
+class PendingConfirmation(NamedTuple):
     """A commit that waits to be confirmed: until when (ns), and what is applied again without."""
 
     session: object
     persist: str | None
-    due: int
-    former_tree: Tree
+    deadline: int
+    previous_tree: Tree
 
-    def is_due_to(self, session: object) -> bool:
+    def ends_with(self, session: object) -> bool:
         """Whether this session's end undoes the commit."""
         return self.session is session and self.persist is None
 
 
-def check_may_confirm(waiting: Confirmation | None, session: object, persist_id: str | None) -> None:
+def check_can_confirm(waiting: PendingConfirmation | None, session: object, persist_id: str | None) -> None:
     """Raises ManagementError where a session may not confirm or cancel the commit that waits, if one does."""
     if persist_id is not None:
         if waiting is None or waiting.persist != persist_id:
@@ -48,8 +48,8 @@
         )
 
 
-def follow_up(waiting: Confirmation | None, new: Confirmation) -> Confirmation:
+def extend_confirmation(waiting: PendingConfirmation | None, new: PendingConfirmation) -> PendingConfirmation:
     """A new confirmed commit; where one waits already, what ran before both is applied again without."""
     if waiting is None:
         return new
-    return new._replace(persist=new.persist or waiting.persist, former_tree=waiting.former_tree)
+    return new._replace(persist=new.persist or waiting.persist, previous_tree=waiting.previous_tree)
--- a/granitespool/management/datastores.py
+++ b/granitespool/management/datastores.py
@@ -12,16 +12,16 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from granitespool.management.changes import Answer, ChangeSequence, DatastoreHost
+from granitespool.management.changes import ChangeSequence, CompletionCallback, DatastoreHost
 from granitespool.management.confirmation import (
-    STANDING,
+    PERMANENT_COMMIT,
     CommitOptions,
-    Confirmation,
-    check_may_confirm,
-    follow_up,
+    PendingConfirmation,
+    check_can_confirm,
+    extend_confirmation,
 )
 from granitespool.management.data_tree import Tree
-from granitespool.management.edits import Change, edited
+from granitespool.management.edits import Change, apply_changes
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.locks import Locks
 from granitespool.management.model import Model
@@ -39,7 +39,7 @@
         self.trees = SettingsTrees(tree, version)
         self.changes = ChangeSequence(model, host, self.trees)
         self.locks = Locks()
-        self.confirmation: Confirmation | None = None
+        self.pending_confirmation: PendingConfirmation | None = None
 
     @property
     def version(self) -> int:
@@ -72,7 +72,7 @@
                 "candidate has changes that were neither committed nor discarded",
                 session=editor,
             )
-        waiting = self.confirmation
+        waiting = self.pending_confirmation
         if store == RUNNING and waiting and waiting.session is not session:
             reason = "a commit waits to be confirmed"
             raise ManagementError(ErrorTag.LOCK_DENIED, reason, session=waiting.session)
@@ -96,7 +96,7 @@
     ) -> None:
         """Changes settings of candidate or startup; running is changed by commits alone."""
         self._check_editable(session, store)
-        tree = edited(self.model.settings, self.tree(store), changes, default)
+        tree = apply_changes(self.model.settings, self.tree(store), changes, default)
         if test != "set":
             self.model.check(tree)
         if test != "test-only":
@@ -138,7 +138,12 @@
     # Commits
 
     def commit(
-        self, session: object, by: str, now: int, answer: Answer, options: CommitOptions = STANDING
+        self,
+        session: object,
+        by: str,
+        now: int,
+        answer: CompletionCallback,
+        options: CommitOptions = PERMANENT_COMMIT,
     ) -> None:
         """Makes candidate running, and answers once that is sure: later, where it is kept on a disk."""
         try:
@@ -150,38 +155,45 @@
         confirmation = self._next_confirmation(session, now, options)
         on_change = partial(self._finish_commit, confirmation, answer)
         is_unchanged = tree == self.trees.running
-        if is_unchanged and (self.confirmation is None or confirmation is not None):
+        if is_unchanged and (self.pending_confirmation is None or confirmation is not None):
             on_change(None)
         else:
-            outlasts = confirmation is None
-            self.changes.start(session, by, copy.deepcopy(tree), on_change, outlasts=outlasts)
+            is_durable = confirmation is None
+            self.changes.start(session, by, copy.deepcopy(tree), on_change, is_durable=is_durable)
 
     def _finish_commit(
-        self, confirmation: Confirmation | None, answer: Answer, error: ManagementError | None
+        self,
+        confirmation: PendingConfirmation | None,
+        answer: CompletionCallback,
+        error: ManagementError | None,
     ) -> None:
         if error is None:
-            self.confirmation = confirmation
+            self.pending_confirmation = confirmation
             self.trees.discard_candidate()
         answer(error)
 
-    def _next_confirmation(self, session: object, now: int, options: CommitOptions) -> Confirmation | None:
+    def _next_confirmation(
+        self, session: object, now: int, options: CommitOptions
+    ) -> PendingConfirmation | None:
         """What a commit with these options leaves to be confirmed, if anything."""
         if options.timeout is None:
             return None
         due = now + options.timeout * SECOND
-        new = Confirmation(session, options.persist, due, self.trees.running)
-        return follow_up(self.confirmation, new)
+        new = PendingConfirmation(session, options.persist, due, self.trees.running)
+        return extend_confirmation(self.pending_confirmation, new)
 
     def _check_commit(self, session: object, options: CommitOptions) -> None:
         self.locks.check_usable(RUNNING, session)
         self.locks.check_usable(CANDIDATE, session)
-        check_may_confirm(self.confirmation, session, options.persist_id)
+        check_can_confirm(self.pending_confirmation, session, options.persist_id)
         if options.timeout is not None and not 0 < options.timeout <= MAX_CONFIRM_TIMEOUT:
             reason = f"a commit may wait 1 to {MAX_CONFIRM_TIMEOUT} s to be confirmed"
             raise ManagementError(ErrorTag.INVALID_VALUE, reason)
         self.trees.check_candidate_is_current()
 
-    def transact(self, session: object, by: str, changed: Callable[[Tree], Tree], answer: Answer) -> None:
+    def transact(
+        self, session: object, by: str, changed: Callable[[Tree], Tree], answer: CompletionCallback
+    ) -> None:
         """Changes running in one commit of its own: `changed` gives the new tree of the running one.
 
         What was begun in candidate before is rejected at its commit then."""
@@ -197,59 +209,59 @@
 
     def _transacted(self, session: object, changed: Callable[[Tree], Tree]) -> Tree:
         self.locks.check_usable(RUNNING, session)
-        if self.confirmation is not None:
+        if self.pending_confirmation is not None:
             reason = "a commit waits to be confirmed"
-            raise ManagementError(ErrorTag.IN_USE, reason, session=self.confirmation.session)
+            raise ManagementError(ErrorTag.IN_USE, reason, session=self.pending_confirmation.session)
         return changed(self.trees.running)
 
-    def cancel(self, session: object, by: str, persist_id: str | None, answer: Answer) -> None:
+    def cancel(self, session: object, by: str, persist_id: str | None, answer: CompletionCallback) -> None:
         """Undoes a commit that waits to be confirmed."""
-        if self.confirmation is None:
+        if self.pending_confirmation is None:
             answer(ManagementError(ErrorTag.OPERATION_FAILED, "no commit waits to be confirmed"))
             return
         try:
-            check_may_confirm(self.confirmation, session, persist_id)
+            check_can_confirm(self.pending_confirmation, session, persist_id)
         except ManagementError as error:
             answer(error)
             return
-        self._undo(self.confirmation, by, answer)
+        self._undo(self.pending_confirmation, by, answer)
 
-    def _undo(self, confirmation: Confirmation, by: str, answer: Answer) -> None:
-        self.confirmation = None
+    def _undo(self, confirmation: PendingConfirmation, by: str, answer: CompletionCallback) -> None:
+        self.pending_confirmation = None
 
         def on_change(error: ManagementError | None) -> None:
             if self.trees.candidate_editor is None:
                 self.trees.discard_candidate()
             answer(error)
 
-        self.changes.restore(self, by, confirmation.former_tree, on_change)
+        self.changes.restore(self, by, confirmation.previous_tree, on_change)
 
     # Time, sessions that end, and the files
 
-    def due(self) -> int | None:
+    def next_deadline(self) -> int | None:
         """When `tick` is to be called at the latest, None for never."""
-        return self.confirmation.due if self.confirmation else None
+        return self.pending_confirmation.deadline if self.pending_confirmation else None
 
-    def tick(self, now: int, on_undone: Answer) -> None:
+    def tick(self, now: int, on_undone: CompletionCallback) -> None:
         """Undoes a commit that was not confirmed in time, and tells how that went."""
-        confirmation = self.confirmation
-        if confirmation and now >= confirmation.due and self.changes.busy is None:
+        confirmation = self.pending_confirmation
+        if confirmation and now >= confirmation.deadline and self.changes.committing_session is None:
             self._undo(confirmation, "timeout", on_undone)
 
-    def closed(self, session: object, on_undone: Answer) -> None:
+    def close_session(self, session: object, on_undone: CompletionCallback) -> None:
         """A session has ended, however: its locks and changes go, and its commit unless it persists."""
         released = self.locks.release_all(session)
         if self.trees.candidate_editor is session or CANDIDATE in released:
             self.trees.discard_candidate()
-        confirmation = self.confirmation
-        if confirmation is None or not confirmation.is_due_to(session):
+        confirmation = self.pending_confirmation
+        if confirmation is None or not confirmation.ends_with(session):
             return
-        if self.changes.busy is None:
+        if self.changes.committing_session is None:
             self._undo(confirmation, "session ended", on_undone)
         else:  # as soon as the other commit is through
-            self.confirmation = confirmation._replace(due=0)
+            self.pending_confirmation = confirmation._replace(deadline=0)
 
-    def file(self, tree: Tree, by: str = "file") -> None:
+    def apply_file(self, tree: Tree, by: str = "file") -> None:
         """Applies the settings of the operators' files, which were read anew.
 
         A client's candidate stays, but what was begun from the former version is rejected at its commit.
@@ -259,16 +271,16 @@
         """
         self._check_file_may_change()
         answers: list[ManagementError | None] = []
-        self.changes.start(self, by, tree, answers.append, outlasts=False)
+        self.changes.start(self, by, tree, answers.append, is_durable=False)
         if answers[0] is not None:
             raise answers[0]
         self.reset_startup()
 
     def _check_file_may_change(self) -> None:
-        if self.changes.busy is not None:
+        if self.changes.committing_session is not None:
             raise ManagementError(ErrorTag.IN_USE, "a manager's commit is being kept")
         holder = self.locks.holder(RUNNING)
         if holder is not None:
             raise ManagementError(ErrorTag.IN_USE, "running is locked by a manager", session=holder)
-        if self.confirmation:
+        if self.pending_confirmation:
             raise ManagementError(ErrorTag.IN_USE, "a manager's commit waits to be confirmed")
--- a/granitespool/management/edits.py
+++ b/granitespool/management/edits.py
@@ -57,7 +57,7 @@
         return self.operation in REMOVALS
 
 
-def edited(node: SchemaNode, tree: Tree, changes: Iterable[Change], default: str = "merge") -> Tree:
+def apply_changes(node: SchemaNode, tree: Tree, changes: Iterable[Change], default: str = "merge") -> Tree:
     """The tree of a container after these changes to its children.
 
     Raises:
@@ -258,6 +258,6 @@
     return node.default if value is None else value
 
 
-def differing(old: Tree, new: Tree) -> list[str]:
+def differing_names(old: Tree, new: Tree) -> list[str]:
     """The names at the top of two trees that differ."""
     return sorted(name for name in old.keys() | new.keys() if old.get(name) != new.get(name))
--- a/granitespool/management/interfaces.py
+++ b/granitespool/management/interfaces.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Mapping, MutableMapping
 from typing import Any, Protocol
 
-from granitespool.management.changes import Answer
+from granitespool.management.changes import CompletionCallback
 from granitespool.management.data_tree import Tree
 from granitespool.management.datastores import Datastores
 from granitespool.management.model import Model
@@ -25,7 +25,7 @@
         """What accepted it."""
 
     @property
-    def ending(self) -> str | None:
+    def end_reason(self) -> str | None:
         """Why it is about to end; None while it is not."""
 
     @property
@@ -57,27 +57,27 @@
         """Its connection."""
 
     @property
-    def subscribed(self) -> frozenset[str] | None:
+    def subscribed_events(self) -> frozenset[str] | None:
         """Names of events to be notified of, empty for all; None without a subscription."""
 
     @property
-    def busy(self) -> bool:
+    def has_work(self) -> bool:
         """Whether `work` has something to do."""
 
     @property
-    def keeps(self) -> bool:
+    def is_exempt_from_idle_timeout(self) -> bool:
         """Whether silence is no reason to end the session."""
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The connection is up."""
 
-    def received(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Takes plain bytes of the client."""
 
     def work(self) -> None:
         """One step of what takes long."""
 
-    def due(self) -> int | None:
+    def next_deadline(self) -> int | None:
         """When `tick` is to be called at the latest, ns; None for never."""
 
     def tick(self, now: int) -> None:
@@ -86,10 +86,10 @@
     def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
         """Tells the client of an event; `at` as RFC 3339 has it."""
 
-    def leave(self) -> None:
+    def announce_shutdown(self) -> None:
         """Tells the client that the server goes."""
 
-    def closed(self, why: str, /) -> None:
+    def on_closed(self, why: str, /) -> None:
         """The connection has ended, however."""
 
 
@@ -105,10 +105,10 @@
 class SharedState(Protocol):
     """One reading of the operational state for all who ask within a short time."""
 
-    flat: dict[tuple[str, int], Any]  # what protocols derived of the newest tree
-    leaves: MutableMapping[str, Any]  # by the text of a path, as long as any subscriber holds it
+    leaf_values: dict[tuple[str, int], Any]  # what protocols derived of the newest tree
+    leaf_cache: MutableMapping[str, Any]  # by the text of a path, as long as any subscriber holds it
 
-    def look(self, now: int) -> Tree | None:
+    def poll(self, now: int) -> Tree | None:
         """A recent tree, or None after a step towards it."""
 
 
@@ -124,23 +124,23 @@
         """The YANG module."""
 
     @property
-    def shared(self) -> SharedState:
+    def shared_state(self) -> SharedState:
         """The latest reading of the operational state."""
 
-    def picture(self) -> StateReader:
+    def new_state_reader(self) -> StateReader:
         """A new reading of the operational state."""
 
-    def session(self, number: str) -> ProtocolSession | None:
+    def find_session(self, number: str) -> ProtocolSession | None:
         """The session of a number."""
 
-    def number_of(self, session: object) -> int:
+    def session_number(self, session: object) -> int:
         """A session's number, 0 for the coordinator itself."""
 
-    def keep_startup(self, answer: Answer) -> object:
+    def save_startup(self, answer: CompletionCallback) -> object:
         """Has startup outlast the process, and answers once that is safe."""
 
-    def failed(self, error: Exception) -> None:
+    def log_failure(self, error: Exception) -> None:
         """Logs a fault of this program."""
 
-    def left(self, session: object) -> None:
+    def on_session_closed(self, session: object) -> None:
         """A session has ended, however."""
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -18,10 +18,10 @@
 """As net.config reads it, with the operator's settings."""
 
 
-class Form(Enum):
+class Representation(Enum):
     """How a setting's value stands in a tree."""
 
-    SPAN = auto()  # microseconds as text; nanoseconds in the configuration
+    DURATION = auto()  # microseconds as text; nanoseconds in the configuration
     DECIMAL = auto()  # text
     INTEGER = auto()
     UNCHANGED = auto()
@@ -31,30 +31,30 @@
     """A setting of the configuration by its name there."""
 
     name: str
-    form: Form
+    representation: Representation
 
 
 SETTINGS = {
-    ("channel", "lines-per-second"): Setting("entries_per_s", Form.DECIMAL),
-    ("channel", "message-head"): Setting("message_header", Form.DECIMAL),
-    ("channel", "backlog-limit"): Setting("backlog_limit", Form.DECIMAL),
-    ("channel", "messages-limit"): Setting("messages_limit", Form.INTEGER),
-    ("channel", "messages-span"): Setting("messages_span", Form.SPAN),
-    ("channel", "admission"): Setting("admission", Form.UNCHANGED),
-    ("permissions", "probes"): Setting("health_checks_allowed", Form.UNCHANGED),
-    ("permissions", "connect-timeout"): Setting("connect_timeout", Form.SPAN),
-    ("drain", "grace"): Setting("drain_grace", Form.SPAN),
-    ("drain", "needs-entry"): Setting("removal_needs_drain", Form.UNCHANGED),
-    ("cold", "time"): Setting("warm_up_time", Form.SPAN),
-    ("cold", "share"): Setting("warm_up_start_share", Form.DECIMAL),
+    ("channel", "lines-per-second"): Setting("entries_per_s", Representation.DECIMAL),
+    ("channel", "message-head"): Setting("message_header", Representation.DECIMAL),
+    ("channel", "backlog-limit"): Setting("backlog_limit", Representation.DECIMAL),
+    ("channel", "messages-limit"): Setting("messages_limit", Representation.INTEGER),
+    ("channel", "messages-span"): Setting("messages_span", Representation.DURATION),
+    ("channel", "admission"): Setting("admission", Representation.UNCHANGED),
+    ("permissions", "probes"): Setting("health_checks_allowed", Representation.UNCHANGED),
+    ("permissions", "connect-timeout"): Setting("connect_timeout", Representation.DURATION),
+    ("drain", "grace"): Setting("drain_grace", Representation.DURATION),
+    ("drain", "needs-entry"): Setting("removal_needs_drain", Representation.UNCHANGED),
+    ("cold", "time"): Setting("warm_up_time", Representation.DURATION),
+    ("cold", "share"): Setting("warm_up_start_share", Representation.DECIMAL),
 }  # by (container, leaf)
 CLASS_SETTINGS = {
-    "name": Setting("name", Form.UNCHANGED),
-    "effect": Setting("effect", Form.UNCHANGED),
-    "promised-time": Setting("latency_objective", Form.SPAN),
-    "time-limit": Setting("timeout", Form.SPAN),
-    "benefit": Setting("priority_weight", Form.DECIMAL),
-    "late-share": Setting("late_share", Form.DECIMAL),
+    "name": Setting("name", Representation.UNCHANGED),
+    "effect": Setting("effect", Representation.UNCHANGED),
+    "promised-time": Setting("latency_objective", Representation.DURATION),
+    "time-limit": Setting("timeout", Representation.DURATION),
+    "benefit": Setting("priority_weight", Representation.DECIMAL),
+    "late-share": Setting("late_share", Representation.DECIMAL),
 }  # of a class, by leaf
 LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf: the configuration's name
 DECIMAL_DIGITS = 6  # of the module's decimals, but for those of the operator's file
@@ -75,20 +75,20 @@
     return int(value) if value == int(value) else value
 
 
-def _to_tree(value: Value, form: Form) -> Value:
-    if form is Form.SPAN:
+def _to_tree(value: Value, form: Representation) -> Value:
+    if form is Representation.DURATION:
         return str(int(value) // MICROSECOND)
-    if form is Form.DECIMAL:
+    if form is Representation.DECIMAL:
         return decimal_text(value)
-    if form is Form.INTEGER:
+    if form is Representation.INTEGER:
         return int(value)
     return value
 
 
-def _from_tree(value: Value, form: Form) -> Value:
-    if form is Form.SPAN:
+def _from_tree(value: Value, form: Representation) -> Value:
+    if form is Representation.DURATION:
         return int(value) * MICROSECOND
-    if form is Form.DECIMAL:
+    if form is Representation.DECIMAL:
         return _decimal_value(value)
     return value
 
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -34,12 +34,12 @@
         """What is known of a backend, and how the zones see it; None where it is not known."""
 
 
-class FolderFigures(NamedTuple):
+class StateFolderMetrics(NamedTuple):
     """Of the state folder: bytes and batches written since the start, whether the disk rejects writes."""
 
-    written: int
-    batches: int
-    failing: bool
+    bytes_written: int
+    batches_written: int
+    is_failing: bool
 
 
 class ServiceFacts(NamedTuple):
@@ -51,8 +51,8 @@
     rejected: int
     list_index: int
     list_age: int
-    list_named: bool
-    folder: FolderFigures | None
+    has_endpoint_list: bool
+    folder: StateFolderMetrics | None
 
 
 class OperationalState:
@@ -92,7 +92,7 @@
         "version": facts.version,
         "discovery": {
             "index": str(facts.list_index),
-            "named": facts.list_named,
+            "named": facts.has_endpoint_list,
             "age": str(max(0, facts.list_age) // MICROSECOND),
         },
     }
@@ -113,7 +113,7 @@
     }
 
 
-def _folder_tree(figures: FolderFigures) -> Tree:
+def _folder_tree(figures: StateFolderMetrics) -> Tree:
     written, batches, failing = figures
     return {"written": str(written), "batches": batches, "failing": failing}
 
--- a/granitespool/management/settings_trees.py
+++ b/granitespool/management/settings_trees.py
@@ -3,7 +3,7 @@
 import copy
 
 from granitespool.management.data_tree import Tree
-from granitespool.management.edits import differing
+from granitespool.management.edits import differing_names
 from granitespool.management.errors import ErrorTag, ManagementError
 
 RUNNING = "running"
@@ -42,7 +42,7 @@
         self.candidate = tree
         if self.candidate_editor is None:
             self.candidate_version = self.version
-        self.candidate_editor = session if differing(tree, self.running) else None
+        self.candidate_editor = session if differing_names(tree, self.running) else None
 
     def discard_candidate(self) -> None:
         """Makes candidate the same as running."""
@@ -50,11 +50,11 @@
         self.candidate_editor = None
         self.candidate_version = self.version
 
-    def replace_running(self, tree: Tree, outlasts: bool) -> None:
-        """Another tree runs; `outlasts`: a restart begins with it."""
+    def replace_running(self, tree: Tree, is_durable: bool) -> None:
+        """Another tree runs; `is_durable`: a restart begins with it."""
         self.running = tree
         self.version += 1
-        if outlasts:
+        if is_durable:
             self.startup = None
         if self.candidate_editor is None:
             self.discard_candidate()
--- a/granitespool/net/management_connection.py
+++ b/granitespool/net/management_connection.py
@@ -33,7 +33,7 @@
         self.user: User | None = None
         self.protocol: ProtocolSession | None = None
         self.task: Task | None = None
-        self.ending: str | None = None  # why it is about to end
+        self.end_reason: str | None = None  # why it is about to end
         self.accepted_at = listener.loop.now  # ns
         self.heard_at = listener.loop.now  # ns
 
@@ -50,7 +50,7 @@
     @property
     def is_busy(self) -> bool:
         """Whether its protocol has work that may be done now."""
-        return self.protocol is not None and self.is_readable and self.protocol.busy
+        return self.protocol is not None and self.is_readable and self.protocol.has_work
 
     def now(self) -> int:
         """The turn's time, ns."""
@@ -65,7 +65,7 @@
 
     def end(self, reason: str) -> None:
         """Ends the connection once what waits is written, as far as it can be at once."""
-        self.ending = self.ending or reason
+        self.end_reason = self.end_reason or reason
 
     def wake(self) -> None:
         """Has the listener look at the connection again in the next turn."""
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -136,7 +136,7 @@
         reason = CLOSED_BY_PEER
         try:
             yield from self._exchange(connection)
-            reason = connection.ending or reason
+            reason = connection.end_reason or reason
             connection.flush()
         except GeneratorExit:
             reason = CLOSED_BY_COORDINATOR
@@ -151,7 +151,7 @@
 
     def _exchange(self, connection: ManagementConnection) -> Waits:
         """Reads, works and writes until one side ends; raises TlsError or OSError."""
-        while connection.ending is None:
+        while connection.end_reason is None:
             mask = (OUT if connection.unsent else 0) | (IN if connection.is_readable else 0)
             events = yield connection.sock.fileno(), mask, self._deadline(connection)
             self.woken.pop(connection, None)
@@ -168,8 +168,8 @@
             return connection.accepted_at + HANDSHAKE_TIMEOUT
         if connection.is_busy:
             return now + 1  # a step in each turn; with a deadline of now it would be resumed in this one
-        idle_at = None if protocol.keeps else connection.heard_at + self.idle_timeout
-        deadlines = [deadline for deadline in (idle_at, protocol.due()) if deadline is not None]
+        idle_at = None if protocol.is_exempt_from_idle_timeout else connection.heard_at + self.idle_timeout
+        deadlines = [deadline for deadline in (idle_at, protocol.next_deadline()) if deadline is not None]
         return max(min(deadlines), now + 1) if deadlines else None
 
     def _run_timers(self, connection: ManagementConnection) -> None:
@@ -178,7 +178,10 @@
             if now >= connection.accepted_at + HANDSHAKE_TIMEOUT:
                 connection.end("no handshake in time")
             return
-        if now >= connection.heard_at + self.idle_timeout and not connection.protocol.keeps:
+        if (
+            now >= connection.heard_at + self.idle_timeout
+            and not connection.protocol.is_exempt_from_idle_timeout
+        ):
             connection.end("idle")
         connection.protocol.tick(now)
 
@@ -190,8 +193,8 @@
         plain, has_ended = received
         if connection.protocol is None and connection.tls.is_up:
             self._begin_session(connection)
-        if plain and connection.ending is None and connection.protocol is not None:
-            connection.protocol.received(plain)
+        if plain and connection.end_reason is None and connection.protocol is not None:
+            connection.protocol.receive(plain)
         connection.flush()
         return not has_ended
 
@@ -209,11 +212,11 @@
             return
         connection.protocol = self.make(user, connection)
         self.log.event("manager_connected", listener=self.name, peer=connection.peer, user=user.name)
-        connection.protocol.begin()
+        connection.protocol.start()
 
     def _work(self, connection: ManagementConnection) -> None:
         """Some of what takes long, within this turn's share."""
-        if connection.protocol is None or connection.ending is not None:
+        if connection.protocol is None or connection.end_reason is not None:
             return
         if self.worked_at != self.loop.now:
             self.worked_at = self.loop.now
@@ -229,7 +232,7 @@
         self.woken.pop(connection, None)
         try:
             if connection.protocol is not None:
-                connection.protocol.closed(reason)
+                connection.protocol.on_closed(reason)
                 connection.tls.close()
                 connection.flush_last()
         finally:
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -10,11 +10,11 @@
 from typing import TYPE_CHECKING, Any
 
 from granitespool.management.authorization import User, certificate_identities, find_user
-from granitespool.management.changes import Answer
+from granitespool.management.changes import CompletionCallback
 from granitespool.management.datastores import Datastores
 from granitespool.management.interfaces import ProtocolSession, Transport
 from granitespool.management.model import Model
-from granitespool.management.operational_state import FolderFigures, OperationalState, ServiceFacts
+from granitespool.management.operational_state import OperationalState, ServiceFacts, StateFolderMetrics
 from granitespool.net.config import Configuration
 from granitespool.net.fleet_notifier import FleetNotifier
 from granitespool.net.log import Log
@@ -49,7 +49,7 @@
         self.session_count = 0  # so far
         self.list_index = service.discovery.index  # the endpoint list's version
         self.list_changed_at = loop.now  # ns
-        self.shared = SharedState(self.picture)
+        self.shared_state = SharedState(self.new_state_reader)
         operator = _operator_of(service.config)
         self.users = _users(operator)
         self.listeners: list[ManagementListener] = []
@@ -70,7 +70,7 @@
     def close(self) -> None:
         """Tells each session that the server goes."""
         for session in list(self.sessions.values()):
-            session.leave()
+            session.announce_shutdown()
 
     # Sessions
 
@@ -81,29 +81,29 @@
         self.sessions[self.session_count] = session
         return session
 
-    def left(self, session: Any) -> None:
+    def on_session_closed(self, session: Any) -> None:
         """A session has ended, however."""
         self.sessions.pop(session.number, None)
-        self.datastores.closed(session, self.settings.log_undone)
+        self.datastores.close_session(session, self.settings.log_undone)
 
-    def session(self, number: str) -> ProtocolSession | None:
+    def find_session(self, number: str) -> ProtocolSession | None:
         """The session of a number."""
         return self.sessions.get(int(number)) if number.isdecimal() else None
 
     @staticmethod
-    def number_of(session: object) -> int:
+    def session_number(session: object) -> int:
         """A session's number, 0 for the coordinator itself."""
         return getattr(session, "number", 0)
 
-    def keep_startup(self, answer: Answer) -> None:
+    def save_startup(self, answer: CompletionCallback) -> None:
         """Has startup outlast the process, and answers once that is safe."""
-        self.settings.keep_startup(answer)
+        self.settings.save_startup(answer)
 
-    def failed(self, error: Exception) -> None:
+    def log_failure(self, error: Exception) -> None:
         """Logs a fault of this program."""
         self.loop.report_failure(error)
 
-    def picture(self) -> OperationalState:
+    def new_state_reader(self) -> OperationalState:
         """A new reading of the operational state."""
         service, stores = self.service, self.datastores
         return OperationalState(
@@ -115,7 +115,7 @@
                 rejected=stores.rejected,
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_changed_at,
-                list_named=service.discovery.named,
+                has_endpoint_list=service.discovery.named,
                 folder=_folder_figures(service),
             ),
         )
@@ -161,7 +161,7 @@
         return lambda user, transport: self.open_session(make, user, transport)
 
     def _has_subscribers(self) -> bool:
-        return any(session.subscribed is not None for session in self.sessions.values())
+        return any(session.subscribed_events is not None for session in self.sessions.values())
 
 
 def _protocol(name: str) -> MakeSession:
@@ -175,11 +175,11 @@
     return GnmiConnection
 
 
-def _folder_figures(service: "Service") -> FolderFigures | None:
+def _folder_figures(service: "Service") -> StateFolderMetrics | None:
     if service.snapshotter is None:
         return None
     metrics = service.snapshotter.metrics()
-    return FolderFigures(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
+    return StateFolderMetrics(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
 
 
 def _users(operator: Operator) -> list[User]:
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -8,7 +8,7 @@
 
 from granitespool.errors import InvalidInputError
 from granitespool.management import impact_check, mapping
-from granitespool.management.changes import Answer, Kept
+from granitespool.management.changes import CompletionCallback, SaveCallback
 from granitespool.management.data_tree import Tree
 from granitespool.management.datastores import Datastores
 from granitespool.management.errors import ErrorTag, ManagementError
@@ -34,7 +34,7 @@
 
     ticket: int
     deadline: int  # ns
-    answer: Kept
+    answer: SaveCallback
 
 
 class SettingsHost:
@@ -82,7 +82,7 @@
         self.service.log.event("settings_changed", by=by, version=version, restart_required=restart_required)
         self.notify("settings-changed", version=version, by=by)
 
-    def keep(self, tree: Tree, version: int, answer: Kept) -> None:
+    def save(self, tree: Tree, version: int, answer: SaveCallback) -> None:
         """Has a tree outlast the process where a state folder is on, and answers once it is safe."""
         if self.service.snapshotter is None:
             answer(None)
@@ -91,19 +91,19 @@
         self.pending.append(PendingSave(ticket, self.service.loop.now + SAVE_TIMEOUT, answer))
         self.service.loop.wake()
 
-    def unkeep(self, tree: Tree, version: int) -> None:
+    def replace_saved(self, tree: Tree, version: int) -> None:
         """Has this tree outlast the process instead; nobody waits for it, and the newest one wins."""
         if self.service.snapshotter is not None:
             self.service.snapshotter.save_settings(tree, self.file_tree, version)
 
-    def refused(self, by: str, why: str) -> None:
+    def on_rejected(self, by: str, why: str) -> None:
         """Logs a change that was rejected, and notifies the subscribers."""
         self.service.log.event("change_rejected", by=by, reason=why)
         self.notify("change-refused", by=by, why=why)
 
     # For the sessions
 
-    def keep_startup(self, answer: Answer) -> None:
+    def save_startup(self, answer: CompletionCallback) -> None:
         """Has startup, as it is now, outlast the process, and answers once that is safe."""
         stores = self.datastores
         if self.service.snapshotter is None:
@@ -117,10 +117,10 @@
                 return
             # It may come to the disk yet: a restart begins with what runs
             stores.reset_startup()
-            self.unkeep(stores.tree(STARTUP), stores.version)
+            self.replace_saved(stores.tree(STARTUP), stores.version)
             answer(ManagementError(ErrorTag.RESOURCE_DENIED, reason))
 
-        self.keep(stores.tree(STARTUP), stores.version, saved)
+        self.save(stores.tree(STARTUP), stores.version, saved)
 
     def log_undone(self, error: ManagementError | None) -> None:
         """Logs where a change that was not confirmed could not be taken back."""
@@ -143,7 +143,7 @@
 
     def due(self) -> int | None:
         """When `end_of_turn` is to be called at the latest, ns; None for never."""
-        deadlines = [self.datastores.due(), *(save.deadline for save in self.pending)]
+        deadlines = [self.datastores.next_deadline(), *(save.deadline for save in self.pending)]
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
     def reread(self, config: Configuration) -> list[str]:
@@ -159,7 +159,7 @@
         self.model.check(tree)
         self.reloaded = config
         try:
-            self.datastores.file(tree)
+            self.datastores.apply_file(tree)
         finally:
             self.reloaded = None
         self.file_tree = tree
--- a/granitespool/net/shared_state.py
+++ b/granitespool/net/shared_state.py
@@ -26,10 +26,10 @@
         self.begun_at: int | None = None  # ns
         self.reader: StateReader | None = None
         self.steps: Iterator[None] | None = None
-        self.flat: dict[tuple[str, int], Any] = {}
-        self.leaves: MutableMapping[str, Any] = WeakValueDictionary()
+        self.leaf_values: dict[tuple[str, int], Any] = {}
+        self.leaf_cache: MutableMapping[str, Any] = WeakValueDictionary()
 
-    def look(self, now: int) -> Tree | None:
+    def poll(self, now: int) -> Tree | None:
         """A tree whose reading began `VALID_FOR` ago at most, or None after a step towards it; ns."""
         if self.steps is None or self.reader is None:
             if self.begun_at is not None and now - self.begun_at < VALID_FOR:
@@ -41,7 +41,7 @@
             return None
         self.tree = self.reader.tree
         self.steps = None
-        self.flat = {}
+        self.leaf_values = {}
         return self.tree
 
     @staticmethod
--- a/granitespool/netconf/context.py
+++ b/granitespool/netconf/context.py
@@ -4,7 +4,7 @@
 from typing import TypeAlias
 
 from granitespool.management.authorization import User
-from granitespool.management.changes import Answer
+from granitespool.management.changes import CompletionCallback
 from granitespool.management.errors import ManagementError
 from granitespool.management.interfaces import ManagementService, Transport
 from granitespool.netconf.xmltree import Element
@@ -29,7 +29,7 @@
         self.awaiting_answer = False
         self.notified_events: frozenset[str] | None = None
 
-    def wait_for(self, start: Callable[[Answer], object]) -> Steps:
+    def wait_for(self, start: Callable[[CompletionCallback], object]) -> Steps:
         """Starts what is answered later, and waits for its answer.
 
         Raises:
--- a/granitespool/netconf/operations/committing.py
+++ b/granitespool/netconf/operations/committing.py
@@ -2,7 +2,7 @@
 
 from granitespool.management.authorization import require_write
 from granitespool.management.confirmation import CommitOptions
-from granitespool.management.edits import differing
+from granitespool.management.edits import differing_names
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.settings_trees import CANDIDATE, RUNNING
 from granitespool.netconf.context import OperationContext, Steps
@@ -15,7 +15,7 @@
 def commit(context: OperationContext, operation: Element, _reply: Element) -> Steps:
     """Makes candidate the running settings, for good or until it is confirmed."""
     stores = context.service.datastores
-    require_write(context.user, differing(stores.tree(RUNNING), stores.tree(CANDIDATE)))
+    require_write(context.user, differing_names(stores.tree(RUNNING), stores.tree(CANDIDATE)))
     options = CommitOptions(
         timeout=_confirm_timeout(operation),
         persist=operation.findtext(base("persist")),
--- a/granitespool/netconf/operations/editing.py
+++ b/granitespool/netconf/operations/editing.py
@@ -2,7 +2,7 @@
 
 from granitespool.management.authorization import require_write
 from granitespool.management.data_tree import Tree
-from granitespool.management.edits import REMOVALS, Change, differing, edited
+from granitespool.management.edits import REMOVALS, Change, apply_changes, differing_names
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.settings_trees import STARTUP
 from granitespool.netconf.content import changes_of
@@ -43,7 +43,7 @@
         stores = context.service.datastores
         stores.edit(context.owner, target, changes, content.operation or default, test)
     if target == STARTUP and test != "test-only":
-        yield from context.wait_for(context.service.keep_startup)
+        yield from context.wait_for(context.service.save_startup)
 
 
 def _replace_settings(
@@ -56,8 +56,8 @@
     """Replaces or removes all of the settings."""
     stores = context.service.datastores
     node = context.service.model.settings
-    tree = {} if operation in REMOVALS else edited(node, {}, changes)
-    require_write(context.user, differing(stores.tree(target), tree))
+    tree = {} if operation in REMOVALS else apply_changes(node, {}, changes)
+    require_write(context.user, differing_names(stores.tree(target), tree))
     if test == "test-only":
         stores.validate(tree)
     else:
@@ -69,10 +69,10 @@
     target = datastore_parameter(operation, "target")
     tree = _source_tree(context, operation)
     stores = context.service.datastores
-    require_write(context.user, differing(stores.tree(target), tree))
+    require_write(context.user, differing_names(stores.tree(target), tree))
     stores.copy(context.owner, target, tree)
     if target == STARTUP:
-        yield from context.wait_for(context.service.keep_startup)
+        yield from context.wait_for(context.service.save_startup)
 
 
 def delete_config(context: OperationContext, operation: Element, _reply: Element) -> Steps:
@@ -81,7 +81,7 @@
     require_write(context.user, [*context.service.model.settings.children])
     context.service.datastores.delete(context.owner, target)
     if target == STARTUP:
-        yield from context.wait_for(context.service.keep_startup)
+        yield from context.wait_for(context.service.save_startup)
 
 
 def validate(context: OperationContext, operation: Element, _reply: Element) -> None:
--- a/granitespool/netconf/operations/retrieval.py
+++ b/granitespool/netconf/operations/retrieval.py
@@ -21,7 +21,7 @@
 def get(context: OperationContext, operation: Element, reply: Element) -> Steps:
     """Answers with the running settings and the operational state."""
     require_read(context.user)
-    state = context.service.picture()
+    state = context.service.new_state_reader()
     yield from state.steps()
     settings = _reported(context, operation, context.service.datastores.tree(RUNNING))
     yield from _add_data(context, operation, reply, {model.SETTINGS: settings, model.STATE: state.tree})
--- a/granitespool/netconf/operations/sessions.py
+++ b/granitespool/netconf/operations/sessions.py
@@ -14,7 +14,7 @@
 def kill_session(context: OperationContext, operation: Element, _reply: Element) -> None:
     """Ends another session; whoever does so must be allowed to write all of the settings."""
     number = (operation.findtext(base("session-id")) or "").strip()
-    other = context.service.session(number)
+    other = context.service.find_session(number)
     if other is None or other is context.owner:
         reason = f"there is no other session {number!r:.20}"
         raise ManagementError(ErrorTag.INVALID_VALUE, reason, element="session-id")
--- a/granitespool/netconf/parameters.py
+++ b/granitespool/netconf/parameters.py
@@ -5,7 +5,7 @@
 
 from granitespool.management import model
 from granitespool.management.data_tree import Tree, node_path
-from granitespool.management.edits import edited
+from granitespool.management.edits import apply_changes
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.model import SchemaNode
 from granitespool.management.settings_trees import DATASTORES
@@ -89,4 +89,4 @@
 def config_tree(config: Element, node: SchemaNode) -> Tree:
     """The tree of settings that a config element holds."""
     settings = config_content(config).settings
-    return {} if settings is None else edited(node, {}, changes_of(node, settings))
+    return {} if settings is None else apply_changes(node, {}, changes_of(node, settings))
--- a/granitespool/netconf/replies.py
+++ b/granitespool/netconf/replies.py
@@ -35,14 +35,14 @@
     etree.SubElement(reply, base("ok"))
 
 
-def replace_by_error(reply: Element, error: ManagementError, number_of: Callable[[object], int]) -> None:
-    """Has a reply hold this error alone; `number_of` gives the session-id of a session."""
+def replace_by_error(reply: Element, error: ManagementError, session_number: Callable[[object], int]) -> None:
+    """Has a reply hold this error alone; `session_number` gives the session-id of a session."""
     for child in list(reply):
         reply.remove(child)
-    reply.append(error_element(error, number_of))
+    reply.append(error_element(error, session_number))
 
 
-def error_element(error: ManagementError, number_of: Callable[[object], int]) -> Element:
+def error_element(error: ManagementError, session_number: Callable[[object], int]) -> Element:
     """The rpc-error of an error."""
     element = etree.Element(base("rpc-error"), nsmap={None: BASE})
     is_protocol = error.tag in PROTOCOL_TAGS and not error.path
@@ -55,7 +55,7 @@
     message = etree.SubElement(element, base("error-message"), attrib={f"{{{XML}}}lang": "en"})
     message.text = error.reason
     if error.has_info:
-        _add_info(etree.SubElement(element, base("error-info")), error, number_of)
+        _add_info(etree.SubElement(element, base("error-info")), error, session_number)
     return element
 
 
@@ -68,7 +68,7 @@
     return f"/gs:{step.name}{''.join(predicates)}"
 
 
-def _add_info(info: Element, error: ManagementError, number_of: Callable[[object], int]) -> None:
+def _add_info(info: Element, error: ManagementError, session_number: Callable[[object], int]) -> None:
     for name, value in (
         ("bad-attribute", error.attribute),
         ("bad-element", error.element),
@@ -77,4 +77,4 @@
         if value:
             _add_text(info, name, value)
     if error.session is not None:
-        _add_text(info, "session-id", str(number_of(error.session)))
+        _add_text(info, "session-id", str(session_number(error.session)))
--- a/granitespool/netconf/session.py
+++ b/granitespool/netconf/session.py
@@ -43,22 +43,22 @@
     # Driven by the listener
 
     @property
-    def busy(self) -> bool:
+    def has_work(self) -> bool:
         """Whether `work` has something to do."""
         has_request = self._in_progress is not None or bool(self.pending)
         return self._open and not self.context.awaiting_answer and has_request
 
     @property
-    def keeps(self) -> bool:
+    def is_exempt_from_idle_timeout(self) -> bool:
         """Whether silence is no reason to end the session: a subscriber has nothing to say."""
-        return self.subscribed is not None or self.context.awaiting_answer
+        return self.subscribed_events is not None or self.context.awaiting_answer
 
     @property
-    def subscribed(self) -> frozenset[str] | None:
+    def subscribed_events(self) -> frozenset[str] | None:
         """Names of the events that the session subscribed to; empty for all, None without a subscription."""
         return self.context.notified_events
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Says hello; the connection is up."""
         hello = etree.Element(base("hello"), nsmap={None: BASE})
         capabilities = etree.SubElement(hello, base("capabilities"))
@@ -67,7 +67,7 @@
         etree.SubElement(hello, base("session-id")).text = str(self.number)
         self._send(hello)
 
-    def received(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Takes plain bytes of the client."""
         self._reader.feed(data)
         try:
@@ -78,7 +78,7 @@
         except NetconfError as error:
             self._finish(str(error))
 
-    def due(self) -> None:
+    def next_deadline(self) -> None:
         """No timer: what a commit waits for belongs to the datastores."""
 
     def tick(self, now: int) -> None:
@@ -95,15 +95,15 @@
         except StopIteration:
             self._in_progress = None
 
-    def leave(self) -> None:
+    def announce_shutdown(self) -> None:
         """NETCONF has no message that the server goes; the end of TLS tells."""
 
-    def closed(self, _why: str) -> None:
+    def on_closed(self, _why: str) -> None:
         """The connection has ended."""
         self._open = False
         self.pending.clear()
         self._in_progress = None
-        self.service.left(self)
+        self.service.on_session_closed(self)
 
     def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
         """Sends an event's notification to a subscriber; a client that does not read gets none meanwhile."""
@@ -116,9 +116,9 @@
         self.transport.wake()
 
     def _wants(self, name: str) -> bool:
-        if self.subscribed is None:
+        if self.subscribed_events is None:
             return False
-        return not self.subscribed or name in self.subscribed
+        return not self.subscribed_events or name in self.subscribed_events
 
     # Messages
 
@@ -162,13 +162,13 @@
         try:
             yield from self._perform(rpc, reply)
         except ManagementError as error:
-            replace_by_error(reply, error, self.service.number_of)
+            replace_by_error(reply, error, self.service.session_number)
         except Exception as error:
             # A fault of this program that one request triggers must not end the session, nor anyone else's.
-            self.service.failed(error)
+            self.service.log_failure(error)
             failure = ManagementError(ErrorTag.OPERATION_FAILED, "the coordinator failed at it, see its log")
-            replace_by_error(reply, failure, self.service.number_of)
-        if self.transport.ending is None:
+            replace_by_error(reply, failure, self.service.session_number)
+        if self.transport.end_reason is None:
             self._send(reply)
             last = rpc[0] if len(rpc) else rpc
             if self._open and local_name(last) == CLOSE_SESSION:
--- a/granitespool/rpc/calls.py
+++ b/granitespool/rpc/calls.py
@@ -72,7 +72,7 @@
             self.calls.http2.finish(self.stream, status)
         else:
             self.calls.http2.send_headers(self.stream, (*RESPONSE_HEADERS, *status), end=True)
-        self.calls.forget(self)
+        self.calls.remove(self)
 
     def wake(self) -> None:
         """Something came that the method may wait for."""
@@ -133,7 +133,7 @@
 
     # What the HTTP/2 connection tells
 
-    def opened(self, stream: int, headers: Headers) -> None:
+    def on_request(self, stream: int, headers: Headers) -> None:
         """A request has begun."""
         content_type = headers.get("content-type", "")
         if headers.get(":method") != "POST" or not content_type.startswith("application/grpc"):
@@ -160,7 +160,7 @@
             raise StatusError(StatusCode.UNIMPLEMENTED, f"there is no method {path!r:.100}")
         return method
 
-    def data(self, stream: int, data: bytes) -> None:
+    def on_data(self, stream: int, data: bytes) -> None:
         """Bytes of a request's body came."""
         call = self.open.get(stream)
         if call is None:
@@ -171,7 +171,7 @@
         except StatusError as error:
             self._stop(call, error)
 
-    def ended(self, stream: int) -> None:
+    def on_end(self, stream: int) -> None:
         """A request's body is complete."""
         call = self.open.get(stream)
         if call is None:
@@ -182,16 +182,16 @@
         else:
             call.wake()
 
-    def reset(self, stream: int) -> None:
+    def on_reset(self, stream: int) -> None:
         """The client has cancelled a call."""
         call = self.open.get(stream)
         if call is not None:
-            self.forget(call)
+            self.remove(call)
 
     # Work and time
 
     @property
-    def busy(self) -> bool:
+    def has_work(self) -> bool:
         """Whether `work` has something to do."""
         return any(self._can_go_on(call) for call in self.open.values())
 
@@ -216,7 +216,7 @@
             self.on_failure(error)
             self._stop(call, StatusError(StatusCode.INTERNAL, "the coordinator failed at it, see its log"))
 
-    def due(self) -> int | None:
+    def next_deadline(self) -> int | None:
         """When `tick` is to be called at the latest, None for never."""
         times = [time for call in self.open.values() for time in (call.deadline, call.wake_at)]
         return min((time for time in times if time is not None), default=None)
@@ -238,7 +238,7 @@
             # What the client still sends is of no use.
             self.http2.reset(call.stream, ErrorCodes.NO_ERROR)
 
-    def forget(self, call: Call) -> None:
+    def remove(self, call: Call) -> None:
         """The one place where a call is dropped."""
         self.open.pop(call.stream, None)
         if call.steps is not None and inspect.getgeneratorstate(call.steps) != inspect.GEN_RUNNING:
@@ -247,4 +247,4 @@
     def close(self) -> None:
         """The connection has ended."""
         for call in list(self.open.values()):
-            self.forget(call)
+            self.remove(call)
--- a/granitespool/rpc/http2.py
+++ b/granitespool/rpc/http2.py
@@ -47,16 +47,16 @@
 class StreamHandler(Protocol):
     """Receives what happens to the streams of a connection."""
 
-    def opened(self, stream: int, headers: Headers) -> None:
+    def on_request(self, stream: int, headers: Headers) -> None:
         """A request has begun."""
 
-    def data(self, stream: int, data: bytes) -> None:
+    def on_data(self, stream: int, data: bytes) -> None:
         """Bytes of a request's body came."""
 
-    def ended(self, stream: int) -> None:
+    def on_end(self, stream: int) -> None:
         """A request's body is complete."""
 
-    def reset(self, stream: int) -> None:
+    def on_reset(self, stream: int) -> None:
         """The client has cancelled a request."""
 
 
@@ -76,7 +76,7 @@
         )
         self.h2.decoder.max_header_list_size = MAX_HEADER_BYTES  # also before the client knows of it
         self.queued: dict[int, bytearray] = {}
-        self.ready = False
+        self.can_send = False
         self._trailers: dict[int, HeaderFields] = {}  # by stream: headers that follow the queued bytes
         self._leaving = False
         self._costly_frames = 0  # in the second of `_costly_second`
@@ -84,14 +84,14 @@
         self._frame_header = b""  # the part of the next frame's header that came
         self._bytes_before_header = PREFACE_BYTES
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Sends the server's preface."""
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(RECEIVE_WINDOW)
 
     # What the client sends
 
-    def received(self, data: bytes, now: int) -> None:
+    def receive(self, data: bytes, now: int) -> None:
         """Takes bytes of the client; `now` in ns.
 
         Raises:
@@ -135,18 +135,18 @@
 
     def _handle(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
-            self.streams.opened(event.stream_id, dict(event.headers))  # type: ignore[arg-type]  # text
+            self.streams.on_request(event.stream_id, dict(event.headers))  # type: ignore[arg-type]  # text
         elif isinstance(event, DataReceived):
             self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             if event.data:
-                self.streams.data(event.stream_id, event.data)
+                self.streams.on_data(event.stream_id, event.data)
         elif isinstance(event, StreamEnded):
-            self.streams.ended(event.stream_id)
+            self.streams.on_end(event.stream_id)
         elif isinstance(event, StreamReset):
             self._forget(event.stream_id)
-            self.streams.reset(event.stream_id)
+            self.streams.on_reset(event.stream_id)
         elif isinstance(event, WindowUpdated):
-            self.ready = bool(self.queued)
+            self.can_send = bool(self.queued)
         elif isinstance(event, ConnectionTerminated):
             reason = "the client went away"
             raise Http2Error(reason)
@@ -162,13 +162,13 @@
         """Queues bytes of a response's body."""
         if self._is_open(stream):
             self.queued.setdefault(stream, bytearray()).extend(data)
-            self.ready = True
+            self.can_send = True
 
     def finish(self, stream: int, trailers: HeaderFields) -> None:
         """These headers end the stream once all that waits for it has gone."""
         if self._is_open(stream):
             self._trailers[stream] = trailers
-            self.ready = True
+            self.can_send = True
 
     def reset(self, stream: int, code: ErrorCodes = ErrorCodes.NO_ERROR) -> None:
         """Ends a stream at once."""
@@ -180,7 +180,7 @@
         """Whether more may be queued for a stream."""
         return len(self.queued.get(stream, b"")) < QUEUE_HIGH_WATER
 
-    def leave(self) -> None:
+    def send_goaway(self) -> None:
         """Sends a notice to go away: open streams are finished, new ones are not taken."""
         if not self._leaving:
             self._leaving = True
@@ -200,14 +200,14 @@
 
     def step(self) -> None:
         """Puts some of what waits into frames, as the windows allow, one stream after the other."""
-        self.ready = False
+        self.can_send = False
         bytes_left = MAX_STEP_BYTES
         for stream in [*{**self.queued, **self._trailers}]:
             if not self._is_open(stream):
                 self._forget(stream)
                 continue
             bytes_left = self._send_queued(stream, bytes_left)
-            if self.ready:
+            if self.can_send:
                 return
             if not self.queued.get(stream):
                 self.queued.pop(stream, None)
@@ -227,7 +227,7 @@
                 break
             if bytes_left <= 0:
                 self.queued[stream] = self.queued.pop(stream)
-                self.ready = True
+                self.can_send = True
                 break
             self.h2.send_data(stream, bytes(data[:size]))
             del data[:size]
--- a/granitespool/simulation/netconf_client.py
+++ b/granitespool/simulation/netconf_client.py
@@ -150,7 +150,7 @@
     return f'<coordinator xmlns="{NAMESPACE}"><settings>{settings}</settings></coordinator>'
 
 
-def tag_of(answer: str) -> str:
+def reply_tag(answer: str) -> str:
     """An answer's error tag, "ok" where there is none."""
     found = re.search(r"<error-tag>([^<]*)<", answer)
     return found[1] if found else "ok"
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -131,7 +131,7 @@
     unsent = 0
 
     def __init__(self, loop):
-        self.loop, self.ending = loop, None
+        self.loop, self.end_reason = loop, None
         self.sent = bytearray()
 
     def now(self):
@@ -141,7 +141,7 @@
         self.sent += data
 
     def end(self, why):
-        self.ending = self.ending or why
+        self.end_reason = self.end_reason or why
 
     def wake(self):
         """Nothing waits here: `ManagedCoordinator.play` looks at each session."""
@@ -249,17 +249,17 @@
         """(protocol, session) of a new session that has begun."""
         session = RecordedSession(self.loop)
         made = self.management.open_session(protocol, self.user(user), session)
-        made.begin()
+        made.start()
         return made, session
 
     def play(self, made):
         """Works until a protocol has nothing more to do, as the listener and the service would."""
         for _ in range(100_000):
-            if made.busy:
+            if made.has_work:
                 made.work()
                 continue
             self.management.end_of_turn(self.loop.now)
-            if not made.busy:
+            if not made.has_work:
                 return
         raise AssertionError("it never ends")
 
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -19,7 +19,7 @@
 from granitespool.operator_settings import Gnmi
 from granitespool.rpc.errors import StatusCode
 from granitespool.rpc.http2 import MAX_COSTLY_FRAMES
-from granitespool.simulation.netconf_client import client_context, tag_of
+from granitespool.simulation.netconf_client import client_context, reply_tag
 
 BASE = "/coordinator/settings/channel/lines-per-second"
 
@@ -263,10 +263,10 @@
     assert house.client("reader").set(update={BASE: "5"}) == "PERMISSION_DENIED"
     assert house.client("pacer").set(update={BASE: "900"}) == "ok"
     assert house.client("pacer").set(update={"/coordinator/settings/drain/grace": 5}) == "PERMISSION_DENIED"
-    assert tag_of(netconf.edit("<channel><lines-per-second>800</lines-per-second></channel>")) == "ok"
+    assert reply_tag(netconf.edit("<channel><lines-per-second>800</lines-per-second></channel>")) == "ok"
     assert client.set(update={BASE: "700"}) == "ok"
     assert "begun from version 2" in netconf.commit() and house.settings()["entries_per_s"] == 700
-    assert tag_of(netconf.lock("running")) == "ok"
+    assert reply_tag(netconf.lock("running")) == "ok"
     assert client.set(update={BASE: "600"}) == "ABORTED"
     netconf.reset()
     house.logged("manager_disconnected")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -13,10 +13,10 @@
 from granitespool.management import authorization, impact_check, mapping
 from granitespool.management.confirmation import CommitOptions
 from granitespool.management.datastores import Datastores
-from granitespool.management.edits import Change, edited, with_defaults
+from granitespool.management.edits import Change, apply_changes, with_defaults
 from granitespool.management.errors import ManagementError
 from granitespool.management.model import Model
-from granitespool.management.operational_state import FolderFigures, OperationalState, ServiceFacts
+from granitespool.management.operational_state import OperationalState, ServiceFacts, StateFolderMetrics
 from granitespool.management.settings_trees import CANDIDATE, RUNNING, STARTUP
 from granitespool.net import config
 from granitespool.operator_settings import Operator, State
@@ -75,7 +75,7 @@
 )
 def test_an_edit_changes_what_it_names_and_not_the_tree_it_was_given(change, expected):
     before = copy.deepcopy(TREE)
-    value = edited(SETTINGS, TREE, [change])
+    value = apply_changes(SETTINGS, TREE, [change])
     assert before == TREE
     for step in expected[:-1]:
         if step is not None:
@@ -101,7 +101,7 @@
     ],
 )
 def test_a_wrong_edit_is_rejected_with_the_rfcs_tag(change, default, tag):
-    assert rejection_of(edited, SETTINGS, TREE, [change], default)[0] == tag
+    assert rejection_of(apply_changes, SETTINGS, TREE, [change], default)[0] == tag
 
 
 @pytest.mark.parametrize(
@@ -166,7 +166,7 @@
         tree = mapping.tree_of(each)
         MODEL.check(tree)
         assert mapping.config_of(tree, each) == each
-    tree = edited(
+    tree = apply_changes(
         SETTINGS,
         mapping.tree_of(configuration()),
         [
@@ -183,7 +183,7 @@
     ]
     assert new["operator"].state == State(folder="x", half_life_s=12.5, every_ms=250)
     gone = mapping.config_of(
-        edited(SETTINGS, tree, [node("drain", op="delete"), node("operator", op="delete")]), new
+        apply_changes(SETTINGS, tree, [node("drain", op="delete"), node("operator", op="delete")]), new
     )
     assert gone["settings"].drain_grace is None
     assert gone["operator"].state is None
@@ -260,7 +260,7 @@
         if self.impact:
             raise ManagementError("operation-failed", self.impact)
 
-    def keep(self, tree, version, answer):
+    def save(self, tree, version, answer):
         self.asked.append(answer)
         if not self.later:
             self.kept(None)
@@ -268,10 +268,10 @@
     def kept(self, why):
         self.asked.pop(0)(why)
 
-    def unkeep(self, tree, version):
+    def replace_saved(self, tree, version):
         self.unkept.append(tree)
 
-    def refused(self, by, why):
+    def on_rejected(self, by, why):
         self.told.append(why)
 
     def apply(self, tree, by):
@@ -328,7 +328,7 @@
     assert s.stores.version == 1
     assert not s.host.applied
     assert s.pace(CANDIDATE) == "5.0"
-    assert s.stores.changes.busy is None
+    assert s.stores.changes.committing_session is None
     assert s.stores.rejected == 1 == len(s.host.told)
     assert s.host.unkept == ([] if failure == "impact" else [s.stores.tree(RUNNING)])
 
@@ -336,7 +336,7 @@
 def test_a_commit_begun_from_an_outdated_version_is_rejected():
     s = Stores()
     s.edit("a", "5.0")
-    s.stores.file({**TREE, "channel": {"lines-per-second": "7.0"}})
+    s.stores.apply_file({**TREE, "channel": {"lines-per-second": "7.0"}})
     assert s.commit("a") == "operation-failed"
     assert s.pace() == "7.0"
     s.stores.discard("a")
@@ -353,9 +353,9 @@
     assert rejection_of(s.edit, "b", "5.0")[0] == "in-use"
     assert s.commit("b") == "in-use"
     assert rejection_of(s.stores.unlock, "b", CANDIDATE)[0] == "operation-failed"
-    assert rejection_of(s.stores.file, TREE)[0] == "in-use"
+    assert rejection_of(s.stores.apply_file, TREE)[0] == "in-use"
     s.edit("a", "5.0")
-    s.stores.closed("a", None)
+    s.stores.close_session("a", None)
     assert not s.stores.locks.holders()
     assert s.pace(CANDIDATE) == "100.0"
     s.edit("b", "5.0")
@@ -385,7 +385,7 @@
     assert s.commit("a", timeout=10, persist=persist) == "ok"
     assert s.pace() == "5.0"
     assert s.commit("b") == "in-use"
-    assert rejection_of(s.stores.file, TREE)[0] == "in-use"
+    assert rejection_of(s.stores.apply_file, TREE)[0] == "in-use"
     s.now = 5 * 10**9
     if end == "confirm":
         assert s.commit("a") == "ok"
@@ -402,14 +402,14 @@
         assert s.commit("b", persist_id="q") == "invalid-value"
         assert s.commit("b", persist_id="p") == "ok"
     elif end == "persist closed":
-        s.stores.closed("a", None)
+        s.stores.close_session("a", None)
         assert s.commit("b", persist_id="p") == "ok"
     elif end == "closed":
-        s.stores.closed("a", lambda error: None)
+        s.stores.close_session("a", lambda error: None)
     elif end == "closed while busy":
         s.host.later = True
         assert s.commit("a") == "waits"
-        s.stores.closed("a", lambda error: None)
+        s.stores.close_session("a", lambda error: None)
         s.host.kept("full")
     elif end == "cancel":
         answers = []
@@ -418,7 +418,7 @@
     s.now = 30 * 10**9
     s.stores.tick(s.now, lambda error: None)
     assert s.pace() == pace
-    assert s.stores.confirmation is None
+    assert s.stores.pending_confirmation is None
     s.edit("c", "8.0")
     assert s.commit("c") in ("ok", "waits")
 
@@ -474,8 +474,8 @@
         rejected=0,
         list_index=3,
         list_age=5000,
-        list_named=True,
-        folder=FolderFigures(7, 2, False),
+        has_endpoint_list=True,
+        folder=StateFolderMetrics(7, 2, False),
     )
     state = OperationalState(Coordinator(), facts)
     assert len(list(state.steps())) >= 1
@@ -537,7 +537,7 @@
 
     @rule(who=WHO)
     def drop(self, who):
-        self.s.stores.closed(who, lambda error: None)
+        self.s.stores.close_session(who, lambda error: None)
         assert who not in self.s.stores.locks.holders()
         assert self.s.stores.trees.candidate_editor != who
 
@@ -547,7 +547,7 @@
 
     @rule(pace=st.sampled_from(["4.0", "5.0"]))
     def file(self, pace):
-        self._try(self.s.stores.file, {**TREE, "channel": {"lines-per-second": pace}})
+        self._try(self.s.stores.apply_file, {**TREE, "channel": {"lines-per-second": pace}})
 
     @rule(seconds=st.integers(1, 4))
     def time(self, seconds):
@@ -576,7 +576,7 @@
         assert stores.version >= self.version
         assert stores.version - 1 == len(applied) == stores.commits
         self.version = stores.version
-        assert (stores.changes.busy is not None) == bool(self.s.host.asked)
+        assert (stores.changes.committing_session is not None) == bool(self.s.host.asked)
 
 
 ConcurrentSessions.TestCase.settings = hypothesis_settings(
--- a/tests/test_management_replies.py
+++ b/tests/test_management_replies.py
@@ -43,13 +43,13 @@
         self.text = [f"## session of {user}", lines_of(self.session.taken())]
         hello = f'<hello xmlns="{BASE}"><capabilities><capability>urn:ietf:params:netconf:base:1.{minor}'
         self.chunked = bool(minor)
-        self.protocol.received(f"{hello}</capability></capabilities></hello>]]>]]>".encode())
+        self.protocol.receive(f"{hello}</capability></capabilities></hello>]]>]]>".encode())
 
     def send(self, body, attributes=None):
         self.number += 1
         attributes = f'message-id="{self.number}"' if attributes is None else attributes
         data = f'<rpc {attributes} xmlns="{BASE}">{body}</rpc>'.encode()
-        self.protocol.received(b"\n#%d\n%s\n##\n" % (len(data), data) if self.chunked else data + b"]]>]]>")
+        self.protocol.receive(b"\n#%d\n%s\n##\n" % (len(data), data) if self.chunked else data + b"]]>]]>")
         self.managed.play(self.protocol)
 
     def ask(self, body, attributes=None):
@@ -57,8 +57,8 @@
         self.text += [f"## {body}", self.heard()]
 
     def heard(self):
-        ending = f"\n## ended: {self.session.ending}" if self.session.ending else ""
-        return lines_of(self.session.taken()) + ending
+        end_reason = f"\n## ended: {self.session.end_reason}" if self.session.end_reason else ""
+        return lines_of(self.session.taken()) + end_reason
 
     def edit(self, settings, store="candidate", options=""):
         self.ask(
@@ -215,7 +215,7 @@
     one.ask("<kill-session><session-id>2</session-id></kill-session>")
     two.text.append(two.heard())
     pacer.ask("<close-session/>")
-    blind.protocol.received(b"\n#x\n")
+    blind.protocol.receive(b"\n#x\n")
     blind.text.append(blind.heard())
     text = "\n".join([*one.text, *two.text, *pacer.text, *blind.text]) + "\n"
     compare_with_record("management/netconf_operations.txt", text, tmp_path)
@@ -241,7 +241,7 @@
             if not heard and not said:
                 return
             if said:
-                self.protocol.received(said)
+                self.protocol.receive(said)
             for event in self.h2.receive_data(heard) if heard else ():
                 self.event(event)
 
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -20,7 +20,7 @@
 from granitespool.netconf.framing import END_OF_MESSAGE, MessageReader, frame
 from granitespool.netconf.xmltree import parse_message
 from granitespool.planner.events import LoadReport
-from granitespool.simulation.netconf_client import HELLO, ConnectionEndedError, NetconfClient, tag_of, top
+from granitespool.simulation.netconf_client import HELLO, ConnectionEndedError, NetconfClient, reply_tag, top
 
 PACE = "<channel><lines-per-second>{}</lines-per-second></channel>"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -109,10 +109,10 @@
     state = one.ask("<get/>")
     assert state.count("<backend>") == 6 and "<phase>ready</phase>" in state
     assert "<weight>1.0</weight>" in state
-    assert tag_of(one.edit(PACE.format("500.0"))) == "ok" and house.settings()["entries_per_s"] == 1000.0
+    assert reply_tag(one.edit(PACE.format("500.0"))) == "ok" and house.settings()["entries_per_s"] == 1000.0
     assert "<lines-per-second>500.0<" in one.config("candidate")
     assert "<lines-per-second>1000.0<" in one.config()
-    assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
+    assert reply_tag(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
     assert "<version>2</version>" in one.ask("<get/>")
     ages = []
     for index in (1, 1, 2):
@@ -123,12 +123,16 @@
     assert 200_000 < ages[0] < ages[1] - 200_000 and ages[2] < ages[1]
     house.logged("settings_changed", by="operations", version=2)
     most = house.service.streams.admission.connections_limit
-    assert tag_of(one.edit("<limits><descriptors>512</descriptors></limits>")) == tag_of(one.commit()) == "ok"
+    assert (
+        reply_tag(one.edit("<limits><descriptors>512</descriptors></limits>"))
+        == reply_tag(one.commit())
+        == "ok"
+    )
     assert house.service.streams.admission.connections_limit == most - 512
     assert house.service.health_checks.limit == 64
-    assert tag_of(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
-    assert "over the 1024" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
-    assert tag_of(one.ask("<close-session/>")) == "ok"
+    assert reply_tag(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
+    assert "over the 1024" in one.commit() and reply_tag(one.ask("<discard-changes/>")) == "ok"
+    assert reply_tag(one.ask("<close-session/>")) == "ok"
     with pytest.raises(ConnectionEndedError):
         one.receive()
 
@@ -166,8 +170,8 @@
 def test_a_rejected_operation_has_the_rfcs_tag_and_the_session_goes_on(house, body, tag):
     one = house.manager()
     answer = one.ask(body)
-    assert tag_of(answer) == tag and "<error-message" in answer and tag_of(one.ask("<get/>")) == "ok"
-    assert tag_of(one.ask("<get/>", "")) == "missing-attribute"
+    assert reply_tag(answer) == tag and "<error-message" in answer and reply_tag(one.ask("<get/>")) == "ok"
+    assert reply_tag(one.ask("<get/>", "")) == "missing-attribute"
 
 
 @pytest.mark.parametrize(
@@ -191,8 +195,8 @@
     one, before = house.manager(), None
     before = one.config("candidate")
     answer = one.edit("<drain><grace>7</grace></drain>" + settings)
-    assert tag_of(answer) == tag and path in answer and one.config("candidate") == before
-    assert tag_of(one.commit()) == "ok" and house.settings()["drain_grace"] == 3 * 10**9
+    assert reply_tag(answer) == tag and path in answer and one.config("candidate") == before
+    assert reply_tag(one.commit()) == "ok" and house.settings()["drain_grace"] == 3 * 10**9
 
 
 @pytest.mark.parametrize(
@@ -209,9 +213,9 @@
 )
 def test_a_commit_that_fails_the_impact_check_is_rejected_and_the_old_settings_run_on(house, settings, words):
     proxy, one, before = house.proxy(), house.manager(), house.settings()
-    assert tag_of(one.edit(settings)) == "ok"
+    assert reply_tag(one.edit(settings)) == "ok"
     answer = one.commit()
-    assert tag_of(answer) == "operation-failed" and words in answer
+    assert reply_tag(answer) == "operation-failed" and words in answer
     assert house.settings() == before and "<version>1</version>" in one.ask("<get/>") and alive(proxy)
     assert "<refused>1</refused>" in one.ask("<get/>")
     proxy.close()
@@ -253,7 +257,7 @@
         )
         assert "module granitespool {" in schema
         assert (
-            tag_of(
+            reply_tag(
                 one.ask(
                     '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
                     "<identifier>x"
@@ -263,7 +267,7 @@
             == "invalid-value"
         )
         assert (
-            tag_of(
+            reply_tag(
                 one.edit(
                     "<operator><state xmlns:nc='urn:ietf:params:xml:ns:netconf:base:1.0'>"
                     "<most-mb nc:operation="
@@ -280,11 +284,11 @@
         assert "most-mb" not in one.config("candidate") and "<most-mb>64<" in one.config(
             "candidate", all_of_it
         )
-        assert tag_of(one.edit("<class><name>late</name></class>", "startup")) == "ok"
+        assert reply_tag(one.edit("<class><name>late</name></class>", "startup")) == "ok"
         assert "<failing>false</failing>" in one.ask("<get/>")
         assert "late" in one.config("startup") and "late" not in one.config()
         assert (
-            tag_of(
+            reply_tag(
                 one.ask("<copy-config><target><startup/></target><source><running/></source></copy-config>")
             )
             == "ok"
@@ -292,7 +296,7 @@
         assert "late" not in one.config("startup")
         whole = top("<zone>n</zone><zone>s</zone><class><name>pay</name></class>")
         assert (
-            tag_of(
+            reply_tag(
                 one.ask(
                     f"<copy-config><target><candidate/></target><source><config>{whole}"
                     "</config></source></copy-config>"
@@ -301,18 +305,20 @@
             == "ok"
         )
         assert "promised-time" not in one.config("candidate")
-        assert tag_of(one.ask("<validate><source><candidate/></source></validate>")) == "operation-failed"
-        assert tag_of(one.ask("<discard-changes/>")) == "ok" and one.config("candidate") == one.config()
-        assert tag_of(one.ask("<delete-config><target><startup/></target></delete-config>")) == "ok"
+        assert reply_tag(one.ask("<validate><source><candidate/></source></validate>")) == "operation-failed"
+        assert reply_tag(one.ask("<discard-changes/>")) == "ok" and one.config("candidate") == one.config()
+        assert reply_tag(one.ask("<delete-config><target><startup/></target></delete-config>")) == "ok"
 
 
 def test_users_read_and_write_what_they_are_authorized_for(house):
     reader, pacer = house.manager("reader"), house.manager("pacer")
-    assert "<backend>" in reader.ask("<get/>") and tag_of(reader.edit(PACE.format("500"))) == "access-denied"
-    assert tag_of(pacer.edit("<drain><grace>5</grace></drain>")) == "access-denied"
-    assert tag_of(pacer.edit(PACE.format("500"))) == "ok" and tag_of(reader.commit()) == "access-denied"
-    assert tag_of(pacer.commit()) == "ok" and house.settings()["entries_per_s"] == 500
-    assert tag_of(reader.ask("<kill-session><session-id>2</session-id></kill-session>")) == "access-denied"
+    assert (
+        "<backend>" in reader.ask("<get/>") and reply_tag(reader.edit(PACE.format("500"))) == "access-denied"
+    )
+    assert reply_tag(pacer.edit("<drain><grace>5</grace></drain>")) == "access-denied"
+    assert reply_tag(pacer.edit(PACE.format("500"))) == "ok" and reply_tag(reader.commit()) == "access-denied"
+    assert reply_tag(pacer.commit()) == "ok" and house.settings()["entries_per_s"] == 500
+    assert reply_tag(reader.ask("<kill-session><session-id>2</session-id></kill-session>")) == "access-denied"
 
 
 # Two at once, and sessions that end
@@ -320,28 +326,30 @@
 
 def test_two_sessions_and_a_reload_cannot_overwrite_each_others_changes(house):
     one, two = house.manager(), house.manager()
-    assert tag_of(one.lock()) == "ok"
+    assert reply_tag(one.lock()) == "ok"
     held = two.lock()
-    assert tag_of(held) == "lock-denied" and "<session-id>1</session-id>" in held
-    assert tag_of(two.edit(PACE.format("400"))) == "in-use" and tag_of(two.commit()) == "in-use"
-    assert tag_of(one.edit(PACE.format("500"))) == "ok"
+    assert reply_tag(held) == "lock-denied" and "<session-id>1</session-id>" in held
+    assert reply_tag(two.edit(PACE.format("400"))) == "in-use" and reply_tag(two.commit()) == "in-use"
+    assert reply_tag(one.edit(PACE.format("500"))) == "ok"
     info = {**house.reading["family_info"], "egress_per_s": 700.0}
     assert (
         house.reload(family_info=info)["event"] == "reloaded" and house.settings()["entries_per_s"] == 700.0
     )
     answer = one.commit()
-    assert tag_of(answer) == "operation-failed" and "begun from version 1" in answer
+    assert reply_tag(answer) == "operation-failed" and "begun from version 1" in answer
     assert house.settings()["entries_per_s"] == 700.0
-    assert tag_of(one.ask("<discard-changes/>")) == "ok" and tag_of(one.edit(PACE.format("500"))) == "ok"
-    assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
+    assert (
+        reply_tag(one.ask("<discard-changes/>")) == "ok" and reply_tag(one.edit(PACE.format("500"))) == "ok"
+    )
+    assert reply_tag(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
     assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 500
-    assert tag_of(one.lock("running")) == "ok"
+    assert reply_tag(one.lock("running")) == "ok"
     refused = house.reload(family_info={**info, "egress_per_s": 800.0})
     assert refused["event"] == "reload_rejected" and "locked by a manager" in refused["reason"]
     one.reset()
     house.logged("manager_disconnected")
     assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 800.0
-    assert tag_of(two.lock("running")) == "ok" and tag_of(two.lock()) == "ok"
+    assert reply_tag(two.lock("running")) == "ok" and reply_tag(two.lock()) == "ok"
 
 
 STEPS = ["hello", "lock", "edit", "half an rpc", "commit unread", "confirmed", "confirmed and edited"]
@@ -367,29 +375,29 @@
         elif step == "commit unread":
             one.send("<commit><confirmed/></commit>")
         elif step.startswith("confirmed"):
-            assert tag_of(one.commit("<confirmed/>")) == "ok" and house.settings()["entries_per_s"] == 500
+            assert reply_tag(one.commit("<confirmed/>")) == "ok" and house.settings()["entries_per_s"] == 500
             if step != "confirmed":
                 one.edit(PACE.format("600"))
     getattr(one, how)()
     house.logged("manager_disconnected")
     assert {name: watcher.config(name) for name in stores} == stores and house.settings() == before
-    assert tag_of(watcher.lock()) == "ok" and tag_of(watcher.lock("running")) == "ok"
+    assert reply_tag(watcher.lock()) == "ok" and reply_tag(watcher.lock("running")) == "ok"
 
 
 def test_a_confirmed_commit_is_undone_in_time_and_with_its_id_confirmed_by_another(house):
     one, two = house.manager(), house.manager()
     one.edit(PACE.format("500"))
-    assert tag_of(one.commit("<confirmed/><confirm-timeout>1</confirm-timeout>")) == "ok"
+    assert reply_tag(one.commit("<confirmed/><confirm-timeout>1</confirm-timeout>")) == "ok"
     assert house.settings()["entries_per_s"] == 500
     house.logged("settings_changed", by="timeout")
     assert house.settings()["entries_per_s"] == 1000
     one.edit(PACE.format("600"))
-    assert tag_of(one.commit("<confirmed/><persist>q7</persist>")) == "ok"
+    assert reply_tag(one.commit("<confirmed/><persist>q7</persist>")) == "ok"
     one.close()
     house.logged("manager_disconnected")
-    assert house.settings()["entries_per_s"] == 600 and tag_of(two.commit()) == "in-use"
-    assert tag_of(two.commit("<persist-id>q8</persist-id>")) == "invalid-value"
-    assert tag_of(two.commit("<persist-id>q7</persist-id>")) == "ok"
+    assert house.settings()["entries_per_s"] == 600 and reply_tag(two.commit()) == "in-use"
+    assert reply_tag(two.commit("<persist-id>q8</persist-id>")) == "invalid-value"
+    assert reply_tag(two.commit("<persist-id>q7</persist-id>")) == "ok"
     assert house.settings()["entries_per_s"] == 600
 
 
@@ -405,10 +413,10 @@
     real, probes.new_config = probes.new_config, fails
     one.edit(PACE.format("500"))
     answer = one.commit()
-    assert tag_of(answer) == "operation-failed" and "former" in answer and house.settings() == before
+    assert reply_tag(answer) == "operation-failed" and "former" in answer and house.settings() == before
     assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
     probes.new_config = real
-    assert tag_of(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
+    assert reply_tag(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
     house.logged("task_failed")  # read by then: the log has a thread of its own
     house.lines[:] = [line for line in house.lines if line["event"] != "task_failed"]
 
@@ -416,7 +424,7 @@
 def test_one_session_kills_another_and_subscribers_are_notified_of_changes(house):
     one, two = house.manager(), house.manager()
     sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
-    assert tag_of(two.ask(sub)) == "ok" and tag_of(two.ask(sub)) == "in-use"
+    assert reply_tag(two.ask(sub)) == "ok" and reply_tag(two.ask(sub)) == "in-use"
     one.edit(PACE.format("500"))
     one.commit()
     assert "<version>2</version>" in two.note("settings-changed")
@@ -428,13 +436,13 @@
     assert "<backend>s-1</backend>" in two.note("backend-cut")
     one.edit(PACE.format("0.1"))
     proxy = house.proxy()
-    assert tag_of(one.commit()) == "operation-failed" and "one drain takes" in two.note("change-refused")
+    assert reply_tag(one.commit()) == "operation-failed" and "one drain takes" in two.note("change-refused")
     one.ask("<discard-changes/>")
     house.service.coordinator.set_admission(0, 1, 0.5, 0)
     assert "<share>0.5</share>" in two.note("levels-changed") and alive(proxy)
     proxy.close()
     number = re.search(r"<session-id>(\d+)<", two.hello)[1]
-    assert tag_of(one.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
+    assert reply_tag(one.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
     with pytest.raises(ConnectionEndedError):
         two.receive()
     house.logged("manager_disconnected", reason="killed by operations")
@@ -474,7 +482,7 @@
             one = NetconfClient(house.where, folder)
             assert f"<lines-per-second>{pace}<" in one.config()
             following = {"1000.0": "500.0", "500.0": "400.0"}.get(pace, "300.0")
-            assert tag_of(one.edit(PACE.format(following))) == "ok" and tag_of(one.commit()) == "ok"
+            assert reply_tag(one.edit(PACE.format(following))) == "ok" and reply_tag(one.commit()) == "ok"
         finally:
             process.send_signal(signal.SIGKILL)  # at once after the answer
             process.communicate()
@@ -487,9 +495,9 @@
 def test_what_waits_for_a_restart_goes_to_startup_and_takes_effect_after_it(tmp_path, folder):
     with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
-        assert tag_of(one.edit("<class><name>late</name></class>")) == "ok"
-        assert "put it into startup" in one.commit() and tag_of(one.ask("<discard-changes/>")) == "ok"
-        assert tag_of(one.edit("<class><name>late</name></class>", "startup")) == "ok"
+        assert reply_tag(one.edit("<class><name>late</name></class>")) == "ok"
+        assert "put it into startup" in one.commit() and reply_tag(one.ask("<discard-changes/>")) == "ok"
+        assert reply_tag(one.edit("<class><name>late</name></class>", "startup")) == "ok"
         assert "late" not in one.config() and len(house.settings()["classes"]) == 1
     with ServiceThread(tmp_path, folder, state=True) as house:
         assert [kind["name"] for kind in house.settings()["classes"]] == ["pay", "late"]
@@ -499,7 +507,7 @@
 def test_without_a_state_folder_startup_cannot_differ(house):
     one = house.manager()
     answer = one.edit("<class><name>late</name></class>", "startup")
-    assert tag_of(answer) == "operation-failed" and "without a state folder" in answer
+    assert reply_tag(answer) == "operation-failed" and "without a state folder" in answer
     assert "late" not in one.config("startup")
 
 
@@ -507,14 +515,14 @@
     monkeypatch.setattr("granitespool.net.settings_host.SAVE_TIMEOUT", 300_000_000)
     with ServiceThread(tmp_path, folder, state=True) as house:
         one = house.manager()
-        assert tag_of(one.edit(PACE.format("500"))) == "ok"
+        assert reply_tag(one.edit(PACE.format("500"))) == "ok"
         house.service.snapshotter.writer.folder.sync = lambda name: time.sleep(0.6)
         answer = one.commit()
-        assert tag_of(answer) == "resource-denied" and house.settings()["entries_per_s"] == 1000
+        assert reply_tag(answer) == "resource-denied" and house.settings()["entries_per_s"] == 1000
         two = house.manager()  # two that wait for the disk are both answered
         one.send("<commit/>")
-        assert tag_of(two.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
-        assert tag_of(one.receive()) == "resource-denied"
+        assert reply_tag(two.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
+        assert reply_tag(one.receive()) == "resource-denied"
         writer = house.service.snapshotter.writer
     writer.join(10)  # this process held the folder for as long as its disk hung
     with ServiceThread(
@@ -595,7 +603,7 @@
         for ending in ("pem", "key"):
             shutil.copy(f"{others}/operations.{ending}", f"{others}/foreign.{ending}")
     bad(house.where, others, how)
-    assert tag_of(one.ask("<get/>")) == "ok" and alive(proxy)
+    assert reply_tag(one.ask("<get/>")) == "ok" and alive(proxy)
     proxy.close()
 
 
@@ -627,7 +635,7 @@
         proxy = house.proxy()
         held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
         one = house.manager()
-        assert tag_of(one.ask("<get/>")) == "ok" and alive(proxy)
+        assert reply_tag(one.ask("<get/>")) == "ok" and alive(proxy)
         assert len(house.service.management.listeners[0].connections) <= 9
         for sock in held:
             sock.close()
@@ -640,12 +648,12 @@
         with pytest.raises((ConnectionEndedError, ConnectionError)):
             house.manager().ask("<get/>")
         sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
-        assert tag_of(two.ask(sub)) == "ok"
+        assert reply_tag(two.ask(sub)) == "ok"
         house.logged("manager_disconnected", reason="idle")
         with pytest.raises(ConnectionEndedError):
             one.receive()
         time.sleep(0.5)
-        assert tag_of(two.ask("<get/>")) == "ok"
+        assert reply_tag(two.ask("<get/>")) == "ok"
 
 
 def test_a_client_that_stops_reading_costs_neither_turns_nor_memory(tmp_path, folder):
@@ -670,7 +678,7 @@
         [stuck] = [each for each in connections if each.unsent > 200_000]
         assert stuck.unsent < 2_000_000 and len(stuck.protocol.pending) > 5
         begun = time.monotonic()
-        assert tag_of(two.ask("<get-config><source><running/></source></get-config>")) == "ok"
+        assert reply_tag(two.ask("<get-config><source><running/></source></get-config>")) == "ok"
         assert alive(proxy)
         assert time.monotonic() - begun < 1.0
         assert all(one.receive().count("<backend>") == 800 for _ in range(14))
@@ -684,12 +692,12 @@
         fresh = keys(tmp_path / "fresh")
         for name in os.listdir(own):
             os.replace(f"{fresh}/{name}", f"{own}/{name}")
-        assert house.reload()["event"] == "reloaded" and tag_of(one.ask("<get/>")) == "ok"
-        assert tag_of(house.manager().ask("<get/>")) == "ok"
+        assert house.reload()["event"] == "reloaded" and reply_tag(one.ask("<get/>")) == "ok"
+        assert reply_tag(house.manager().ask("<get/>")) == "ok"
         with open(f"{own}/server.pem", "w") as file:
             file.write("nothing")
         assert "cannot be used" in house.reload()["reason"]
-        assert tag_of(one.ask("<get/>")) == "ok"
+        assert reply_tag(one.ask("<get/>")) == "ok"
 
 
 # A real client
