--- a/bench/capacity/coordinator_rows.py
+++ b/bench/capacity/coordinator_rows.py
@@ -238,7 +238,7 @@
         unit="ms",
         formula=of_costs(lambda costs: costs["file_ms"] + costs["change_ms"]),
         source="measured: `file_ms` and `change_ms`",
-        module="net/config.py, coordinator.py `new_settings`",
+        module="net/config.py, coordinator.py `apply_settings`",
         limit=BUDGET.processor_ms_per_s,
         lowered_by=LoweredBy.PROGRAM,
     ),
--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -148,7 +148,7 @@
         grace = (self.settings.drain_grace or 0) + MILLISECOND
         changed = msgspec.structs.replace(self.settings, drain_grace=grace)
         began = time.process_time_ns()
-        self.coordinator.new_settings(self.now, changed)
+        self.coordinator.apply_settings(self.now, changed)
         self.planned_ns += time.process_time_ns() - began
 
     def load_reports(self) -> list[bytes]:
@@ -180,7 +180,7 @@
         began = time.process_time_ns()
         coordinator.tick(self.now)
         proxies = [party for party in coordinator.recipients() if isinstance(party, int)]
-        messages = [(proxy, coordinator.pick(proxy)) for proxy in proxies]
+        messages = [(proxy, coordinator.next_message(proxy)) for proxy in proxies]
         self.planned_ns += time.process_time_ns() - began
         for proxy, message in messages:
             if message is not None:
@@ -215,7 +215,7 @@
         """Empties the queues of what is not for proxies; returns the backends to check the health of."""
         checks = []
         for queue in Queue:
-            while (message := self.coordinator.pick(queue)) is not None:
+            while (message := self.coordinator.next_message(queue)) is not None:
                 if isinstance(message, InternalError):
                     raise RuntimeError(f"the planner failed: {message.text}")  # noqa: TRY004 not its type is wrong
                 if isinstance(message, HealthCheckRequest):
--- a/bench/state.py
+++ b/bench/state.py
@@ -180,13 +180,13 @@
     """Ends a turn; what it orders goes to nobody."""
     coordinator.tick(now)
     for recipient in coordinator.recipients():
-        while coordinator.pick(recipient) is not None:
+        while coordinator.next_message(recipient) is not None:
             pass
 
 
 def sweep(coordinator: Coordinator, recovery: Recovery, fleet: Fleet, store: Store, now: int) -> None:
     """Writes what has changed enough."""
-    names = list(coordinator.listed())
+    names = list(coordinator.endpoint_states())
     changes = recovery.collect_changes(coordinator, fleet.addresses, fleet.index, now, names, is_last=True)
     if changes:
         store.append(Clocks(now, now), changes)
--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -3,7 +3,7 @@
     coordinator.report(now, LoadReport(...))        # any number of events, all with the turn's one time
     due = coordinator.tick(now)                     # ends the turn; the time at which it is next due
     for recipient in coordinator.recipients():      # who has something waiting
-        message = coordinator.pick(recipient)       # None once there is nothing
+        message = coordinator.next_message(recipient)       # None once there is nothing
 
 What is reported in one turn is one batch, and what the planner orders on it is one message for each proxy.
 Messages that were not picked yet merge with later ones: the last weight counts, and the last barrier stands
@@ -142,27 +142,27 @@
         return [*self.updates.waiting, *(queue for queue, messages in self.queues.items() if messages)]
 
     @overload
-    def pick(self, recipient: int) -> ProxyUpdate | None: ...
+    def next_message(self, recipient: int) -> ProxyUpdate | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
+    def next_message(self, recipient: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
+    def next_message(self, recipient: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
+    def next_message(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.FORGOTTEN]) -> ForgottenBackend | None: ...
+    def next_message(self, recipient: Literal[Queue.FORGOTTEN]) -> ForgottenBackend | None: ...
 
     @overload
-    def pick(self, recipient: Recipient) -> OutgoingMessage | None: ...
+    def next_message(self, recipient: Recipient) -> OutgoingMessage | None: ...
 
-    def pick(self, recipient: Recipient) -> OutgoingMessage | None:
+    def next_message(self, recipient: Recipient) -> OutgoingMessage | None:
         """Return what is next for a recipient: a proxy's update or the next of a queue; None without any."""
         if not isinstance(recipient, Queue):
-            return self.updates.pick(recipient)
+            return self.updates.next_update(recipient)
         messages = self.queues[recipient]
         return messages.popleft() if messages else None
 
@@ -180,18 +180,18 @@
             fields.remove("classes")  # tables and levels go by their order; their values may change
         return fields
 
-    def new_settings(self, now: int, settings: Settings) -> list[str]:
+    def apply_settings(self, now: int, settings: Settings) -> list[str]:
         """Take settings for what is decided from now on; return the names of those that wait."""
         fixed = self._fixed_fields_changed(settings)
         former = {field: getattr(self.settings, field) for field in fixed}
         self.settings = msgspec.structs.replace(settings, **former)
         self.now = max(self.now, now)
-        self._contain(lambda _: self.planner.new_settings(self.settings))
+        self._contain(lambda _: self.planner.apply_settings(self.settings))
         return [FIXED_SETTINGS[field] for field in fixed]
 
     # What may be asked
 
-    def listed(self) -> dict[str, EndpointState]:
+    def endpoint_states(self) -> dict[str, EndpointState]:
         """Return what the endpoint list says of every backend that is known, by name."""
         return {
             backend.name: EndpointState(backend.phase, backend.started_at)
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -167,7 +167,7 @@
     def _turn(self, coordinator: Coordinator) -> None:
         due = coordinator.tick(self.clock.now)
         for recipient in coordinator.recipients():
-            while (message := coordinator.pick(recipient)) is not None:
+            while (message := coordinator.next_message(recipient)) is not None:
                 self._handle(recipient, message)
         if due is not None and self._is_sooner(due):
             self._next_wake = due
--- a/granitespool/emulator/snapshots.py
+++ b/granitespool/emulator/snapshots.py
@@ -46,7 +46,7 @@
             return
         self._schedule(now + self.settings.every_ms * MILLISECOND // 2)
         changes = self.recovery.collect_changes(
-            coordinator, {}, 0, now, list(coordinator.listed()), is_last=True
+            coordinator, {}, 0, now, list(coordinator.endpoint_states()), is_last=True
         )
         if changes:
             self.store.append(Clocks(now, now), changes)
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -27,7 +27,7 @@
     def status(self) -> CoordinatorStatus:
         """Figures of the fleet and of each zone's tables."""
 
-    def listed(self) -> Mapping[str, object]:
+    def endpoint_states(self) -> Mapping[str, object]:
         """The names of all backends that are known."""
 
     def backend_status(self, name: str) -> CoordinatorBackendStatus | None:
@@ -75,7 +75,7 @@
             self.tree["table"] = [_table_tree(zone) for zone in status.zones]
         backends = []
         backends_per_step = max(1, LINKS_PER_STEP // max(1, len(status.zones)))
-        for number, name in enumerate(list(self.coordinator.listed())):
+        for number, name in enumerate(list(self.coordinator.endpoint_states())):
             if number % backends_per_step == 0:
                 yield
             known = self.coordinator.backend_status(name)
--- a/granitespool/net/fleet_notifier.py
+++ b/granitespool/net/fleet_notifier.py
@@ -68,7 +68,7 @@
 
     def _compare_ejections(self) -> Waits:
         seen: dict[Link, bool] = {}
-        for number, name in enumerate(list(self.coordinator.listed()), 1):
+        for number, name in enumerate(list(self.coordinator.endpoint_states()), 1):
             backend = self.coordinator.backend_status(name)
             entries = backend.planner.entries if backend else {}
             for zone, entry in entries.items():
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -53,7 +53,7 @@
     def start(self) -> None:
         """Starts those that the coordinator asks for, as many as the limit permits."""
         while self.in_flight < self.limit:
-            request = self.coordinator.pick(Queue.HEALTH_CHECKS)
+            request = self.coordinator.next_message(Queue.HEALTH_CHECKS)
             if request is None:
                 return
             self.loop.spawn(self._check(request.backend))
--- a/granitespool/net/reconfiguration.py
+++ b/granitespool/net/reconfiguration.py
@@ -73,7 +73,7 @@
             service.snapshotter.set_options(operator.state)
         if service.metrics and operator and operator.figures:
             service.metrics.options = operator.figures
-        service.coordinator.new_settings(service.loop.now, config["settings"])
+        service.coordinator.apply_settings(service.loop.now, config["settings"])
         service.discovery.new_config(config)
         service.health_checks.new_config(config)
         service.streams.new_config(config)
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -214,7 +214,7 @@
         elif recipient is Queue.HEALTH_CHECKS:
             self.health_checks.start()  # which takes as many as its limit permits
         else:
-            while (message := self.coordinator.pick(recipient)) is not None:
+            while (message := self.coordinator.next_message(recipient)) is not None:
                 self._handle(message)
 
     def _handle(self, message: OutgoingMessage) -> None:
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -99,7 +99,7 @@
         connection = self.membership.proxies.get(proxy)
         if connection is None or connection.unsent:
             return
-        update = self.coordinator.pick(proxy)
+        update = self.coordinator.next_message(proxy)
         if update is None:
             return
         data = updates(update)
--- a/granitespool/planner/admission.py
+++ b/granitespool/planner/admission.py
@@ -8,7 +8,7 @@
     admission_entries_max,
     admitted_shares,
 )
-from granitespool.planner.budget import PUBLICATION_LAG_MAX, RULE_QUEUE_SHARE, ChannelBudget
+from granitespool.planner.budget import MANDATORY_QUEUE_SHARE, PUBLICATION_LAG_MAX, ChannelBudget
 from granitespool.planner.outbox import Outbox
 from granitespool.planner.overload import OverloadDetector
 from granitespool.planner.tables import TableDirectory
@@ -37,9 +37,9 @@
         self._budget = budget
         self._outbox = outbox
         self._published_to: set[int] = set()  # tables that have the levels last decided
-        self.new_settings(settings)
+        self.apply_settings(settings)
 
-    def new_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Levels are decided anew by these settings."""
         self.settings = settings
         self.entries_max = admission_entries_max(len(settings.classes))
@@ -66,7 +66,7 @@
                 continue
             if self._budget.account.capacity_left(QUEUE_SHARE, PUBLICATION_LAG_MAX) <= 0:
                 continue
-            if cost <= self._budget.account.capacity_left(RULE_QUEUE_SHARE):
+            if cost <= self._budget.account.capacity_left(MANDATORY_QUEUE_SHARE):
                 self._order(now, table, admitted)
                 self._published_to.add(table)
 
--- a/granitespool/planner/assignment.py
+++ b/granitespool/planner/assignment.py
@@ -4,7 +4,7 @@
 
 from granitespool.planner.actions import PlannerActions
 from granitespool.planner.admission_levels import OrderedLevels
-from granitespool.planner.budget import RULE_QUEUE_SHARE, ChannelBudget
+from granitespool.planner.budget import MANDATORY_QUEUE_SHARE, ChannelBudget
 from granitespool.planner.outbox import Outbox
 from granitespool.planner.records import UnassignedProxy
 from granitespool.planner.tables import TableDirectory
@@ -74,7 +74,7 @@
         `before_drain`: before a drain that began then (ns) is published, only proxies that wait long and
         since before it are assigned: they are due first.
         """
-        if self._budget.is_rule_waiting or not self.unassigned or self._capacity_left(before_drain) < 0:
+        if self._budget.is_mandatory_waiting or not self.unassigned or self._capacity_left(before_drain) < 0:
             return  # asked at each acknowledgement: no walk of all that could be assigned none
         long_since = now - self._grace / GRACES_OUTDATED
         order = {
@@ -98,7 +98,7 @@
         readmitted = self._actions.readmission_cost((proxy,), table)
         cost = 1 + self._tables.entry_counts[table] + self._levels.entries(table) + sum(readmitted.values())
         capacity = self._capacity_left(before_drain)
-        if self._budget.is_rule_waiting or cost + self._budget.account.header > capacity:
+        if self._budget.is_mandatory_waiting or cost + self._budget.account.header > capacity:
             return False
         if self._tables.entry_counts[table] and proxy in self.unassigned:
             del self.unassigned[proxy]
@@ -110,5 +110,5 @@
         account = self._budget.account
         grace = self.settings.drain_grace
         if before_drain is not None:
-            return account.capacity_left(RULE_QUEUE_SHARE, DRAIN_GRACE_SHARE * (grace or UNKNOWN_GRACE))
+            return account.capacity_left(MANDATORY_QUEUE_SHARE, DRAIN_GRACE_SHARE * (grace or UNKNOWN_GRACE))
         return account.capacity_left(QUEUE_SHARE, grace and GRACE_SHARE * grace)
--- a/granitespool/planner/budget.py
+++ b/granitespool/planner/budget.py
@@ -11,7 +11,9 @@
 
 ORDINARY_RATE_SHARE = 0.15  # share of the channel's rate that ordinary changes may use
 BURST_TIME = 5  # s of the channel's rate that ordinary changes may save up: the design page's period
-RULE_QUEUE_SHARE = 0.94  # share of the queue that entries of rules may fill: what joiners hold is a guess
+MANDATORY_QUEUE_SHARE = (
+    0.94  # share of the queue that entries of rules may fill: what joiners hold is a guess
+)
 ORDINARY_QUEUE_SHARE = 0.5  # share that all other updates may fill
 JOINING_QUEUE_SHARE = 0.2  # the same while any proxy is unassigned: assignments go first
 PUBLICATION_LAG_MAX = 2 * SECOND  # ns at the observed rate that updates may wait in the channel: a drain
@@ -25,7 +27,7 @@
         self.account = account
         rate = UNLIMITED if settings.entries_per_s is None else settings.entries_per_s
         self.tokens = BURST_TIME * rate  # entries that ordinary changes may use
-        self.is_rule_waiting = False  # nothing else may use what frees until that fits
+        self.is_mandatory_waiting = False  # nothing else may use what frees until that fits
 
     def refill(self) -> None:
         """A period has passed."""
--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -26,7 +26,7 @@
     backend: Backend
     table: int
     weight: float
-    is_rule: bool  # asked for by a rule: a drain, a removal, a table without entries
+    is_mandatory: bool  # asked for by a rule: a drain, a removal, a table without entries
     is_ordinary: bool  # nothing is wrong: a cost has moved
     rank: float  # below 0: how much weight it moves; 0 for rules
     due_since: int  # ns since when a rule asks for it
@@ -113,6 +113,6 @@
 
 
 def _priority(candidate: Candidate, gain: float) -> tuple[bool, float, float, int, str, int]:
-    if candidate.is_rule:
+    if candidate.is_mandatory:
         return (False, 0, candidate.due_since, candidate.table, candidate.backend.name, candidate.table)
     return (True, gain, candidate.rank, 0, candidate.backend.name, candidate.table)
--- a/granitespool/planner/dirty_set.py
+++ b/granitespool/planner/dirty_set.py
@@ -107,7 +107,7 @@
         """The means of a zone, which its settled entries follow from, have moved."""
         self._settled.invalidate_zone(zone)
 
-    def new_settings(self, backends: Iterable[Backend]) -> None:
+    def apply_settings(self, backends: Iterable[Backend]) -> None:
         """Slow start that was over may not be by new settings: whoever had one is looked at."""
         for backend in backends:
             if backend.slow_start_since is not None:
@@ -116,7 +116,7 @@
                 if link.slow_start_since is not None:
                     self.watch(backend, zone)
 
-    def forget(self, backend: Backend) -> None:
+    def remove(self, backend: Backend) -> None:
         """Nothing is to be looked at of a backend any more."""
         self._settled.remove_all(backend)
         sets = self.changed, self.dirty, self.watching, self.absent, self.ejected
--- a/granitespool/planner/exclusion.py
+++ b/granitespool/planner/exclusion.py
@@ -9,7 +9,7 @@
 
 from granitespool.planner.actions import PlannerActions
 from granitespool.planner.assignment import ProxyAssignment
-from granitespool.planner.budget import RULE_QUEUE_SHARE, ChannelBudget
+from granitespool.planner.budget import MANDATORY_QUEUE_SHARE, ChannelBudget
 from granitespool.planner.dirty_set import DirtySet
 from granitespool.planner.fleet import Fleet
 from granitespool.planner.outbox import Outbox
@@ -47,7 +47,7 @@
         outbox: Outbox,
     ) -> None:
         self.settings = settings
-        self.told_at = 0  # ns: who joined since then was told nothing
+        self.exclusions_sent_at = 0  # ns: who joined since then was told nothing
         self._actions = actions
         self._fleet = fleet
         self._dirty = dirty
@@ -67,7 +67,7 @@
         """
         waiting_time = self._longest_wait(now)
         if waiting_time >= COLLECT_GRACE_SHARE * self._grace:
-            self.told_at = now
+            self.exclusions_sent_at = now
         if not self._dirty.absent:
             return
         assignment_cost = self._assignment_cost(entries_per_proxy)
@@ -85,7 +85,7 @@
             (
                 now - waiting.since
                 for waiting in self._assignment.unassigned.values()
-                if waiting.since >= self.told_at
+                if waiting.since >= self.exclusions_sent_at
             ),
             default=0,
         )
@@ -104,7 +104,7 @@
         changes = []
         by_urgency = sorted(
             self._dirty.absent_in_sequence(),
-            key=lambda each: (max(each.left_ready_at, self.told_at), -each.left_ready_at),
+            key=lambda each: (max(each.left_ready_at, self.exclusions_sent_at), -each.left_ready_at),
         )
         for backend in by_urgency:
             if backend.phase == READY and not backend.exclusion.is_in_force:
@@ -145,10 +145,10 @@
         return each * len(exclusions) + headers > assignment_cost
 
     def _order(self, now: int, changes: list[ExclusionChange]) -> None:
-        fitting = self._budget.account.fitting(map(self._cost_of, changes), RULE_QUEUE_SHARE)
+        fitting = self._budget.account.fitting(map(self._cost_of, changes), MANDATORY_QUEUE_SHARE)
         count = fitting.orders
         if count < len(changes):
-            self._budget.is_rule_waiting = True
+            self._budget.is_mandatory_waiting = True
         if count * 2 < len(changes) and self._budget.account.capacity_left(SMALL_QUEUE_SHARE) <= 0:
             return  # most of it would be headers
         ordered = changes[:count]
--- a/granitespool/planner/in_flight.py
+++ b/granitespool/planner/in_flight.py
@@ -56,9 +56,9 @@
         self._batches_of: dict[int, deque[Batch]] = {}  # proxy -> its batches, oldest first
         self._mean_latency = 0.0  # ns that messages took
         self._mean_expected_latency = 0.0  # ns that they would have taken at the configured rate
-        self.new_settings(settings)
+        self.apply_settings(settings)
 
-    def new_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Limits for what is reserved from now on."""
         self.rate = UNLIMITED if settings.entries_per_s is None else settings.entries_per_s
         self.limit = UNLIMITED if settings.backlog_limit is None else settings.backlog_limit
--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -66,7 +66,7 @@
         self._make_state(settings)
         self._make_parts(actions, settings)
         self._make_publication(actions, settings)
-        self.new_settings(settings)
+        self.apply_settings(settings)
         if settings.subscribe:
             actions.subscribe(True)
         actions.set_timer(PERIOD, Timer.RECOMPUTE)
@@ -130,11 +130,11 @@
             fleet, self.costs, self.subsets, self.in_flight, self.assignment, self.overload, self.slow_start
         )
 
-    def new_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Settings that act from the next decision on."""
         self.settings = settings
-        self.in_flight.new_settings(settings)
-        self.admission.new_settings(settings)
+        self.in_flight.apply_settings(settings)
+        self.admission.apply_settings(settings)
         for part in (
             self.slow_start,
             self.overload,
@@ -147,7 +147,7 @@
             self._slices,
         ):
             part.settings = settings
-        self.dirty.new_settings(self.fleet.backends.values())
+        self.dirty.apply_settings(self.fleet.backends.values())
 
     # Events
 
--- a/granitespool/planner/publication.py
+++ b/granitespool/planner/publication.py
@@ -10,9 +10,9 @@
 from granitespool.planner.assignment import ProxyAssignment
 from granitespool.planner.budget import (
     JOINING_QUEUE_SHARE,
+    MANDATORY_QUEUE_SHARE,
     ORDINARY_QUEUE_SHARE,
     PUBLICATION_LAG_MAX,
-    RULE_QUEUE_SHARE,
     ChannelBudget,
 )
 from granitespool.planner.candidates import Candidate, CandidateSelection
@@ -46,7 +46,7 @@
         self.few_subscribers = 0  # tables with up to so many get urgent updates also while quiet
         self.queue_share = 0.0  # share of the queue that updates which no rule asks for may fill
         self.is_crowded = False  # rules ask for more than the channel takes, mostly for headers
-        self.holds_back = False  # something waits for the next complete pass
+        self.has_deferred = False  # something waits for the next complete pass
         self.gap_divisor = 1
 
     @property
@@ -85,7 +85,7 @@
         self._outbox = outbox
         self.next_message = 0  # ns: no message before, by the cap on messages to a proxy
         self.next_complete_pass = 0  # ns: updates that are not due at once wait until then
-        self.holds_back = False  # something waits for the next complete pass
+        self.has_deferred = False  # something waits for the next complete pass
         self._published_at = -1  # ns
         self._scheduled_for = 0  # ns of the timer that counts; 0: none does
 
@@ -93,7 +93,7 @@
         """Publish what differs, of one backend or of all."""
         is_merging = now == self._published_at
         is_too_early = now < self.next_message and not is_merging
-        if is_too_early or (only is not None and self._budget.is_rule_waiting):
+        if is_too_early or (only is not None and self._budget.is_mandatory_waiting):
             self._schedule(now, self.next_message)
             return
         is_quiet = now < self.next_complete_pass and not is_merging
@@ -108,11 +108,11 @@
 
     def _run(self, current: PublicationPass) -> None:
         sequence_before = self._budget.account.sequence
-        self._budget.is_rule_waiting = False
+        self._budget.is_mandatory_waiting = False
         if current.is_complete:
             self._publish_exclusions(current.now)
         candidates = self._selection.select(current.now, current.only)
-        if candidates and candidates[0].is_rule:
+        if candidates and candidates[0].is_mandatory:
             # A proxy that waits since before the oldest drain is due before it
             self._assignment.assign_next(current.now, candidates[0].due_since)
         if candidates:
@@ -134,15 +134,17 @@
         account = self._budget.account
         if account.capacity_left(1, PERIOD // 4) > 0:
             current.few_subscribers = len(self._assignment.proxies) // FEW_SUBSCRIBERS
-        if self._budget.is_rule_waiting:
+        if self._budget.is_mandatory_waiting:
             current.queue_share = 0  # updates would keep a congestion up, by what frees: they stand still
         elif self._assignment.unassigned:
             current.queue_share = JOINING_QUEUE_SHARE
         else:
             current.queue_share = ORDINARY_QUEUE_SHARE
-        rule_entries = sum(len(self._tables.subscribers[each.table]) for each in candidates if each.is_rule)
+        rule_entries = sum(
+            len(self._tables.subscribers[each.table]) for each in candidates if each.is_mandatory
+        )
         current.is_crowded = (
-            account.capacity_left(RULE_QUEUE_SHARE) < rule_entries / 2
+            account.capacity_left(MANDATORY_QUEUE_SHARE) < rule_entries / 2
             and account.capacity_left(ORDINARY_QUEUE_SHARE) < 0
         )
 
@@ -151,11 +153,11 @@
         readmitted = self._readmitted(candidate)
         cost = self._cost(current, candidate, len(readmitted))
         if self._has_to_wait(current, candidate):
-            current.holds_back = True
+            current.has_deferred = True
             return
         if cost > max(0, self._capacity_for(current, candidate)) or self._exceeds_tokens(candidate, cost):
-            if candidate.is_rule:
-                self._budget.is_rule_waiting = True
+            if candidate.is_mandatory:
+                self._budget.is_mandatory_waiting = True
             if self._budget.tokens > cost and not self._assignment.unassigned:
                 current.gap_divisor = HELD_BACK_GAP_DIVISOR
             return
@@ -180,7 +182,7 @@
 
     def _has_to_wait(self, current: PublicationPass, candidate: Candidate) -> bool:
         """Whether a candidate waits for the next complete pass: all but rules and what few get."""
-        if candidate.is_rule or not current.is_quiet:
+        if candidate.is_mandatory or not current.is_quiet:
             return False
         if candidate.is_ordinary:
             return True
@@ -189,9 +191,9 @@
 
     def _capacity_for(self, current: PublicationPass, candidate: Candidate) -> float:
         account = self._budget.account
-        if not candidate.is_rule:
+        if not candidate.is_mandatory:
             return account.capacity_left(current.queue_share, PUBLICATION_LAG_MAX)
-        return account.capacity_left(0 if current.is_crowded else RULE_QUEUE_SHARE)
+        return account.capacity_left(0 if current.is_crowded else MANDATORY_QUEUE_SHARE)
 
     def _exceeds_tokens(self, candidate: Candidate, cost: float) -> bool:
         return candidate.is_ordinary and cost > self._budget.tokens
@@ -215,7 +217,7 @@
         """Set the gaps to the next passes, schedule one where something waits, and assign proxies."""
         account = self._budget.account
         now = current.now
-        self.holds_back = current.holds_back
+        self.has_deferred = current.has_deferred
         if has_written:
             self._published_at = now
             self.next_message = now + int(MESSAGE_GAP_FACTOR * account.message_gap)
@@ -223,9 +225,9 @@
                 headers = len(self._assignment.proxies) * account.header
                 gap = headers / HEADER_RATE_SHARE / current.gap_divisor
                 self.next_complete_pass = now + int(SECOND * gap / account.observed_rate)
-        if self._budget.is_rule_waiting:
+        if self._budget.is_mandatory_waiting:
             self._schedule(now, self.next_message)
-        elif current.holds_back or current.gap_divisor > 1:
+        elif current.has_deferred or current.gap_divisor > 1:
             self._schedule(now, self.next_complete_pass)
         self._assignment.assign_next(now)
 
--- a/granitespool/planner/recomputation.py
+++ b/granitespool/planner/recomputation.py
@@ -75,7 +75,7 @@
             self._forget(backend)
 
     def _forget(self, backend: Backend) -> None:
-        self._dirty.forget(backend)
+        self._dirty.remove(backend)
         self._overload.forget(backend)
         self._fleet.remove(backend.name)
         self._actions.forget(backend.name)
--- a/granitespool/planner/subsets.py
+++ b/granitespool/planner/subsets.py
@@ -43,7 +43,7 @@
 
     def __init__(self, zones: Iterable[str]) -> None:
         self.count = 1
-        self.split_for = 0  # backends that the count was chosen for
+        self.split_size = 0  # backends that the count was chosen for
         self.tables: dict[str, list[int]] = {}  # zone -> its tables
         self.proxies: Counter[int] = Counter()  # table -> proxies that are or will be on it
         self.sizes: Counter[int] = Counter()  # subset -> its backends
@@ -150,7 +150,7 @@
         self._sort(backends if changed is None else changed)
         # The list may name what is not there: while any is verified, an unverified backend is in no subset
         able = self._verified or self._ready
-        is_split_anew = not self.split_for / RESPLIT_FACTOR <= len(able) <= self.split_for * RESPLIT_FACTOR
+        is_split_anew = not self.split_size / RESPLIT_FACTOR <= len(able) <= self.split_size * RESPLIT_FACTOR
         if is_split_anew:
             self._split(settings, in_flight, len(able))
         if is_split_anew or not self._verified or changed is None or self._none_verified:
@@ -176,7 +176,7 @@
             group.pop(backend.name, None)
 
     def _split(self, settings: Settings, in_flight: InFlightAccount, size: int) -> None:
-        self.split_for = size
+        self.split_size = size
         self.count = subsets_wanted(settings, in_flight, size)
         if settings.coordinator_index is not None:
             self._own_proxies = (settings.proxies_expected or 0) / (settings.coordinators or 1)
--- a/granitespool/proxy_updates.py
+++ b/granitespool/proxy_updates.py
@@ -18,7 +18,9 @@
     def __init__(self, possibly_excluded: frozenset[str]) -> None:
         self.tables: dict[Classes, int] = {}  # -> table
         self.possibly_excluded = possibly_excluded  # by other coordinators, when it joined; shared by many
-        self.told: dict[str, bool] = {}  # backend -> what it was told on this stream: is it excluded
+        self.sent_exclusions: dict[
+            str, bool
+        ] = {}  # backend -> what it was told on this stream: is it excluded
         self.clear()
 
     def clear(self) -> None:
@@ -31,12 +33,12 @@
 
     def may_exclude(self, backend: str) -> bool:
         """Whether it may exclude this backend, as far as is known."""
-        return self.told.get(backend, backend in self.possibly_excluded)
+        return self.sent_exclusions.get(backend, backend in self.possibly_excluded)
 
     def needs_exclusion(self, backend: str, excluded: bool) -> bool:
         """Whether it must be told that a backend is excluded, or that it is not."""
         if excluded:
-            return not self.told.get(backend)
+            return not self.sent_exclusions.get(backend)
         return self.may_exclude(backend)
 
     def tell_exclusion(self, backend: str, excluded: bool) -> bool:
@@ -44,7 +46,7 @@
         is_news = self.needs_exclusion(backend, excluded)
         if is_news:
             self.exclusions[backend] = excluded
-            self.told[backend] = excluded
+            self.sent_exclusions[backend] = excluded
         return is_news
 
 
@@ -94,7 +96,7 @@
             self.waiting[proxy] = None
         self.touched = {}
 
-    def pick(self, proxy: int) -> ProxyUpdate | None:
+    def next_update(self, proxy: int) -> ProxyUpdate | None:
         """Return what is next for a proxy, or None."""
         if proxy not in self.waiting:
             return None
@@ -236,7 +238,7 @@
         self.possibly_excluded -= {backend}
         self.excluded.discard(backend)
         for subscriber in self.proxies.values():
-            subscriber.told.pop(backend, None)
+            subscriber.sent_exclusions.pop(backend, None)
 
     def exclude(self, backend: str, excluded: bool) -> None:
         """Exclude a backend at every proxy that may use it, or readmit it."""
--- a/granitespool/state/recovery.py
+++ b/granitespool/state/recovery.py
@@ -102,7 +102,7 @@
         situation = Situation(
             written=self.written,
             now=clocks,
-            endpoints=coordinator.listed(),
+            endpoints=coordinator.endpoint_states(),
             zones=frozenset(self.identity.zones),
             is_own_list=self.uses_own_list,
         )
@@ -134,5 +134,5 @@
             for key, value in self.change_filter.select(values).items()
         }
         if is_last:
-            changes.update(dict.fromkeys(self.change_filter.remove_absent(coordinator.listed())))
+            changes.update(dict.fromkeys(self.change_filter.remove_absent(coordinator.endpoint_states())))
         return changes
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -157,7 +157,7 @@
     def close(self) -> None:
         """Write a last snapshot, as far as the disk takes it in time."""
         if self.coordinator and self.discovery and self.discovery.named:
-            names = list(self.coordinator.listed())
+            names = list(self.coordinator.endpoint_states())
             self._submit_changes(self.coordinator, self.discovery, names, is_last=True)
         if not self.writer.close(CLOSE_TIMEOUT):
             self.log.event("snapshot_not_saved", reason="the last snapshot was not safe in time")
@@ -175,7 +175,7 @@
             self._log_reports()
         self._restore(coordinator)
         while True:
-            steps = self._steps(list(coordinator.listed()))
+            steps = self._steps(list(coordinator.endpoint_states()))
             pause = self.options.every_ms * MILLISECOND // 2 // len(steps)
             for number, names in enumerate(steps, 1):
                 self._submit_changes(coordinator, discovery, names, is_last=number == len(steps))
--- a/tests/coordinator/test_coordinator_settings.py
+++ b/tests/coordinator/test_coordinator_settings.py
@@ -12,15 +12,15 @@
     coordinator = Coordinator(SETTINGS, 1, 0)
     changed = msgspec.structs.replace(SETTINGS, coordinator_index=2, subscribe=True, drain_grace=5)
     assert coordinator.fixed_settings_changed(changed) == ["subscribe", "index"]
-    assert coordinator.new_settings(1, changed) == ["subscribe", "index"]
+    assert coordinator.apply_settings(1, changed) == ["subscribe", "index"]
     assert coordinator.settings == msgspec.structs.replace(SETTINGS, drain_grace=5)
 
 
 def test_values_of_request_classes_change_at_once_and_their_names_wait():
     coordinator = Coordinator(SETTINGS, 1, 0)
     other_value = msgspec.structs.replace(SETTINGS, classes=[RequestClass(name="pay", priority_weight=2)])
-    assert coordinator.new_settings(1, other_value) == []
+    assert coordinator.apply_settings(1, other_value) == []
     assert coordinator.settings.classes[0].priority_weight == 2
     other_name = msgspec.structs.replace(SETTINGS, classes=[RequestClass(name="look")])
-    assert coordinator.new_settings(2, other_name) == ["classes"]
+    assert coordinator.apply_settings(2, other_name) == ["classes"]
     assert coordinator.settings.class_names == ["pay"]
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -294,12 +294,12 @@
             for rec in pairs[number]:
                 setattr(rec, what, value)
         mine, theirs = [[pair[k] for pair in pairs] for k in (0, 1)]
-        split_for = texts[1].split_for
+        split_size = texts[1].split_size
         moved = texts[0].assign(SLOW, channel, mine, [mine[number] for number in sorted(changed)])
         before = [rec.subset for rec in theirs]
         texts[1].assign(SLOW, channel, theirs)
         assert [rec.subset for rec in mine] == [rec.subset for rec in theirs]
         others = [rec for rec, subset in zip(theirs, before) if rec.subset != subset]
-        anew = theirs if texts[1].split_for != split_for else others  # another count gives other tables
+        anew = theirs if texts[1].split_size != split_size else others  # another count gives other tables
         assert {rec.sequence for rec in moved} == {rec.sequence for rec in anew}
         changed.clear()
--- a/tests/planner/test_subsets.py
+++ b/tests/planner/test_subsets.py
@@ -89,7 +89,7 @@
     for ready in fleets:
         for number, rec in servers.items():
             rec.phase = "ready" if number in ready else "gone"
-        same = subsets.split_for / RESPLIT_FACTOR <= len(ready) <= subsets.split_for * RESPLIT_FACTOR
+        same = subsets.split_size / RESPLIT_FACTOR <= len(ready) <= subsets.split_size * RESPLIT_FACTOR
         count = subsets.count if same else None
         subsets.assign(settings_of(SLOW), channel_of(SLOW), servers.values())
         assert count in (None, subsets.count)
--- a/tests/reference/adapter.py
+++ b/tests/reference/adapter.py
@@ -130,7 +130,7 @@
         self.former = Planner(FormerHost(actions), actions.now, seed, former_settings(settings))
         self.inspection = FormerInspection(self.former)
 
-    def new_settings(self, settings):
+    def apply_settings(self, settings):
         self.former.new_settings(self.actions.now, former_settings(settings))
 
     def on_timer(self, now, cookie):
--- a/tests/support/coordinator_harness.py
+++ b/tests/support/coordinator_harness.py
@@ -75,7 +75,7 @@
     def message(self, proxy: int) -> ProxyMessage | None:
         """End the turn and take what the proxy is to be sent, None for nothing."""
         self.actions.tick(self.now)
-        picked = self.actions.pick(proxy)
+        picked = self.actions.next_message(proxy)
         return _message_of(picked) if picked else None
 
     def logged_errors(self) -> list[object]:
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -187,7 +187,7 @@
     def turn(self, after=0):
         """Ends a turn, takes what is ordered, and goes on after so many ns."""
         self.coordinator.tick(self.loop.now)
-        orders = {party: self.coordinator.pick(party) for party in self.coordinator.recipients()}
+        orders = {party: self.coordinator.next_message(party) for party in self.coordinator.recipients()}
         self.loop.now += after
         return orders
 
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -41,12 +41,12 @@
     "strained": ("overload", "is_overloaded"),
     "room": ("overload", "admitted_share"),
     "through": ("overload", "success_ratio"),
-    "short": ("budget", "is_rule_waiting"),
-    "later": ("publisher", "holds_back"),
+    "short": ("budget", "is_mandatory_waiting"),
+    "later": ("publisher", "has_deferred"),
     "lag": ("inspection", "acknowledgement_latency"),
     "next_flush": ("publisher", "next_message"),
     "next_alarm": ("publisher", "next_complete_pass"),
-    "shut_at": ("exclusion", "told_at"),
+    "shut_at": ("exclusion", "exclusions_sent_at"),
 }
 
 
@@ -161,11 +161,11 @@
             each.tick(self.now)
         self.check()
         for party in self.changed.recipients():
-            orders = [each.pick(party) for each in self.both]
+            orders = [each.next_message(party) for each in self.both]
             while isinstance(party, Queue) and orders[0] is not None:
                 if isinstance(orders[0], HealthCheckRequest):
                     self._probed(orders[0].backend)
-                orders = [each.pick(party) for each in self.both]
+                orders = [each.next_message(party) for each in self.both]
             if party in self.proxies and isinstance(orders[0], ProxyUpdate):
                 took = self.random.randint(TURN, 12 * TURN)
                 self.answers.append((self.now + took, party, orders[0].barrier, took))
@@ -264,10 +264,10 @@
             del self.entries[left_out]
         self.list("complete", list(self.entries.values()))
 
-    def new_settings(self, **changes):
+    def apply_settings(self, **changes):
         self.settings = {**self.settings, **changes}
         for each in self.both:
-            each.new_settings(self.now, settings_of(self.settings))
+            each.apply_settings(self.now, settings_of(self.settings))
 
     def event(self):
         """Something drawn happens."""
@@ -293,7 +293,7 @@
         elif what == 11 and len(self.proxies) > 1:
             self.leave(self.random.choice(list(self.proxies)))
         elif what == 12:
-            self.new_settings(
+            self.apply_settings(
                 warm_up_time=self.random.choice((0, 1, 5, 20)) * SECOND,
                 default_retries=self.random.randrange(2),
                 entries_per_s=self.settings["entries_per_s"] * self.random.choice((0.5, 1.0, 2.0)),
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -201,7 +201,7 @@
         """Ends the turn, writes, and lets the channel run for a while (ns)."""
         self.due = self.coordinator.tick(self.now)
         for proxy in list(self.coordinator.updates.waiting):
-            self._write(proxy, self.coordinator.pick(proxy))
+            self._write(proxy, self.coordinator.next_message(proxy))
         self._check()
         self.now += ahead
         while self.channel and self.channel[0].leaves_at <= self.now:
--- a/tests/support/service_state.py
+++ b/tests/support/service_state.py
@@ -70,5 +70,8 @@
             "batches by proxy": coordinator.planner.in_flight._batches_of,
             **{queue.value: waiting for queue, waiting in coordinator.queues.items()},
             **{f"table {table}": entries for table, entries in coordinator.updates.tables.items()},
-            **{f"told to proxy {proxy}": held.told for proxy, held in coordinator.updates.proxies.items()},
+            **{
+                f"told to proxy {proxy}": held.sent_exclusions
+                for proxy, held in coordinator.updates.proxies.items()
+            },
         }
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -452,7 +452,7 @@
             zones = [ZoneStatus("n", 2, {"pay": AdmissionLevel(0.5, 1)}), ZoneStatus("s", 0, {})]
             return CoordinatorStatus(planner, zones)
 
-        def listed(self):
+        def endpoint_states(self):
             return {"a": None, "b": None, "gone": None}
 
         def backend_status(self, name):
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -188,7 +188,7 @@
 
 
 def picked(coordinator, recorded_party):
-    message = coordinator.pick(party_of(recorded_party))
+    message = coordinator.next_message(party_of(recorded_party))
     if isinstance(message, ProxyUpdate):
         return updates(message).decode("latin-1")
     if message is None or len(message) > 1:
@@ -197,9 +197,11 @@
 
 
 def status(coordinator):
-    names = list(coordinator.listed())
+    names = list(coordinator.endpoint_states())
     return {
-        "listed": {name: (each.phase, each.started_at) for name, each in coordinator.listed().items()},
+        "listed": {
+            name: (each.phase, each.started_at) for name, each in coordinator.endpoint_states().items()
+        },
         "zones": sorted(coordinator.joined_zones()),
         "snapshot": snapshot_words(coordinator.snapshot(names)),
         "fleet": status_words(coordinator.status()),
@@ -323,7 +325,7 @@
         self.coordinator = Coordinator(settings_from_wire(settings), seed, now)
 
     def settings(self, now, settings, waits):
-        assert self.coordinator.new_settings(now, settings_from_wire(settings)) == waits
+        assert self.coordinator.apply_settings(now, settings_from_wire(settings)) == waits
 
     def report(self, now, event, fields):
         report(self.coordinator, now, event, fields)
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -332,7 +332,7 @@
             )
         first.tick(W + second * S)
     now = W + 20 * S
-    snapshot = first.snapshot(list(first.listed()))
+    snapshot = first.snapshot(list(first.endpoint_states()))
     groups = {None: {record.FLEET_KEY: record.fleet_record(snapshot.fleet, 7, now)}}
     for name, each in snapshot.backends.items():
         groups[name] = record.backend_values(name, each, None, now)
