--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -16,7 +16,7 @@
 from bench.capacity.wire import MESSAGE_HEAD, PACE, row_of, wire_settings
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import SOCKET_ENTRY, endpoint_from_wire
-from granitespool.net.frames import LENGTH_SIZE, parsed, updates
+from granitespool.net.frames import LENGTH_SIZE, encode_update, parse_body
 from granitespool.outgoing import HealthCheckRequest, InternalError, ProxyUpdate, Queue
 from granitespool.planner.events import (
     Acknowledged,
@@ -148,7 +148,7 @@
         grace = (self.settings.drain_grace or 0) + MILLISECOND
         changed = msgspec.structs.replace(self.settings, drain_grace=grace)
         began = time.process_time_ns()
-        self.coordinator.new_settings(self.now, changed)
+        self.coordinator.apply_settings(self.now, changed)
         self.planned_ns += time.process_time_ns() - began
 
     def load_reports(self) -> list[bytes]:
@@ -162,7 +162,7 @@
     def bring(self, frames: Sequence[bytes]) -> None:
         """Reads frames of reports and reports them, as the streams do."""
         began = time.process_time_ns()
-        messages = [parsed(body[LENGTH_SIZE:]) for body in frames]
+        messages = [parse_body(body[LENGTH_SIZE:]) for body in frames]
         self.read_ns += time.process_time_ns() - began
         self.read_bytes += sum(map(len, frames))
         events = [event_of(message) for message in messages]
@@ -180,7 +180,7 @@
         began = time.process_time_ns()
         coordinator.tick(self.now)
         proxies = [party for party in coordinator.recipients() if isinstance(party, int)]
-        messages = [(proxy, coordinator.pick(proxy)) for proxy in proxies]
+        messages = [(proxy, coordinator.next_message(proxy)) for proxy in proxies]
         self.planned_ns += time.process_time_ns() - began
         for proxy, message in messages:
             if message is not None:
@@ -194,7 +194,7 @@
 
     def _write(self, proxy: int, message: ProxyUpdate) -> None:
         began = time.process_time_ns()
-        data = updates(message)
+        data = encode_update(message)
         self.written_ns += time.process_time_ns() - began
         entries = entries_of(data)
         for table in message.tables:
@@ -215,7 +215,7 @@
         """Empties the queues of what is not for proxies; returns the backends to check the health of."""
         checks = []
         for queue in Queue:
-            while (message := self.coordinator.pick(queue)) is not None:
+            while (message := self.coordinator.next_message(queue)) is not None:
                 if isinstance(message, InternalError):
                     raise RuntimeError(f"the planner failed: {message.text}")  # noqa: TRY004 not its type is wrong
                 if isinstance(message, HealthCheckRequest):
--- a/granitespool/planner/recomputation.py
+++ b/granitespool/planner/recomputation.py
@@ -76,7 +76,7 @@
             self._remove(backend)
 
     def _remove(self, backend: Backend) -> None:
-        self._dirty.forget(backend)
+        self._dirty.remove(backend)
         self._overload.remove(backend)
         self._fleet.remove(backend.name)
         self._actions.remove_backend(backend.name)
--- a/tests/support/service_state.py
+++ b/tests/support/service_state.py
@@ -45,7 +45,7 @@
     @property
     def buffers_out(self) -> int:
         """Message buffers that connections hold."""
-        return int(self._harness.instance.streams.pool.taken)
+        return int(self._harness.instance.streams.pool.in_use)
 
     def larger_than(self, limit: int) -> dict[str, int]:
         """The size of each thing kept by name, stream or time that exceeds a limit."""
@@ -70,5 +70,8 @@
             "batches by proxy": coordinator.planner.in_flight._batches_of,
             **{queue.value: waiting for queue, waiting in coordinator.queues.items()},
             **{f"table {table}": entries for table, entries in coordinator.updates.tables.items()},
-            **{f"told to proxy {proxy}": held.told for proxy, held in coordinator.updates.proxies.items()},
+            **{
+                f"told to proxy {proxy}": held.sent_exclusions
+                for proxy, held in coordinator.updates.proxies.items()
+            },
         }
