--- a/granitespool/management/authorization.py
+++ b/granitespool/management/authorization.py
@@ -1,8 +1,9 @@
-"""Who a certificate stands for, and what that user may read and write; no I/O.
+"""Maps client certificates to users, and checks what a user may read and write; no I/O.
 
-A user's `certificate` names one thing that the certificate must have: cn:NAME (its subject's common name),
-dns:NAME, email:NAME or uri:NAME (a subject alternative name), or sha256:DIGEST (of the certificate itself).
-The certificate is trusted by then: its chain was checked when the connection was made."""
+The `certificate` setting of a user is one identity that the client's certificate must have: cn:NAME (the
+common name of its subject), dns:NAME, email:NAME or uri:NAME (a subject alternative name), or sha256:DIGEST
+(the fingerprint of the certificate). The TLS handshake has already verified the certificate's chain.
+"""
 
 from collections.abc import Collection, Iterable, Mapping
 from typing import Any, NamedTuple
@@ -11,24 +12,25 @@
 
 ALL = "*"
 SHA256 = "sha256"
-ALTERNATIVE_NAME_KINDS = {"DNS": "dns", "email": "email", "URI": "uri"}  # of ssl's getpeercert
+# Kinds of subject alternative names: as in the result of ssl's getpeercert, and as in an Identity.
+ALTERNATIVE_NAME_KINDS = {"DNS": "dns", "email": "email", "URI": "uri"}
 
 
 class Identity(NamedTuple):
-    """One thing that a certificate tells of whom it stands for: cn, dns, email, uri or sha256, and a text."""
+    """An identity of a certificate: `kind` is cn, dns, email, uri or sha256."""
 
     kind: str
     value: str
 
 
 class User:
-    """Who may manage the coordinator.
+    """A user who may manage the coordinator.
 
     Args:
-        name: for the log.
-        certificate: the identity that a certificate must have, as kind:value.
-        read: whether anything may be read.
-        write: names at the top of the settings, separated by commas, or ALL.
+        name: the user's name in the log.
+        certificate: the identity that the client's certificate must have, as kind:value.
+        read: whether the user may read settings and state.
+        write: the top-level names of the settings that the user may write, separated by commas, or ALL.
     """
 
     def __init__(self, name: str, certificate: str, read: bool, write: str) -> None:
@@ -36,14 +38,14 @@
         self.name = name
         self.identity = Identity(kind, value)
         self.read = read
-        self.write = frozenset(word.strip() for word in write.split(",") if word.strip())
+        self.write = frozenset(section.strip() for section in write.split(",") if section.strip())
 
     def may_write(self, sections: Iterable[str]) -> bool:
-        """Whether the user may change all of these names at the top of the settings."""
+        """Return whether the user may write all of these top-level names of the settings."""
         return ALL in self.write or self.write.issuperset(sections)
 
     def matches(self, identities: Collection[Identity]) -> bool:
-        """Whether a certificate with these identities stands for the user."""
+        """Return whether a certificate with these identities belongs to the user."""
         if self.identity in identities:
             return True
         if self.identity.kind != SHA256:
@@ -53,7 +55,12 @@
 
 
 def certificate_identities(certificate: Mapping[str, Any], digest: str) -> set[Identity]:
-    """What a certificate tells: `certificate` as ssl's getpeercert gives it, and its SHA-256 in hex."""
+    """Return the identities of a certificate.
+
+    Args:
+        certificate: the certificate in the form of ssl's getpeercert.
+        digest: the SHA-256 of the certificate, in hexadecimal.
+    """
     identities = {Identity(SHA256, digest.lower())}
     for names in certificate.get("subject", ()):
         identities.update(Identity("cn", value) for key, value in names if key == "commonName")
@@ -65,19 +72,19 @@
 
 
 def find_user(users: Iterable[User], identities: Collection[Identity]) -> User | None:
-    """The first user that these identities stand for."""
+    """Return the first user that one of these identities belongs to."""
     return next((user for user in users if user.matches(identities)), None)
 
 
 def require_read(user: User) -> None:
-    """Raises ManagementError unless a user may read."""
+    """Raise ManagementError unless the user may read."""
     if not user.read:
         raise ManagementError(ErrorTag.ACCESS_DENIED, f"{user.name} may not read")
 
 
 def require_write(user: User, sections: Collection[str]) -> None:
-    """Raises ManagementError unless a user may change these names at the top of the settings."""
+    """Raise ManagementError unless the user may write these top-level names of the settings."""
     if not user.may_write(sections):
-        beyond = ", ".join(sorted(set(sections) - user.write))
-        reason = f"{user.name} may not write {beyond or 'anything'}"
+        unauthorized = ", ".join(sorted(set(sections) - user.write))
+        reason = f"{user.name} may not write {unauthorized or 'anything'}"
         raise ManagementError(ErrorTag.ACCESS_DENIED, reason)
--- a/granitespool/management/changes.py
+++ b/granitespool/management/changes.py
@@ -1,4 +1,4 @@
-"""How another tree of settings becomes running: checked, kept, applied, in this order; no I/O."""
+"""Makes a tree of settings the running one: checks, saves and applies it, in this order; no I/O."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol, TypeAlias
@@ -9,44 +9,46 @@
 from granitespool.management.settings_trees import STARTUP, SettingsTrees
 
 CompletionCallback: TypeAlias = Callable[[ManagementError | None], object]
-"""Is called once, with None for success."""
+"""Called once when a change is complete: with None on success, else with the error."""
 
 SaveCallback: TypeAlias = Callable[[str | None], object]
-"""Is called once, with None or why the tree could not be kept."""
+"""Called once when a tree is saved: with None on success, else with the reason of the failure."""
 
 
 class DatastoreHost(Protocol):
-    """What the datastores act on: the service."""
+    """The service on which the datastores act."""
 
     def check(self, tree: Tree, running: Tree) -> None:
-        """Raises ManagementError where the service could not run on a tree, or it would do harm."""
+        """Raise ManagementError if the service cannot run with a tree, or if the change would do harm."""
 
-    def save(self, tree: Tree, version: int, answer: SaveCallback) -> object:
-        """Has a tree outlast the process, and answers once that is safe or has failed."""
+    def save(self, tree: Tree, version: int, on_done: SaveCallback) -> object:
+        """Save a tree so that it survives a restart, and call `on_done` once it is saved or has failed."""
 
     def replace_saved(self, tree: Tree, version: int) -> None:
-        """Has this tree outlast the process instead of the one that was kept last."""
+        """Save this tree in place of the one that was saved last."""
 
     def apply(self, tree: Tree, by: str) -> None:
-        """Has the service run on a tree within the call, or raises ManagementError and changes nothing."""
+        """Apply a tree to the service before returning, or raise ManagementError and change nothing."""
 
-    def on_rejected(self, by: str, why: str) -> None:
-        """Is called for each change that was rejected."""
+    def on_rejected(self, by: str, reason: str) -> None:
+        """Handle the rejection of a change."""
 
 
-class _Change(NamedTuple):
-    """A tree on its way to running; `is_durable`: a restart is to begin with it."""
+class _PendingChange(NamedTuple):
+    """A tree that is to become running; `is_durable` is whether it survives a restart."""
 
     tree: Tree
     by: str
     is_durable: bool
-    answer: CompletionCallback
+    on_done: CompletionCallback
 
 
 class ChangeSequence:
-    """One change at a time: `busy` is the session whose tree is being kept.
+    """Processes the changes of running, one at a time.
 
-    `commits` and `rejected` count changes since the start."""
+    `committing_session` is the session whose tree is being saved, None without one. `commits` and `rejected`
+    count the changes since the start.
+    """
 
     def __init__(self, model: Model, host: DatastoreHost, trees: SettingsTrees) -> None:
         self.model = model
@@ -57,59 +59,66 @@
         self.rejected = 0
 
     def validate(self, tree: Tree) -> None:
-        """Raises ManagementError unless a change to this tree would pass all checks."""
+        """Raise ManagementError unless a change to this tree would pass all checks."""
         self.model.check(tree)
         self.host.check(tree, self.trees.running)
 
     def reject(self, by: str, error: ManagementError) -> ManagementError:
-        """Counts and tells a rejected change; gives its error back."""
+        """Count and report a rejected change, and return its error."""
         self.rejected += 1
         self.host.on_rejected(by, error.reason)
         return error
 
     def start(
-        self, session: object, by: str, tree: Tree, answer: CompletionCallback, *, is_durable: bool = True
+        self, session: object, by: str, tree: Tree, on_done: CompletionCallback, *, is_durable: bool = True
     ) -> None:
-        """Checks, keeps and applies a tree; what may be undone must not outlast the process."""
-        self._start(session, _Change(tree, by, is_durable, answer), self.validate)
+        """Check, save and apply a tree.
 
-    def restore(self, session: object, by: str, tree: Tree, answer: CompletionCallback) -> None:
-        """Applies a tree that ran before, unchecked: what the checks go by may have changed meanwhile."""
-        self._start(session, _Change(tree, by, False, answer), lambda _: None)
+        A change that may still be undone must not survive a restart, so it is not durable.
+        """
+        self._start(session, _PendingChange(tree, by, is_durable, on_done), self.validate)
 
-    def _start(self, session: object, change: _Change, check: Callable[[Tree], None]) -> None:
+    def restore(self, session: object, by: str, tree: Tree, on_done: CompletionCallback) -> None:
+        """Apply a tree that was running before.
+
+        It is not checked again: the state that the checks depend on may have changed since.
+        """
+        self._start(session, _PendingChange(tree, by, False, on_done), lambda _: None)
+
+    def _start(self, session: object, change: _PendingChange, check: Callable[[Tree], None]) -> None:
         if self.committing_session is not None:
             error = ManagementError(
-                ErrorTag.IN_USE, "another commit is being kept", session=self.committing_session
+                ErrorTag.IN_USE, "another commit is being saved", session=self.committing_session
             )
-            change.answer(self.reject(change.by, error))
+            change.on_done(self.reject(change.by, error))
             return
         try:
             check(change.tree)
         except ManagementError as error:
-            change.answer(self.reject(change.by, error))
+            change.on_done(self.reject(change.by, error))
             return
         self.committing_session = session
         if change.is_durable:
-            self.host.save(change.tree, self.trees.version + 1, lambda why: self._finish(change, why))
+            self.host.save(change.tree, self.trees.version + 1, lambda failure: self._finish(change, failure))
         else:
             self._finish(change, None)
 
-    def _finish(self, change: _Change, why_not_kept: str | None) -> None:
+    def _finish(self, change: _PendingChange, save_error: str | None) -> None:
         self.committing_session = None
         try:
-            self._apply(change, why_not_kept)
+            self._apply(change, save_error)
         except ManagementError as error:
-            if change.is_durable:  # it may be on the disk, or come there yet: no restart may begin with it
+            if change.is_durable:
+                # The tree may be on the disk already or reach it later: a restart must not use it.
                 self.host.replace_saved(self.trees.tree(STARTUP), self.trees.version)
-            change.answer(self.reject(change.by, error))
+            change.on_done(self.reject(change.by, error))
             return
         self.trees.replace_running(change.tree, change.is_durable)
         self.commits += 1
-        change.answer(None)
+        change.on_done(None)
 
-    def _apply(self, change: _Change, why_not_kept: str | None) -> None:
-        if why_not_kept:
-            reason = f"the settings could not be made to outlast a restart: {why_not_kept}"
+    def _apply(self, change: _PendingChange, save_error: str | None) -> None:
+        if save_error:
+            reason = f"the settings could not be saved for a restart: {save_error}"
             raise ManagementError(ErrorTag.RESOURCE_DENIED, reason)
         self.host.apply(change.tree, change.by)
--- a/granitespool/management/confirmation.py
+++ b/granitespool/management/confirmation.py
@@ -1,4 +1,4 @@
-"""A commit that waits to be confirmed (RFC 6241, 8.4): who may confirm or cancel it; no I/O."""
+"""Confirmed commits (RFC 6241, 8.4): the pending commit, and which sessions may confirm it; no I/O."""
 
 from typing import NamedTuple
 
@@ -7,11 +7,12 @@
 
 
 class CommitOptions(NamedTuple):
-    """How a commit is to be confirmed.
+    """Parameters of a commit.
 
-    `timeout`: s after which it is undone unless it is confirmed; None where it stands at once. `persist`: a
-    word by which another session may confirm it. `persist_id`: the word of the commit that this one
-    confirms."""
+    `timeout` is the time in seconds after which the commit is undone unless it is confirmed, None for a
+    commit that needs no confirmation. `persist` is an identifier with which another session may confirm the
+    commit. `persist_id` is the identifier of the commit that this one confirms.
+    """
 
     timeout: int | None = None
     persist: str | None = None
@@ -22,7 +23,10 @@
 
 
 class PendingConfirmation(NamedTuple):
-    """A commit that waits to be confirmed: until when (ns), and what is applied again without."""
+    """A commit that waits to be confirmed.
+
+    `deadline` is the time in ns at which it is undone; `previous_tree` is applied again then.
+    """
 
     session: object
     persist: str | None
@@ -30,26 +34,29 @@
     previous_tree: Tree
 
     def ends_with(self, session: object) -> bool:
-        """Whether this session's end undoes the commit."""
+        """Return whether the end of this session undoes the commit."""
         return self.session is session and self.persist is None
 
 
-def check_can_confirm(waiting: PendingConfirmation | None, session: object, persist_id: str | None) -> None:
-    """Raises ManagementError where a session may not confirm or cancel the commit that waits, if one does."""
+def check_can_confirm(pending: PendingConfirmation | None, session: object, persist_id: str | None) -> None:
+    """Raise ManagementError if a session may not confirm or cancel the pending commit, if there is one."""
     if persist_id is not None:
-        if waiting is None or waiting.persist != persist_id:
+        if pending is None or pending.persist != persist_id:
             reason = "no commit with this persist-id waits to be confirmed"
             raise ManagementError(ErrorTag.INVALID_VALUE, reason)
-    elif waiting is not None and (waiting.persist is not None or waiting.session is not session):
+    elif pending is not None and (pending.persist is not None or pending.session is not session):
         raise ManagementError(
             ErrorTag.IN_USE,
             "a commit waits to be confirmed, by its session or with its persist-id",
-            session=waiting.session,
+            session=pending.session,
         )
 
 
-def extend_confirmation(waiting: PendingConfirmation | None, new: PendingConfirmation) -> PendingConfirmation:
-    """A new confirmed commit; where one waits already, what ran before both is applied again without."""
-    if waiting is None:
+def extend_confirmation(pending: PendingConfirmation | None, new: PendingConfirmation) -> PendingConfirmation:
+    """Return the pending confirmation after a new confirmed commit.
+
+    If a commit is pending already, the settings that were running before both are kept for the undo.
+    """
+    if pending is None:
         return new
-    return new._replace(persist=new.persist or waiting.persist, previous_tree=waiting.previous_tree)
+    return new._replace(persist=new.persist or pending.persist, previous_tree=pending.previous_tree)
--- a/granitespool/management/data_tree.py
+++ b/granitespool/management/data_tree.py
@@ -5,25 +5,28 @@
 from typing import Any, NamedTuple, TypeAlias
 
 Value: TypeAlias = Any
-"""A leaf's scalar, a leaf-list's list of them, a list's list of trees, or a container's tree."""
+"""A leaf's scalar, a leaf-list's list of scalars, a list's list of trees, or a container's tree."""
 
 Tree: TypeAlias = dict[str, Any]
-"""The children of a container or list entry by name, as RFC 7951 has them, without prefixes."""
+"""The children of a container or list entry by name, encoded as in RFC 7951, without module prefixes."""
 
 NO_KEYS: Mapping[str, Value] = MappingProxyType({})
 
 
 class PathElement(NamedTuple):
-    """One step of a path: a node's name, and the keys of a list entry ("." for that of a leaf-list)."""
+    """One element of a path: the name of a node, and the keys of a list entry.
+
+    The key of an entry of a leaf-list is ".", its value.
+    """
 
     name: str
     keys: Mapping[str, Value] = NO_KEYS
 
 
 NodePath: TypeAlias = tuple[PathElement, ...]
-"""From the top of the module downward."""
+"""A path from the top node of the module downwards."""
 
 
 def node_path(*names: str) -> NodePath:
-    """A path of names alone."""
+    """Return a path of names without keys."""
     return tuple(map(PathElement, names))
--- a/granitespool/management/datastores.py
+++ b/granitespool/management/datastores.py
@@ -1,12 +1,12 @@
-"""Running, candidate and startup: locks, edits, commits, confirmed commits; no I/O.
+"""The datastores running, candidate and startup: locks, edits, commits, confirmed commits; no I/O.
 
-    state of a commit        what ends it
-    none                     commit: checked, kept, applied, in this order
-    confirmed, waiting       commit again: it stands. cancel, its time, or its session's end where it did not
-                             persist: the settings before it are applied again
+A commit checks, saves and applies candidate, in this order. A confirmed commit is not saved: it waits to be
+confirmed by another commit. If it is cancelled, if its timeout expires, or if its session ends and the commit
+has no persist identifier, the settings before it are applied again.
 
-Times are whole nanoseconds. A session is any value that stands for itself; `by` is the name of its user, for
-the log."""
+Times are in whole nanoseconds. A session is any object; sessions are compared by identity. `by` is the name
+of the session's user, for the log.
+"""
 
 import copy
 from collections.abc import Callable, Sequence
@@ -28,11 +28,11 @@
 from granitespool.management.settings_trees import CANDIDATE, RUNNING, STARTUP, SettingsTrees
 from granitespool.units import SECOND
 
-MAX_CONFIRM_TIMEOUT = 24 * 3600  # s that a commit may wait to be confirmed: a day
+MAX_CONFIRM_TIMEOUT = 24 * 3600  # s
 
 
 class Datastores:
-    """`tree` are the settings that the service runs on at first."""
+    """The datastores of one coordinator; `tree` is the initial running one."""
 
     def __init__(self, model: Model, host: DatastoreHost, tree: Tree, version: int = 1) -> None:
         self.model = model
@@ -43,45 +43,45 @@
 
     @property
     def version(self) -> int:
-        """The number of the running settings."""
+        """The version number of the running settings."""
         return self.trees.version
 
     @property
     def commits(self) -> int:
-        """How many changes of the settings act since the start."""
+        """The number of changes of running since the start."""
         return self.changes.commits
 
     @property
     def rejected(self) -> int:
-        """How many changes of the settings were rejected since the start."""
+        """The number of rejected changes since the start."""
         return self.changes.rejected
 
-    def tree(self, store: str) -> Tree:
-        """The settings of a datastore; of startup, those that a restart would begin with."""
-        return self.trees.tree(store)
+    def tree(self, datastore: str) -> Tree:
+        """Return the settings of a datastore; those of startup are the ones that a restart would use."""
+        return self.trees.tree(datastore)
 
     # Locks
 
-    def lock(self, session: object, store: str) -> None:
-        """Has a datastore be changed by this session alone."""
-        self.locks.check_not_held(store)
+    def lock(self, session: object, datastore: str) -> None:
+        """Lock a datastore for a session, so that no other session may change it."""
+        self.locks.check_not_held(datastore)
         editor = self.trees.candidate_editor
-        if store == CANDIDATE and editor is not None:
+        if datastore == CANDIDATE and editor is not None:
             raise ManagementError(
                 ErrorTag.LOCK_DENIED,
                 "candidate has changes that were neither committed nor discarded",
                 session=editor,
             )
-        waiting = self.pending_confirmation
-        if store == RUNNING and waiting and waiting.session is not session:
+        pending = self.pending_confirmation
+        if datastore == RUNNING and pending and pending.session is not session:
             reason = "a commit waits to be confirmed"
-            raise ManagementError(ErrorTag.LOCK_DENIED, reason, session=waiting.session)
-        self.locks.hold(store, session)
+            raise ManagementError(ErrorTag.LOCK_DENIED, reason, session=pending.session)
+        self.locks.hold(datastore, session)
 
-    def unlock(self, session: object, store: str) -> None:
-        """Gives up a lock; of candidate, its changes as well."""
-        self.locks.release(store, session)
-        if store == CANDIDATE:
+    def unlock(self, session: object, datastore: str) -> None:
+        """Release a lock; releasing the lock of candidate discards its changes."""
+        self.locks.release(datastore, session)
+        if datastore == CANDIDATE:
             self.trees.discard_candidate()
 
     # Edits of candidate and startup
@@ -89,50 +89,50 @@
     def edit(
         self,
         session: object,
-        store: str,
+        datastore: str,
         changes: Sequence[Change],
-        default: str = "merge",
-        test: str = "test-then-set",
+        default_operation: str = "merge",
+        test_option: str = "test-then-set",
     ) -> None:
-        """Changes settings of candidate or startup; running is changed by commits alone."""
-        self._check_editable(session, store)
-        tree = apply_changes(self.model.settings, self.tree(store), changes, default)
-        if test != "set":
+        """Edit candidate or startup; running is changed only by commits."""
+        self._check_editable(session, datastore)
+        tree = apply_changes(self.model.settings, self.tree(datastore), changes, default_operation)
+        if test_option != "set":
             self.model.check(tree)
-        if test != "test-only":
-            self.trees.replace(session, store, tree)
+        if test_option != "test-only":
+            self.trees.replace(session, datastore, tree)
 
     def copy(self, session: object, target: str, tree: Tree) -> None:
-        """Replaces all settings of candidate or startup."""
+        """Replace all settings of candidate or startup."""
         self._check_editable(session, target)
         copied = copy.deepcopy(tree)
         self.model.check(copied)
         self.trees.replace(session, target, copied)
 
-    def _check_editable(self, session: object, store: str) -> None:
-        self.locks.check_usable(store, session)
-        if store == RUNNING:
+    def _check_editable(self, session: object, datastore: str) -> None:
+        self.locks.check_usable(datastore, session)
+        if datastore == RUNNING:
             reason = "running is changed by a commit of candidate"
             raise ManagementError(ErrorTag.OPERATION_NOT_SUPPORTED, reason)
 
-    def delete(self, session: object, store: str) -> None:
-        """Has a restart begin with running again."""
-        self.locks.check_usable(store, session)
-        if store != STARTUP:
-            raise ManagementError(ErrorTag.OPERATION_NOT_SUPPORTED, f"{store} cannot be deleted")
+    def delete(self, session: object, datastore: str) -> None:
+        """Delete startup, so that a restart uses running again."""
+        self.locks.check_usable(datastore, session)
+        if datastore != STARTUP:
+            raise ManagementError(ErrorTag.OPERATION_NOT_SUPPORTED, f"{datastore} cannot be deleted")
         self.reset_startup()
 
     def reset_startup(self) -> None:
-        """What startup holds beside running is dropped."""
+        """Make startup equal to running."""
         self.trees.startup = None
 
     def discard(self, session: object) -> None:
-        """Makes candidate the same as running."""
+        """Make candidate equal to running."""
         self.locks.check_usable(CANDIDATE, session)
         self.trees.discard_candidate()
 
     def validate(self, tree: Tree) -> None:
-        """Raises ManagementError unless a commit of this tree would pass all checks."""
+        """Raise ManagementError unless a commit of this tree would pass all checks."""
         self.changes.validate(tree)
 
     # Commits
@@ -142,18 +142,21 @@
         session: object,
         by: str,
         now: int,
-        answer: CompletionCallback,
+        on_done: CompletionCallback,
         options: CommitOptions = PERMANENT_COMMIT,
     ) -> None:
-        """Makes candidate running, and answers once that is sure: later, where it is kept on a disk."""
+        """Make candidate the running settings.
+
+        `on_done` is called once the outcome is certain, which is later if the settings are saved to a disk.
+        """
         try:
             self._check_commit(session, options)
         except ManagementError as error:
-            answer(self.changes.reject(by, error))
+            on_done(self.changes.reject(by, error))
             return
         tree = self.trees.candidate
         confirmation = self._next_confirmation(session, now, options)
-        on_change = partial(self._finish_commit, confirmation, answer)
+        on_change = partial(self._finish_commit, confirmation, on_done)
         is_unchanged = tree == self.trees.running
         if is_unchanged and (self.pending_confirmation is None or confirmation is not None):
             on_change(None)
@@ -164,22 +167,22 @@
     def _finish_commit(
         self,
         confirmation: PendingConfirmation | None,
-        answer: CompletionCallback,
+        on_done: CompletionCallback,
         error: ManagementError | None,
     ) -> None:
         if error is None:
             self.pending_confirmation = confirmation
             self.trees.discard_candidate()
-        answer(error)
+        on_done(error)
 
     def _next_confirmation(
         self, session: object, now: int, options: CommitOptions
     ) -> PendingConfirmation | None:
-        """What a commit with these options leaves to be confirmed, if anything."""
+        """Return the confirmation that is pending after a commit with these options, None for none."""
         if options.timeout is None:
             return None
-        due = now + options.timeout * SECOND
-        new = PendingConfirmation(session, options.persist, due, self.trees.running)
+        deadline = now + options.timeout * SECOND
+        new = PendingConfirmation(session, options.persist, deadline, self.trees.running)
         return extend_confirmation(self.pending_confirmation, new)
 
     def _check_commit(self, session: object, options: CommitOptions) -> None:
@@ -192,64 +195,74 @@
         self.trees.check_candidate_is_current()
 
     def transact(
-        self, session: object, by: str, changed: Callable[[Tree], Tree], answer: CompletionCallback
+        self, session: object, by: str, make_tree: Callable[[Tree], Tree], on_done: CompletionCallback
     ) -> None:
-        """Changes running in one commit of its own: `changed` gives the new tree of the running one.
+        """Change running in one commit that does not use candidate.
+
+        Changes of candidate that were made before can no longer be committed afterwards.
 
-        What was begun in candidate before is rejected at its commit then."""
+        Args:
+            session: the session that makes the change.
+            by: the name of its user.
+            make_tree: returns the new tree for the running one.
+            on_done: called once the outcome is certain.
+        """
         try:
-            tree = self._transacted(session, changed)
+            tree = self._transaction_tree(session, make_tree)
         except ManagementError as error:
-            answer(self.changes.reject(by, error))
+            on_done(self.changes.reject(by, error))
             return
         if tree == self.trees.running:
-            answer(None)
+            on_done(None)
         else:
-            self.changes.start(session, by, tree, answer)
+            self.changes.start(session, by, tree, on_done)
 
-    def _transacted(self, session: object, changed: Callable[[Tree], Tree]) -> Tree:
+    def _transaction_tree(self, session: object, make_tree: Callable[[Tree], Tree]) -> Tree:
         self.locks.check_usable(RUNNING, session)
         if self.pending_confirmation is not None:
             reason = "a commit waits to be confirmed"
             raise ManagementError(ErrorTag.IN_USE, reason, session=self.pending_confirmation.session)
-        return changed(self.trees.running)
+        return make_tree(self.trees.running)
 
-    def cancel(self, session: object, by: str, persist_id: str | None, answer: CompletionCallback) -> None:
-        """Undoes a commit that waits to be confirmed."""
+    def cancel(self, session: object, by: str, persist_id: str | None, on_done: CompletionCallback) -> None:
+        """Undo the commit that waits to be confirmed."""
         if self.pending_confirmation is None:
-            answer(ManagementError(ErrorTag.OPERATION_FAILED, "no commit waits to be confirmed"))
+            on_done(ManagementError(ErrorTag.OPERATION_FAILED, "no commit waits to be confirmed"))
             return
         try:
             check_can_confirm(self.pending_confirmation, session, persist_id)
         except ManagementError as error:
-            answer(error)
+            on_done(error)
             return
-        self._undo(self.pending_confirmation, by, answer)
+        self._undo(self.pending_confirmation, by, on_done)
 
-    def _undo(self, confirmation: PendingConfirmation, by: str, answer: CompletionCallback) -> None:
+    def _undo(self, confirmation: PendingConfirmation, by: str, on_done: CompletionCallback) -> None:
         self.pending_confirmation = None
 
         def on_change(error: ManagementError | None) -> None:
             if self.trees.candidate_editor is None:
                 self.trees.discard_candidate()
-            answer(error)
+            on_done(error)
 
         self.changes.restore(self, by, confirmation.previous_tree, on_change)
 
-    # Time, sessions that end, and the files
+    # Timeouts, closed sessions, reloaded files
 
     def next_deadline(self) -> int | None:
-        """When `tick` is to be called at the latest, None for never."""
+        """Return the time at which `tick` has to be called at the latest, None for never."""
         return self.pending_confirmation.deadline if self.pending_confirmation else None
 
     def tick(self, now: int, on_undone: CompletionCallback) -> None:
-        """Undoes a commit that was not confirmed in time, and tells how that went."""
+        """Undo a commit that was not confirmed in time; `on_undone` receives the outcome."""
         confirmation = self.pending_confirmation
         if confirmation and now >= confirmation.deadline and self.changes.committing_session is None:
             self._undo(confirmation, "timeout", on_undone)
 
     def close_session(self, session: object, on_undone: CompletionCallback) -> None:
-        """A session has ended, however: its locks and changes go, and its commit unless it persists."""
+        """Release the locks of a closed session, discard its changes, and undo its unconfirmed commit.
+
+        A commit with a persist identifier is not undone.
+        """
         released = self.locks.release_all(session)
         if self.trees.candidate_editor is session or CANDIDATE in released:
             self.trees.discard_candidate()
@@ -258,16 +271,16 @@
             return
         if self.changes.committing_session is None:
             self._undo(confirmation, "session ended", on_undone)
-        else:  # as soon as the other commit is through
+        else:  # undone by `tick` as soon as the other commit is complete
             self.pending_confirmation = confirmation._replace(deadline=0)
 
     def apply_file(self, tree: Tree, by: str = "file") -> None:
-        """Applies the settings of the operators' files, which were read anew.
+        """Apply the settings of the operators' files after a reload.
 
-        A client's candidate stays, but what was begun from the former version is rejected at its commit.
+        Changes of candidate stay, but as they are based on the previous version they cannot be committed.
 
         Raises:
-            ManagementError: the settings are wrong, or a client's change or lock is in the way.
+            ManagementError: the settings are invalid, or a session's commit or lock prevents the change.
         """
         self._check_file_may_change()
         answers: list[ManagementError | None] = []
@@ -278,7 +291,7 @@
 
     def _check_file_may_change(self) -> None:
         if self.changes.committing_session is not None:
-            raise ManagementError(ErrorTag.IN_USE, "a manager's commit is being kept")
+            raise ManagementError(ErrorTag.IN_USE, "a manager's commit is being saved")
         holder = self.locks.holder(RUNNING)
         if holder is not None:
             raise ManagementError(ErrorTag.IN_USE, "running is locked by a manager", session=holder)
--- a/granitespool/management/edits.py
+++ b/granitespool/management/edits.py
@@ -1,8 +1,9 @@
-"""What an edit does to a tree of settings; no I/O.
+"""Edit operations on a tree of settings; no I/O.
 
-An edit is a tree of changes whose operations are those of RFC 6241: merge, replace, create, delete, remove,
-none. A change without an operation has that of the change above it. `edited` works on a copy, so an edit that
-is rejected half way leaves nothing behind."""
+An edit is a tree of changes with the operations of RFC 6241: merge, replace, create, delete, remove, none. A
+change without an operation inherits that of its parent. `apply_changes` works on a copy, so an edit that is
+rejected half-way has no effect.
+"""
 
 import copy
 from collections.abc import Iterable
@@ -17,19 +18,21 @@
 
 
 class Placement(NamedTuple):
-    """Where an entry whose order is the user's is put: first, last, before or after another one.
+    """The position of an entry in a list that is ordered by the user: first, last, before or after another.
 
-    `reference` names that other one by its keys or its value."""
+    `reference` identifies the other entry by its keys or its value.
+    """
 
     where: str
     reference: Value = None
 
 
 class Change(NamedTuple):
-    """A change of the node `name` within the one above.
+    """A change of the child node `name` of a container or list entry.
 
-    `value` is that of a leaf or leaf-list entry as a tree has it, `children` are changes within a container
-    or list entry; the keys of an entry are among them."""
+    `value` is the value of a leaf or leaf-list entry in the form of a tree. `children` are the changes within
+    a container or list entry, including the keys of the entry.
+    """
 
     name: str
     operation: str | None = None
@@ -39,7 +42,7 @@
 
 
 class _Edit(NamedTuple):
-    """One change on its way into the tree: its node, operation and path."""
+    """A change that is being applied, with its node, its effective operation and its path."""
 
     node: SchemaNode
     change: Change
@@ -47,25 +50,27 @@
     path: NodePath
 
     def at(self, keys: dict[str, Value] | None = None) -> "_Edit":
-        """The same with the path of the node itself."""
+        """Return the edit with the path extended by the node itself."""
         element = PathElement(self.node.name, keys or {})
         return self._replace(path=(*self.path, element))
 
     @property
     def removes(self) -> bool:
-        """Whether the node is not to be there afterwards."""
+        """Whether the operation removes the node."""
         return self.operation in REMOVALS
 
 
-def apply_changes(node: SchemaNode, tree: Tree, changes: Iterable[Change], default: str = "merge") -> Tree:
-    """The tree of a container after these changes to its children.
+def apply_changes(
+    node: SchemaNode, tree: Tree, changes: Iterable[Change], default_operation: str = "merge"
+) -> Tree:
+    """Return the tree of a container after these changes to its children.
 
     Raises:
-        ManagementError: a change that the tree or the module does not allow.
+        ManagementError: the tree or the module does not allow a change.
     """
     result = copy.deepcopy(tree)
     for change in changes:
-        _apply(node.child(change.name), result, change, default, node.path())
+        _apply(node.child(change.name), result, change, default_operation, node.path())
     prune(node, result)
     return result
 
@@ -85,7 +90,7 @@
 
 
 def _check_existence(edit: _Edit, exists: bool) -> None:
-    """Rejects the creation of what is there, and the removal of what is not."""
+    """Reject the creation of a node that exists, and the removal of a node that does not."""
     name = edit.node.name
     if edit.operation == "create" and exists:
         raise ManagementError(ErrorTag.DATA_EXISTS, f"{name} is there already", edit.path)
@@ -97,7 +102,7 @@
     edit = parent_edit.at()
     name = edit.node.name
     if edit.operation == "none":
-        return  # it only says where something is
+        return  # the leaf only identifies its parent
     _check_existence(edit, name in parent)
     if edit.removes:
         parent.pop(name, None)
@@ -111,7 +116,7 @@
     edit = parent_edit.at()
     name = edit.node.name
     if edit.node.presence or edit.operation in ("create", "delete"):
-        # Without presence a container is there always for all other operations.
+        # For all other operations a container without presence always exists.
         _check_existence(edit, name in parent)
     if edit.removes:
         parent.pop(name, None)
@@ -150,7 +155,7 @@
 
 
 def _keys_of(edit: _Edit) -> dict[str, Value]:
-    """A list entry's key values by name; they are among its children."""
+    """Return the key values of a list entry by name, taken from the children of its change."""
     node = edit.node
     given = {child.name: child.value for child in edit.change.children if child.name in node.keys}
     for name in node.keys:
@@ -161,7 +166,7 @@
 
 
 def _index_of(entries: list[Value], reference: Value) -> int | None:
-    """Where the entry with these keys, or of this value, stands."""
+    """Return the index of the entry with these keys, or with this value, None if there is none."""
     for index, entry in enumerate(entries):
         if entry == reference or (isinstance(reference, dict) and _has_keys(entry, reference)):
             return index
@@ -191,15 +196,15 @@
 
 
 def _place(edit: _Edit, placement: Placement, entries: list[Value], entry: Value) -> None:
-    """Moves an entry of a list or leaf-list to where the user wants it."""
+    """Move an entry of a list or leaf-list to its placement."""
     where, reference = placement
     if not edit.node.ordered:
-        reason = f"the order of {edit.node.name} is not the user's"
+        reason = f"the entries of {edit.node.name} are not ordered by the user"
         raise _bad_attribute(edit.node, reason, edit.path, "insert")
     if isinstance(entry, dict):
-        entries[:] = [each for each in entries if each is not entry]
+        entries[:] = [other for other in entries if other is not entry]
     else:
-        entries[:] = [each for each in entries if each != entry]
+        entries[:] = [other for other in entries if other != entry]
     if where == "first":
         entries.insert(0, entry)
     elif where == "last":
@@ -221,7 +226,7 @@
 
 
 def prune(node: SchemaNode, tree: Tree) -> None:
-    """Takes out what holds nothing: containers without presence, lists without entries."""
+    """Remove empty nodes from a tree: containers without presence, and lists without entries."""
     for name, value in list(tree.items()):
         child = node.children.get(name)
         if child is None or child.kind == "leaf":
@@ -236,9 +241,10 @@
 
 
 def with_defaults(node: SchemaNode, tree: Tree) -> Tree:
-    """A copy that also has the defaults of leaves that are not set.
+    """Return a copy of a tree with the defaults of unset leaves.
 
-    What an absent container with presence would hold stays absent."""
+    An absent container with presence stays absent, and so do the defaults within it.
+    """
     result: Tree = {}
     for name, child in node.children.items():
         value = _value_with_defaults(child, tree.get(name))
@@ -248,7 +254,7 @@
 
 
 def _value_with_defaults(node: SchemaNode, value: Value) -> Value:
-    """A child's value with defaults, None where there is none."""
+    """Return the value of a child with defaults, None if it has none."""
     if node.kind == "container":
         if value is None and node.presence:
             return None
@@ -259,5 +265,5 @@
 
 
 def differing_names(old: Tree, new: Tree) -> list[str]:
-    """The names at the top of two trees that differ."""
+    """Return the top-level names whose values differ between two trees."""
     return sorted(name for name in old.keys() | new.keys() if old.get(name) != new.get(name))
--- a/granitespool/management/errors.py
+++ b/granitespool/management/errors.py
@@ -1,4 +1,4 @@
-"""What a management protocol answers a rejected request with, in the terms of RFC 6241, appendix A."""
+"""Errors of rejected management requests, with the error tags of RFC 6241, appendix A."""
 
 from enum import StrEnum
 
@@ -7,7 +7,7 @@
 
 
 class ErrorTag(StrEnum):
-    """The error tags of RFC 6241 that are in use."""
+    """The error tags of RFC 6241 that the protocols report."""
 
     ACCESS_DENIED = "access-denied"
     BAD_ATTRIBUTE = "bad-attribute"
@@ -29,16 +29,16 @@
 
 
 class ManagementError(GranitespoolError):
-    """A request is rejected, and nothing of it stays.
+    """A management request was rejected; it has changed nothing.
 
     Args:
-        tag: what kind of error it is.
-        reason: one sentence for a person.
-        path: the node that is wrong, where there is one.
-        attribute: the XML attribute that is wrong or lacking.
-        element: the element, or the data node, that is wrong or lacking.
-        namespace: the namespace that is not known.
-        session: the session that holds what the request needs.
+        tag: the kind of error.
+        reason: one sentence for the operator.
+        path: the data node in error, empty if the error concerns no node.
+        attribute: the XML attribute that is wrong or missing.
+        element: the XML element or data node that is wrong or missing.
+        namespace: the unknown namespace.
+        session: the session that holds the lock or commit in the way.
     """
 
     def __init__(
@@ -63,6 +63,6 @@
 
     @property
     def has_info(self) -> bool:
-        """Whether there is anything beside tag, reason and path."""
+        """Whether the error has details beside tag, reason and path."""
         info = (self.attribute, self.element, self.namespace, self.session)
-        return any(each is not None for each in info)
+        return any(value is not None for value in info)
--- a/granitespool/management/impact_check.py
+++ b/granitespool/management/impact_check.py
@@ -1,6 +1,8 @@
-"""What a change of settings would break, and what of it waits for a restart; no I/O.
+"""Rejects changes of settings that would do harm, or that need a restart; no I/O.
 
-The module's types and musts are checked before; here stands what depends on the coordinator as it is now."""
+The types and must statements of the YANG module are checked before. These checks depend on the current state
+of the coordinator.
+"""
 
 from collections.abc import Collection, Mapping
 from typing import Any, TypeAlias
@@ -12,9 +14,10 @@
 from granitespool.units import MILLISECOND, SECOND
 
 Configuration: TypeAlias = Mapping[str, Any]
-"""As net.config reads it."""
+"""A configuration as `net.config` reads it."""
 
-ENTRIES_PER_ORDER = 2  # that one order to one proxy takes beside its envelope: the entry and its mark
+# Channel entries of an order to one proxy, without the message header: the entry and its barrier.
+ENTRIES_PER_ORDER = 2
 
 
 def check(
@@ -22,28 +25,29 @@
     old: Configuration,
     proxies: int,
     zones_in_use: Collection[str],
-    waits: Collection[str],
+    restart_required: Collection[str],
 ) -> None:
-    """Checks whether a configuration may take the place of the present one.
+    """Check whether a configuration may replace the current one.
 
     Args:
-        new: the configuration that is to act.
-        old: the one that acts.
-        proxies: how many have joined.
-        zones_in_use: zones that proxies have joined from.
-        waits: names of settings that differ and wait for a restart.
+        new: the new configuration.
+        old: the current configuration.
+        proxies: the number of joined proxies.
+        zones_in_use: the zones of the joined proxies.
+        restart_required: the names of changed settings that take effect only after a restart.
 
     Raises:
-        ManagementError: it must not.
+        ManagementError: the configuration must not be applied.
     """
     settings: Settings = new["settings"]
     _check_classes(settings, old["settings"])
     _check_zones(settings, zones_in_use)
     _check_limits(new)
     _check_channel(settings, proxies)
-    if waits:
+    if restart_required:
         reason = (
-            f"{', '.join(waits)} cannot change while the coordinator runs: put it into startup, and restart"
+            f"{', '.join(restart_required)} cannot change while the coordinator runs: "
+            "put it into startup, and restart"
         )
         raise _failed(reason, settings_path())
 
@@ -66,24 +70,27 @@
 
 
 def _check_limits(configuration: Configuration) -> None:
-    """The process may be given less than it was started with, not more."""
+    """Reject limits above those that the process was started with."""
     limits = configuration.get("limits") or {}
     maxima = configuration.get("limits_told") or {}
     exceeded = sorted(name for name, limit in limits.items() if limit > maxima.get(name, limit))
     if exceeded:
         name = exceeded[0]
-        reason = f"{name} is over the {maxima[name]} that this process was told"
+        reason = f"{name} is over the {maxima[name]} that this process was started with"
         raise _failed(reason, settings_path("limits"))
 
 
 def _check_channel(settings: Settings, proxies: int) -> None:
-    """A drain's entry has to reach every proxy within the grace, or drained backends get transactions."""
-    pace = settings.entries_per_s
+    """Reject a channel on which a drain cannot reach every proxy within the drain's grace.
+
+    Otherwise drained backends would still get requests.
+    """
+    entries_per_s = settings.entries_per_s
     grace = settings.drain_grace
     entries = proxies * (ENTRIES_PER_ORDER + settings.effective_message_header)
-    if pace and grace and entries / pace > grace / SECOND:
+    if entries_per_s and grace and entries / entries_per_s > grace / SECOND:
         reason = (
-            f"one drain takes {entries / pace:.1f} s for {proxies} proxies at this pace, and "
+            f"one drain takes {entries / entries_per_s:.1f} s for {proxies} proxies at this pace, and "
             f"the grace is {grace // MILLISECOND} ms"
         )
         raise _failed(reason, settings_path("channel", "lines-per-second"))
--- a/granitespool/management/interfaces.py
+++ b/granitespool/management/interfaces.py
@@ -1,4 +1,7 @@
-"""What datastores and protocols need of the service around them: net.management_service and its listener."""
+"""Interfaces between the datastores, the management protocols and the service.
+
+`net.management_service` and `net.management_listener` implement the sides of the service and the listener.
+"""
 
 from collections.abc import Iterator, Mapping, MutableMapping
 from typing import Any, Protocol
@@ -10,114 +13,114 @@
 
 
 class Listener(Protocol):
-    """What a protocol reads of the listener that accepted its connection."""
+    """The listener that accepted a connection, as far as its protocol uses it."""
 
     @property
     def streams(self) -> int | None:
-        """Calls at once on one connection, where the protocol has any."""
+        """The maximum number of concurrent calls on a connection, None if the protocol has no calls."""
 
 
 class Transport(Protocol):
-    """One connection of a management client."""
+    """The connection of a management client."""
 
     @property
     def listener(self) -> Listener:
-        """What accepted it."""
+        """The listener that accepted the connection."""
 
     @property
     def end_reason(self) -> str | None:
-        """Why it is about to end; None while it is not."""
+        """The reason for which the connection is about to end, None while it stays open."""
 
     @property
     def unsent(self) -> int:
-        """Bytes that wait to be written."""
+        """The number of bytes that wait to be written."""
 
     def now(self) -> int:
-        """The turn's time, ns."""
+        """Return the time of the event loop's current turn, in ns."""
 
     def send(self, data: bytes) -> None:
-        """Writes bytes as the client takes them."""
+        """Queue plain bytes, which are written as fast as the client reads them."""
 
-    def end(self, why: str) -> None:
-        """Ends the connection once what waits is written, as far as it can be at once."""
+    def end(self, reason: str) -> None:
+        """End the connection after writing as much of the unsent bytes as the socket accepts at once."""
 
     def wake(self) -> None:
-        """Has the listener look at the connection again in the next turn."""
+        """Make the listener resume the connection in the next turn."""
 
 
 class ProtocolSession(Protocol):
-    """One client's session in any protocol, as the listener drives it and as other sessions know it."""
+    """The session of a client, in any protocol, as the listener and the service use it."""
 
     @property
     def number(self) -> int:
-        """Unlike that of any other session."""
+        """The number of the session, unique in this process."""
 
     @property
     def transport(self) -> Transport:
-        """Its connection."""
+        """The connection of the session."""
 
     @property
     def subscribed_events(self) -> frozenset[str] | None:
-        """Names of events to be notified of, empty for all; None without a subscription."""
+        """The names of the subscribed events, empty for all; None without a subscription."""
 
     @property
     def has_work(self) -> bool:
-        """Whether `work` has something to do."""
+        """Whether `work` has something to do now."""
 
     @property
     def is_exempt_from_idle_timeout(self) -> bool:
-        """Whether silence is no reason to end the session."""
+        """Whether the session stays open however long the client sends nothing."""
 
     def start(self) -> None:
-        """The connection is up."""
+        """Start the session; the TLS handshake is complete."""
 
     def receive(self, data: bytes) -> None:
-        """Takes plain bytes of the client."""
+        """Process plain bytes from the client."""
 
     def work(self) -> None:
-        """One step of what takes long."""
+        """Do one short step of the pending work."""
 
     def next_deadline(self) -> int | None:
-        """When `tick` is to be called at the latest, ns; None for never."""
+        """Return the time in ns at which `tick` has to be called at the latest, None for never."""
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Run the timers that have expired at `now`, in ns."""
 
     def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
-        """Tells the client of an event; `at` as RFC 3339 has it."""
+        """Notify the client of an event; `at` is its time in the format of RFC 3339."""
 
     def announce_shutdown(self) -> None:
-        """Tells the client that the server goes."""
+        """Announce to the client that the server is shutting down."""
 
-    def on_closed(self, why: str, /) -> None:
-        """The connection has ended, however."""
+    def on_closed(self, reason: str, /) -> None:
+        """Release the resources of the session; its connection has ended for any reason."""
 
 
 class StateReader(Protocol):
-    """The operational state, read in steps."""
+    """A reading of the operational state that is made in steps."""
 
     tree: Tree
 
     def steps(self) -> Iterator[None]:
-        """Reads a part; the tree is complete at the end."""
+        """Read one part of the state per step; the tree is complete after the last one."""
 
 
 class SharedState(Protocol):
-    """One reading of the operational state for all who ask within a short time."""
+    """A reading of the operational state, shared by all requests within a short time."""
 
-    leaf_values: dict[tuple[str, int], Any]  # what protocols derived of the newest tree
-    leaf_cache: MutableMapping[str, Any]  # by the text of a path, as long as any subscriber holds it
+    leaf_values: dict[tuple[str, int], Any]  # values that the protocols derived from the newest tree
+    leaf_cache: MutableMapping[str, Any]  # by path text, while a subscription refers to the leaf
 
     def poll(self, now: int) -> Tree | None:
-        """A recent tree, or None after a step towards it."""
+        """Return a recent tree, or do one step of reading it and return None."""
 
 
 class ManagementService(Protocol):
-    """What the sessions of all protocols share."""
+    """The management service that the sessions of all protocols share."""
 
     @property
     def datastores(self) -> Datastores:
-        """The settings, their candidates and locks."""
+        """The datastores of the coordinator."""
 
     @property
     def model(self) -> Model:
@@ -125,22 +128,22 @@
 
     @property
     def shared_state(self) -> SharedState:
-        """The latest reading of the operational state."""
+        """The shared reading of the operational state."""
 
     def new_state_reader(self) -> StateReader:
-        """A new reading of the operational state."""
+        """Return a new reader of the operational state."""
 
     def find_session(self, number: str) -> ProtocolSession | None:
-        """The session of a number."""
+        """Return the session with this number, or None."""
 
     def session_number(self, session: object) -> int:
-        """A session's number, 0 for the coordinator itself."""
+        """Return the number of a session, 0 for the coordinator itself."""
 
-    def save_startup(self, answer: CompletionCallback) -> object:
-        """Has startup outlast the process, and answers once that is safe."""
+    def save_startup(self, on_done: CompletionCallback) -> object:
+        """Save startup so that it survives a restart, and call `on_done` once it is saved or has failed."""
 
     def log_failure(self, error: Exception) -> None:
-        """Logs a fault of this program."""
+        """Log an internal error of this program."""
 
     def on_session_closed(self, session: object) -> None:
-        """A session has ended, however."""
+        """Forget a session that has ended, and release its locks."""
--- a/granitespool/management/locks.py
+++ b/granitespool/management/locks.py
@@ -4,45 +4,51 @@
 
 
 class Locks:
-    """Which session holds the lock of which datastore."""
+    """The locks of the datastores and the sessions that hold them."""
 
     def __init__(self) -> None:
         self._holders: dict[str, object] = {}
 
-    def holder(self, store: str) -> object:
-        """The session that holds a datastore's lock, or None."""
-        return self._holders.get(store)
+    def holder(self, datastore: str) -> object:
+        """Return the session that holds the lock of a datastore, or None."""
+        return self._holders.get(datastore)
 
     def holders(self) -> list[object]:
-        """The sessions that hold any lock."""
+        """Return the sessions that hold a lock."""
         return list(self._holders.values())
 
-    def check_not_held(self, store: str) -> None:
-        """Raises ManagementError where any session holds a datastore's lock."""
-        holder = self.holder(store)
+    def check_not_held(self, datastore: str) -> None:
+        """Raise ManagementError if any session holds the lock of a datastore."""
+        holder = self.holder(datastore)
         if holder is not None:
-            raise ManagementError(ErrorTag.LOCK_DENIED, f"{store} is locked", session=holder)
+            raise ManagementError(ErrorTag.LOCK_DENIED, f"{datastore} is locked", session=holder)
 
-    def check_usable(self, store: str, session: object) -> None:
-        """Raises ManagementError where another session holds a datastore's lock."""
-        holder = self.holder(store)
+    def check_usable(self, datastore: str, session: object) -> None:
+        """Raise ManagementError if another session holds the lock of a datastore."""
+        holder = self.holder(datastore)
         if holder is not None and holder is not session:
-            raise ManagementError(ErrorTag.IN_USE, f"{store} is locked by another session", session=holder)
-
-    def hold(self, store: str, session: object) -> None:
-        """A session has a datastore's lock from now on."""
-        self._holders[store] = session
-
-    def release(self, store: str, session: object) -> None:
-        """Raises ManagementError where the session does not hold the lock."""
-        if self._holders.get(store) is not session:
-            reason = f"{store} is not locked by this session"
+            raise ManagementError(
+                ErrorTag.IN_USE, f"{datastore} is locked by another session", session=holder
+            )
+
+    def hold(self, datastore: str, session: object) -> None:
+        """Record that a session holds the lock of a datastore."""
+        self._holders[datastore] = session
+
+    def release(self, datastore: str, session: object) -> None:
+        """Release a lock.
+
+        Raises:
+            ManagementError: the session does not hold the lock.
+        """
+        if self._holders.get(datastore) is not session:
+            reason = f"{datastore} is not locked by this session"
             raise ManagementError(ErrorTag.OPERATION_FAILED, reason)
-        del self._holders[store]
+        del self._holders[datastore]
 
     def release_all(self, session: object) -> list[str]:
-        """Frees what a session holds; the datastores that it held."""
-        released = [store for store, holder in self._holders.items() if holder is session]
-        for store in released:
-            del self._holders[store]
+        """Release all locks of a session, and return the datastores that it had locked."""
+        released = [datastore for datastore, holder in self._holders.items() if holder is session]
+        for datastore in released:
+            del self._holders[datastore]
         return released
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -1,7 +1,8 @@
-"""Between a tree of settings, as the module has it, and the configuration that the service runs on; no I/O.
+"""Converts between a tree of settings of the YANG module and the service's configuration; no I/O.
 
-This is the one place that knows both names of a setting. What a tree does not change keeps its exact value: a
-commit writes only the settings whose part of the tree differs."""
+Only this module maps the names of the one to those of the other. A setting whose part of the tree is
+unchanged keeps its exact value in the configuration: only those that differ are converted.
+"""
 
 from collections.abc import Mapping
 from enum import Enum, auto
@@ -15,20 +16,20 @@
 from granitespool.units import MICROSECOND
 
 Configuration: TypeAlias = Mapping[str, Any]
-"""As net.config reads it, with the operator's settings."""
+"""A configuration as `net.config` reads it, with the operator's settings."""
 
 
 class Representation(Enum):
-    """How a setting's value stands in a tree."""
+    """The representation of a setting's value in a tree."""
 
-    DURATION = auto()  # microseconds as text; nanoseconds in the configuration
-    DECIMAL = auto()  # text
+    DURATION = auto()  # microseconds as a string; nanoseconds in the configuration
+    DECIMAL = auto()  # a decimal64 as a string
     INTEGER = auto()
     UNCHANGED = auto()
 
 
 class Setting(NamedTuple):
-    """A setting of the configuration by its name there."""
+    """The name of a setting in the configuration, and its representation in a tree."""
 
     name: str
     representation: Representation
@@ -57,52 +58,52 @@
     "late-share": Setting("late_share", Representation.DECIMAL),
 }  # of a class, by leaf
 LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf: the configuration's name
-DECIMAL_DIGITS = 6  # of the module's decimals, but for those of the operator's file
-OPERATOR_DIGITS = 3
-NO_SETTINGS = Settings()  # the values where nothing is set
+DECIMAL_DIGITS = 6  # fraction digits of the module's decimals, except those of the operator's file
+OPERATOR_DIGITS = 3  # fraction digits of the decimals of the operator's file
+NO_SETTINGS = Settings()  # the values of unset settings
 OPERATOR_DECIMALS = ("half-life-s", "oldest-s")
 
 
 def decimal_text(value: float, digits: int = DECIMAL_DIGITS) -> str:
-    """A decimal64's canonical text."""
+    """Return the canonical text of a decimal64 value."""
     text = f"{value:.{digits}f}".rstrip("0")
     return text + "0" if text.endswith(".") else text
 
 
 def _decimal_value(text: str) -> float:
-    """A decimal64's value; whole ones as int, as the settings have them."""
+    """Return the number of a decimal64 text; whole numbers are int, as in the settings."""
     value = float(text)
     return int(value) if value == int(value) else value
 
 
-def _to_tree(value: Value, form: Representation) -> Value:
-    if form is Representation.DURATION:
+def _to_tree(value: Value, representation: Representation) -> Value:
+    if representation is Representation.DURATION:
         return str(int(value) // MICROSECOND)
-    if form is Representation.DECIMAL:
+    if representation is Representation.DECIMAL:
         return decimal_text(value)
-    if form is Representation.INTEGER:
+    if representation is Representation.INTEGER:
         return int(value)
     return value
 
 
-def _from_tree(value: Value, form: Representation) -> Value:
-    if form is Representation.DURATION:
+def _from_tree(value: Value, representation: Representation) -> Value:
+    if representation is Representation.DURATION:
         return int(value) * MICROSECOND
-    if form is Representation.DECIMAL:
+    if representation is Representation.DECIMAL:
         return _decimal_value(value)
     return value
 
 
 def tree_of(config: Configuration) -> Tree:
-    """The tree of a configuration."""
+    """Return the tree of settings of a configuration."""
     settings: Settings = config["settings"]
     tree: Tree = {}
-    for (container, leaf), (name, form) in SETTINGS.items():
+    for (container, leaf), (name, representation) in SETTINGS.items():
         value = getattr(settings, name)
         is_default = name == "removal_needs_drain" and value is False
         if value is not None and not is_default:
-            tree.setdefault(container, {})[leaf] = _to_tree(value, form)
-    classes = [_class_tree(each) for each in settings.classes]
+            tree.setdefault(container, {})[leaf] = _to_tree(value, representation)
+    classes = [_class_tree(request_class) for request_class in settings.classes]
     if classes:
         tree["class"] = classes
     if settings.zones:
@@ -118,8 +119,8 @@
 
 def _class_tree(request_class: RequestClass) -> Tree:
     return {
-        leaf: _to_tree(getattr(request_class, name), form)
-        for leaf, (name, form) in CLASS_SETTINGS.items()
+        leaf: _to_tree(getattr(request_class, name), representation)
+        for leaf, (name, representation) in CLASS_SETTINGS.items()
         if getattr(request_class, name) is not None
     }
 
@@ -132,45 +133,45 @@
 
 
 def config_of(tree: Tree, config: Configuration) -> dict[str, Any]:
-    """The configuration that a tree makes of a former one."""
-    before = tree_of(config)
-    result = {**config, "settings": _settings_of(tree, before, config["settings"])}
-    if tree.get("limits") != before.get("limits"):
+    """Return a configuration changed to match a tree of settings."""
+    previous_tree = tree_of(config)
+    result = {**config, "settings": _settings_of(tree, previous_tree, config["settings"])}
+    if tree.get("limits") != previous_tree.get("limits"):
         limits = tree.get("limits", {})
         result["limits"] = {name: limits[leaf] for leaf, name in LIMITS.items() if leaf in limits}
         if not result["limits"]:
             result["limits"] = dict(config["limits_told"])
-    if tree.get("operator") != before.get("operator"):
+    if tree.get("operator") != previous_tree.get("operator"):
         result["operator"] = _operator_of(tree.get("operator", {}), config.get("operator"))
     return result
 
 
-def _settings_of(tree: Tree, before: Tree, former: Settings) -> Settings:
+def _settings_of(tree: Tree, previous_tree: Tree, previous: Settings) -> Settings:
     changes: dict[str, Any] = {}
-    for (container, leaf), (name, form) in SETTINGS.items():
+    for (container, leaf), (name, representation) in SETTINGS.items():
         value = tree.get(container, {}).get(leaf)
-        if value != before.get(container, {}).get(leaf):
-            changes[name] = getattr(NO_SETTINGS, name) if value is None else _from_tree(value, form)
-    if tree.get("class") != before.get("class"):
-        by_name = {each.name: each for each in former.classes}
+        if value != previous_tree.get(container, {}).get(leaf):
+            changes[name] = getattr(NO_SETTINGS, name) if value is None else _from_tree(value, representation)
+    if tree.get("class") != previous_tree.get("class"):
+        by_name = {request_class.name: request_class for request_class in previous.classes}
         changes["classes"] = [
             _class_of(entry, by_name.get(entry["name"], RequestClass())) for entry in tree.get("class", ())
         ]
-    if tree.get("zone") != before.get("zone"):
+    if tree.get("zone") != previous_tree.get("zone"):
         changes["zones"] = list(tree.get("zone", ()))
-    return msgspec.structs.replace(former, **changes)
+    return msgspec.structs.replace(previous, **changes)
 
 
-def _class_of(entry: Tree, former: RequestClass) -> RequestClass:
-    before = _class_tree(former)
+def _class_of(entry: Tree, previous: RequestClass) -> RequestClass:
+    previous_tree = _class_tree(previous)
     changes: dict[str, Any] = {}
-    for leaf, (name, form) in CLASS_SETTINGS.items():
-        if entry.get(leaf) != before.get(leaf):
-            changes[name] = _from_tree(entry[leaf], form) if leaf in entry else None
-    return msgspec.structs.replace(former, **changes)
+    for leaf, (name, representation) in CLASS_SETTINGS.items():
+        if entry.get(leaf) != previous_tree.get(leaf):
+            changes[name] = _from_tree(entry[leaf], representation) if leaf in entry else None
+    return msgspec.structs.replace(previous, **changes)
 
 
-def _operator_of(tree: Tree, former: Operator | None) -> Operator:
+def _operator_of(tree: Tree, previous: Operator | None) -> Operator:
     state = None
     if tree.get("state"):
         values = {leaf.replace("-", "_"): value for leaf, value in tree["state"].items()}
@@ -179,4 +180,4 @@
             if key in values:
                 values[key] = float(values[key])
         state = State(**values)
-    return msgspec.structs.replace(former or Operator(), state=state)
+    return msgspec.structs.replace(previous or Operator(), state=state)
--- a/granitespool/management/model.py
+++ b/granitespool/management/model.py
@@ -1,4 +1,4 @@
-"""The YANG module: its nodes as plain objects, and the check of a tree of settings by yangson."""
+"""The YANG module: its data nodes as plain objects, and the validation of a tree of settings by yangson."""
 
 import importlib.resources
 import json
@@ -27,13 +27,15 @@
     "list-key": ErrorTag.MISSING_ELEMENT,
     "non-unique-key": ErrorTag.OPERATION_FAILED,
     "data-not-unique": ErrorTag.OPERATION_FAILED,
-}  # of yangson's validation errors; all others are invalid values
+}  # by the tag of a yangson validation error; any other tag maps to INVALID_VALUE
 
 
 class SchemaNode:
-    """A data node of the module: `kind` is container, list, leaf-list or leaf; children by name.
+    """A data node of the module.
 
-    `is_leaf` is true of leaf-lists as well."""
+    `kind` is container, list, leaf-list or leaf, `children` maps names to nodes. `is_leaf` is true for
+    leaf-lists too.
+    """
 
     __slots__ = (
         "children",
@@ -55,7 +57,7 @@
         self.parent = parent
         self.config = schema.content_type() != ContentType.nonconfig
         self.is_leaf = self.kind in ("leaf", "leaf-list")
-        self.type = _type_of(schema, self.kind)
+        self.type = _yang_type(schema, self.kind)
         self.keys = tuple(name for name, _ in schema.keys) if self.kind == "list" else ()
         self.ordered = bool(getattr(schema, "user_ordered", False))
         self.presence = bool(getattr(schema, "presence", False))
@@ -65,10 +67,10 @@
         self.children = {child.name: SchemaNode(child, self) for child in children}
 
     def parse(self, text: str) -> Value:
-        """A leaf's or leaf-list entry's value of its text in XML or a path, as a tree has it.
+        """Return the value, in the form of a tree, of a leaf's or leaf-list entry's text in XML or in a path.
 
         Raises:
-            ManagementError: the text is no value of the node's type.
+            ManagementError: the text is not a value of the node's type.
         """
         try:
             value = self.type.parse_value(text)
@@ -79,10 +81,10 @@
         return self.type.to_raw(value)
 
     def parse_json(self, value: Value) -> Value:
-        """The value of plain JSON as a tree has it.
+        """Return the value, in the form of a tree, of a plain JSON value.
 
         Raises:
-            ManagementError: it is no value of the node's type.
+            ManagementError: the JSON value is not a value of the node's type.
         """
         if isinstance(value, bool):
             return self.parse("true" if value else "false")
@@ -91,19 +93,19 @@
             return self.parse(str(value))
         raise self._invalid(f"{value!r:.60}")
 
-    def _invalid(self, shown: str) -> ManagementError:
-        return ManagementError(ErrorTag.INVALID_VALUE, f"{self.name} cannot be {shown}", self.path())
+    def _invalid(self, value_text: str) -> ManagementError:
+        return ManagementError(ErrorTag.INVALID_VALUE, f"{self.name} cannot be {value_text}", self.path())
 
     def path(self) -> NodePath:
-        """The node's path from the top, without keys."""
-        above = self.parent.path() if self.parent else ()
-        return (*above, PathElement(self.name))
+        """Return the path of the node from the top node, without keys."""
+        parent_path = self.parent.path() if self.parent else ()
+        return (*parent_path, PathElement(self.name))
 
     def child(self, name: str) -> "SchemaNode":
-        """The child of a name.
+        """Return the child with a name.
 
         Raises:
-            ManagementError: there is none.
+            ManagementError: there is no such child.
         """
         if name not in self.children:
             reason = f"{self.name} has no {name!r:.60}"
@@ -111,18 +113,18 @@
         return self.children[name]
 
 
-def _type_of(schema: YangNode, kind: str) -> Any:  # noqa: ANN401 one of yangson's classes
-    """The YANG type of a leaf or leaf-list, None of all other nodes."""
+def _yang_type(schema: YangNode, kind: str) -> Any:  # noqa: ANN401 one of yangson's classes
+    """Return the YANG type of a leaf or leaf-list, None for all other nodes."""
     return schema.type if kind.startswith("leaf") else None
 
 
 def source() -> str:
-    """The module's text."""
+    """Return the text of the YANG module."""
     return (importlib.resources.files("granitespool.management") / f"{MODULE}.yang").read_text()
 
 
 class Model:
-    """The module: its nodes, and the check of trees against it."""
+    """The YANG module: its data nodes, and the validation of trees."""
 
     def __init__(self) -> None:
         with importlib.resources.as_file(importlib.resources.files("granitespool.management")) as folder:
@@ -132,10 +134,10 @@
         self.state = self.top.children[STATE]
 
     def check(self, settings: Tree) -> None:
-        """Checks a tree of settings.
+        """Check a tree of settings.
 
         Raises:
-            ManagementError: the module does not allow it.
+            ManagementError: the tree is not valid by the module.
         """
         try:
             instance = self.data.from_raw({f"{MODULE}:{TOP}": {SETTINGS: settings}})
@@ -143,19 +145,19 @@
         except ValidationError as error:
             pointer = error.instance.json_pointer()
             tag = TAGS.get(error.tag, ErrorTag.INVALID_VALUE)
-            raise ManagementError(tag, _sentence(pointer, error), _path_of_pointer(pointer)) from None
+            raise ManagementError(tag, _error_text(pointer, error), _path_of_pointer(pointer)) from None
         except RawDataError as error:
             is_unknown = isinstance(error, RawMemberError)
             tag = ErrorTag.UNKNOWN_ELEMENT if is_unknown else ErrorTag.INVALID_VALUE
             pointer = str(error.path)
-            raise ManagementError(tag, _sentence(pointer, error), _path_of_pointer(pointer)) from None
+            raise ManagementError(tag, _error_text(pointer, error), _path_of_pointer(pointer)) from None
         except YangsonException as error:
-            reason = f"the settings cannot be read: {error}"
+            reason = f"the settings are not valid by the YANG module: {error}"
             raise ManagementError(ErrorTag.INVALID_VALUE, reason) from None
 
 
 def _yang_library() -> dict[str, object]:
-    """The YANG library (RFC 7895) that yangson loads: this one module."""
+    """Return the YANG library (RFC 7895) for yangson, with this module alone."""
     module = {
         "name": MODULE,
         "revision": REVISION,
@@ -165,17 +167,17 @@
     return {"ietf-yang-library:modules-state": {"module-set-id": REVISION, "module": [module]}}
 
 
-def _sentence(pointer: str, error: YangsonException) -> str:
+def _error_text(pointer: str, error: YangsonException) -> str:
     where = pointer.replace(f"/{MODULE}:{TOP}/{SETTINGS}", "") or "/"
     return f"{where}: {getattr(error, 'message', None) or 'there is no such node'}"
 
 
 def _path_of_pointer(pointer: str) -> NodePath:
-    """The path of a JSON pointer; positions in lists are left out."""
+    """Return the path of a JSON pointer, without positions in lists."""
     parts = [part for part in pointer.split("/") if part and not part.isdigit()]
     return node_path(*(part.rpartition(":")[2] for part in parts))
 
 
 def settings_path(*names: str) -> NodePath:
-    """A path below the settings."""
+    """Return the path of a node below the settings."""
     return node_path(TOP, SETTINGS, *names)
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -1,10 +1,11 @@
-"""The state subtree, taken out of a coordinator in steps, so that no turn of the loop is long; no I/O.
+"""Reads the state subtree from a coordinator in steps, so that no turn of the event loop is long; no I/O.
 
     state = OperationalState(coordinator, facts)
-    for _ in state.steps(): ...             # between two steps the loop goes on
-    state.tree                              # all of `state`
+    for _ in state.steps(): ...             # the event loop runs between two steps
+    state.tree                              # the complete state subtree
 
-Each backend is as it is when its step comes; what changes meanwhile shows in the next reading."""
+Each backend is read in one step. Changes after that step appear only in the next reading.
+"""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple, Protocol
@@ -16,26 +17,30 @@
 from granitespool.planner.status import EntryStatus, PlannerStatus
 from granitespool.units import MICROSECOND
 
-LINKS_PER_STEP = 40  # backend and zone pairs taken in one step: half a millisecond
-MAX_FIGURE = 1e9  # the module's largest
-MAX_COST = 10**15  # us, the module's largest
+LINKS_PER_STEP = 40  # pairs of a backend and a zone that one step reads, in half a millisecond
+MAX_FIGURE = 1e9  # the upper bound of the YANG type figure
+MAX_COST = 10**15  # us, the upper bound of the YANG type span
 
 
 class Coordinator(Protocol):
-    """What is read of a coordinator."""
+    """A coordinator, as far as its state is read here."""
 
     def status(self) -> CoordinatorStatus:
-        """Figures of the fleet and of each zone's tables."""
+        """Return the state of the fleet and of the tables of each zone."""
 
     def listed(self) -> Mapping[str, object]:
-        """The names of all backends that are known."""
+        """Return a mapping whose keys are the names of all backends."""
 
     def backend_status(self, name: str) -> CoordinatorBackendStatus | None:
-        """What is known of a backend, and how the zones see it; None where it is not known."""
+        """Return the state of a backend and of its links, None if there is no such backend."""
 
 
 class StateFolderMetrics(NamedTuple):
-    """Of the state folder: bytes and batches written since the start, whether the disk rejects writes."""
+    """Metrics of the state folder.
+
+    `bytes_written` and `batches_written` count since the start; `is_failing` is whether the disk currently
+    rejects writes.
+    """
 
     bytes_written: int
     batches_written: int
@@ -43,7 +48,7 @@
 
 
 class ServiceFacts(NamedTuple):
-    """What the service knows beside the coordinator; `list_age` in ns."""
+    """State of the service that the coordinator does not contain; `list_age` in ns."""
 
     name: str
     version: int
@@ -56,7 +61,7 @@
 
 
 class OperationalState:
-    """One reading; `tree` is complete once `steps` has ended."""
+    """A reading of the state; `tree` is complete once `steps` has ended."""
 
     def __init__(self, coordinator: Coordinator, facts: ServiceFacts) -> None:
         self.coordinator = coordinator
@@ -64,7 +69,7 @@
         self.tree: Tree = {}
 
     def steps(self) -> Iterator[None]:
-        """Reads a part and yields, until the tree is complete."""
+        """Read the state part by part, and yield between two parts until the tree is complete."""
         status = self.coordinator.status()
         self.tree.update(_service_tree(self.facts))
         self.tree.update(_fleet_tree(status.planner))
@@ -78,9 +83,9 @@
         for number, name in enumerate(list(self.coordinator.listed())):
             if number % backends_per_step == 0:
                 yield
-            known = self.coordinator.backend_status(name)
-            if known is not None:  # it may have been forgotten meanwhile
-                backends.append(_backend_tree(name, known))
+            backend_status = self.coordinator.backend_status(name)
+            if backend_status is not None:  # it may have been removed since the reading began
+                backends.append(_backend_tree(name, backend_status))
         if backends:
             self.tree["backend"] = backends
         yield
@@ -133,14 +138,16 @@
 
 
 def _backend_tree(name: str, status: CoordinatorBackendStatus) -> Tree:
-    known = status.planner
-    backend: Tree = {"name": name, "phase": str(known.phase), "proven": known.verified}
-    if isinstance(known.zone, str):
-        backend["zone"] = known.zone
-    if isinstance(known.machine_type, str):
-        backend["kind"] = known.machine_type
-    if known.entries:
-        backend["seen-from"] = [_view_tree(status, zone, entry) for zone, entry in known.entries.items()]
+    planner_status = status.planner
+    backend: Tree = {"name": name, "phase": str(planner_status.phase), "proven": planner_status.verified}
+    if isinstance(planner_status.zone, str):
+        backend["zone"] = planner_status.zone
+    if isinstance(planner_status.machine_type, str):
+        backend["kind"] = planner_status.machine_type
+    if planner_status.entries:
+        backend["seen-from"] = [
+            _view_tree(status, zone, entry) for zone, entry in planner_status.entries.items()
+        ]
     return backend
 
 
@@ -157,7 +164,7 @@
 
 
 def _absence_reason(status: CoordinatorBackendStatus, entry: EntryStatus) -> str | None:
-    """Why a backend without a weight has none; None where its entry has only not been sent yet."""
+    """Return why a backend without a weight has none, None if its entry just has not been published yet."""
     if status.planner.phase != Phase.READY:
         return "not-ready"
     if not status.planner.verified:
--- a/granitespool/management/settings_trees.py
+++ b/granitespool/management/settings_trees.py
@@ -1,4 +1,4 @@
-"""The settings of running, candidate and startup, and what candidate was begun from; no I/O."""
+"""The settings of running, candidate and startup, and the version that candidate is based on; no I/O."""
 
 import copy
 
@@ -13,10 +13,12 @@
 
 
 class SettingsTrees:
-    """`version` counts the trees that were running.
+    """The trees of the three datastores.
 
-    `startup` is None where a restart begins with running. `candidate_version` is the version that candidate
-    was begun from, `candidate_editor` the session that changed it, while it differs for that."""
+    `version` is the number of the running tree and grows with each change. `startup` is None while a restart
+    uses running. `candidate_version` is the version of running that candidate is based on, `candidate_editor`
+    the session whose changes make candidate differ from running, None without changes.
+    """
 
     def __init__(self, tree: Tree, version: int) -> None:
         self.running = tree
@@ -26,17 +28,17 @@
         self.candidate_version = version
         self.candidate_editor: object = None
 
-    def tree(self, store: str) -> Tree:
-        """The settings of a datastore; of startup, those that a restart would begin with."""
-        if store == CANDIDATE:
+    def tree(self, datastore: str) -> Tree:
+        """Return the settings of a datastore; those of startup are the ones that a restart would use."""
+        if datastore == CANDIDATE:
             return self.candidate
-        if store == STARTUP and self.startup is not None:
+        if datastore == STARTUP and self.startup is not None:
             return self.startup
         return self.running
 
-    def replace(self, session: object, store: str, tree: Tree) -> None:
-        """Replaces candidate or startup by what a session has made of it."""
-        if store == STARTUP:
+    def replace(self, session: object, datastore: str, tree: Tree) -> None:
+        """Replace candidate or startup by a tree that a session has edited."""
+        if datastore == STARTUP:
             self.startup = tree
             return
         self.candidate = tree
@@ -45,13 +47,13 @@
         self.candidate_editor = session if differing_names(tree, self.running) else None
 
     def discard_candidate(self) -> None:
-        """Makes candidate the same as running."""
+        """Make candidate equal to running."""
         self.candidate = copy.deepcopy(self.running)
         self.candidate_editor = None
         self.candidate_version = self.version
 
     def replace_running(self, tree: Tree, is_durable: bool) -> None:
-        """Another tree runs; `is_durable`: a restart begins with it."""
+        """Record that another tree is running; a restart uses it if `is_durable`."""
         self.running = tree
         self.version += 1
         if is_durable:
@@ -60,10 +62,10 @@
             self.discard_candidate()
 
     def check_candidate_is_current(self) -> None:
-        """Raises ManagementError where candidate was changed from settings that do not run any more."""
+        """Raise ManagementError if candidate has changes that are based on an older version of running."""
         if self.candidate_editor is not None and self.candidate_version != self.version:
             raise ManagementError(
                 ErrorTag.OPERATION_FAILED,
-                f"candidate was begun from version {self.candidate_version}, and running is "
-                f"version {self.version} now: discard it and look anew",
+                f"candidate is based on version {self.candidate_version} of running, which is at "
+                f"version {self.version} now: discard the changes of candidate and edit it again",
             )
--- a/granitespool/rpc/__init__.py
+++ b/granitespool/rpc/__init__.py
@@ -1,5 +1,6 @@
-"""gRPC over HTTP/2, the server's side, without a socket.
+"""The server side of gRPC over HTTP/2, without a socket.
 
-errors   how a connection or a call ends when not well
-http2    one HTTP/2 connection: h2 does the protocol, this its limits     no I/O
-calls    the calls of a connection: messages, deadlines, statuses         no I/O"""
+errors   errors that end a connection or a call
+http2    one HTTP/2 connection: the protocol by h2, with limits      no I/O
+calls    the calls of a connection: messages, deadlines, statuses    no I/O
+"""
--- a/granitespool/rpc/calls.py
+++ b/granitespool/rpc/calls.py
@@ -1,8 +1,9 @@
 """gRPC calls over one HTTP/2 connection: messages, deadlines, cancellation, statuses; no I/O.
 
-A method is a function of a Call that gives a generator. It is resumed as long as the call is open, its
-stream has room for more, and it is not `waiting`; a call that waits is resumed once something came for it or
-`wake_at` is past. A status other than OK is raised as StatusError."""
+A method is a function that takes a Call and returns a generator. The generator is resumed while the call is
+open, its stream's queue has room, and the call is not `waiting`. A waiting call is resumed after `wake` or
+when `wake_at` has passed. A method ends a call with a status other than OK by raising StatusError.
+"""
 
 import inspect
 import re
@@ -15,9 +16,9 @@
 from granitespool.rpc.errors import StatusCode, StatusError
 from granitespool.rpc.http2 import Headers, Http2Connection
 
-MAX_MESSAGE_BYTES = 1 << 20  # of a message that a client may send
+MAX_MESSAGE_BYTES = 1 << 20  # of a message from a client
 MAX_INBOX_MESSAGES = 64  # messages of a call that wait for its method
-PREFIX_BYTES = 5  # of a message: one of flags, four of its length
+PREFIX_BYTES = 5  # the prefix of a message: one byte of flags, four bytes of length
 TIMEOUT_UNITS = {
     "H": 3600 * 10**9,
     "M": 60 * 10**9,
@@ -25,9 +26,9 @@
     "m": 10**6,
     "u": 10**3,
     "n": 1,
-}  # of the header grpc-timeout, ns
+}  # the units of the header grpc-timeout, in ns
 TIMEOUT = re.compile(r"([0-9]{1,8})([HMSmun])")
-SAFE_IN_MESSAGE = " !#$&'()*+,-./:;<=>?@[]^_`{|}~\""  # what grpc-message holds as it is
+SAFE_IN_MESSAGE = " !#$&'()*+,-./:;<=>?@[]^_`{|}~\""  # characters that grpc-message contains unescaped
 RESPONSE_HEADERS = ((":status", "200"), ("content-type", "application/grpc"))
 
 Steps: TypeAlias = Generator[None, None, None]
@@ -35,9 +36,11 @@
 
 
 class Call:
-    """One call: `inbox` holds the messages that its method has not taken, `ended` is whether more may come.
+    """One call.
 
-    `deadline` and `wake_at` are times in ns, None for never."""
+    `inbox` holds the messages that the method has not processed, `ended` is whether the client has sent its
+    last one. `deadline` and `wake_at` are times in ns, None for never.
+    """
 
     def __init__(self, calls: "Calls", stream: int) -> None:
         self.calls = calls
@@ -53,18 +56,18 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether the bytes so far end within a message."""
+        """Whether the bytes received so far end within a message."""
         return bool(self._received)
 
     def send(self, message: bytes) -> None:
-        """Sends a message to the client."""
+        """Send a message to the client."""
         if not self._headers_sent:
             self._headers_sent = True
             self.calls.http2.send_headers(self.stream, RESPONSE_HEADERS)
         self.calls.http2.send(self.stream, b"\0" + len(message).to_bytes(4, "big") + message)
 
     def finish(self, code: StatusCode = StatusCode.OK, reason: str = "") -> None:
-        """Ends the call with a status, after what was sent."""
+        """End the call with a status after the messages that were sent."""
         status = [("grpc-status", str(code.value))]
         if reason:
             status.append(("grpc-message", quote(reason, safe=SAFE_IN_MESSAGE)))
@@ -75,15 +78,15 @@
         self.calls.remove(self)
 
     def wake(self) -> None:
-        """Something came that the method may wait for."""
+        """Resume the method if it waits."""
         self.waiting = False
         self.calls.on_wake()
 
     def receive(self, data: bytes) -> None:
-        """Takes bytes of the request's body.
+        """Append bytes of the request's body, and put complete messages into the inbox.
 
         Raises:
-            StatusError: they are no messages that are taken.
+            StatusError: a message is compressed or too long, or the inbox is full.
         """
         self._received += data
         while len(self._received) >= PREFIX_BYTES:
@@ -92,7 +95,7 @@
             if len(self._received) < end:
                 return
             if len(self.inbox) >= MAX_INBOX_MESSAGES:
-                reason = f"over {MAX_INBOX_MESSAGES} messages wait"
+                reason = f"more than {MAX_INBOX_MESSAGES} messages of the call wait to be processed"
                 raise StatusError(StatusCode.RESOURCE_EXHAUSTED, reason)
             self.inbox.append(bytes(self._received[PREFIX_BYTES:end]))
             del self._received[:end]
@@ -100,9 +103,9 @@
     def _message_size(self) -> int:
         size = int.from_bytes(self._received[1:PREFIX_BYTES], "big")
         if self._received[0]:
-            raise StatusError(StatusCode.UNIMPLEMENTED, "compressed messages are not taken")
+            raise StatusError(StatusCode.UNIMPLEMENTED, "compressed messages are not supported")
         if size > MAX_MESSAGE_BYTES:
-            reason = f"a message of {size} bytes is over {MAX_MESSAGE_BYTES}"
+            reason = f"a message of {size} bytes exceeds the limit of {MAX_MESSAGE_BYTES}"
             raise StatusError(StatusCode.RESOURCE_EXHAUSTED, reason)
         return size
 
@@ -111,10 +114,10 @@
     """The calls of one connection.
 
     Args:
-        methods: by "package.Service/Method".
-        now: gives the time in ns.
-        on_failure: is called with faults of this program.
-        on_wake: is called when a call can go on.
+        methods: the methods by "package.Service/Method".
+        now: returns the time in ns.
+        on_failure: called with internal errors of this program.
+        on_wake: called when a call can be resumed.
     """
 
     def __init__(
@@ -129,12 +132,12 @@
         self.on_failure = on_failure
         self.on_wake = on_wake
         self.http2: Http2Connection
-        self.open: dict[int, Call] = {}  # by stream, in the order of their turns
+        self.open: dict[int, Call] = {}  # by stream, in the order in which they are resumed
 
-    # What the HTTP/2 connection tells
+    # Events of the HTTP/2 connection
 
     def on_request(self, stream: int, headers: Headers) -> None:
-        """A request has begun."""
+        """Start the call of a new request."""
         content_type = headers.get("content-type", "")
         if headers.get(":method") != "POST" or not content_type.startswith("application/grpc"):
             self.http2.send_headers(stream, [(":status", "415")], end=True)
@@ -161,7 +164,7 @@
         return method
 
     def on_data(self, stream: int, data: bytes) -> None:
-        """Bytes of a request's body came."""
+        """Pass bytes of a request's body to its call."""
         call = self.open.get(stream)
         if call is None:
             return
@@ -172,35 +175,35 @@
             self._stop(call, error)
 
     def on_end(self, stream: int) -> None:
-        """A request's body is complete."""
+        """Record that a request's body is complete."""
         call = self.open.get(stream)
         if call is None:
             return
         call.ended = True
         if call.has_partial_message:
-            self._stop(call, StatusError(StatusCode.INVALID_ARGUMENT, "a message ends within itself"))
+            self._stop(call, StatusError(StatusCode.INVALID_ARGUMENT, "the request ends within a message"))
         else:
             call.wake()
 
     def on_reset(self, stream: int) -> None:
-        """The client has cancelled a call."""
+        """Remove a call that the client has cancelled."""
         call = self.open.get(stream)
         if call is not None:
             self.remove(call)
 
-    # Work and time
+    # Execution and timers
 
     @property
     def has_work(self) -> bool:
-        """Whether `work` has something to do."""
-        return any(self._can_go_on(call) for call in self.open.values())
+        """Whether `work` has something to do now."""
+        return any(self._can_resume(call) for call in self.open.values())
 
-    def _can_go_on(self, call: Call) -> bool:
+    def _can_resume(self, call: Call) -> bool:
         return not call.waiting and self.http2.has_room(call.stream)
 
     def work(self) -> None:
-        """One step of one call; calls take turns."""
-        call = next((each for each in self.open.values() if self._can_go_on(each)), None)
+        """Do one step of one call; calls take turns."""
+        call = next((candidate for candidate in self.open.values() if self._can_resume(candidate)), None)
         if call is None or call.steps is None:
             return
         self.open[call.stream] = self.open.pop(call.stream)  # to the end of the order
@@ -212,17 +215,19 @@
         except StatusError as error:
             self._stop(call, error)
         except Exception as error:
-            # A fault of this program that one request triggers must cost that call alone.
+            # An internal error that a request triggers must end only that call.
             self.on_failure(error)
-            self._stop(call, StatusError(StatusCode.INTERNAL, "the coordinator failed at it, see its log"))
+            self._stop(
+                call, StatusError(StatusCode.INTERNAL, "an internal error of the coordinator, see its log")
+            )
 
     def next_deadline(self) -> int | None:
-        """When `tick` is to be called at the latest, None for never."""
+        """Return the time in ns at which `tick` has to be called at the latest, None for never."""
         times = [time for call in self.open.values() for time in (call.deadline, call.wake_at)]
         return min((time for time in times if time is not None), default=None)
 
     def tick(self, now: int) -> None:
-        """Ends calls whose deadline has passed, and resumes those that waited until now."""
+        """End calls whose deadline has passed, and resume those that waited until `now`, in ns."""
         for call in list(self.open.values()):
             if call.deadline is not None and now >= call.deadline:
                 reason = "the call's deadline has passed"
@@ -235,16 +240,16 @@
         is_unread = not call.ended
         call.finish(error.code, error.reason)
         if is_unread and call.stream not in self.http2.queued:
-            # What the client still sends is of no use.
+            # The rest of the request is not needed any more.
             self.http2.reset(call.stream, ErrorCodes.NO_ERROR)
 
     def remove(self, call: Call) -> None:
-        """The one place where a call is dropped."""
+        """Remove a call and close its generator; every call ends here."""
         self.open.pop(call.stream, None)
         if call.steps is not None and inspect.getgeneratorstate(call.steps) != inspect.GEN_RUNNING:
             call.steps.close()
 
     def close(self) -> None:
-        """The connection has ended."""
+        """Remove all calls; the connection has ended."""
         for call in list(self.open.values()):
             self.remove(call)
--- a/granitespool/rpc/errors.py
+++ b/granitespool/rpc/errors.py
@@ -1,4 +1,4 @@
-"""How an HTTP/2 connection or a gRPC call ends when not well."""
+"""Errors that end an HTTP/2 connection or a gRPC call."""
 
 from enum import IntEnum
 
@@ -6,15 +6,18 @@
 
 
 class RpcError(GranitespoolError):
-    """The base of this package's errors."""
+    """The base class of this package's errors."""
 
 
 class Http2Error(RpcError):
-    """The connection cannot go on; the text says why. What is outgoing by then holds the last frames."""
+    """The connection has to be closed, for the reason in the text.
+
+    The last frames for the client are still to be taken from `Http2Connection.outgoing`.
+    """
 
 
 class StatusCode(IntEnum):
-    """The status codes of gRPC that are in use."""
+    """The gRPC status codes that the server sends."""
 
     OK = 0
     INVALID_ARGUMENT = 3
@@ -30,7 +33,12 @@
 
 
 class StatusError(RpcError):
-    """A call ends with a status other than OK; `reason` is one sentence for the client."""
+    """A call ends with a status other than OK.
+
+    Args:
+        code: the status code.
+        reason: one sentence for the client.
+    """
 
     def __init__(self, code: StatusCode, reason: str) -> None:
         super().__init__(reason)
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -265,7 +265,7 @@
     assert house.client("pacer").set(update={"/coordinator/settings/drain/grace": 5}) == "PERMISSION_DENIED"
     assert reply_tag(netconf.edit("<channel><lines-per-second>800</lines-per-second></channel>")) == "ok"
     assert client.set(update={BASE: "700"}) == "ok"
-    assert "begun from version 2" in netconf.commit() and house.settings()["entries_per_s"] == 700
+    assert "based on version 2 of running" in netconf.commit() and house.settings()["entries_per_s"] == 700
     assert reply_tag(netconf.lock("running")) == "ok"
     assert client.set(update={BASE: "600"}) == "ABORTED"
     netconf.reset()
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -336,7 +336,7 @@
         house.reload(family_info=info)["event"] == "reloaded" and house.settings()["entries_per_s"] == 700.0
     )
     answer = one.commit()
-    assert reply_tag(answer) == "operation-failed" and "begun from version 1" in answer
+    assert reply_tag(answer) == "operation-failed" and "candidate is based on version 1 of running" in answer
     assert house.settings()["entries_per_s"] == 700.0
     assert (
         reply_tag(one.ask("<discard-changes/>")) == "ok" and reply_tag(one.edit(PACE.format("500"))) == "ok"
