--- a/granitespool/gnmi/capabilities.py
+++ b/granitespool/gnmi/capabilities.py
@@ -1,4 +1,4 @@
-"""The method Capabilities."""
+"""The gNMI method Capabilities."""
 
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi.context import CallContext, first_message
@@ -11,7 +11,7 @@
 
 
 def capabilities(_context: CallContext, call: Call) -> Steps:
-    """Answers with the model, the encodings and the version."""
+    """Respond with the model, the encodings and the version."""
     yield from first_message(call, pb.CapabilityRequest)
     module = pb.ModelData(name=model.MODULE, organization=ORGANIZATION, version=model.REVISION)
     response = pb.CapabilityResponse(
--- a/granitespool/gnmi/connection.py
+++ b/granitespool/gnmi/connection.py
@@ -1,4 +1,4 @@
-"""One gNMI connection: calls over HTTP/2, the datastores behind them; no socket and no clock of its own."""
+"""One gNMI connection: gRPC calls over HTTP/2 that use the datastores; without a socket or a clock."""
 
 from collections.abc import Mapping
 from functools import partial
@@ -23,9 +23,9 @@
 
 
 class GnmiConnection:
-    """The protocol of one connection: a management.interfaces.ProtocolSession."""
+    """One gNMI connection: a management.interfaces.ProtocolSession."""
 
-    subscribed_events = None  # NETCONF's notifications are not for it
+    subscribed_events = None  # notifications of events are sent by NETCONF only
 
     def __init__(self, service: ManagementService, user: User, transport: Transport, number: int) -> None:
         self.service = service
@@ -40,21 +40,21 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether `work` has something to do."""
+        """Whether `work` has something to do now."""
         return self.http2.can_send or self.calls.has_work
 
     @property
     def is_exempt_from_idle_timeout(self) -> bool:
-        """Whether silence is no reason to end the connection: a call is open."""
+        """Whether the connection stays open however long the client is silent: while a call is open."""
         return bool(self.calls.open)
 
     def start(self) -> None:
-        """Sends the server's preface; the connection is up."""
+        """Send the server's connection preface; the TLS handshake is complete."""
         self.http2.start()
         self._flush()
 
     def receive(self, data: bytes) -> None:
-        """Takes plain bytes of the client."""
+        """Process plain bytes from the client."""
         try:
             self.http2.receive(data, self.transport.now())
         except Http2Error as error:
@@ -62,7 +62,7 @@
         self._flush()
 
     def work(self) -> None:
-        """One step: of what waits to be sent, or else of a call."""
+        """Do one step: send queued bytes if possible, else resume a call."""
         if self.http2.can_send:
             self.http2.step()
         else:
@@ -70,26 +70,26 @@
         self._flush()
 
     def next_deadline(self) -> int | None:
-        """When `tick` is to be called at the latest, None for never."""
+        """Return the time in ns at which `tick` has to be called at the latest, None for never."""
         return self.calls.next_deadline()
 
     def tick(self, now: int) -> None:
-        """Ends and resumes calls whose time it is."""
+        """End calls whose deadline has passed, and resume those that waited until `now`, in ns."""
         self.calls.tick(now)
         self._flush()
 
     def announce_shutdown(self) -> None:
-        """Tells the client that the server goes."""
+        """Send GOAWAY to the client."""
         self.http2.send_goaway()
         self._flush()
 
     def on_closed(self, _why: str) -> None:
-        """The connection has ended."""
+        """Remove all calls; the connection has ended."""
         self.calls.close()
         self.service.on_session_closed(self)
 
     def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
-        """Nothing: gNMI's clients subscribe to paths instead."""
+        """Do nothing: gNMI clients subscribe to paths instead of events."""
 
     def _flush(self) -> None:
         data = self.http2.outgoing()
--- a/granitespool/gnmi/context.py
+++ b/granitespool/gnmi/context.py
@@ -1,4 +1,4 @@
-"""What the calls of one gNMI connection may use: its user, its connection, the datastores behind it."""
+"""The context in which the calls of one gNMI connection run: its user, transport and service."""
 
 from collections.abc import Generator
 from typing import TypeVar
@@ -17,7 +17,7 @@
 
 
 class CallContext:
-    """Of one connection: `owner` stands for it in the datastores."""
+    """The context of one connection; `owner` identifies the connection in the datastores."""
 
     def __init__(self, service: ManagementService, user: User, transport: Transport, owner: object) -> None:
         self.service = service
@@ -26,9 +26,10 @@
         self.owner = owner
 
     def read_tree(self, config: bool = True, state: bool = True) -> Generator[None, None, Tree]:
-        """The tree from the root, with settings and state as asked for.
+        """Return the tree from the root, with the settings and the state as requested.
 
-        The state is shared with others who ask at about the same time."""
+        The reading of the state is shared with other requests at about the same time.
+        """
         coordinator: Tree = {}
         if config:
             coordinator[model.SETTINGS] = self.service.datastores.tree(RUNNING)
@@ -39,25 +40,29 @@
         return {model.TOP: coordinator}
 
 
-def parse_message(kind: type[MessageT], data: bytes) -> MessageT:
-    """A message that a client sent.
+def parse_message(message_type: type[MessageT], data: bytes) -> MessageT:
+    """Parse a message from a client.
 
     Raises:
-        StatusError: the bytes are none of this kind.
+        StatusError: the bytes are not a message of this type.
     """
     try:
-        message: MessageT = kind.FromString(data)
+        message: MessageT = message_type.FromString(data)
     except DecodeError:
-        reason = f"a message is no {kind.DESCRIPTOR.name}"
+        reason = f"a message is not a {message_type.DESCRIPTOR.name}"
         raise StatusError(StatusCode.INVALID_ARGUMENT, reason) from None
     return message
 
 
-def first_message(call: Call, kind: type[MessageT]) -> Generator[None, None, MessageT]:
-    """Waits for a call's first message."""
+def first_message(call: Call, message_type: type[MessageT]) -> Generator[None, None, MessageT]:
+    """Wait for the first message of a call, and return it.
+
+    Raises:
+        StatusError: the call has no message, or one of another type.
+    """
     while not call.inbox and not call.ended:
         call.waiting = True
         yield
     if not call.inbox:
         raise StatusError(StatusCode.INVALID_ARGUMENT, "the call has no message")
-    return parse_message(kind, call.inbox.pop(0))
+    return parse_message(message_type, call.inbox.pop(0))
--- a/granitespool/gnmi/edits.py
+++ b/granitespool/gnmi/edits.py
@@ -1,4 +1,4 @@
-"""Delete, replace and update of a path as changes of the settings; no I/O."""
+"""The operations delete, replace and update on a path, as changes of the settings; no I/O."""
 
 from granitespool.gnmi.paths import MODULE_PREFIX, path_text
 from granitespool.management import model
@@ -11,55 +11,75 @@
 
 
 def check_settable(path: NodePath) -> None:
-    """Raises ManagementError where a path leads to anything but the settings, or what is above them."""
+    """Raise ManagementError unless a path leads to the settings, into them, or to one of their ancestors."""
     for element, name in zip(path, SETTINGS_PATH):
         if element.name != name:
             reason = f"{path_text(path)} is nothing that can be set"
             raise ManagementError(ErrorTag.INVALID_VALUE, reason)
 
 
-def deleted(node: SchemaNode, tree: Tree, path: NodePath) -> Tree:
-    """The settings without what a path names; `node` is that of the settings."""
+def delete_path(node: SchemaNode, tree: Tree, path: NodePath) -> Tree:
+    """Return the settings without the node at a path.
+
+    Args:
+        node: the schema node of the settings.
+        tree: the settings.
+        path: the path from the root.
+
+    Raises:
+        ManagementError: the path does not lead to settings, or what it names cannot be deleted.
+    """
     check_settable(path)
-    below = path[len(SETTINGS_PATH) :]
-    if not below:
+    relative_path = path[len(SETTINGS_PATH) :]
+    if not relative_path:
         return {}
     try:
-        return apply_changes(node, tree, _changes_at(node, below, "delete"), "none")
+        return apply_changes(node, tree, _changes_at(node, relative_path, "delete"), "none")
     except ManagementError as error:
         if error.tag == ErrorTag.DATA_MISSING:
-            return tree  # the specification: deleting what is not there is no error
+            return tree  # by the gNMI specification, the path of a delete need not exist
         raise
 
 
-def updated(node: SchemaNode, tree: Tree, path: NodePath, operation: str, value: Value) -> Tree:
-    """The settings after `operation`, replace or merge, of a plain value at a path."""
+def update_path(node: SchemaNode, tree: Tree, path: NodePath, operation: str, value: Value) -> Tree:
+    """Return the settings after an operation with a plain value at a path.
+
+    Args:
+        node: the schema node of the settings.
+        tree: the settings.
+        path: the path from the root.
+        operation: replace or merge.
+        value: a plain JSON value.
+
+    Raises:
+        ManagementError: the path does not lead to settings, or the value does not fit it.
+    """
     check_settable(path)
-    below = path[len(SETTINGS_PATH) :]
-    if not below:
+    relative_path = path[len(SETTINGS_PATH) :]
+    if not relative_path:
         changes = _json_changes(node, _settings_within(path, value))[0].children
         return apply_changes(node, {} if operation == "replace" else tree, changes)
-    first = below[0].name
+    first = relative_path[0].name
     if operation == "replace" and node.child(first).kind == "leaf-list":
-        tree = {name: each for name, each in tree.items() if name != first}
-    return apply_changes(node, tree, _changes_at(node, below, operation, value))
+        tree = {name: item for name, item in tree.items() if name != first}
+    return apply_changes(node, tree, _changes_at(node, relative_path, operation, value))
 
 
 def _settings_within(path: NodePath, value: Value) -> Value:
-    """The settings within the value of a path above them."""
+    """Return the part of a value that contains the settings; `path` leads to one of their ancestors."""
     for name in SETTINGS_PATH[len(path) :]:
         children = value.items() if isinstance(value, dict) else ()
-        named = {key.removeprefix(MODULE_PREFIX): each for key, each in children}
-        others = sorted(set(named) - {name})
-        if others:
-            reason = f"there is no {', '.join(others)} to be set"
+        values_by_name = {key.removeprefix(MODULE_PREFIX): item for key, item in children}
+        unknown_names = sorted(set(values_by_name) - {name})
+        if unknown_names:
+            reason = f"there is no {', '.join(unknown_names)} to be set"
             raise ManagementError(ErrorTag.UNKNOWN_ELEMENT, reason)
-        value = named.get(name, {})
+        value = values_by_name.get(name, {})
     return value
 
 
 def _changes_at(node: SchemaNode, path: NodePath, operation: str, value: Value = None) -> tuple[Change, ...]:
-    """The changes within a container that do an operation at a path below it."""
+    """Return the changes within a container that do an operation at a path relative to it."""
     element, rest = path[0], path[1:]
     child = node.child(element.name)
     removes = operation in REMOVALS
@@ -79,7 +99,7 @@
 
 
 def _key_changes(node: SchemaNode, element: PathElement) -> tuple[Change, ...]:
-    """The changes that name a list entry."""
+    """Return the changes that set the keys of a list entry, none for other nodes."""
     if node.kind != "list":
         if element.keys:
             raise ManagementError(ErrorTag.BAD_ATTRIBUTE, f"{node.name} has no keys", node.path())
@@ -97,18 +117,18 @@
 
 
 def _json_changes(node: SchemaNode, value: Value, operation: str | None = None) -> tuple[Change, ...]:
-    """The changes that a JSON value makes of a node."""
+    """Return the changes of a node that set a JSON value."""
     if node.kind == "leaf":
         return (Change(node.name, None, node.parse_json(value)),)
     if node.kind == "leaf-list":
         if not isinstance(value, list):
             raise ManagementError(ErrorTag.INVALID_VALUE, f"{node.name} is an array", node.path())
-        return tuple(Change(node.name, None, node.parse_json(each)) for each in value)
+        return tuple(Change(node.name, None, node.parse_json(item)) for item in value)
     if node.kind == "list" and isinstance(value, list):
-        return tuple(change for each in value for change in _json_changes(node, each, operation))
+        return tuple(change for item in value for change in _json_changes(node, item, operation))
     if not isinstance(value, dict):
         raise ManagementError(ErrorTag.INVALID_VALUE, f"{node.name} is an object", node.path())
     children: list[Change] = []
-    for name, each in value.items():
-        children += _json_changes(node.child(name.removeprefix(MODULE_PREFIX)), each)
+    for name, item in value.items():
+        children += _json_changes(node.child(name.removeprefix(MODULE_PREFIX)), item)
     return (Change(node.name, operation, None, tuple(children)),)
--- a/granitespool/gnmi/get.py
+++ b/granitespool/gnmi/get.py
@@ -1,4 +1,4 @@
-"""The method Get."""
+"""The gNMI method Get."""
 
 from collections.abc import Generator, Iterator
 
@@ -13,11 +13,11 @@
 from granitespool.rpc.calls import Call, Steps
 from granitespool.rpc.errors import StatusCode, StatusError
 
-MATCHES_PER_STEP = 50  # put into a message in one step: half a millisecond
+MATCHES_PER_STEP = 50  # matches that one step adds to a message, in half a millisecond
 
 
 def get(context: CallContext, call: Call) -> Steps:
-    """Answers with the values at some paths."""
+    """Respond with the values at the requested paths."""
     request = yield from first_message(call, pb.GetRequest)
     try:
         response = yield from _response(context, request)
@@ -29,15 +29,15 @@
 def _response(context: CallContext, request: pb.GetRequest) -> Generator[None, None, pb.GetResponse]:
     require_read(context.user)
     encoding = check_encoding(request.encoding)
-    asked = [parse_path(request.prefix, path) for path in request.path or [pb.Path()]]
+    paths = [parse_path(request.prefix, path) for path in request.path or [pb.Path()]]
     root = RootNode(context.service.model.top)
-    for path in asked:
+    for path in paths:
         check_path(root.top, path)
-    wants_config = request.type in (pb.GetRequest.ALL, pb.GetRequest.CONFIG)
-    wants_state = request.type != pb.GetRequest.CONFIG
-    tree = yield from context.read_tree(wants_config, wants_state)
+    includes_config = request.type in (pb.GetRequest.ALL, pb.GetRequest.CONFIG)
+    includes_state = request.type != pb.GetRequest.CONFIG
+    tree = yield from context.read_tree(includes_config, includes_state)
     response = pb.GetResponse()
-    for path in asked:
+    for path in paths:
         notification = response.notification.add(timestamp=context.transport.now())
         yield from _add_updates(notification, root, tree, path, encoding)
         if not notification.update:
@@ -48,7 +48,7 @@
 def _add_updates(
     notification: pb.Notification, root: RootNode, tree: Tree, path: NodePath, encoding: int
 ) -> Iterator[None]:
-    """Adds what a path matches: in PROTO each leaf, else each match as JSON."""
+    """Add the matches of a path to a notification: each leaf with PROTO, else each match as JSON."""
     for number, match in enumerate(matches(root, tree, path), 1):
         parts = leaves(match) if encoding == pb.PROTO else (match,)
         for part in parts:
--- a/granitespool/gnmi/paths.py
+++ b/granitespool/gnmi/paths.py
@@ -1,6 +1,7 @@
-"""gNMI paths over a tree of the module: names, keys, wildcards; no I/O.
+"""Matches gNMI paths with a tree of the module: names, keys, wildcards; no I/O.
 
-"*" stands for any one name or key, "..." for any number of names. Keys in paths are text."""
+"*" matches any one name or key, "..." any number of names. Keys in paths are strings.
+"""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from typing import NamedTuple, TypeAlias
@@ -13,12 +14,12 @@
 
 ANY = "*"
 ANY_DEPTH = "..."
-MAX_ELEMENTS = 32  # of a path: the module is six deep
+MAX_ELEMENTS = 32  # elements of a path; the module has six levels
 MODULE_PREFIX = f"{model.MODULE}:"
 
 
 class RootNode:
-    """Stands above the top node, so that the empty path is everything."""
+    """The parent of the top node, so that the empty path matches the whole tree."""
 
     kind = "container"
     is_leaf = False
@@ -34,7 +35,7 @@
 
 
 class Match(NamedTuple):
-    """A value that a path names: where it stands, its node and itself."""
+    """A value that a path matches, with its own path and its schema node."""
 
     path: NodePath
     node: Node
@@ -42,10 +43,10 @@
 
 
 def parse_path(prefix: pb.Path, path: pb.Path) -> NodePath:
-    """The path of a prefix and a path message, from the root.
+    """Return the path from the root of a prefix message and a path message.
 
     Raises:
-        ManagementError: the messages are not of a form or size that is taken.
+        ManagementError: the origin or the form of a message is not supported, or the path is too long.
     """
     for message in (prefix, path):
         if message.origin not in ("", model.MODULE) or message.element:
@@ -60,12 +61,12 @@
 
 
 def path_message(path: Iterable[PathElement]) -> pb.Path:
-    """A path as a message."""
+    """Return the message of a path."""
     return pb.Path(elem=[pb.PathElem(name=name, key=dict(keys)) for name, keys in path])
 
 
 def path_text(path: Iterable[PathElement]) -> str:
-    """A path for a person."""
+    """Return the text of a path, for error messages and as a key."""
     return "/" + "/".join([name + _keys_text(keys) if keys else name for name, keys in path])
 
 
@@ -74,7 +75,7 @@
 
 
 def check_path(top: SchemaNode, path: NodePath) -> None:
-    """Raises ManagementError where no node of the module can match a path; the empty path is everything."""
+    """Raise ManagementError if no node of the module can match a path; the empty path matches always."""
     if path and not any(True for _ in _matching_nodes([top], path)):
         raise ManagementError(ErrorTag.UNKNOWN_ELEMENT, f"there is no {path_text(path)}", path)
 
@@ -98,43 +99,43 @@
             yield node
 
 
-def matches(node: Node, value: Value, path: NodePath, at: NodePath = ()) -> Iterator[Match]:
-    """Everything that a path matches in the value of a node, each entry of a list on its own."""
+def matches(node: Node, value: Value, path: NodePath, parent_path: NodePath = ()) -> Iterator[Match]:
+    """Yield everything that a path matches within the value of a node, with one match per list entry."""
     if not path:
-        yield Match(at, node, value)
+        yield Match(parent_path, node, value)
         return
     (name, keys), rest = path[0], path[1:]
     if name == ANY_DEPTH:
-        yield from matches(node, value, rest, at)
+        yield from matches(node, value, rest, parent_path)
         if rest:
-            for child in _children(node, value, at):
+            for child in _children(node, value, parent_path):
                 yield from matches(child.node, child.value, path, child.path)
         return
-    for child in _children(node, value, at):
+    for child in _children(node, value, parent_path):
         element = child.path[-1]
         if name in (ANY, element.name) and _keys_match(keys.items(), element):
             yield from matches(child.node, child.value, rest, child.path)
 
 
-def _keys_match(wanted: Iterable[tuple[str, str]], element: PathElement) -> bool:
-    return all(value == ANY or str(element.keys.get(key)) == value for key, value in wanted)
+def _keys_match(key_filters: Iterable[tuple[str, str]], element: PathElement) -> bool:
+    return all(value == ANY or str(element.keys.get(key)) == value for key, value in key_filters)
 
 
-def _children(node: Node, value: Value, at: NodePath) -> Iterator[Match]:
+def _children(node: Node, value: Value, parent_path: NodePath) -> Iterator[Match]:
     if node.is_leaf:
         return
-    for name, below in value.items():
+    for name, child_value in value.items():
         child = node.children[name]
         if child.kind == "list":
-            for entry in below:
+            for entry in child_value:
                 keys = {key: str(entry[key]) for key in child.keys}
-                yield Match((*at, PathElement(name, keys)), child, entry)
+                yield Match((*parent_path, PathElement(name, keys)), child, entry)
         else:
-            yield Match((*at, PathElement(name)), child, below)
+            yield Match((*parent_path, PathElement(name)), child, child_value)
 
 
 def leaves(match: Match) -> Iterator[Match]:
-    """All leaves and leaf-lists within a match."""
+    """Yield all leaves and leaf-lists within a match."""
     if match.node.is_leaf:
         yield match
         return
--- a/granitespool/gnmi/set.py
+++ b/granitespool/gnmi/set.py
@@ -1,8 +1,8 @@
-"""The method Set: one transaction of deletes, replaces and updates, in this order."""
+"""The gNMI method Set: one transaction of deletes, replaces and updates, in this order."""
 
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi.context import CallContext, first_message
-from granitespool.gnmi.edits import deleted, updated
+from granitespool.gnmi.edits import delete_path, update_path
 from granitespool.gnmi.paths import parse_path
 from granitespool.gnmi.statuses import status_error
 from granitespool.gnmi.values import plain_value
@@ -16,48 +16,48 @@
 
 
 def set_(context: CallContext, call: Call) -> Steps:
-    """Changes the running settings, and answers once that is sure."""
+    """Change the running settings, and respond once the outcome is certain."""
     request = yield from first_message(call, pb.SetRequest)
     if request.union_replace:
         raise StatusError(StatusCode.UNIMPLEMENTED, "union_replace is not taken")
     settings = context.service.model.settings
 
-    def changed(tree: Tree) -> Tree:
-        new_tree = _changed(settings, tree, request)
+    def make_tree(tree: Tree) -> Tree:
+        new_tree = _changed_tree(settings, tree, request)
         require_write(context.user, differing_names(tree, new_tree))
         return new_tree
 
-    answers: list[ManagementError | None] = []
+    results: list[ManagementError | None] = []
 
-    def on_answer(error: ManagementError | None) -> None:
-        answers.append(error)
+    def on_done(error: ManagementError | None) -> None:
+        results.append(error)
         call.wake()
 
-    context.service.datastores.transact(context.owner, context.user.name, changed, on_answer)
-    while not answers:
+    context.service.datastores.transact(context.owner, context.user.name, make_tree, on_done)
+    while not results:
         call.waiting = True
         yield
-    if answers[0] is not None:
-        raise status_error(answers[0])
+    if results[0] is not None:
+        raise status_error(results[0])
     response = pb.SetResponse(
         prefix=request.prefix, response=_results(request), timestamp=context.transport.now()
     )
     call.send(response.SerializeToString())
 
 
-def _changed(settings: SchemaNode, tree: Tree, request: pb.SetRequest) -> Tree:
-    """The settings after all operations of a request."""
+def _changed_tree(settings: SchemaNode, tree: Tree, request: pb.SetRequest) -> Tree:
+    """Return the settings after all operations of a request."""
     for path in request.delete:
-        tree = deleted(settings, tree, parse_path(request.prefix, path))
+        tree = delete_path(settings, tree, parse_path(request.prefix, path))
     for operation, updates in (("replace", request.replace), ("merge", request.update)):
         for update in updates:
             path = parse_path(request.prefix, update.path)
-            tree = updated(settings, tree, path, operation, plain_value(update.val))
+            tree = update_path(settings, tree, path, operation, plain_value(update.val))
     return tree
 
 
 def _results(request: pb.SetRequest) -> list[pb.UpdateResult]:
     deletes = [pb.UpdateResult(path=path, op=pb.UpdateResult.DELETE) for path in request.delete]
-    replaces = [pb.UpdateResult(path=each.path, op=pb.UpdateResult.REPLACE) for each in request.replace]
-    updates = [pb.UpdateResult(path=each.path, op=pb.UpdateResult.UPDATE) for each in request.update]
+    replaces = [pb.UpdateResult(path=update.path, op=pb.UpdateResult.REPLACE) for update in request.replace]
+    updates = [pb.UpdateResult(path=update.path, op=pb.UpdateResult.UPDATE) for update in request.update]
     return deletes + replaces + updates
--- a/granitespool/gnmi/statuses.py
+++ b/granitespool/gnmi/statuses.py
@@ -1,4 +1,4 @@
-"""A management error as a status of gRPC."""
+"""Converts management errors to gRPC statuses."""
 
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.rpc.errors import StatusCode, StatusError
@@ -12,9 +12,9 @@
     ErrorTag.OPERATION_FAILED: StatusCode.FAILED_PRECONDITION,
     ErrorTag.RESOURCE_DENIED: StatusCode.RESOURCE_EXHAUSTED,
     ErrorTag.OPERATION_NOT_SUPPORTED: StatusCode.UNIMPLEMENTED,
-}  # all others are invalid arguments
+}  # any other tag maps to INVALID_ARGUMENT
 
 
 def status_error(error: ManagementError) -> StatusError:
-    """The status that tells a client of a rejected request."""
+    """Return the gRPC status of a rejected request."""
     return StatusError(CODES.get(error.tag, StatusCode.INVALID_ARGUMENT), error.reason)
--- a/granitespool/gnmi/subscribe.py
+++ b/granitespool/gnmi/subscribe.py
@@ -1,4 +1,4 @@
-"""The method Subscribe: once, polled, or as a stream."""
+"""The gNMI method Subscribe, in the modes ONCE, POLL and STREAM."""
 
 from collections.abc import Generator, Iterable, Iterator, Sequence
 
@@ -14,32 +14,35 @@
 from granitespool.rpc.calls import Call, Steps
 from granitespool.rpc.errors import StatusCode, StatusError
 
-MAX_SUBSCRIPTIONS = 64  # of one call
-MAX_UPDATES = 500  # of one notification: some 50 KB
-UPDATES_PER_STEP = 50  # put into a message in one step: half a millisecond
+MAX_SUBSCRIPTIONS = 64  # subscriptions of one call
+MAX_UPDATES = 500  # updates of one notification, some 50 KB
+UPDATES_PER_STEP = 50  # updates that one step adds to a message, in half a millisecond
 RESPONSE_FIELD = pb.SubscribeResponse.DESCRIPTOR.fields_by_name["update"].number
 SYNC_RESPONSE = pb.SubscribeResponse(sync_response=True).SerializeToString()
 
 
 def subscribe(context: CallContext, call: Call) -> Steps:
-    """Sends the values at some paths, as the first message asks for."""
+    """Send the values at the subscribed paths, in the mode that the first message requests."""
     request = yield from first_message(call, pb.SubscribeRequest)
-    asked = request.subscribe
+    subscription_list = request.subscribe
     try:
         require_read(context.user)
         _check_request(request)
-        encoding = check_encoding(asked.encoding)
+        encoding = check_encoding(subscription_list.encoding)
         top = context.service.model.top
-        subscriptions = [Subscription(asked, each, top) for each in asked.subscription]
+        subscriptions = [
+            Subscription(subscription_list, subscription, top)
+            for subscription in subscription_list.subscription
+        ]
     except ManagementError as error:
         raise status_error(error) from None
     sender = _Sender(context, call, encoding)
-    if asked.mode == pb.SubscriptionList.ONCE:
+    if subscription_list.mode == pb.SubscriptionList.ONCE:
         yield from sender.send_all(subscriptions)
-    elif asked.mode == pb.SubscriptionList.POLL:
+    elif subscription_list.mode == pb.SubscriptionList.POLL:
         yield from _poll(sender, call, subscriptions)
     else:
-        yield from _stream(sender, call, subscriptions, asked.updates_only)
+        yield from _stream(sender, call, subscriptions, subscription_list.updates_only)
 
 
 def _check_request(request: pb.SubscribeRequest) -> None:
@@ -52,7 +55,7 @@
 
 
 def _poll(sender: "_Sender", call: Call, subscriptions: Sequence[Subscription]) -> Iterator[None]:
-    """Sends all values at first, and again for each poll."""
+    """Send all values at first, and again for each poll."""
     yield from sender.send_all(subscriptions)
     while not call.ended or call.inbox:
         if not call.inbox:
@@ -61,32 +64,36 @@
             continue
         request = parse_message(pb.SubscribeRequest, call.inbox.pop(0))
         if request.WhichOneof("request") != "poll":
-            raise StatusError(StatusCode.INVALID_ARGUMENT, "only polls may follow")
+            raise StatusError(
+                StatusCode.INVALID_ARGUMENT, "only polls may follow the first message in mode POLL"
+            )
         yield from sender.send_all(subscriptions)
 
 
 def _stream(
     sender: "_Sender", call: Call, subscriptions: Sequence[Subscription], updates_only: bool
 ) -> Iterator[None]:
-    """Sends all values at first, and then what has changed whenever a subscription is due."""
-    for each in subscriptions:
-        values = yield from sender.current(each)
-        each.start(values, sender.now())
+    """Send all values at first, and then the changes of each subscription at its interval."""
+    for subscription in subscriptions:
+        values = yield from sender.current(subscription)
+        subscription.start(values, sender.now())
         if not updates_only:
             yield from sender.send(values)
     call.send(SYNC_RESPONSE)
     while True:
         if call.inbox:
-            raise StatusError(StatusCode.INVALID_ARGUMENT, "nothing may follow a subscription that streams")
+            raise StatusError(
+                StatusCode.INVALID_ARGUMENT, "no message may follow the first one in mode STREAM"
+            )
         now = sender.now()
-        due = [each for each in subscriptions if each.due <= now]
+        due = [subscription for subscription in subscriptions if subscription.next_sample_at <= now]
         if not due:
-            call.wake_at = min(each.due for each in subscriptions)
+            call.wake_at = min(subscription.next_sample_at for subscription in subscriptions)
             call.waiting = True
             yield
-        for each in due:
-            values = yield from sender.current(each)
-            delta = each.delta(values, now)
+        for subscription in due:
+            values = yield from sender.current(subscription)
+            delta = subscription.delta(values, now)
             yield from sender.send(delta.updates, delta.deletes)
             yield
 
@@ -100,26 +107,26 @@
         self.encoding = encoding
 
     def now(self) -> int:
-        """The turn's time, ns."""
+        """Return the time of the event loop's current turn, in ns."""
         return self.context.transport.now()
 
     def send_all(self, subscriptions: Iterable[Subscription]) -> Iterator[None]:
-        """Sends all values of all subscriptions, then the mark that they were all."""
-        for each in subscriptions:
-            values = yield from self.current(each)
+        """Send all values of all subscriptions, then the sync response."""
+        for subscription in subscriptions:
+            values = yield from self.current(subscription)
             yield from self.send(values)
         self.call.send(SYNC_RESPONSE)
 
     def current(self, subscription: Subscription) -> Generator[None, None, LeafValues]:
-        """The leaves that a subscription matches now; shared by all subscriptions of the same path."""
+        """Return the current values of a subscription, which all subscriptions of the same path share."""
         tree = yield from self.context.read_tree()
         service = self.context.service
         shared = service.shared_state
         key = (path_text(subscription.path), service.datastores.version)
-        known: LeafValues | None = shared.leaf_values.get(key)
-        if known is not None:
-            return known
-        flat = shared.leaf_values  # of this reading, which may not be the newest any more at the end
+        cached: LeafValues | None = shared.leaf_values.get(key)
+        if cached is not None:
+            return cached
+        leaf_values = shared.leaf_values  # of this reading: a newer one may replace it between two steps
         values: dict[Leaf, Value] = {}
         for match in matches(RootNode(service.model.top), tree, subscription.path):
             for part in leaves(match):
@@ -130,24 +137,24 @@
                 values[leaf] = part.value
                 if len(values) % UPDATES_PER_STEP == 0:
                     yield
-        flat[key] = values
+        leaf_values[key] = values
         return values
 
     def send(self, values: LeafValues, deletes: Iterable[Leaf] = ()) -> Iterator[None]:
-        """Sends updates and deletes, in as many notifications as they take."""
-        deleted = [path_message(leaf.path) for leaf in deletes]
+        """Send updates and deletes, in several notifications if they exceed the limit of one."""
+        deleted_paths = [path_message(leaf.path) for leaf in deletes]
         updates: list[bytes] = []
         for number, (leaf, value) in enumerate(values.items(), 1):
             updates.append(leaf.update_field(value, self.encoding))
             if len(updates) >= MAX_UPDATES:
-                self._send_notification(deleted, updates)
-                deleted = []
+                self._send_notification(deleted_paths, updates)
+                deleted_paths = []
                 updates = []
             if number % UPDATES_PER_STEP == 0:
                 yield
-        if deleted or updates:
-            self._send_notification(deleted, updates)
+        if deleted_paths or updates:
+            self._send_notification(deleted_paths, updates)
 
-    def _send_notification(self, deleted: list[pb.Path], updates: list[bytes]) -> None:
-        notification = pb.Notification(timestamp=self.now(), delete=deleted).SerializeToString()
+    def _send_notification(self, deleted_paths: list[pb.Path], updates: list[bytes]) -> None:
+        notification = pb.Notification(timestamp=self.now(), delete=deleted_paths).SerializeToString()
         self.call.send(field_bytes(RESPONSE_FIELD, notification + b"".join(updates)))
--- a/granitespool/gnmi/subscription.py
+++ b/granitespool/gnmi/subscription.py
@@ -1,4 +1,4 @@
-"""One subscription of a Subscribe call: when it is due, what was sent of it, and what has changed; no I/O."""
+"""One subscription of a Subscribe call: its next sample, the values sent last, and changes since; no I/O."""
 
 from collections.abc import Mapping
 from typing import NamedTuple, TypeAlias
@@ -12,81 +12,83 @@
 from granitespool.management.model import SchemaNode
 from granitespool.units import SECOND
 
-MIN_SAMPLE_INTERVAL = SECOND // 4  # ns: readings of the state are shared for as long
+MIN_SAMPLE_INTERVAL = SECOND // 4  # ns; a reading of the state is shared for this time
 DEFAULT_SAMPLE_INTERVAL = 10 * SECOND  # ns
-ON_CHANGE_INTERVAL = SECOND  # ns between looks at what is sent on change: the planner's period
+ON_CHANGE_INTERVAL = SECOND  # ns between checks for changes: the planner's period
 UPDATE_FIELD = pb.Notification.DESCRIPTOR.fields_by_name["update"].number
 SETTINGS_PATH = node_path(model.TOP, model.SETTINGS)
 
 
 class Leaf:
-    """A leaf, shared by all subscriptions that match it: its path, and its latest update encoded."""
+    """A leaf and its latest encoded update, shared by all subscriptions that match it."""
 
     __slots__ = ("__weakref__", "_encoded", "node", "path")
 
     def __init__(self, path: NodePath, node: Node) -> None:
         self.path = path
         self.node = node
-        self._encoded: dict[int, tuple[Value, bytes]] = {}  # by encoding: the value and its update
+        self._encoded: dict[int, tuple[Value, bytes]] = {}  # by encoding: a value and its update
 
     def update_field(self, value: Value, encoding: int) -> bytes:
-        """The bytes of an Update as a field of a Notification."""
-        known = self._encoded.get(encoding)
-        if known is None or known[0] != value:
+        """Return an Update with a value, encoded as a field of a Notification."""
+        cached = self._encoded.get(encoding)
+        if cached is None or cached[0] != value:
             update = pb.Update(
                 path=path_message(self.path),
                 val=typed_value(Match(self.path, self.node, value), encoding),
             )
-            known = (value, field_bytes(UPDATE_FIELD, update.SerializeToString()))
-            self._encoded[encoding] = known
-        return known[1]
+            cached = (value, field_bytes(UPDATE_FIELD, update.SerializeToString()))
+            self._encoded[encoding] = cached
+        return cached[1]
 
 
 LeafValues: TypeAlias = Mapping[Leaf, Value]
 
 
 class Delta(NamedTuple):
-    """What is to be sent: values, and leaves that are gone."""
+    """The changes to send: updated values, and leaves that no longer exist."""
 
     updates: LeafValues
     deletes: list[Leaf]
 
 
 class Subscription:
-    """A path, and what was last sent of it; times in ns."""
+    """A subscribed path and the values that were last sent; times in ns."""
 
-    def __init__(self, asked: pb.SubscriptionList, one: pb.Subscription, top: SchemaNode) -> None:
-        self.path = parse_path(asked.prefix, one.path)
+    def __init__(
+        self, subscription_list: pb.SubscriptionList, request: pb.Subscription, top: SchemaNode
+    ) -> None:
+        self.path = parse_path(subscription_list.prefix, request.path)
         check_path(top, self.path)
-        if 0 < one.sample_interval < MIN_SAMPLE_INTERVAL:
+        if 0 < request.sample_interval < MIN_SAMPLE_INTERVAL:
             reason = f"samples are {MIN_SAMPLE_INTERVAL // 1_000_000} ms apart at least"
             raise ManagementError(ErrorTag.INVALID_VALUE, reason)
-        is_sampled = self._mode(one) == pb.SAMPLE
+        is_sampled = self._mode(request) == pb.SAMPLE
         self.interval = ON_CHANGE_INTERVAL
         if is_sampled:
-            self.interval = one.sample_interval or DEFAULT_SAMPLE_INTERVAL
-        self.suppress_unchanged = one.suppress_redundant or not is_sampled
-        self.heartbeat_interval = one.heartbeat_interval
+            self.interval = request.sample_interval or DEFAULT_SAMPLE_INTERVAL
+        self.suppress_unchanged = request.suppress_redundant or not is_sampled
+        self.heartbeat_interval = request.heartbeat_interval
         self.sent: LeafValues = {}
-        self.due = 0
+        self.next_sample_at = 0
         self._heartbeat_at = 0
 
-    def _mode(self, one: pb.Subscription) -> int:
-        """Where the mode is the target's choice, settings are sent on change and all else is sampled."""
-        mode: int = one.mode
+    def _mode(self, request: pb.Subscription) -> int:
+        """Return the mode; for TARGET_DEFINED, settings are sent on change and all else is sampled."""
+        mode: int = request.mode
         if mode == pb.TARGET_DEFINED:
             mode = pb.ON_CHANGE if self.path[1:2] == SETTINGS_PATH[1:2] else pb.SAMPLE
         return mode
 
     def start(self, leaves: LeafValues, now: int) -> None:
-        """The first values are being sent."""
+        """Record that the first values are sent."""
         self.sent = leaves
-        self.due = now + self.interval
+        self.next_sample_at = now + self.interval
         self._heartbeat_at = now
 
     def delta(self, leaves: LeafValues, now: int) -> Delta:
-        """What is to be sent of the values as they are now; a reading that is late is not made up for."""
-        self.due = max(self.due + self.interval, now + self.interval // 2)
+        """Return the changes to send for the current values; a missed sample is not made up for."""
+        self.next_sample_at = max(self.next_sample_at + self.interval, now + self.interval // 2)
         deletes = [leaf for leaf in self.sent if leaf not in leaves]
         updates = leaves
         if self._is_heartbeat(now) or not self.suppress_unchanged:
--- a/granitespool/gnmi/values.py
+++ b/granitespool/gnmi/values.py
@@ -1,4 +1,4 @@
-"""Typed values of gNMI and values of a tree; no I/O."""
+"""Converts between typed values of gNMI and values of a tree; no I/O."""
 
 import orjson
 
@@ -13,14 +13,14 @@
 JSON_VALUES = ("json_val", "json_ietf_val")
 ENCODINGS = (pb.JSON, pb.JSON_IETF, pb.PROTO)
 MAX_VARINT_BYTE = 0x7F
-LENGTH_DELIMITED = 2  # protobuf's wire type of messages
+LENGTH_DELIMITED = 2  # the protobuf wire type of embedded messages
 
 
 def check_encoding(encoding: int) -> int:
-    """The encoding itself.
+    """Return the encoding if it is supported.
 
     Raises:
-        StatusError: it is none that is served.
+        StatusError: the encoding is not supported.
     """
     if encoding not in ENCODINGS:
         raise StatusError(StatusCode.UNIMPLEMENTED, "encodings are JSON, JSON_IETF and PROTO")
@@ -28,7 +28,7 @@
 
 
 def field_bytes(number: int, message: bytes) -> bytes:
-    """An encoded message as a field of the message around it, on protobuf's wire format."""
+    """Return an encoded message as a field of its parent message, in the protobuf wire format."""
     header = bytearray([number << 3 | LENGTH_DELIMITED])
     size = len(message)
     while size > MAX_VARINT_BYTE:
@@ -39,26 +39,26 @@
 
 
 def typed_value(match: Match, encoding: int) -> pb.TypedValue:
-    """A value of a tree as a message; at the root, names have the module's prefix in JSON_IETF."""
+    """Return the typed value of a match; in JSON_IETF, the names at the root have the module's prefix."""
     value = match.value
     if encoding == pb.PROTO:
         return _proto_value(match.node, value)
     if encoding == pb.JSON:
         return pb.TypedValue(json_val=orjson.dumps(value))
     if not match.path and isinstance(value, dict):
-        value = {f"{model.MODULE}:{name}": each for name, each in value.items()}
+        value = {f"{model.MODULE}:{name}": item for name, item in value.items()}
     return pb.TypedValue(json_ietf_val=orjson.dumps(value))
 
 
 def _proto_value(node: Node, value: Value) -> pb.TypedValue:
     if node.kind == "leaf-list":
-        elements = [_scalar(node, each) for each in value]
+        elements = [_scalar(node, item) for item in value]
         return pb.TypedValue(leaflist_val=pb.ScalarArray(element=elements))
     return _scalar(node, value)
 
 
 def _scalar(node: Node, value: Value) -> pb.TypedValue:
-    """A leaf's value as gNMI's scalars have it; 64-bit numbers and decimals are text in a tree."""
+    """Return the gNMI scalar of a leaf's value; in a tree, 64-bit numbers and decimals are strings."""
     if isinstance(value, bool):
         return pb.TypedValue(bool_val=value)
     if isinstance(value, int):
@@ -74,10 +74,10 @@
 
 
 def plain_value(typed: pb.TypedValue) -> Value:
-    """The plain JSON value of a typed value that a client sent.
+    """Return the plain JSON value of a typed value from a client.
 
     Raises:
-        ManagementError: it is not JSON, or of a kind that is not taken.
+        ManagementError: the value is not valid JSON, or its type is not supported.
     """
     kind = typed.WhichOneof("value")
     if kind in JSON_VALUES:
--- a/granitespool/netconf/content.py
+++ b/granitespool/netconf/content.py
@@ -1,4 +1,4 @@
-"""Between XML and data trees: edit-config content to changes, and trees to XML; no I/O."""
+"""Converts edit-config content to changes, and data trees to XML; no I/O."""
 
 from collections.abc import Iterator
 
@@ -16,7 +16,7 @@
 
 
 def value_text(value: Value) -> str:
-    """A leaf's value as XML has it."""
+    """Return the XML text of a leaf's value."""
     if isinstance(value, str):
         return value
     if isinstance(value, bool):
@@ -25,10 +25,10 @@
 
 
 def changes_of(node: SchemaNode, element: Element) -> tuple[Change, ...]:
-    """The changes that the child elements of one make to a container of the module.
+    """Return the changes that the children of an element make to a container or list entry of the module.
 
     Raises:
-        ManagementError: an element, attribute or value that the module does not allow.
+        ManagementError: the module does not allow an element, attribute or value.
     """
     return tuple(_change(node.child(_data_name(node, child)), child) for child in element)
 
@@ -72,30 +72,30 @@
 
 
 def _placement(node: SchemaNode, element: Element) -> Placement | None:
-    """Where an entry of a list ordered by the user is to stand (RFC 7950, 7.8.6)."""
-    where = element.get(f"{{{YANG}}}insert")
-    if where is None:
+    """Return the placement of an entry in a list that is ordered by the user (RFC 7950, 7.8.6)."""
+    position = element.get(f"{{{YANG}}}insert")
+    if position is None:
         return None
-    if where not in ("first", "last", "before", "after"):
-        raise _bad_attribute(node, f"there is no place {where!r:.40}", "insert")
-    if where in ("first", "last"):
-        return Placement(where, None)
+    if position not in ("first", "last", "before", "after"):
+        raise _bad_attribute(node, f"there is no place {position!r:.40}", "insert")
+    if position in ("first", "last"):
+        return Placement(position, None)
     reference = element.get(f"{{{YANG}}}{'key' if node.kind == 'list' else 'value'}")
     if reference is None:
         raise ManagementError(
             ErrorTag.MISSING_ATTRIBUTE,
-            f"{where} whom is not said",
+            f"{position} whom is not said",
             node.path(),
             attribute="key",
             element=node.name,
         )
     if node.kind == "list":
-        return Placement(where, _key_values(node, reference))
-    return Placement(where, node.parse(reference))
+        return Placement(position, _key_values(node, reference))
+    return Placement(position, node.parse(reference))
 
 
 def _key_values(node: SchemaNode, predicate: str) -> dict[str, Value]:
-    """{key: value} of a list's predicate such as [gs:name='pay']."""
+    """Return the keys and values of a list predicate such as [gs:name='pay']."""
     values = {}
     for part in predicate.strip().strip("[]").split("]["):
         name, _, value = part.partition("=")
@@ -106,7 +106,7 @@
 
 
 def append_tree(parent: Element, node: SchemaNode, tree: Tree) -> Iterator[None]:
-    """Appends what a tree has of a container's children to its element; yields after each list entry."""
+    """Append the children of a container that a tree contains to its element; yield after each list entry."""
     for name, child in node.children.items():
         value = tree.get(name)
         if value is None:
@@ -114,8 +114,8 @@
         if child.kind == "leaf":
             etree.SubElement(parent, own(name)).text = value_text(value)
         elif child.kind == "leaf-list":
-            for each in value:
-                etree.SubElement(parent, own(name)).text = value_text(each)
+            for entry_value in value:
+                etree.SubElement(parent, own(name)).text = value_text(entry_value)
         elif child.kind == "container":
             yield from append_tree(etree.SubElement(parent, own(name)), child, value)
         else:
@@ -125,5 +125,5 @@
 
 
 def top_element(parent: Element, name: str) -> Element:
-    """A new child that declares the module's namespace as the default one."""
+    """Add a child element that declares the module's namespace as the default, and return it."""
     return etree.SubElement(parent, own(name), nsmap={None: model.NAMESPACE})
--- a/granitespool/netconf/context.py
+++ b/granitespool/netconf/context.py
@@ -1,4 +1,4 @@
-"""What the operations of one NETCONF session may use: its user, its connection, the datastores behind it."""
+"""The context in which the operations of one NETCONF session run: its user, connection and service."""
 
 from collections.abc import Callable, Iterator
 from typing import TypeAlias
@@ -11,41 +11,45 @@
 
 Steps: TypeAlias = Iterator[None]
 Handler: TypeAlias = "Callable[[OperationContext, Element, Element], Steps | None]"
-"""(context, the operation's element, the reply to fill); steps for what takes long or is answered later."""
+"""A function of the context, the operation's element and the reply to fill.
+
+It returns steps if the operation takes long or completes later, else None.
+"""
 
 
 class OperationContext:
-    """Of one session: `owner` stands for it in the datastores.
+    """The context of one session; `owner` identifies the session in the datastores.
 
-    `awaiting_answer` is whether a commit's answer is still to come: no other operation of the session is
-    processed meanwhile. `notified_events` are the names that the session subscribed to, an empty set for all,
-    None without a subscription."""
+    `awaiting_completion` is whether an operation waits for its completion: no other operation of the session
+    is processed meanwhile. `notified_events` are the names of the subscribed events, an empty set for all,
+    None without a subscription.
+    """
 
     def __init__(self, service: ManagementService, user: User, transport: Transport, owner: object) -> None:
         self.service = service
         self.user = user
         self.transport = transport
         self.owner = owner
-        self.awaiting_answer = False
+        self.awaiting_completion = False
         self.notified_events: frozenset[str] | None = None
 
     def wait_for(self, start: Callable[[CompletionCallback], object]) -> Steps:
-        """Starts what is answered later, and waits for its answer.
+        """Start an operation that completes later, and wait for its completion.
 
         Raises:
-            ManagementError: the answer, where it is one.
+            ManagementError: the operation failed.
         """
-        answers: list[ManagementError | None] = []
+        results: list[ManagementError | None] = []
 
-        def on_answer(error: ManagementError | None) -> None:
-            answers.append(error)
-            if self.awaiting_answer:
-                self.awaiting_answer = False
+        def on_done(error: ManagementError | None) -> None:
+            results.append(error)
+            if self.awaiting_completion:
+                self.awaiting_completion = False
                 self.transport.wake()
 
-        start(on_answer)
-        while not answers:
-            self.awaiting_answer = True
+        start(on_done)
+        while not results:
+            self.awaiting_completion = True
             yield
-        if answers[0] is not None:
-            raise answers[0]
+        if results[0] is not None:
+            raise results[0]
--- a/granitespool/netconf/errors.py
+++ b/granitespool/netconf/errors.py
@@ -1,15 +1,15 @@
-"""What a NETCONF peer can do wrong below the level of an rpc: each of these errors ends its session."""
+"""Errors of a NETCONF peer outside of any rpc; each of them ends the session."""
 
 from granitespool.errors import GranitespoolError
 
 
 class NetconfError(GranitespoolError):
-    """The peer broke the protocol in a way that no rpc-reply can answer; the text says how."""
+    """The peer violated the protocol in a way that no rpc-reply can answer."""
 
 
 class FramingError(NetconfError):
-    """Bytes that are no frame of RFC 6242, or a message over the size limit."""
+    """The bytes are not framed by RFC 6242, or a message exceeds the size limit."""
 
 
 class MalformedMessageError(NetconfError):
-    """A message that is not XML within the limits, or not one that may come at this point."""
+    """A message is not XML within the limits, or it is not allowed at this point of the session."""
--- a/granitespool/netconf/filters.py
+++ b/granitespool/netconf/filters.py
@@ -14,7 +14,7 @@
 
 
 class Filter:
-    """The filter of a request; without one, everything is selected."""
+    """The filter of a request; a request without a filter selects everything."""
 
     def __init__(self, request: Element) -> None:
         self.element = request.find(base("filter"))
@@ -30,7 +30,10 @@
             )
 
     def select_tree(self, top: SchemaNode, tree: Tree) -> Tree | None:
-        """What a subtree filter selects of the tree, None for nothing; an XPath filter leaves all of it."""
+        """Return the part of the tree that a subtree filter selects, None for nothing.
+
+        An XPath filter is applied by `select_elements` instead.
+        """
         if self.element is None or self.kind == XPATH:
             return tree
         selected: Tree | None = None
@@ -41,7 +44,7 @@
         return selected
 
     def select_elements(self, data: Element) -> None:
-        """Keeps what an XPath filter selects of the reply's data element, with the elements above it."""
+        """Reduce the reply's data element to the elements that an XPath filter selects, with ancestors."""
         if self.element is None or self.kind != XPATH:
             return
         root = etree.Element("root")
@@ -54,7 +57,7 @@
         data.extend(list(root))
 
     def _evaluate(self, root: Element) -> set[Element]:
-        """The elements below the root that the expression selects."""
+        """Return the elements below the root that the expression selects."""
         select = self.element.get("select")
         if select is None:
             raise ManagementError(
@@ -90,9 +93,9 @@
             element.remove(child)
 
 
-def select_subtree(node: SchemaNode, tree: Tree, wanted: Element) -> Tree | None:
-    """What the filter's element for this container leaves of its tree, None for nothing."""
-    children = list(wanted)
+def select_subtree(node: SchemaNode, tree: Tree, filter_element: Element) -> Tree | None:
+    """Return the part of a container's tree that the filter's element for it selects, None for nothing."""
+    children = list(filter_element)
     if not children:
         return tree  # a selection node
     content_matches = [child for child in children if _is_content_match(child)]
@@ -102,7 +105,7 @@
     if not others:
         return tree
     result = {name: tree[name] for name in map(local_name, content_matches)}
-    result.update({name: tree[name] for name in node.keys})  # an entry is of no use without its keys
+    result.update({name: tree[name] for name in node.keys})  # a selected list entry always includes its keys
     found = bool(content_matches)
     for child in others:
         found |= _select_child(node, tree, child, result)
@@ -123,11 +126,13 @@
         return False
     value = tree.get(child.name)
     values = value if child.kind == "leaf-list" else [value]
-    return text_of(element) in [value_text(each) for each in values or () if each is not None]
+    return text_of(element) in [
+        value_text(leaf_value) for leaf_value in values or () if leaf_value is not None
+    ]
 
 
 def _select_child(node: SchemaNode, tree: Tree, element: Element, result: Tree) -> bool:
-    """Adds what one element selects to the result; whether it selects anything."""
+    """Add the part that one element selects to the result, and return whether it selects anything."""
     child = _child_node(node, element)
     if child is None or child.name not in tree:
         return False
@@ -138,26 +143,26 @@
     return True
 
 
-def _select_value(node: SchemaNode, value: Value, wanted: Element) -> Value:
+def _select_value(node: SchemaNode, value: Value, filter_element: Element) -> Value:
     if node.kind == "container":
-        return select_subtree(node, value, wanted)
+        return select_subtree(node, value, filter_element)
     if node.kind == "list":
-        parts = (select_subtree(node, entry, wanted) for entry in value)
+        parts = (select_subtree(node, entry, filter_element) for entry in value)
         return [part for part in parts if part is not None] or None
-    return None if len(wanted) else value
+    return None if len(filter_element) else value
 
 
-def _merged(node: SchemaNode, one: Value, other: Value) -> Value:
-    """The union of two parts of the same node that two elements of a filter selected."""
-    if one is None or node.kind in ("leaf", "leaf-list"):
-        return other
+def _merged(node: SchemaNode, first: Value, second: Value) -> Value:
+    """Return the union of two parts of the same node, selected by two elements of a filter."""
+    if first is None or node.kind in ("leaf", "leaf-list"):
+        return second
     if node.kind == "container":
         return {
-            name: _merged(node.children[name], one.get(name), other.get(name, one.get(name)))
-            for name in {**one, **other}
+            name: _merged(node.children[name], first.get(name), second.get(name, first.get(name)))
+            for name in {**first, **second}
         }
-    entries = {_key_of(node, entry): entry for entry in one}
-    for entry in other:
+    entries = {_key_of(node, entry): entry for entry in first}
+    for entry in second:
         key = _key_of(node, entry)
         entries[key] = {**entries.get(key, {}), **entry}
     return list(entries.values())
--- a/granitespool/netconf/framing.py
+++ b/granitespool/netconf/framing.py
@@ -1,4 +1,4 @@
-"""Message framing of RFC 6242: the end-of-message mark of base:1.0 and the chunks of base:1.1; no I/O."""
+"""Message framing of RFC 6242: the end-of-message marker of base:1.0, the chunks of base:1.1; no I/O."""
 
 from collections.abc import Iterator
 
@@ -7,44 +7,47 @@
 END_OF_MESSAGE = b"]]>]]>"
 END_OF_CHUNKS = b"\n##\n"
 CHUNK_START = b"\n#"
-MAX_CHUNK_BYTES = 4_294_967_295  # RFC 6242, 4.2; a message's own limit is the reader's
+MAX_CHUNK_BYTES = 4_294_967_295  # RFC 6242, 4.2; the reader limits whole messages
 MAX_CHUNK_HEADER_BYTES = 13  # "\n#", ten digits, "\n"
 
 
 def frame(message: bytes, chunked: bool) -> bytes:
-    """A message's bytes as they go on the wire."""
+    """Return the framed bytes of a message."""
     if chunked:
         return b"\n#%d\n%s\n##\n" % (len(message), message)
     return message + END_OF_MESSAGE
 
 
 class MessageReader:
-    """Splits the bytes of one peer into messages; `chunked` is the framing, and may change between two."""
+    """Splits the bytes of one peer into messages.
+
+    `chunked` selects the framing; it may change between two messages.
+    """
 
     def __init__(self, max_message_bytes: int) -> None:
         self.max_message_bytes = max_message_bytes
         self.chunked = False
         self._received = bytearray()
         self._message = bytearray()  # the chunks of the current message so far
-        self._chunk_bytes_left = 0  # of the current chunk
+        self._chunk_bytes_left = 0  # bytes of the current chunk that were not received yet
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as they were received."""
+        """Append received bytes."""
         self._received += data
 
     def messages(self) -> Iterator[bytes]:
-        """Yields the complete messages.
+        """Yield the complete messages.
 
         Raises:
-            FramingError: the bytes are no frame, or a message is over the limit.
+            FramingError: the framing is invalid, or a message exceeds the size limit.
         """
         while (message := self._next_message()) is not None:
             yield message
 
     def _next_message(self) -> bytes | None:
-        return self._read_chunked() if self.chunked else self._read_marked()
+        return self._read_chunked() if self.chunked else self._read_delimited()
 
-    def _read_marked(self) -> bytes | None:
+    def _read_delimited(self) -> bytes | None:
         end = self._received.find(END_OF_MESSAGE)
         size = end if end >= 0 else len(self._received) - len(END_OF_MESSAGE)
         self._check_size(size)
@@ -56,7 +59,7 @@
 
     def _check_size(self, size: int) -> None:
         if size > self.max_message_bytes:
-            reason = f"a message is over {self.max_message_bytes} bytes"
+            reason = f"a message exceeds the limit of {self.max_message_bytes} bytes"
             raise FramingError(reason)
 
     def _read_chunked(self) -> bytes | None:
@@ -86,13 +89,13 @@
         may_be_end = END_OF_CHUNKS.startswith(header[: len(END_OF_CHUNKS)])
         may_be_chunk = header.startswith(CHUNK_START[: len(header)])
         if not may_be_end and not may_be_chunk:
-            reason = "a chunk does not begin with its head"
+            reason = "a chunk does not begin with a chunk header"
             raise FramingError(reason)
 
     @staticmethod
     def _check_header_incomplete(header: bytes) -> None:
         if len(header) >= MAX_CHUNK_HEADER_BYTES:
-            reason = "a chunk's head has no end"
+            reason = "a chunk header has no end"
             raise FramingError(reason)
 
     def _finish_message(self) -> bytes:
--- a/granitespool/netconf/namespaces.py
+++ b/granitespool/netconf/namespaces.py
@@ -1,4 +1,4 @@
-"""XML namespaces of the messages, and the capabilities that the server's hello lists."""
+"""XML namespaces of the messages, and the capabilities in the server's hello."""
 
 from functools import cache
 
@@ -32,11 +32,11 @@
 
 
 def base(name: str) -> str:
-    """The qualified name of an element or attribute of NETCONF's base namespace."""
+    """Return the qualified name of an element or attribute of NETCONF's base namespace."""
     return f"{{{BASE}}}{name}"
 
 
-@cache  # of the module's names alone, and asked for each leaf of a reply
+@cache  # called for each leaf of a reply; bounded, as all names are those of the module
 def own(name: str) -> str:
-    """The qualified name of a data node of the granitespool module."""
+    """Return the qualified name of a data node of the granitespool module."""
     return f"{{{model.NAMESPACE}}}{name}"
--- a/granitespool/netconf/operations/__init__.py
+++ b/granitespool/netconf/operations/__init__.py
@@ -1,4 +1,4 @@
-"""The operations of NETCONF, one module a group: each is a function of (context, element, reply).
+"""The operations of NETCONF, one module per group: each is a function of (context, element, reply).
 
 retrieval      get, get-config
 editing        edit-config, copy-config, delete-config, validate
@@ -7,4 +7,5 @@
 sessions       close-session, kill-session
 monitoring     get-schema
 notifications  create-subscription, and the notification messages
-table          the handlers by namespace and name"""
+table          the handlers by namespace and name
+"""
--- a/granitespool/netconf/operations/committing.py
+++ b/granitespool/netconf/operations/committing.py
@@ -9,13 +9,13 @@
 from granitespool.netconf.namespaces import base
 from granitespool.netconf.xmltree import Element
 
-DEFAULT_CONFIRM_TIMEOUT = 600  # s, the RFC's
+DEFAULT_CONFIRM_TIMEOUT = 600  # s, from RFC 6241, 8.4
 
 
 def commit(context: OperationContext, operation: Element, _reply: Element) -> Steps:
-    """Makes candidate the running settings, for good or until it is confirmed."""
-    stores = context.service.datastores
-    require_write(context.user, differing_names(stores.tree(RUNNING), stores.tree(CANDIDATE)))
+    """Make candidate the running settings, either permanently or until the confirm timeout."""
+    datastores = context.service.datastores
+    require_write(context.user, differing_names(datastores.tree(RUNNING), datastores.tree(CANDIDATE)))
     options = CommitOptions(
         timeout=_confirm_timeout(operation),
         persist=operation.findtext(base("persist")),
@@ -23,12 +23,12 @@
     )
     now = context.transport.now()
     yield from context.wait_for(
-        lambda answer: stores.commit(context.owner, context.user.name, now, answer, options)
+        lambda on_done: datastores.commit(context.owner, context.user.name, now, on_done, options)
     )
 
 
 def _confirm_timeout(operation: Element) -> int | None:
-    """For how many seconds the commit waits to be confirmed; None where it stands at once."""
+    """Return the seconds within which the commit has to be confirmed, None if it needs no confirmation."""
     text = operation.findtext(base("confirm-timeout"))
     if text is not None and not text.strip().isdigit():
         reason = f"confirm-timeout cannot be {text.strip()!r:.40}"
@@ -39,14 +39,14 @@
 
 
 def cancel_commit(context: OperationContext, operation: Element, _reply: Element) -> Steps:
-    """Undoes a commit that waits to be confirmed."""
-    stores = context.service.datastores
+    """Undo the commit that waits to be confirmed."""
+    datastores = context.service.datastores
     persist_id = operation.findtext(base("persist-id"))
     yield from context.wait_for(
-        lambda answer: stores.cancel(context.owner, context.user.name, persist_id, answer)
+        lambda on_done: datastores.cancel(context.owner, context.user.name, persist_id, on_done)
     )
 
 
 def discard_changes(context: OperationContext, _operation: Element, _reply: Element) -> None:
-    """Makes candidate the same as running again."""
+    """Make candidate equal to running again."""
     context.service.datastores.discard(context.owner)
--- a/granitespool/netconf/operations/editing.py
+++ b/granitespool/netconf/operations/editing.py
@@ -24,11 +24,11 @@
 
 
 def edit_config(context: OperationContext, operation: Element, _reply: Element) -> Steps:
-    """Changes the settings of candidate or startup."""
+    """Change the settings of candidate or startup."""
     target = datastore_parameter(operation, "target")
-    default = choice_parameter(operation, "default-operation", DEFAULT_OPERATIONS)
-    test = choice_parameter(operation, "test-option", TEST_OPTIONS)
-    # An edit is one change of one tree, so each error option means all or nothing.
+    default_operation = choice_parameter(operation, "default-operation", DEFAULT_OPERATIONS)
+    test_option = choice_parameter(operation, "test-option", TEST_OPTIONS)
+    # An edit is applied as a whole or not at all, whatever the error option.
     choice_parameter(operation, "error-option", ERROR_OPTIONS)
     config = operation.find(base("config"))
     if config is None:
@@ -36,13 +36,13 @@
     content = config_content(config)
     node = context.service.model.settings
     changes = () if content.settings is None else changes_of(node, content.settings)
-    if content.operation in (*REMOVALS, "replace") or default == "replace":
-        _replace_settings(context, target, content.operation, changes, test)
+    if content.operation in (*REMOVALS, "replace") or default_operation == "replace":
+        _replace_settings(context, target, content.operation, changes, test_option)
     else:
         require_write(context.user, sorted({change.name for change in changes}))
-        stores = context.service.datastores
-        stores.edit(context.owner, target, changes, content.operation or default, test)
-    if target == STARTUP and test != "test-only":
+        datastores = context.service.datastores
+        datastores.edit(context.owner, target, changes, content.operation or default_operation, test_option)
+    if target == STARTUP and test_option != "test-only":
         yield from context.wait_for(context.service.save_startup)
 
 
@@ -51,32 +51,32 @@
     target: str,
     operation: str | None,
     changes: tuple[Change, ...],
-    test: str,
+    test_option: str,
 ) -> None:
-    """Replaces or removes all of the settings."""
-    stores = context.service.datastores
+    """Replace or remove all settings."""
+    datastores = context.service.datastores
     node = context.service.model.settings
     tree = {} if operation in REMOVALS else apply_changes(node, {}, changes)
-    require_write(context.user, differing_names(stores.tree(target), tree))
-    if test == "test-only":
-        stores.validate(tree)
+    require_write(context.user, differing_names(datastores.tree(target), tree))
+    if test_option == "test-only":
+        datastores.validate(tree)
     else:
-        stores.copy(context.owner, target, tree)
+        datastores.copy(context.owner, target, tree)
 
 
 def copy_config(context: OperationContext, operation: Element, _reply: Element) -> Steps:
-    """Replaces candidate or startup by another datastore or by a config that was sent."""
+    """Replace candidate or startup by another datastore or by the config in the request."""
     target = datastore_parameter(operation, "target")
     tree = _source_tree(context, operation)
-    stores = context.service.datastores
-    require_write(context.user, differing_names(stores.tree(target), tree))
-    stores.copy(context.owner, target, tree)
+    datastores = context.service.datastores
+    require_write(context.user, differing_names(datastores.tree(target), tree))
+    datastores.copy(context.owner, target, tree)
     if target == STARTUP:
         yield from context.wait_for(context.service.save_startup)
 
 
 def delete_config(context: OperationContext, operation: Element, _reply: Element) -> Steps:
-    """Deletes what startup holds beside running."""
+    """Delete startup, so that a restart uses running."""
     target = datastore_parameter(operation, "target")
     require_write(context.user, [*context.service.model.settings.children])
     context.service.datastores.delete(context.owner, target)
@@ -85,7 +85,7 @@
 
 
 def validate(context: OperationContext, operation: Element, _reply: Element) -> None:
-    """Checks the settings of a datastore or of a config that was sent."""
+    """Check the settings of a datastore or of the config in the request."""
     context.service.datastores.validate(_source_tree(context, operation))
 
 
--- a/granitespool/netconf/operations/locking.py
+++ b/granitespool/netconf/operations/locking.py
@@ -6,10 +6,10 @@
 
 
 def lock(context: OperationContext, operation: Element, _reply: Element) -> None:
-    """Has a datastore be changed by this session alone."""
+    """Lock a datastore, so that no other session may change it."""
     context.service.datastores.lock(context.owner, datastore_parameter(operation, "target"))
 
 
 def unlock(context: OperationContext, operation: Element, _reply: Element) -> None:
-    """Gives up a lock of this session."""
+    """Release a lock of this session."""
     context.service.datastores.unlock(context.owner, datastore_parameter(operation, "target"))
--- a/granitespool/netconf/operations/monitoring.py
+++ b/granitespool/netconf/operations/monitoring.py
@@ -11,7 +11,7 @@
 
 
 def get_schema(context: OperationContext, operation: Element, reply: Element) -> None:
-    """Answers with the text of the YANG module."""
+    """Reply with the text of the YANG module."""
     require_read(context.user)
     name = _parameter(operation, "identifier", "")
     version = _parameter(operation, "version", model.REVISION)
--- a/granitespool/netconf/operations/notifications.py
+++ b/granitespool/netconf/operations/notifications.py
@@ -16,7 +16,7 @@
 
 
 def create_subscription(context: OperationContext, operation: Element, _reply: Element) -> None:
-    """Subscribes the session to notifications from now on."""
+    """Subscribe the session to notifications from now on."""
     require_read(context.user)
     stream = (operation.findtext(f"{{{NOTIFICATION}}}stream") or STREAM).strip()
     if stream != STREAM:
@@ -26,12 +26,14 @@
         raise ManagementError(ErrorTag.OPERATION_NOT_SUPPORTED, "nothing of the past can be replayed")
     if context.notified_events is not None:
         raise ManagementError(ErrorTag.IN_USE, "this session has a subscription")
-    chosen = operation.find(f"{{{NOTIFICATION}}}filter")
-    context.notified_events = frozenset() if chosen is None else frozenset(map(local_name, chosen))
+    filter_element = operation.find(f"{{{NOTIFICATION}}}filter")
+    context.notified_events = (
+        frozenset() if filter_element is None else frozenset(map(local_name, filter_element))
+    )
 
 
 def notification_element(name: str, fields: Mapping[str, object], event_time: str) -> Element:
-    """The message of an event; `event_time` as RFC 3339 has it."""
+    """Return the notification message of an event; `event_time` is in the format of RFC 3339."""
     message = etree.Element(f"{{{NOTIFICATION}}}notification", nsmap={None: NOTIFICATION})
     etree.SubElement(message, f"{{{NOTIFICATION}}}eventTime").text = event_time
     event = etree.SubElement(message, own(name), nsmap={None: model.NAMESPACE})
--- a/granitespool/netconf/operations/retrieval.py
+++ b/granitespool/netconf/operations/retrieval.py
@@ -15,28 +15,28 @@
 from granitespool.netconf.parameters import datastore_parameter
 from granitespool.netconf.xmltree import Element
 
-ENTRIES_PER_STEP = 20  # list entries put into a reply in one step: a fifth of a millisecond
+ENTRIES_PER_STEP = 20  # list entries that one step adds to a reply, in a fifth of a millisecond
 
 
 def get(context: OperationContext, operation: Element, reply: Element) -> Steps:
-    """Answers with the running settings and the operational state."""
+    """Reply with the running settings and the operational state."""
     require_read(context.user)
     state = context.service.new_state_reader()
     yield from state.steps()
-    settings = _reported(context, operation, context.service.datastores.tree(RUNNING))
+    settings = _with_requested_defaults(context, operation, context.service.datastores.tree(RUNNING))
     yield from _add_data(context, operation, reply, {model.SETTINGS: settings, model.STATE: state.tree})
 
 
 def get_config(context: OperationContext, operation: Element, reply: Element) -> Steps:
-    """Answers with the settings of a datastore."""
+    """Reply with the settings of a datastore."""
     require_read(context.user)
     source = datastore_parameter(operation, "source")
-    settings = _reported(context, operation, context.service.datastores.tree(source))
+    settings = _with_requested_defaults(context, operation, context.service.datastores.tree(source))
     yield from _add_data(context, operation, reply, {model.SETTINGS: settings})
 
 
-def _reported(context: OperationContext, operation: Element, tree: Tree) -> Tree:
-    """A tree of settings with or without defaults, as the request wants it."""
+def _with_requested_defaults(context: OperationContext, operation: Element, tree: Tree) -> Tree:
+    """Return a tree of settings with or without defaults, according to the request's with-defaults."""
     text = operation.findtext(f"{{{WITH_DEFAULTS}}}with-defaults")
     mode = "explicit" if text is None else text.strip()
     if mode == "explicit":
@@ -48,15 +48,15 @@
 
 
 def _add_data(context: OperationContext, operation: Element, reply: Element, tree: Tree) -> Steps:
-    """Puts a tree into the reply, through the request's filter, in steps."""
-    chosen = Filter(operation)
+    """Add the part of a tree that the request's filter selects to the reply, in steps."""
+    request_filter = Filter(operation)
     top = context.service.model.top
-    selected = chosen.select_tree(top, tree)
+    selected = request_filter.select_tree(top, tree)
     data = etree.SubElement(reply, base("data"))
     if selected:
         for step, _ in enumerate(append_tree(top_element(data, top.name), top, selected)):
             if step % ENTRIES_PER_STEP == 0:
                 yield
-    if chosen.kind == XPATH:
+    if request_filter.kind == XPATH:
         yield
-        chosen.select_elements(data)
+        request_filter.select_elements(data)
--- a/granitespool/netconf/operations/sessions.py
+++ b/granitespool/netconf/operations/sessions.py
@@ -8,11 +8,11 @@
 
 
 def close_session(_context: OperationContext, _operation: Element, _reply: Element) -> None:
-    """Is answered as any other operation: the session ends itself after the reply."""
+    """Do nothing: the session ends itself after the reply to this operation."""
 
 
 def kill_session(context: OperationContext, operation: Element, _reply: Element) -> None:
-    """Ends another session; whoever does so must be allowed to write all of the settings."""
+    """End another session; the user must be authorized to write all settings."""
     number = (operation.findtext(base("session-id")) or "").strip()
     other = context.service.find_session(number)
     if other is None or other is context.owner:
--- a/granitespool/netconf/operations/table.py
+++ b/granitespool/netconf/operations/table.py
@@ -1,4 +1,4 @@
-"""Which function handles which operation, by namespace and name."""
+"""The dispatch table of the operations: handlers by namespace and name."""
 
 from granitespool.netconf.context import Handler
 from granitespool.netconf.namespaces import BASE, MONITORING, NOTIFICATION
--- a/granitespool/netconf/parameters.py
+++ b/granitespool/netconf/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of operations: datastores, choices, and the settings that a config element holds; no I/O."""
+"""Parameters of operations: datastores, choices, and the settings within a config element; no I/O."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -17,28 +17,31 @@
 
 
 class ConfigContent(NamedTuple):
-    """What a config element holds: the settings' element, and the operation on it or above it."""
+    """The content of a config element.
+
+    `settings` is the element of the settings; `operation` is its operation attribute, or that of its parent.
+    """
 
     settings: Element | None = None
     operation: str | None = None
 
 
 def datastore_parameter(operation: Element, name: str) -> str:
-    """The datastore that an operation's target or source names."""
+    """Return the datastore that the target or source of an operation names."""
     return datastore_name(only_child(operation, name))
 
 
 def only_child(operation: Element, name: str) -> Element:
-    """The single element within a parameter that must be there."""
-    holder = operation.find(base(name))
-    if holder is None or len(holder) != 1:
+    """Return the single element within a mandatory parameter."""
+    parameter = operation.find(base(name))
+    if parameter is None or len(parameter) != 1:
         reason = f"{local_name(operation)} lacks one {name}"
         raise ManagementError(ErrorTag.MISSING_ELEMENT, reason, element=name)
-    return holder[0]
+    return parameter[0]
 
 
 def datastore_name(element: Element) -> str:
-    """The datastore that an element is named by."""
+    """Return the datastore that an element names."""
     name = local_name(element)
     if name == "url":
         raise ManagementError(ErrorTag.OPERATION_NOT_SUPPORTED, "there is no url capability")
@@ -48,7 +51,7 @@
 
 
 def choice_parameter(operation: Element, name: str, choices: Sequence[str]) -> str:
-    """A parameter that is one of some words; the first of them where it is absent."""
+    """Return a parameter whose value is one of `choices`; the first choice is the default."""
     text = operation.findtext(base(name))
     value = choices[0] if text is None else text.strip()
     if value not in choices:
@@ -57,7 +60,7 @@
 
 
 def config_content(config: Element) -> ConfigContent:
-    """The settings within a config element."""
+    """Return the content of a config element."""
     for top in config:
         if top.tag != own(model.TOP):
             raise _unknown_top(top)
@@ -87,6 +90,6 @@
 
 
 def config_tree(config: Element, node: SchemaNode) -> Tree:
-    """The tree of settings that a config element holds."""
+    """Return the tree of settings within a config element."""
     settings = config_content(config).settings
     return {} if settings is None else apply_changes(node, {}, changes_of(node, settings))
--- a/granitespool/netconf/replies.py
+++ b/granitespool/netconf/replies.py
@@ -22,28 +22,28 @@
         ErrorTag.MISSING_ELEMENT,
         ErrorTag.UNKNOWN_ELEMENT,
     )
-)  # of an error without a path these are of the layer protocol, all others of application
+)  # errors with these tags and without a path have the error-type protocol, all others application
 
 
 def new_reply(rpc: Element) -> Element:
-    """An empty rpc-reply with the attributes of its rpc."""
+    """Return an empty rpc-reply with the attributes of its rpc."""
     return etree.Element(base("rpc-reply"), attrib=dict(rpc.attrib), nsmap={None: BASE})
 
 
 def add_ok(reply: Element) -> None:
-    """Says that an operation without data has succeeded."""
+    """Add the ok element, which reports success without data."""
     etree.SubElement(reply, base("ok"))
 
 
 def replace_by_error(reply: Element, error: ManagementError, session_number: Callable[[object], int]) -> None:
-    """Has a reply hold this error alone; `session_number` gives the session-id of a session."""
+    """Replace the content of a reply by an error; `session_number` returns the session-id of a session."""
     for child in list(reply):
         reply.remove(child)
     reply.append(error_element(error, session_number))
 
 
 def error_element(error: ManagementError, session_number: Callable[[object], int]) -> Element:
-    """The rpc-error of an error."""
+    """Return the rpc-error element of an error."""
     element = etree.Element(base("rpc-error"), nsmap={None: BASE})
     is_protocol = error.tag in PROTOCOL_TAGS and not error.path
     _add_text(element, "error-type", "protocol" if is_protocol else "application")
--- a/granitespool/netconf/session.py
+++ b/granitespool/netconf/session.py
@@ -1,4 +1,4 @@
-"""One NETCONF session: bytes in, bytes out, the datastores behind it; no socket and no clock of its own."""
+"""One NETCONF session: processes the client's bytes and queues the replies; without a socket or a clock."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -17,15 +17,16 @@
 from granitespool.netconf.replies import add_ok, new_reply, replace_by_error
 from granitespool.netconf.xmltree import Element, local_name, namespace_of, parse_message, text_of
 
-MAX_MESSAGE_BYTES = 1 << 20  # a thousand classes take a tenth
+MAX_MESSAGE_BYTES = 1 << 20  # settings with a thousand classes take a tenth of it
 MAX_PENDING_REQUESTS = 16  # requests that wait for the one in progress
-MAX_UNSENT_FOR_NOTIFICATION = 256 * 1024  # bytes unsent past which a session gets no notification
+MAX_UNSENT_FOR_NOTIFICATION = 256 * 1024  # unsent bytes above which notifications are dropped
 
 
 class NetconfSession:
-    """The protocol of one session: a management.interfaces.ProtocolSession.
+    """One NETCONF session: a management.interfaces.ProtocolSession.
 
-    Requests are processed one after the other, in steps: `work` does one step."""
+    Requests are processed one after the other, in steps: `work` does one step.
+    """
 
     def __init__(self, service: ManagementService, user: User, transport: Transport, number: int) -> None:
         self.service = service
@@ -35,31 +36,31 @@
         self.context = OperationContext(service, user, transport, self)
         self.dropped_notifications = 0
         self._open = True
-        self._greeted = False
+        self._hello_received = False
         self._reader = MessageReader(MAX_MESSAGE_BYTES)
         self.pending: deque[Element] = deque()
         self._in_progress: Steps | None = None
 
-    # Driven by the listener
+    # Called by the listener
 
     @property
     def has_work(self) -> bool:
-        """Whether `work` has something to do."""
+        """Whether `work` has something to do now."""
         has_request = self._in_progress is not None or bool(self.pending)
-        return self._open and not self.context.awaiting_answer and has_request
+        return self._open and not self.context.awaiting_completion and has_request
 
     @property
     def is_exempt_from_idle_timeout(self) -> bool:
-        """Whether silence is no reason to end the session: a subscriber has nothing to say."""
-        return self.subscribed_events is not None or self.context.awaiting_answer
+        """Whether the session stays open however long the client is silent, as a subscriber may be."""
+        return self.subscribed_events is not None or self.context.awaiting_completion
 
     @property
     def subscribed_events(self) -> frozenset[str] | None:
-        """Names of the events that the session subscribed to; empty for all, None without a subscription."""
+        """The names of the subscribed events, empty for all; None without a subscription."""
         return self.context.notified_events
 
     def start(self) -> None:
-        """Says hello; the connection is up."""
+        """Send the server's hello; the TLS handshake is complete."""
         hello = etree.Element(base("hello"), nsmap={None: BASE})
         capabilities = etree.SubElement(hello, base("capabilities"))
         for capability in CAPABILITIES:
@@ -68,7 +69,7 @@
         self._send(hello)
 
     def receive(self, data: bytes) -> None:
-        """Takes plain bytes of the client."""
+        """Process plain bytes from the client."""
         self._reader.feed(data)
         try:
             for message in self._reader.messages():
@@ -79,35 +80,38 @@
             self._finish(str(error))
 
     def next_deadline(self) -> None:
-        """No timer: what a commit waits for belongs to the datastores."""
+        """Return None: a session has no timers; those of commits belong to the datastores."""
 
     def tick(self, now: int) -> None:
-        """Nothing of a session is timed."""
+        """Do nothing: a session has no timers."""
 
     def work(self) -> None:
-        """One step of the request in progress, or the first of the next one."""
+        """Do one step of the request in progress, or the first step of the next one."""
         if self._in_progress is None:
-            if not self.pending or self.context.awaiting_answer:
+            if not self.pending or self.context.awaiting_completion:
                 return
-            self._in_progress = self._answer(self.pending.popleft())
+            self._in_progress = self._process(self.pending.popleft())
         try:
             next(self._in_progress)
         except StopIteration:
             self._in_progress = None
 
     def announce_shutdown(self) -> None:
-        """NETCONF has no message that the server goes; the end of TLS tells."""
+        """Do nothing: NETCONF has no message for a shutdown; the client sees the end of the TLS session."""
 
     def on_closed(self, _why: str) -> None:
-        """The connection has ended."""
+        """Discard the pending requests; the connection has ended."""
         self._open = False
         self.pending.clear()
         self._in_progress = None
         self.service.on_session_closed(self)
 
     def notify(self, name: str, fields: Mapping[str, object], at: str) -> None:
-        """Sends an event's notification to a subscriber; a client that does not read gets none meanwhile."""
-        if not self._open or not self._wants(name):
+        """Send the notification of an event if the session subscribed to it.
+
+        Notifications are dropped while the client does not read.
+        """
+        if not self._open or not self._is_subscribed_to(name):
             return
         if self.transport.unsent > MAX_UNSENT_FOR_NOTIFICATION:
             self.dropped_notifications += 1
@@ -115,7 +119,7 @@
         self._send(notification_element(name, fields, at))
         self.transport.wake()
 
-    def _wants(self, name: str) -> bool:
+    def _is_subscribed_to(self, name: str) -> bool:
         if self.subscribed_events is None:
             return False
         return not self.subscribed_events or name in self.subscribed_events
@@ -132,50 +136,52 @@
 
     def _receive_message(self, data: bytes) -> None:
         root = parse_message(data)
-        if not self._greeted:
+        if not self._hello_received:
             self._receive_hello(root)
             return
         if root.tag != base("rpc"):
-            reason = f"a {local_name(root)!r:.40} came where an rpc should"
+            reason = f"the message {local_name(root)!r:.40} is not an rpc"
             raise MalformedMessageError(reason)
         if len(self.pending) >= MAX_PENDING_REQUESTS:
-            reason = f"over {MAX_PENDING_REQUESTS} requests wait"
+            reason = f"more than {MAX_PENDING_REQUESTS} requests are pending"
             raise MalformedMessageError(reason)
         self.pending.append(root)
 
     def _receive_hello(self, root: Element) -> None:
         capabilities = {text_of(element) for element in root.iter(base("capability"))}
         if root.tag != base("hello") or not capabilities & {BASE_10, BASE_11}:
-            reason = "the first message is no hello with a base capability"
+            reason = "the first message is not a hello with a base capability"
             raise MalformedMessageError(reason)
         if root.find(base("session-id")) is not None:
-            reason = "a client's hello has a session-id"
+            reason = "the client's hello has a session-id"
             raise MalformedMessageError(reason)
-        self._greeted = True
+        self._hello_received = True
         self._reader.chunked = BASE_11 in capabilities
 
     # Requests
 
-    def _answer(self, rpc: Element) -> Steps:
-        """Processes one rpc in steps and sends its reply."""
+    def _process(self, rpc: Element) -> Steps:
+        """Process one rpc in steps and send its reply."""
         reply = new_reply(rpc)
         try:
             yield from self._perform(rpc, reply)
         except ManagementError as error:
             replace_by_error(reply, error, self.service.session_number)
         except Exception as error:
-            # A fault of this program that one request triggers must not end the session, nor anyone else's.
+            # An internal error that a request triggers must not end this session or any other.
             self.service.log_failure(error)
-            failure = ManagementError(ErrorTag.OPERATION_FAILED, "the coordinator failed at it, see its log")
+            failure = ManagementError(
+                ErrorTag.OPERATION_FAILED, "an internal error of the coordinator, see its log"
+            )
             replace_by_error(reply, failure, self.service.session_number)
         if self.transport.end_reason is None:
             self._send(reply)
-            last = rpc[0] if len(rpc) else rpc
-            if self._open and local_name(last) == CLOSE_SESSION:
+            operation = rpc[0] if len(rpc) else rpc
+            if self._open and local_name(operation) == CLOSE_SESSION:
                 self._finish("closed by the client")
 
     def _perform(self, rpc: Element, reply: Element) -> Steps:
-        """The steps of one rpc's operation, which fills the reply."""
+        """Run the operation of one rpc in steps; the operation fills the reply."""
         if rpc.get("message-id") is None:
             raise ManagementError(
                 ErrorTag.MISSING_ATTRIBUTE,
--- a/granitespool/netconf/xmltree.py
+++ b/granitespool/netconf/xmltree.py
@@ -1,4 +1,4 @@
-"""XML of NETCONF messages: parsing within bounds, names and texts of elements; no I/O."""
+"""XML of NETCONF messages: parsing with limits, names and texts of elements; no I/O."""
 
 from typing import TypeAlias
 
@@ -9,16 +9,16 @@
 
 Element: TypeAlias = etree._Element
 
-MAX_DEPTH = 64  # elements within one another: a tree of the module takes nine
-MAX_ELEMENTS = 50_000  # elements of a message: a class takes seven
-MAX_REASON_CHARS = 200  # of the parser's own message
+MAX_DEPTH = 64  # nesting depth of elements; a tree of the module has nine levels
+MAX_ELEMENTS = 50_000  # elements of a message; a class takes seven
+MAX_REASON_CHARS = 200  # length of the parser's error message
 
 
 def parse_message(data: bytes) -> Element:
-    """The root element of a message.
+    """Parse a message, and return its root element.
 
-    A DTD is rejected, so a message declares no entities; nothing is fetched; depth and number of elements are
-    limited.
+    A DTD is rejected, so that a message cannot declare entities. Nothing is fetched. The depth and the number
+    of elements are limited.
 
     Raises:
         MalformedMessageError: the message is not XML within these limits.
@@ -49,7 +49,7 @@
 
 
 def _dtd_error() -> MalformedMessageError:
-    return MalformedMessageError("a message has a DTD")
+    return MalformedMessageError("a message contains a DTD")
 
 
 def _check_size(root: Element) -> None:
@@ -59,27 +59,27 @@
         element, depth = pending.pop()
         count += 1
         if depth > MAX_DEPTH or count > MAX_ELEMENTS:
-            reason = f"a message is over {MAX_DEPTH} deep or {MAX_ELEMENTS} elements"
+            reason = f"a message exceeds the limit of {MAX_DEPTH} levels or {MAX_ELEMENTS} elements"
             raise MalformedMessageError(reason)
         pending.extend((child, depth + 1) for child in element)
 
 
 def local_name(element: Element) -> str:
-    """An element's name without its namespace."""
+    """Return the name of an element without its namespace."""
     return str(etree.QName(element).localname)
 
 
 def namespace_of(element: Element) -> str | None:
-    """An element's namespace, None where it has none."""
+    """Return the namespace of an element, None if it has none."""
     namespace: str | None = etree.QName(element).namespace
     return namespace
 
 
 def text_of(element: Element) -> str:
-    """An element's text without surrounding whitespace."""
+    """Return the text of an element without surrounding whitespace."""
     return (element.text or "").strip()
 
 
 def is_own(element: Element) -> bool:
-    """Whether an element may name a data node of the module: clients may leave the namespace out."""
+    """Return whether an element may name a data node of the module; clients may omit the namespace."""
     return namespace_of(element) in (model.NAMESPACE, None)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -62,13 +62,13 @@
 @pytest.mark.parametrize(
     "chunked, data, words",
     [
-        (False, b"x" * 1100, "over 1000"),
+        (False, b"x" * 1100, "exceeds the limit of 1000 bytes"),
         (True, b"hello", "does not begin"),
         (True, b"\n#x\n", "the length"),
         (True, b"\n#0\n", "the length"),
         (True, b"\n#9999999999\n", "the length"),
-        (True, b"\n#1001\n", "over 1000"),
-        (True, b"\n#600\n" + b"x" * 600 + b"\n#600\n", "over 1000"),
+        (True, b"\n#1001\n", "exceeds the limit of 1000 bytes"),
+        (True, b"\n#600\n" + b"x" * 600 + b"\n#600\n", "exceeds the limit of 1000 bytes"),
         (True, b"\n#11111111111111", "no end"),
     ],
 )
@@ -87,7 +87,7 @@
         (b"", "not XML"),
         (b'<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>', "DTD"),
         (b'<!DOCTYPE a SYSTEM "file:///etc/hostname"><a/>', "DTD"),
-        (b"<a>" * 70 + b"</a>" * 70, "over 64 deep"),
+        (b"<a>" * 70 + b"</a>" * 70, "exceeds the limit of 64 levels"),
         (b"<a>" + b"<b/>" * 50_001 + b"</a>", "elements"),
         (b"<a>&lol;</a>", "not XML"),
         (b"\xff\xfe", "not XML"),
