--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -1,7 +1,8 @@
-"""A coordinator with a made-up fleet behind its management protocols, in one thread and without sockets.
+"""A coordinator with a synthetic fleet and its management protocols, in one thread and without sockets.
 
-Everything that varies between runs is pinned: the clock, the state folder's figures, the folder's name. A
-session stands in for the management listener's: it collects what the protocol sends."""
+All that varies between runs is fixed: the clock, the metrics of the state folder, the name of the folder. A
+fake connection takes the place of the management listener's and records the bytes that the protocol sends.
+"""
 
 import os
 from pathlib import Path
@@ -25,11 +26,11 @@
 from support.records import endpoint
 
 SECOND = 1_000_000_000  # ns
-START = 1_800_000_000 * SECOND  # ns since 1970: the pinned clock
+START = 1_800_000_000 * SECOND  # ns since 1970; the clock does not advance by itself
 BACKENDS = 8
 PROXIES = 8
-JOINERS = 150  # more than can be given a table at once
-SECONDS = 13  # so that the cut link is cut at the end
+UNASSIGNED_PROXIES = 150  # more than can be assigned at once
+SECONDS = 13  # long enough for the failing link to be ejected at the end
 LIST_CHANGES = (
     (8, "s-2", "draining"),
     (8, "s-3", "draining"),
@@ -118,16 +119,16 @@
 """
 
 
-class PinnedListener:
-    """What a protocol reads of its listener."""
+class FakeListener:
+    """A listener with the attribute that a protocol reads."""
 
     streams = 64
 
 
-class RecordedSession:
-    """Stands in for the listener's session: what is sent and why it ends is kept."""
+class FakeTransport:
+    """A connection that records the sent bytes and the reason of its end."""
 
-    listener = PinnedListener()
+    listener = FakeListener()
     unsent = 0
 
     def __init__(self, loop):
@@ -144,24 +145,27 @@
         self.end_reason = self.end_reason or why
 
     def wake(self):
-        """Nothing waits here: `ManagedCoordinator.play` looks at each session."""
+        """Do nothing: `ManagedCoordinator.run_protocol` checks for work itself."""
 
-    def taken(self):
-        """What was sent since the last call."""
+    def take_sent(self):
+        """Return the bytes sent since the last call."""
         data = bytes(self.sent)
         self.sent.clear()
         return data
 
 
 class ManagedCoordinator:
-    """`with ManagedCoordinator(folder) as managed`; the folder becomes the working directory's `state`."""
+    """A service with a synthetic fleet, as a context manager.
+
+    `folder` must be the working directory; the state folder is `state` within it.
+    """
 
     def __init__(self, folder):
         make(str(folder / "keys"), ["127.0.0.1"], ["operations"], "5")
         path = folder / "keys" / "operator_settings.ini"
         path.write_text(OPERATOR)
         read = operator_settings.load(str(path))
-        # The folder's name is part of the tree: one that is relative is the same in each run.
+        # The name of the state folder is part of the tree: a relative name is equal in all runs.
         read = msgspec.structs.replace(read, state=msgspec.structs.replace(read.state, folder="state"))
         self.file = folder / "config.json"
         self.file.write_bytes(orjson.dumps(CONFIGURATION))
@@ -175,7 +179,7 @@
         self.service.snapshotter.is_durable = lambda ticket: True
         self.loop, self.coordinator = self.service.loop, self.service.coordinator
         self.management = self.service.management
-        self.fleet()
+        self.run_fleet()
         return self
 
     def __exit__(self, *_):
@@ -184,33 +188,36 @@
     def report(self, event):
         self.coordinator.report(self.loop.now, event)
 
-    def turn(self, after=0):
-        """Ends a turn, takes what is ordered, and goes on after so many ns."""
+    def end_turn(self, after=0):
+        """End a turn, return the orders by recipient, and advance the clock by `after` ns."""
         self.coordinator.tick(self.loop.now)
-        orders = {party: self.coordinator.pick(party) for party in self.coordinator.recipients()}
+        orders = {recipient: self.coordinator.pick(recipient) for recipient in self.coordinator.recipients()}
         self.loop.now += after
         return orders
 
-    def fleet(self):
-        """A cut link, a draining, a gone and a new backend, an overload, proxies on tables and others that
-        wait for theirs."""
+    def run_fleet(self):
+        """Bring the fleet into its final state.
+
+        It has an ejected link, a draining, a gone and a new backend, an overload, and assigned and unassigned
+        proxies.
+        """
         for proxy in range(PROXIES):
             self.report(ProxyJoined(proxy=proxy, zone="ns"[proxy % 2], bootstrap=False, rate=50.0))
         for second in range(SECONDS):
-            self.second(second)
-            marks = {
-                party: order.barrier
-                for party, order in self.turn(SECOND // 10).items()
-                if party in range(PROXIES)
+            self.run_second(second)
+            barriers = {
+                recipient: order.barrier
+                for recipient, order in self.end_turn(SECOND // 10).items()
+                if recipient in range(PROXIES)
             }
-            for proxy, mark in marks.items():
-                if mark is not None:
-                    self.report(Acknowledged(proxy=proxy, sequence=mark, latency=SECOND // 10))
-            self.turn(SECOND - SECOND // 10)
-        for proxy in range(PROXIES, PROXIES + JOINERS):
+            for proxy, barrier in barriers.items():
+                if barrier is not None:
+                    self.report(Acknowledged(proxy=proxy, sequence=barrier, latency=SECOND // 10))
+            self.end_turn(SECOND - SECOND // 10)
+        for proxy in range(PROXIES, PROXIES + UNASSIGNED_PROXIES):
             self.report(ProxyJoined(proxy=proxy, zone="n", bootstrap=True, rate=5.0))
 
-    def second(self, second):
+    def run_second(self, second):
         overloaded = second >= 6
         for number in range(BACKENDS):
             if second == 0 and number == 5:
@@ -233,11 +240,11 @@
                 self.report(
                     UsageReport(proxy=proxy, request_class=name, requests=number, unanswered=1, window=SECOND)
                 )
-        for at, backend, phase in LIST_CHANGES:
-            if at == second:
-                self.list_change(backend, phase)
+        for list_change_second, backend, phase in LIST_CHANGES:
+            if list_change_second == second:
+                self.change_list_entry(backend, phase)
 
-    def list_change(self, backend, phase):
+    def change_list_entry(self, backend, phase):
         started_at = self.loop.now - SECOND if backend == "s-8" else 0
         entry = endpoint(backend, machine_type="big", phase=phase, started_at=started_at)
         self.report(EndpointListUpdate(form=ListForm.CHANGES, entries=[entry]))
@@ -246,26 +253,26 @@
         return next(user for user in self.management.users if user.name == name)
 
     def session(self, protocol, user="operations"):
-        """(protocol, session) of a new session that has begun."""
-        session = RecordedSession(self.loop)
-        made = self.management.open_session(protocol, self.user(user), session)
-        made.start()
-        return made, session
-
-    def play(self, made):
-        """Works until a protocol has nothing more to do, as the listener and the service would."""
+        """Start a session of a protocol class; return the session and its transport."""
+        transport = FakeTransport(self.loop)
+        session = self.management.open_session(protocol, self.user(user), transport)
+        session.start()
+        return session, transport
+
+    def run_protocol(self, session):
+        """Run a session until it has no more work, as the listener and the service do."""
         for _ in range(100_000):
-            if made.has_work:
-                made.work()
+            if session.has_work:
+                session.work()
                 continue
             self.management.end_of_turn(self.loop.now)
-            if not made.has_work:
+            if not session.has_work:
                 return
-        raise AssertionError("it never ends")
+        raise AssertionError("the session still has work after 100000 steps")
 
 
 def compare_with_record(name, text, folder):
-    """Compares with tests/data/`name`; what differs is also written to the folder, to be looked at."""
+    """Compare a text with tests/data/`name`; a differing text is also written to the folder."""
     path = Path(__file__).parent.parent / "data" / name
     recorded = path.read_text() if path.exists() else ""
     if text != recorded:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The model, edits, datastores, mapping, impact check, authorization and operational state."""
+"""Unit tests of the model, edits, datastores, mapping, impact check, authorization and operational state."""
 
 import copy
 
@@ -33,47 +33,47 @@
 }
 
 
-def node(name, *children, op=None, value=None, place=None):
-    return Change(name, op, value, tuple(children), place)
+def node(name, *children, operation=None, value=None, placement=None):
+    return Change(name, operation, value, tuple(children), placement)
 
 
-def leaf(name, value=None, op=None):
-    return Change(name, op, value)
+def leaf(name, value=None, operation=None):
+    return Change(name, operation, value)
 
 
-def pay(*children, op=None, name="pay", place=None):
-    return node("class", leaf("name", name), *children, op=op, place=place)
+def class_entry(*children, operation=None, name="pay", placement=None):
+    return node("class", leaf("name", name), *children, operation=operation, placement=placement)
 
 
-def rejection_of(call, *words):
+def rejection_of(call, *arguments):
     with pytest.raises(ManagementError) as raised:
-        call(*words)
+        call(*arguments)
     return raised.value.tag, raised.value.reason
 
 
 @pytest.mark.parametrize(
     ("change", "expected"),
     [
-        (pay(leaf("benefit", "9.0")), ("class", 0, "benefit", "9.0")),
-        (pay(leaf("benefit", "9.0"), op="replace"), ("class", 0, "promised-time", None)),
-        (pay(op="delete"), ("class", 0, "name", "ask")),
-        (pay(op="remove", name="no"), ("class", 0, "name", "pay")),
-        (pay(name="new"), ("class", 2, "name", "new")),
-        (pay(name="new", place=("first", None)), ("class", 0, "name", "new")),
-        (pay(name="new", place=("before", {"name": "ask"})), ("class", 1, "name", "new")),
-        (pay(place=("after", {"name": "ask"})), ("class", 1, "name", "pay")),
+        (class_entry(leaf("benefit", "9.0")), ("class", 0, "benefit", "9.0")),
+        (class_entry(leaf("benefit", "9.0"), operation="replace"), ("class", 0, "promised-time", None)),
+        (class_entry(operation="delete"), ("class", 0, "name", "ask")),
+        (class_entry(operation="remove", name="no"), ("class", 0, "name", "pay")),
+        (class_entry(name="new"), ("class", 2, "name", "new")),
+        (class_entry(name="new", placement=("first", None)), ("class", 0, "name", "new")),
+        (class_entry(name="new", placement=("before", {"name": "ask"})), ("class", 1, "name", "new")),
+        (class_entry(placement=("after", {"name": "ask"})), ("class", 1, "name", "pay")),
         (leaf("zone", "x"), ("zone", 2, None, "x")),
         (leaf("zone", "n", "delete"), ("zone", 0, None, "s")),
         (
-            node("channel", leaf("message-head", "3.0"), op="replace"),
+            node("channel", leaf("message-head", "3.0"), operation="replace"),
             ("channel", None, "lines-per-second", None),
         ),
         (node("channel", leaf("lines-per-second", None, "remove")), ("channel", None, None, None)),
-        (node("channel", op="delete"), ("channel", None, None, None)),
+        (node("channel", operation="delete"), ("channel", None, None, None)),
         (node("operator", node("state", leaf("folder", "x"))), ("operator", None, "state", {"folder": "x"})),
     ],
 )
-def test_an_edit_changes_what_it_names_and_not_the_tree_it_was_given(change, expected):
+def test_an_edit_changes_the_named_node_in_a_copy_of_the_tree(change, expected):
     before = copy.deepcopy(TREE)
     value = apply_changes(SETTINGS, TREE, [change])
     assert before == TREE
@@ -86,26 +86,26 @@
 @pytest.mark.parametrize(
     ("change", "default", "tag"),
     [
-        (pay(op="create"), "merge", "data-exists"),
-        (pay(op="delete", name="no"), "merge", "data-missing"),
+        (class_entry(operation="create"), "merge", "data-exists"),
+        (class_entry(operation="delete", name="no"), "merge", "data-missing"),
         (leaf("zone", "n", "create"), "merge", "data-exists"),
         (leaf("zone", "x", "delete"), "merge", "data-missing"),
         (node("channel", leaf("message-head", None, "delete")), "merge", "data-missing"),
-        (node("drain", op="delete"), "merge", "data-missing"),
+        (node("drain", operation="delete"), "merge", "data-missing"),
         (node("class", leaf("benefit", "1.0")), "merge", "missing-element"),
         (leaf("nothing", "1"), "merge", "unknown-element"),
-        (pay(op="twist"), "merge", "bad-attribute"),
-        (pay(place=("before", {"name": "no"})), "merge", "bad-attribute"),
-        (pay(name="no"), "none", "data-missing"),
+        (class_entry(operation="twist"), "merge", "bad-attribute"),
+        (class_entry(placement=("before", {"name": "no"})), "merge", "bad-attribute"),
+        (class_entry(name="no"), "none", "data-missing"),
         (node("channel", leaf("message-head")), "merge", "missing-element"),
     ],
 )
-def test_a_wrong_edit_is_rejected_with_the_rfcs_tag(change, default, tag):
+def test_an_invalid_edit_is_rejected_with_the_error_tag_of_the_rfc(change, default, tag):
     assert rejection_of(apply_changes, SETTINGS, TREE, [change], default)[0] == tag
 
 
 @pytest.mark.parametrize(
-    ("part", "words"),
+    ("changes", "expected_text"),
     [
         ({"zone": []}, "at least one zone"),
         ({"zone": None}, "at least one zone"),
@@ -125,11 +125,11 @@
         ),
     ],
 )
-def test_a_tree_that_the_module_does_not_allow_is_rejected_in_one_sentence(part, words):
-    tree = {**TREE, **part}
-    tag, why = rejection_of(MODEL.check, {key: value for key, value in tree.items() if value is not None})
-    assert words in why
-    assert "\n" not in why
+def test_a_tree_that_the_module_does_not_allow_is_rejected_in_one_sentence(changes, expected_text):
+    tree = {**TREE, **changes}
+    tag, reason = rejection_of(MODEL.check, {key: value for key, value in tree.items() if value is not None})
+    assert expected_text in reason
+    assert "\n" not in reason
     assert tag
 
 
@@ -157,21 +157,21 @@
     }
 
 
-def test_a_configuration_and_its_tree_map_to_each_other_and_unchanged_settings_keep_their_values():
-    for each in (
+def test_a_configuration_and_its_tree_convert_to_each_other_and_unchanged_settings_keep_their_values():
+    for original in (
         configuration(),
         config.load("examples/config.json"),
         {"settings": settings_of({"zones": ["n"]})},
     ):
-        tree = mapping.tree_of(each)
+        tree = mapping.tree_of(original)
         MODEL.check(tree)
-        assert mapping.config_of(tree, each) == each
+        assert mapping.config_of(tree, original) == original
     tree = apply_changes(
         SETTINGS,
         mapping.tree_of(configuration()),
         [
             node("drain", leaf("grace", "5000000")),
-            pay(leaf("benefit", "2.0")),
+            class_entry(leaf("benefit", "2.0")),
             node("operator", node("state", leaf("every-ms", 250))),
         ],
     )
@@ -183,14 +183,17 @@
     ]
     assert new["operator"].state == State(folder="x", half_life_s=12.5, every_ms=250)
     gone = mapping.config_of(
-        apply_changes(SETTINGS, tree, [node("drain", op="delete"), node("operator", op="delete")]), new
+        apply_changes(
+            SETTINGS, tree, [node("drain", operation="delete"), node("operator", operation="delete")]
+        ),
+        new,
     )
     assert gone["settings"].drain_grace is None
     assert gone["operator"].state is None
 
 
 @pytest.mark.parametrize(
-    ("change", "proxies", "waits", "words"),
+    ("change", "proxies", "restart_required", "expected_text"),
     [
         ({"classes": []}, 0, (), "without a class"),
         ({"zones": ["n"]}, 0, (), "zone s have joined"),
@@ -203,12 +206,15 @@
         ({"backlog_limit": 60}, 10, (), None),
     ],
 )
-def test_the_impact_check_rejects_harmful_changes(change, proxies, waits, words):
+def test_the_impact_check_rejects_harmful_changes(change, proxies, restart_required, expected_text):
     limits = {"sockets": change.pop("limits", 1024)}
     new = {**configuration(**change), "limits": limits, "limits_told": {"sockets": 1024}}
-    if words is None:
-        return impact_check.check(new, configuration(), proxies, {"n"}, waits)
-    assert words in rejection_of(impact_check.check, new, configuration(), proxies, {"n", "s"}, waits)[1]
+    if expected_text is None:
+        return impact_check.check(new, configuration(), proxies, {"n"}, restart_required)
+    assert (
+        expected_text
+        in rejection_of(impact_check.check, new, configuration(), proxies, {"n", "s"}, restart_required)[1]
+    )
     return None
 
 
@@ -232,7 +238,7 @@
         ("dns:::1", False),
     ],
 )
-def test_a_user_is_identified_by_one_thing_of_its_certificate(certificate, found):
+def test_a_user_is_found_by_one_identity_of_the_certificate(certificate, found):
     user = authorization.User("u", certificate, True, "class, zone")
     assert (
         authorization.find_user([user], authorization.certificate_identities(CERTIFICATE, "abcd")) is user
@@ -249,123 +255,137 @@
     authorization.require_write(authorization.User("u", certificate, False, "*"), ["cold"])
 
 
-class Host:
-    """What the datastores act on: keeps and applies at once, later, or not at all, as it is told."""
+class FakeHost:
+    """A host of the datastores that records changes.
+
+    `check_error` and `apply_error` are reasons for rejecting all changes, None to accept them. Trees are saved
+    at once, or by `finish_save` if `deferred` is set: `pending` holds the callbacks until then.
+    """
 
     def __init__(self):
-        self.applied, self.impact, self.fault, self.later, self.asked = [], None, None, False, []
-        self.told, self.unkept = [], []
+        self.applied, self.check_error, self.apply_error, self.deferred, self.pending = (
+            [],
+            None,
+            None,
+            False,
+            [],
+        )
+        self.rejections, self.replaced_saves = [], []
 
     def check(self, tree, running):
-        if self.impact:
-            raise ManagementError("operation-failed", self.impact)
+        if self.check_error:
+            raise ManagementError("operation-failed", self.check_error)
 
-    def save(self, tree, version, answer):
-        self.asked.append(answer)
-        if not self.later:
-            self.kept(None)
+    def save(self, tree, version, on_done):
+        self.pending.append(on_done)
+        if not self.deferred:
+            self.finish_save(None)
 
-    def kept(self, why):
-        self.asked.pop(0)(why)
+    def finish_save(self, reason):
+        self.pending.pop(0)(reason)
 
     def replace_saved(self, tree, version):
-        self.unkept.append(tree)
+        self.replaced_saves.append(tree)
 
-    def on_rejected(self, by, why):
-        self.told.append(why)
+    def on_rejected(self, by, reason):
+        self.rejections.append(reason)
 
     def apply(self, tree, by):
-        if self.fault:
-            raise ManagementError("operation-failed", self.fault)
+        if self.apply_error:
+            raise ManagementError("operation-failed", self.apply_error)
         self.applied.append(tree)
 
 
-class Stores:
-    """Datastores, their host, and short words for what sessions ask."""
+class DatastoresHarness:
+    """Datastores with a fake host, and shortcuts for the requests of sessions."""
 
     def __init__(self):
-        self.host = Host()
-        self.stores, self.now = Datastores(MODEL, self.host, copy.deepcopy(TREE)), 0
+        self.host = FakeHost()
+        self.datastores, self.now = Datastores(MODEL, self.host, copy.deepcopy(TREE)), 0
 
-    def edit(self, who, pace, store=CANDIDATE):
-        self.stores.edit(who, store, [node("channel", leaf("lines-per-second", pace))])
+    def edit(self, session, lines_per_second, datastore=CANDIDATE):
+        self.datastores.edit(
+            session, datastore, [node("channel", leaf("lines-per-second", lines_per_second))]
+        )
 
-    def commit(self, who, **more):
-        answers = []
-        self.stores.commit(who, who, self.now, answers.append, CommitOptions(**more))
-        return answers[0].tag if answers and answers[0] else "ok" if answers else "waits"
+    def commit(self, session, **more):
+        results = []
+        self.datastores.commit(session, session, self.now, results.append, CommitOptions(**more))
+        return results[0].tag if results and results[0] else "ok" if results else "pending"
 
-    def pace(self, store=RUNNING):
-        return self.stores.tree(store)["channel"]["lines-per-second"]
+    def lines_per_second(self, datastore=RUNNING):
+        return self.datastores.tree(datastore)["channel"]["lines-per-second"]
 
 
-def test_a_commit_is_checked_kept_and_applied_in_this_order():
-    s = Stores()
-    s.edit("a", "5.0")
-    s.host.later = True
-    assert s.commit("a") == "waits"
-    assert not s.host.applied
-    assert s.pace() == "100.0"
-    assert s.commit("b") == "in-use"
-    s.host.kept(None)
-    assert s.pace() == "5.0"
-    assert s.host.applied[0]["channel"] == {"lines-per-second": "5.0"}
-    assert s.stores.version == 2
+def test_a_commit_is_checked_saved_and_applied_in_this_order():
+    harness = DatastoresHarness()
+    harness.edit("a", "5.0")
+    harness.host.deferred = True
+    assert harness.commit("a") == "pending"
+    assert not harness.host.applied
+    assert harness.lines_per_second() == "100.0"
+    assert harness.commit("b") == "in-use"
+    harness.host.finish_save(None)
+    assert harness.lines_per_second() == "5.0"
+    assert harness.host.applied[0]["channel"] == {"lines-per-second": "5.0"}
+    assert harness.datastores.version == 2
 
 
-@pytest.mark.parametrize("failure", ["impact", "fault", "disk"])
+@pytest.mark.parametrize("failure", ["check_error", "apply_error", "disk"])
 def test_a_rejected_commit_changes_nothing(failure):
-    s = Stores()
-    s.edit("a", "5.0")
+    harness = DatastoresHarness()
+    harness.edit("a", "5.0")
     if failure == "disk":
-        s.host.later = True
-        s.commit("a")
-        s.host.kept("full")
+        harness.host.deferred = True
+        harness.commit("a")
+        harness.host.finish_save("full")
     else:
-        setattr(s.host, failure, "no")
-        assert s.commit("a") == "operation-failed"
-    assert s.pace() == "100.0"
-    assert s.stores.version == 1
-    assert not s.host.applied
-    assert s.pace(CANDIDATE) == "5.0"
-    assert s.stores.changes.committing_session is None
-    assert s.stores.rejected == 1 == len(s.host.told)
-    assert s.host.unkept == ([] if failure == "impact" else [s.stores.tree(RUNNING)])
-
-
-def test_a_commit_begun_from_an_outdated_version_is_rejected():
-    s = Stores()
-    s.edit("a", "5.0")
-    s.stores.apply_file({**TREE, "channel": {"lines-per-second": "7.0"}})
-    assert s.commit("a") == "operation-failed"
-    assert s.pace() == "7.0"
-    s.stores.discard("a")
-    s.edit("a", "6.0")
-    assert s.commit("a") == "ok"
-    assert s.pace() == "6.0"
-
-
-def test_locks_exclude_others_and_end_with_their_session():
-    s = Stores()
-    s.stores.lock("a", CANDIDATE)
-    s.stores.lock("a", RUNNING)
-    assert rejection_of(s.stores.lock, "b", CANDIDATE)[0] == "lock-denied"
-    assert rejection_of(s.edit, "b", "5.0")[0] == "in-use"
-    assert s.commit("b") == "in-use"
-    assert rejection_of(s.stores.unlock, "b", CANDIDATE)[0] == "operation-failed"
-    assert rejection_of(s.stores.apply_file, TREE)[0] == "in-use"
-    s.edit("a", "5.0")
-    s.stores.close_session("a", None)
-    assert not s.stores.locks.holders()
-    assert s.pace(CANDIDATE) == "100.0"
-    s.edit("b", "5.0")
-    assert rejection_of(s.stores.lock, "a", CANDIDATE)[0] == "lock-denied"
-    assert s.commit("b") == "ok"
-    s.stores.lock("a", CANDIDATE)
+        setattr(harness.host, failure, "no")
+        assert harness.commit("a") == "operation-failed"
+    assert harness.lines_per_second() == "100.0"
+    assert harness.datastores.version == 1
+    assert not harness.host.applied
+    assert harness.lines_per_second(CANDIDATE) == "5.0"
+    assert harness.datastores.changes.committing_session is None
+    assert harness.datastores.rejected == 1 == len(harness.host.rejections)
+    assert harness.host.replaced_saves == (
+        [] if failure == "check_error" else [harness.datastores.tree(RUNNING)]
+    )
+
+
+def test_a_commit_of_a_candidate_based_on_an_outdated_version_is_rejected():
+    harness = DatastoresHarness()
+    harness.edit("a", "5.0")
+    harness.datastores.apply_file({**TREE, "channel": {"lines-per-second": "7.0"}})
+    assert harness.commit("a") == "operation-failed"
+    assert harness.lines_per_second() == "7.0"
+    harness.datastores.discard("a")
+    harness.edit("a", "6.0")
+    assert harness.commit("a") == "ok"
+    assert harness.lines_per_second() == "6.0"
+
+
+def test_a_lock_excludes_other_sessions_and_is_released_when_its_session_closes():
+    harness = DatastoresHarness()
+    harness.datastores.lock("a", CANDIDATE)
+    harness.datastores.lock("a", RUNNING)
+    assert rejection_of(harness.datastores.lock, "b", CANDIDATE)[0] == "lock-denied"
+    assert rejection_of(harness.edit, "b", "5.0")[0] == "in-use"
+    assert harness.commit("b") == "in-use"
+    assert rejection_of(harness.datastores.unlock, "b", CANDIDATE)[0] == "operation-failed"
+    assert rejection_of(harness.datastores.apply_file, TREE)[0] == "in-use"
+    harness.edit("a", "5.0")
+    harness.datastores.close_session("a", None)
+    assert not harness.datastores.locks.holders()
+    assert harness.lines_per_second(CANDIDATE) == "100.0"
+    harness.edit("b", "5.0")
+    assert rejection_of(harness.datastores.lock, "a", CANDIDATE)[0] == "lock-denied"
+    assert harness.commit("b") == "ok"
+    harness.datastores.lock("a", CANDIDATE)
 
 
 @pytest.mark.parametrize(
-    ("end", "pace"),
+    ("end", "lines_per_second"),
     [
         ("confirm", "5.0"),
         ("time", "100.0"),
@@ -378,66 +398,66 @@
         ("closed while busy", "100.0"),
     ],
 )
-def test_a_confirmed_commit_stands_or_is_undone(end, pace):
-    s = Stores()
-    s.edit("a", "5.0")
+def test_a_confirmed_commit_is_undone_unless_it_is_confirmed(end, lines_per_second):
+    harness = DatastoresHarness()
+    harness.edit("a", "5.0")
     persist = "p" if "persist" in end else None
-    assert s.commit("a", timeout=10, persist=persist) == "ok"
-    assert s.pace() == "5.0"
-    assert s.commit("b") == "in-use"
-    assert rejection_of(s.stores.apply_file, TREE)[0] == "in-use"
-    s.now = 5 * 10**9
+    assert harness.commit("a", timeout=10, persist=persist) == "ok"
+    assert harness.lines_per_second() == "5.0"
+    assert harness.commit("b") == "in-use"
+    assert rejection_of(harness.datastores.apply_file, TREE)[0] == "in-use"
+    harness.now = 5 * 10**9
     if end == "confirm":
-        assert s.commit("a") == "ok"
+        assert harness.commit("a") == "ok"
     elif end.startswith("again"):
-        s.edit("a", "6.0")
-        assert s.commit("a", timeout=10) == "ok"
-        assert s.pace() == "6.0"
-        s.now = 14 * 10**9
-        s.stores.tick(s.now, None)
-        assert s.pace() == "6.0"
+        harness.edit("a", "6.0")
+        assert harness.commit("a", timeout=10) == "ok"
+        assert harness.lines_per_second() == "6.0"
+        harness.now = 14 * 10**9
+        harness.datastores.tick(harness.now, None)
+        assert harness.lines_per_second() == "6.0"
         if end == "again":
-            assert s.commit("a") == "ok"
+            assert harness.commit("a") == "ok"
     elif end == "persist":
-        assert s.commit("b", persist_id="q") == "invalid-value"
-        assert s.commit("b", persist_id="p") == "ok"
+        assert harness.commit("b", persist_id="q") == "invalid-value"
+        assert harness.commit("b", persist_id="p") == "ok"
     elif end == "persist closed":
-        s.stores.close_session("a", None)
-        assert s.commit("b", persist_id="p") == "ok"
+        harness.datastores.close_session("a", None)
+        assert harness.commit("b", persist_id="p") == "ok"
     elif end == "closed":
-        s.stores.close_session("a", lambda error: None)
+        harness.datastores.close_session("a", lambda error: None)
     elif end == "closed while busy":
-        s.host.later = True
-        assert s.commit("a") == "waits"
-        s.stores.close_session("a", lambda error: None)
-        s.host.kept("full")
+        harness.host.deferred = True
+        assert harness.commit("a") == "pending"
+        harness.datastores.close_session("a", lambda error: None)
+        harness.host.finish_save("full")
     elif end == "cancel":
-        answers = []
-        s.stores.cancel("a", "a", None, answers.append)
-        assert answers == [None]
-    s.now = 30 * 10**9
-    s.stores.tick(s.now, lambda error: None)
-    assert s.pace() == pace
-    assert s.stores.pending_confirmation is None
-    s.edit("c", "8.0")
-    assert s.commit("c") in ("ok", "waits")
-
-
-def test_startup_is_what_a_restart_begins_with_until_the_next_commit():
-    s = Stores()
-    s.edit("a", "5.0", STARTUP)
-    assert s.pace(STARTUP) == "5.0"
-    assert s.pace() == "100.0"
-    s.stores.delete("a", STARTUP)
-    assert s.pace(STARTUP) == "100.0"
-    assert rejection_of(s.stores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
-    assert rejection_of(s.edit, "a", "5.0", RUNNING)[0] == "operation-not-supported"
-    s.stores.copy("a", CANDIDATE, {**TREE, "zone": ["n"]})
-    assert s.commit("a") == "ok"
-    assert s.stores.tree(RUNNING)["zone"] == ["n"]
-
-
-def test_the_operational_state_is_valid_by_the_module():
+        results = []
+        harness.datastores.cancel("a", "a", None, results.append)
+        assert results == [None]
+    harness.now = 30 * 10**9
+    harness.datastores.tick(harness.now, lambda error: None)
+    assert harness.lines_per_second() == lines_per_second
+    assert harness.datastores.pending_confirmation is None
+    harness.edit("c", "8.0")
+    assert harness.commit("c") in ("ok", "pending")
+
+
+def test_startup_differs_from_running_until_it_is_deleted():
+    harness = DatastoresHarness()
+    harness.edit("a", "5.0", STARTUP)
+    assert harness.lines_per_second(STARTUP) == "5.0"
+    assert harness.lines_per_second() == "100.0"
+    harness.datastores.delete("a", STARTUP)
+    assert harness.lines_per_second(STARTUP) == "100.0"
+    assert rejection_of(harness.datastores.delete, "a", CANDIDATE)[0] == "operation-not-supported"
+    assert rejection_of(harness.edit, "a", "5.0", RUNNING)[0] == "operation-not-supported"
+    harness.datastores.copy("a", CANDIDATE, {**TREE, "zone": ["n"]})
+    assert harness.commit("a") == "ok"
+    assert harness.datastores.tree(RUNNING)["zone"] == ["n"]
+
+
+def test_the_operational_state_is_valid_by_the_yang_module():
     class Coordinator:
         def status(self):
             planner = PlannerStatus(
@@ -479,104 +499,110 @@
     )
     state = OperationalState(Coordinator(), facts)
     assert len(list(state.steps())) >= 1
-    outs = [view.get("out") for each in state.tree["backend"] for view in each["seen-from"]]
-    assert outs == ["cut", None, "unproven", None]
+    absence_reasons = [view.get("out") for backend in state.tree["backend"] for view in backend["seen-from"]]
+    assert absence_reasons == ["cut", None, "unproven", None]
     instance = MODEL.data.from_raw({"granitespool:coordinator": {"state": state.tree}})
     from yangson.enumerations import ContentType  # noqa: PLC0415
 
     instance.validate(ctype=ContentType.all)
 
 
-PACES = st.sampled_from(["1.0", "2.0", "3.0", "0.0"])
-WHO = st.sampled_from(["a", "b", "c"])
+LINES_PER_SECOND = st.sampled_from(["1.0", "2.0", "3.0", "0.0"])
+SESSIONS = st.sampled_from(["a", "b", "c"])
 
 
 class ConcurrentSessions(RuleBasedStateMachine):
-    """Sessions that edit, lock, commit and drop at random, files that are read anew, against plain facts."""
+    """Sessions that edit, lock, commit and close at random, and reloads of files, against invariants."""
 
     @initialize()
     def begin(self):
-        self.s, self.version, self.open = Stores(), 1, {"a", "b", "c"}
+        self.harness, self.version, self.open = DatastoresHarness(), 1, {"a", "b", "c"}
 
-    def _try(self, call, *words):
+    def _try(self, call, *arguments):
         try:
-            call(*words)
+            call(*arguments)
         except ManagementError as error:
             assert error.reason
             assert "\n" not in error.reason
 
-    @rule(who=WHO, pace=PACES, test=st.sampled_from(["set", "test-then-set", "test-only"]))
-    def edit(self, who, pace, test):
+    @rule(
+        session=SESSIONS,
+        lines_per_second=LINES_PER_SECOND,
+        test=st.sampled_from(["set", "test-then-set", "test-only"]),
+    )
+    def edit(self, session, lines_per_second, test):
         self._try(
-            self.s.stores.edit,
-            who,
+            self.harness.datastores.edit,
+            session,
             CANDIDATE,
-            [node("channel", leaf("lines-per-second", pace))],
+            [node("channel", leaf("lines-per-second", lines_per_second))],
             "merge",
             test,
         )
 
     @rule(
-        who=WHO,
-        store=st.sampled_from([RUNNING, CANDIDATE, STARTUP]),
+        session=SESSIONS,
+        datastore=st.sampled_from([RUNNING, CANDIDATE, STARTUP]),
         verb=st.sampled_from(["lock", "unlock"]),
     )
-    def lock(self, who, store, verb):
-        self._try(getattr(self.s.stores, verb), who, store)
-
-    @rule(who=WHO, timeout=st.none() | st.integers(1, 5), persist=st.none() | st.just("p"))
-    def commit(self, who, timeout, persist):
-        before = copy.deepcopy(self.s.stores.tree(RUNNING))
-        result = self.s.commit(who, timeout=timeout, persist=persist if timeout else None)
-        if result not in ("ok", "waits"):
-            assert self.s.stores.tree(RUNNING) == before
-
-    @rule(who=WHO)
-    def confirm(self, who):
-        self.s.commit(who, persist_id="p")
-
-    @rule(who=WHO)
-    def drop(self, who):
-        self.s.stores.close_session(who, lambda error: None)
-        assert who not in self.s.stores.locks.holders()
-        assert self.s.stores.trees.candidate_editor != who
-
-    @rule(who=WHO)
-    def discard(self, who):
-        self._try(self.s.stores.discard, who)
-
-    @rule(pace=st.sampled_from(["4.0", "5.0"]))
-    def file(self, pace):
-        self._try(self.s.stores.apply_file, {**TREE, "channel": {"lines-per-second": pace}})
+    def lock(self, session, datastore, verb):
+        self._try(getattr(self.harness.datastores, verb), session, datastore)
+
+    @rule(session=SESSIONS, timeout=st.none() | st.integers(1, 5), persist=st.none() | st.just("p"))
+    def commit(self, session, timeout, persist):
+        before = copy.deepcopy(self.harness.datastores.tree(RUNNING))
+        result = self.harness.commit(session, timeout=timeout, persist=persist if timeout else None)
+        if result not in ("ok", "pending"):
+            assert self.harness.datastores.tree(RUNNING) == before
+
+    @rule(session=SESSIONS)
+    def confirm(self, session):
+        self.harness.commit(session, persist_id="p")
+
+    @rule(session=SESSIONS)
+    def close_session(self, session):
+        self.harness.datastores.close_session(session, lambda error: None)
+        assert session not in self.harness.datastores.locks.holders()
+        assert self.harness.datastores.trees.candidate_editor != session
+
+    @rule(session=SESSIONS)
+    def discard(self, session):
+        self._try(self.harness.datastores.discard, session)
+
+    @rule(lines_per_second=st.sampled_from(["4.0", "5.0"]))
+    def file(self, lines_per_second):
+        self._try(
+            self.harness.datastores.apply_file, {**TREE, "channel": {"lines-per-second": lines_per_second}}
+        )
 
     @rule(seconds=st.integers(1, 4))
     def time(self, seconds):
-        self.s.now += seconds * 10**9
-        self.s.stores.tick(self.s.now, lambda error: None)
+        self.harness.now += seconds * 10**9
+        self.harness.datastores.tick(self.harness.now, lambda error: None)
 
-    @rule(what=st.sampled_from([("impact", "no"), ("fault", "no"), ("later", True)]))
-    def failure(self, what):
-        setattr(self.s.host, *what)
+    @rule(attribute=st.sampled_from([("check_error", "no"), ("apply_error", "no"), ("deferred", True)]))
+    def failure(self, attribute):
+        setattr(self.harness.host, *attribute)
 
-    @rule(why=st.none() | st.just("full"))
-    def mend(self, why):
-        self.s.host.impact = self.s.host.fault = None
-        self.s.host.later = False
-        while self.s.host.asked:
-            self.s.host.kept(why)
+    @rule(reason=st.none() | st.just("full"))
+    def recover(self, reason):
+        self.harness.host.check_error = self.harness.host.apply_error = None
+        self.harness.host.deferred = False
+        while self.harness.host.pending:
+            self.harness.host.finish_save(reason)
 
     @invariant()
-    def running_is_valid_is_what_was_applied_and_versions_only_grow(self):
-        if not hasattr(self, "s"):
+    def running_is_valid_and_equals_the_applied_tree_and_versions_only_grow(self):
+        if not hasattr(self, "harness"):
             return
-        stores = self.s.stores
-        MODEL.check(stores.tree(RUNNING))
-        applied = self.s.host.applied
-        assert stores.tree(RUNNING) == (applied[-1] if applied else TREE)
-        assert stores.version >= self.version
-        assert stores.version - 1 == len(applied) == stores.commits
-        self.version = stores.version
-        assert (stores.changes.committing_session is not None) == bool(self.s.host.asked)
+        datastores = self.harness.datastores
+        MODEL.check(datastores.tree(RUNNING))
+        applied = self.harness.host.applied
+        assert datastores.tree(RUNNING) == (applied[-1] if applied else TREE)
+        assert datastores.version >= self.version
+        assert datastores.version - 1 == len(applied) == datastores.commits
+        self.version = datastores.version
+        assert (datastores.changes.committing_session is not None) == bool(self.harness.host.pending)
 
 
 ConcurrentSessions.TestCase.settings = hypothesis_settings(
