--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -258,12 +258,12 @@
 class FakeHost:
     """A host of the datastores that records changes.
 
-    `check_error` and `apply_error` are reasons for rejecting all changes, None to accept them. Trees are saved
-    at once, or by `finish_save` if `deferred` is set: `pending` holds the callbacks until then.
+    `check_error` and `apply_error` are reasons for rejecting all changes, None to accept them. Trees are
+    saved at once, or by `finish_save` if `deferred` is set: `saves` holds the callbacks until then.
     """
 
     def __init__(self):
-        self.applied, self.check_error, self.apply_error, self.deferred, self.pending = (
+        self.applied, self.check_error, self.apply_error, self.deferred, self.saves = (
             [],
             None,
             None,
@@ -277,12 +277,12 @@
             raise ManagementError("operation-failed", self.check_error)
 
     def save(self, tree, version, on_done):
-        self.pending.append(on_done)
+        self.saves.append(on_done)
         if not self.deferred:
             self.finish_save(None)
 
     def finish_save(self, reason):
-        self.pending.pop(0)(reason)
+        self.saves.pop(0)(reason)
 
     def replace_saved(self, tree, version):
         self.replaced_saves.append(tree)
@@ -588,7 +588,7 @@
     def recover(self, reason):
         self.harness.host.check_error = self.harness.host.apply_error = None
         self.harness.host.deferred = False
-        while self.harness.host.pending:
+        while self.harness.host.saves:
             self.harness.host.finish_save(reason)
 
     @invariant()
@@ -602,7 +602,7 @@
         assert datastores.version >= self.version
         assert datastores.version - 1 == len(applied) == datastores.commits
         self.version = datastores.version
-        assert (datastores.changes.committing_session is not None) == bool(self.harness.host.pending)
+        assert (datastores.changes.committing_session is not None) == bool(self.harness.host.saves)
 
 
 ConcurrentSessions.TestCase.settings = hypothesis_settings(
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -1,4 +1,4 @@
-"""NETCONF over TLS on loopback: usual sessions, sessions that are dropped, bad peers, and ncclient."""
+"""NETCONF over TLS on loopback: regular sessions, lost connections, misbehaving peers, and ncclient."""
 
 import os
 import re
@@ -22,19 +22,19 @@
 from granitespool.planner.events import LoadReport
 from granitespool.simulation.netconf_client import HELLO, ConnectionEndedError, NetconfClient, reply_tag, top
 
-PACE = "<channel><lines-per-second>{}</lines-per-second></channel>"
+LINES_PER_SECOND = "<channel><lines-per-second>{}</lines-per-second></channel>"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
 
 
 @pytest.fixture(scope="module")
-def folder(tmp_path_factory):
+def keys_folder(tmp_path_factory):
     return keys(tmp_path_factory.mktemp("keys"))
 
 
 @pytest.fixture
-def house(tmp_path, folder):
-    with ServiceThread(tmp_path, folder) as house:
-        yield house
+def server(tmp_path, keys_folder):
+    with ServiceThread(tmp_path, keys_folder) as server:
+        yield server
 
 
 # Framing and XML
@@ -42,14 +42,14 @@
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 100_000])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_messages_are_complete_however_their_bytes_arrive(chunked, size):
-    reader, got = MessageReader(1000), []
+def test_messages_are_complete_whatever_the_sizes_of_the_received_parts(chunked, size):
+    reader, messages = MessageReader(1000), []
     reader.chunked = chunked
     data = b"".join(frame(message, chunked) for message in (b"<a/>", b"<b>]] ></b>", b"<c/>"))
     for at in range(0, len(data), size):
         reader.feed(data[at : at + size])
-        got += reader.messages()
-    assert got == [b"<a/>", b"<b>]] ></b>", b"<c/>"]
+        messages += reader.messages()
+    assert messages == [b"<a/>", b"<b>]] ></b>", b"<c/>"]
 
 
 def test_a_message_may_come_in_many_chunks():
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    "chunked, data, words",
+    "chunked, data, expected_text",
     [
         (False, b"x" * 1100, "exceeds the limit of 1000 bytes"),
         (True, b"hello", "does not begin"),
@@ -72,16 +72,16 @@
         (True, b"\n#11111111111111", "no end"),
     ],
 )
-def test_bytes_that_are_no_frame_are_rejected(chunked, data, words):
+def test_invalid_framing_and_too_long_messages_are_rejected(chunked, data, expected_text):
     reader = MessageReader(1000)
     reader.chunked = chunked
     reader.feed(data)
-    with pytest.raises(FramingError, match=words):
+    with pytest.raises(FramingError, match=expected_text):
         list(reader.messages())
 
 
 @pytest.mark.parametrize(
-    "data, words",
+    "data, expected_text",
     [
         (b"<a", "not XML"),
         (b"", "not XML"),
@@ -94,47 +94,50 @@
         ('<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>'.encode("utf-16"), "DTD"),
     ],
 )
-def test_xml_over_the_limits_is_rejected(data, words):
-    with pytest.raises(MalformedMessageError, match=words):
+def test_xml_over_the_limits_is_rejected(data, expected_text):
+    with pytest.raises(MalformedMessageError, match=expected_text):
         parse_message(data)
 
 
-# Usual sessions
+# Regular sessions
 
 
 @pytest.mark.parametrize("minor", [0, 1])
-def test_both_framings_read_state_and_commit_a_change_that_takes_effect(house, minor):
-    one = house.manager(minor=minor)
-    assert "base:1.1" in one.hello and "granitespool&amp;revision=2026-12-01" in one.hello
-    state = one.ask("<get/>")
+def test_both_framings_read_state_and_commit_a_change_that_takes_effect(server, minor):
+    client = server.manager(minor=minor)
+    assert "base:1.1" in client.hello and "granitespool&amp;revision=2026-12-01" in client.hello
+    state = client.ask("<get/>")
     assert state.count("<backend>") == 6 and "<phase>ready</phase>" in state
     assert "<weight>1.0</weight>" in state
-    assert reply_tag(one.edit(PACE.format("500.0"))) == "ok" and house.settings()["entries_per_s"] == 1000.0
-    assert "<lines-per-second>500.0<" in one.config("candidate")
-    assert "<lines-per-second>1000.0<" in one.config()
-    assert reply_tag(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
-    assert "<version>2</version>" in one.ask("<get/>")
+    assert (
+        reply_tag(client.edit(LINES_PER_SECOND.format("500.0"))) == "ok"
+        and server.settings()["entries_per_s"] == 1000.0
+    )
+    assert "<lines-per-second>500.0<" in client.config("candidate")
+    assert "<lines-per-second>1000.0<" in client.config()
+    assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
+    assert "<version>2</version>" in client.ask("<get/>")
     ages = []
     for index in (1, 1, 2):
-        house.service.discovery.index = index  # as a message of the list sets it, in a turn
-        house.service.loop.wake()
+        server.service.discovery.index = index  # as an update of the endpoint list sets it, in a turn
+        server.service.loop.wake()
         time.sleep(0.25)
-        ages.append(int(re.search(r"<age>(\d+)<", one.ask("<get/>"))[1]))
+        ages.append(int(re.search(r"<age>(\d+)<", client.ask("<get/>"))[1]))
     assert 200_000 < ages[0] < ages[1] - 200_000 and ages[2] < ages[1]
-    house.logged("settings_changed", by="operations", version=2)
-    most = house.service.streams.admission.connections_limit
+    server.logged("settings_changed", by="operations", version=2)
+    connections_limit = server.service.streams.admission.connections_limit
     assert (
-        reply_tag(one.edit("<limits><descriptors>512</descriptors></limits>"))
-        == reply_tag(one.commit())
+        reply_tag(client.edit("<limits><descriptors>512</descriptors></limits>"))
+        == reply_tag(client.commit())
         == "ok"
     )
-    assert house.service.streams.admission.connections_limit == most - 512
-    assert house.service.health_checks.limit == 64
-    assert reply_tag(one.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
-    assert "over the 1024" in one.commit() and reply_tag(one.ask("<discard-changes/>")) == "ok"
-    assert reply_tag(one.ask("<close-session/>")) == "ok"
+    assert server.service.streams.admission.connections_limit == connections_limit - 512
+    assert server.service.health_checks.limit == 64
+    assert reply_tag(client.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
+    assert "over the 1024" in client.commit() and reply_tag(client.ask("<discard-changes/>")) == "ok"
+    assert reply_tag(client.ask("<close-session/>")) == "ok"
     with pytest.raises(ConnectionEndedError):
-        one.receive()
+        client.receive()
 
 
 @pytest.mark.parametrize(
@@ -167,18 +170,18 @@
         ),
     ],
 )
-def test_a_rejected_operation_has_the_rfcs_tag_and_the_session_goes_on(house, body, tag):
-    one = house.manager()
-    answer = one.ask(body)
-    assert reply_tag(answer) == tag and "<error-message" in answer and reply_tag(one.ask("<get/>")) == "ok"
-    assert reply_tag(one.ask("<get/>", "")) == "missing-attribute"
+def test_a_rejected_operation_has_the_error_tag_of_the_rfc_and_the_session_continues(server, body, tag):
+    client = server.manager()
+    answer = client.ask(body)
+    assert reply_tag(answer) == tag and "<error-message" in answer and reply_tag(client.ask("<get/>")) == "ok"
+    assert reply_tag(client.ask("<get/>", "")) == "missing-attribute"
 
 
 @pytest.mark.parametrize(
     "settings, tag, path",
     [
-        (PACE.format("0"), "invalid-value", "/gs:channel/gs:lines-per-second"),
-        (PACE.format("many"), "invalid-value", "lines-per-second"),
+        (LINES_PER_SECOND.format("0"), "invalid-value", "/gs:channel/gs:lines-per-second"),
+        (LINES_PER_SECOND.format("many"), "invalid-value", "lines-per-second"),
         ("<cold><share>0.5</share></cold>", "operation-failed", "cold"),
         (
             "<class><name>pay</name><promised-time>9000000</promised-time></class>",
@@ -191,41 +194,43 @@
         ("<zone>n</zone><zone xmlns='urn:x'>q</zone>", "unknown-namespace", "settings"),
     ],
 )
-def test_a_wrong_edit_is_rejected_with_its_path_and_changes_nothing(house, settings, tag, path):
-    one, before = house.manager(), None
-    before = one.config("candidate")
-    answer = one.edit("<drain><grace>7</grace></drain>" + settings)
-    assert reply_tag(answer) == tag and path in answer and one.config("candidate") == before
-    assert reply_tag(one.commit()) == "ok" and house.settings()["drain_grace"] == 3 * 10**9
+def test_an_invalid_edit_is_rejected_with_its_path_and_changes_nothing(server, settings, tag, path):
+    client, before = server.manager(), None
+    before = client.config("candidate")
+    answer = client.edit("<drain><grace>7</grace></drain>" + settings)
+    assert reply_tag(answer) == tag and path in answer and client.config("candidate") == before
+    assert reply_tag(client.commit()) == "ok" and server.settings()["drain_grace"] == 3 * 10**9
 
 
 @pytest.mark.parametrize(
-    "settings, words",
+    "settings, expected_text",
     [
         ("<class><name>new</name></class>", "classes cannot change while the coordinator runs"),
         ("<operator><state><folder>x</folder></state></operator>", "state.folder cannot change"),
-        (PACE.format("0.5"), "one drain takes"),
+        (LINES_PER_SECOND.format("0.5"), "one drain takes"),
         (
             "<zone xmlns:nc='urn:ietf:params:xml:ns:netconf:base:1.0' nc:operation='delete'>n</zone>",
             "zone n have joined",
         ),
     ],
 )
-def test_a_commit_that_fails_the_impact_check_is_rejected_and_the_old_settings_run_on(house, settings, words):
-    proxy, one, before = house.proxy(), house.manager(), house.settings()
-    assert reply_tag(one.edit(settings)) == "ok"
-    answer = one.commit()
-    assert reply_tag(answer) == "operation-failed" and words in answer
-    assert house.settings() == before and "<version>1</version>" in one.ask("<get/>") and alive(proxy)
-    assert "<refused>1</refused>" in one.ask("<get/>")
+def test_a_commit_that_fails_the_impact_check_is_rejected_and_the_old_settings_stay(
+    server, settings, expected_text
+):
+    proxy, client, before = server.proxy(), server.manager(), server.settings()
+    assert reply_tag(client.edit(settings)) == "ok"
+    answer = client.commit()
+    assert reply_tag(answer) == "operation-failed" and expected_text in answer
+    assert server.settings() == before and "<version>1</version>" in client.ask("<get/>") and alive(proxy)
+    assert "<refused>1</refused>" in client.ask("<get/>")
     proxy.close()
 
 
-def test_filters_select_by_subtree_and_by_xpath(house):
-    one = house.manager()
+def test_filters_select_by_subtree_and_by_xpath(server):
+    client = server.manager()
 
     def state(inner):
-        return one.ask(
+        return client.ask(
             '<get><filter><coordinator xmlns="urn:granitespool:coordinator">'
             f"{inner}</coordinator></filter></get>"
         )
@@ -239,18 +244,18 @@
     assert "<strained>" in state("<state><fleet/></state>")
     assert "coordinator" not in state("<state><backend><name>none</name></backend></state>")
     assert state("<settings><zone/></settings><state><fleet/></state>").count("<zone>") == 2
-    xpath = one.ask(
+    xpath = client.ask(
         "<get><filter type='xpath' xmlns:g='urn:granitespool:coordinator' "
         "select=\"/g:coordinator/g:state/g:backend[g:name='s-4']/g:phase\"/></get>"
     )
     assert xpath.count("<phase>") == 1 and "<name>" not in xpath and "<fleet>" not in xpath
-    assert "<data/>" in one.ask("<get><filter/></get>")
+    assert "<data/>" in client.ask("<get><filter/></get>")
 
 
-def test_schema_defaults_copies_and_startup(tmp_path, folder):
-    with ServiceThread(tmp_path, folder, state=True) as house:
-        one = house.manager()
-        schema = one.ask(
+def test_schema_defaults_copies_and_startup(tmp_path, keys_folder):
+    with ServiceThread(tmp_path, keys_folder, state=True) as server:
+        client = server.manager()
+        schema = client.ask(
             '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
             "<identifier>granitespool"
             "</identifier></get-schema>"
@@ -258,7 +263,7 @@
         assert "module granitespool {" in schema
         assert (
             reply_tag(
-                one.ask(
+                client.ask(
                     '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
                     "<identifier>x"
                     "</identifier></get-schema>"
@@ -268,7 +273,7 @@
         )
         assert (
             reply_tag(
-                one.edit(
+                client.edit(
                     "<operator><state xmlns:nc='urn:ietf:params:xml:ns:netconf:base:1.0'>"
                     "<most-mb nc:operation="
                     "'delete'/></state></operator>"
@@ -276,191 +281,215 @@
             )
             == "ok"
         )
-        all_of_it = (
+        report_all = (
             '<with-defaults xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults">'
             "report-all"
             "</with-defaults>"
         )
-        assert "most-mb" not in one.config("candidate") and "<most-mb>64<" in one.config(
-            "candidate", all_of_it
+        assert "most-mb" not in client.config("candidate") and "<most-mb>64<" in client.config(
+            "candidate", report_all
         )
-        assert reply_tag(one.edit("<class><name>late</name></class>", "startup")) == "ok"
-        assert "<failing>false</failing>" in one.ask("<get/>")
-        assert "late" in one.config("startup") and "late" not in one.config()
+        assert reply_tag(client.edit("<class><name>late</name></class>", "startup")) == "ok"
+        assert "<failing>false</failing>" in client.ask("<get/>")
+        assert "late" in client.config("startup") and "late" not in client.config()
         assert (
             reply_tag(
-                one.ask("<copy-config><target><startup/></target><source><running/></source></copy-config>")
+                client.ask(
+                    "<copy-config><target><startup/></target><source><running/></source></copy-config>"
+                )
             )
             == "ok"
         )
-        assert "late" not in one.config("startup")
+        assert "late" not in client.config("startup")
         whole = top("<zone>n</zone><zone>s</zone><class><name>pay</name></class>")
         assert (
             reply_tag(
-                one.ask(
+                client.ask(
                     f"<copy-config><target><candidate/></target><source><config>{whole}"
                     "</config></source></copy-config>"
                 )
             )
             == "ok"
         )
-        assert "promised-time" not in one.config("candidate")
-        assert reply_tag(one.ask("<validate><source><candidate/></source></validate>")) == "operation-failed"
-        assert reply_tag(one.ask("<discard-changes/>")) == "ok" and one.config("candidate") == one.config()
-        assert reply_tag(one.ask("<delete-config><target><startup/></target></delete-config>")) == "ok"
+        assert "promised-time" not in client.config("candidate")
+        assert (
+            reply_tag(client.ask("<validate><source><candidate/></source></validate>")) == "operation-failed"
+        )
+        assert (
+            reply_tag(client.ask("<discard-changes/>")) == "ok"
+            and client.config("candidate") == client.config()
+        )
+        assert reply_tag(client.ask("<delete-config><target><startup/></target></delete-config>")) == "ok"
 
 
-def test_users_read_and_write_what_they_are_authorized_for(house):
-    reader, pacer = house.manager("reader"), house.manager("pacer")
+def test_users_read_and_write_what_they_are_authorized_for(server):
+    reader, pacer = server.manager("reader"), server.manager("pacer")
     assert (
-        "<backend>" in reader.ask("<get/>") and reply_tag(reader.edit(PACE.format("500"))) == "access-denied"
+        "<backend>" in reader.ask("<get/>")
+        and reply_tag(reader.edit(LINES_PER_SECOND.format("500"))) == "access-denied"
     )
     assert reply_tag(pacer.edit("<drain><grace>5</grace></drain>")) == "access-denied"
-    assert reply_tag(pacer.edit(PACE.format("500"))) == "ok" and reply_tag(reader.commit()) == "access-denied"
-    assert reply_tag(pacer.commit()) == "ok" and house.settings()["entries_per_s"] == 500
+    assert (
+        reply_tag(pacer.edit(LINES_PER_SECOND.format("500"))) == "ok"
+        and reply_tag(reader.commit()) == "access-denied"
+    )
+    assert reply_tag(pacer.commit()) == "ok" and server.settings()["entries_per_s"] == 500
     assert reply_tag(reader.ask("<kill-session><session-id>2</session-id></kill-session>")) == "access-denied"
 
 
-# Two at once, and sessions that end
+# Concurrent sessions, and sessions that end
 
 
-def test_two_sessions_and_a_reload_cannot_overwrite_each_others_changes(house):
-    one, two = house.manager(), house.manager()
-    assert reply_tag(one.lock()) == "ok"
-    held = two.lock()
-    assert reply_tag(held) == "lock-denied" and "<session-id>1</session-id>" in held
-    assert reply_tag(two.edit(PACE.format("400"))) == "in-use" and reply_tag(two.commit()) == "in-use"
-    assert reply_tag(one.edit(PACE.format("500"))) == "ok"
-    info = {**house.reading["family_info"], "egress_per_s": 700.0}
+def test_two_sessions_and_a_reload_cannot_overwrite_each_others_changes(server):
+    client, other_client = server.manager(), server.manager()
+    assert reply_tag(client.lock()) == "ok"
+    reply = other_client.lock()
+    assert reply_tag(reply) == "lock-denied" and "<session-id>1</session-id>" in reply
+    assert (
+        reply_tag(other_client.edit(LINES_PER_SECOND.format("400"))) == "in-use"
+        and reply_tag(other_client.commit()) == "in-use"
+    )
+    assert reply_tag(client.edit(LINES_PER_SECOND.format("500"))) == "ok"
+    info = {**server.reading["family_info"], "egress_per_s": 700.0}
     assert (
-        house.reload(family_info=info)["event"] == "reloaded" and house.settings()["entries_per_s"] == 700.0
+        server.reload(family_info=info)["event"] == "reloaded" and server.settings()["entries_per_s"] == 700.0
     )
-    answer = one.commit()
+    answer = client.commit()
     assert reply_tag(answer) == "operation-failed" and "candidate is based on version 1 of running" in answer
-    assert house.settings()["entries_per_s"] == 700.0
+    assert server.settings()["entries_per_s"] == 700.0
     assert (
-        reply_tag(one.ask("<discard-changes/>")) == "ok" and reply_tag(one.edit(PACE.format("500"))) == "ok"
+        reply_tag(client.ask("<discard-changes/>")) == "ok"
+        and reply_tag(client.edit(LINES_PER_SECOND.format("500"))) == "ok"
     )
-    assert reply_tag(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
-    assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 500
-    assert reply_tag(one.lock("running")) == "ok"
-    refused = house.reload(family_info={**info, "egress_per_s": 800.0})
+    assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
+    assert server.reload()["event"] == "reloaded" and server.settings()["entries_per_s"] == 500
+    assert reply_tag(client.lock("running")) == "ok"
+    refused = server.reload(family_info={**info, "egress_per_s": 800.0})
     assert refused["event"] == "reload_rejected" and "locked by a manager" in refused["reason"]
-    one.reset()
-    house.logged("manager_disconnected")
-    assert house.reload()["event"] == "reloaded" and house.settings()["entries_per_s"] == 800.0
-    assert reply_tag(two.lock("running")) == "ok" and reply_tag(two.lock()) == "ok"
+    client.reset()
+    server.logged("manager_disconnected")
+    assert server.reload()["event"] == "reloaded" and server.settings()["entries_per_s"] == 800.0
+    assert reply_tag(other_client.lock("running")) == "ok" and reply_tag(other_client.lock()) == "ok"
 
 
 STEPS = ["hello", "lock", "edit", "half an rpc", "commit unread", "confirmed", "confirmed and edited"]
 
 
 @pytest.mark.parametrize("step", STEPS)
-@pytest.mark.parametrize("how", ["reset", "close"])
-def test_a_session_lost_at_any_step_leaves_nothing_half_applied(house, step, how):
-    watcher = house.manager()
+@pytest.mark.parametrize("disconnect", ["reset", "close"])
+def test_a_session_lost_at_any_step_leaves_nothing_half_applied(server, step, disconnect):
+    watcher = server.manager()
     before, stores = (
-        house.settings(),
+        server.settings(),
         {name: watcher.config(name) for name in ("running", "candidate", "startup")},
     )
-    one = house.manager(greet=step != "hello")
+    client = server.manager(greet=step != "hello")
     if step == "hello":
-        one.raw(frame(HELLO.format(1).encode(), False)[:-3])
+        client.raw(frame(HELLO.format(1).encode(), False)[:-3])
     else:
-        one.lock(), one.lock("running")
+        client.lock(), client.lock("running")
         if step != "lock":
-            one.edit(PACE.format("500"))
+            client.edit(LINES_PER_SECOND.format("500"))
         if step == "half an rpc":
-            one.raw(frame(b'<rpc message-id="9" xmlns="' + BASE.encode() + b'"><commit/></rpc>', True)[:-6])
+            client.raw(
+                frame(b'<rpc message-id="9" xmlns="' + BASE.encode() + b'"><commit/></rpc>', True)[:-6]
+            )
         elif step == "commit unread":
-            one.send("<commit><confirmed/></commit>")
+            client.send("<commit><confirmed/></commit>")
         elif step.startswith("confirmed"):
-            assert reply_tag(one.commit("<confirmed/>")) == "ok" and house.settings()["entries_per_s"] == 500
+            assert (
+                reply_tag(client.commit("<confirmed/>")) == "ok" and server.settings()["entries_per_s"] == 500
+            )
             if step != "confirmed":
-                one.edit(PACE.format("600"))
-    getattr(one, how)()
-    house.logged("manager_disconnected")
-    assert {name: watcher.config(name) for name in stores} == stores and house.settings() == before
+                client.edit(LINES_PER_SECOND.format("600"))
+    getattr(client, disconnect)()
+    server.logged("manager_disconnected")
+    assert {name: watcher.config(name) for name in stores} == stores and server.settings() == before
     assert reply_tag(watcher.lock()) == "ok" and reply_tag(watcher.lock("running")) == "ok"
 
 
-def test_a_confirmed_commit_is_undone_in_time_and_with_its_id_confirmed_by_another(house):
-    one, two = house.manager(), house.manager()
-    one.edit(PACE.format("500"))
-    assert reply_tag(one.commit("<confirmed/><confirm-timeout>1</confirm-timeout>")) == "ok"
-    assert house.settings()["entries_per_s"] == 500
-    house.logged("settings_changed", by="timeout")
-    assert house.settings()["entries_per_s"] == 1000
-    one.edit(PACE.format("600"))
-    assert reply_tag(one.commit("<confirmed/><persist>q7</persist>")) == "ok"
-    one.close()
-    house.logged("manager_disconnected")
-    assert house.settings()["entries_per_s"] == 600 and reply_tag(two.commit()) == "in-use"
-    assert reply_tag(two.commit("<persist-id>q8</persist-id>")) == "invalid-value"
-    assert reply_tag(two.commit("<persist-id>q7</persist-id>")) == "ok"
-    assert house.settings()["entries_per_s"] == 600
+def test_a_confirmed_commit_is_undone_at_its_timeout_unless_another_session_confirms_its_persist_id(server):
+    client, other_client = server.manager(), server.manager()
+    client.edit(LINES_PER_SECOND.format("500"))
+    assert reply_tag(client.commit("<confirmed/><confirm-timeout>1</confirm-timeout>")) == "ok"
+    assert server.settings()["entries_per_s"] == 500
+    server.logged("settings_changed", by="timeout")
+    assert server.settings()["entries_per_s"] == 1000
+    client.edit(LINES_PER_SECOND.format("600"))
+    assert reply_tag(client.commit("<confirmed/><persist>q7</persist>")) == "ok"
+    client.close()
+    server.logged("manager_disconnected")
+    assert server.settings()["entries_per_s"] == 600 and reply_tag(other_client.commit()) == "in-use"
+    assert reply_tag(other_client.commit("<persist-id>q8</persist-id>")) == "invalid-value"
+    assert reply_tag(other_client.commit("<persist-id>q7</persist-id>")) == "ok"
+    assert server.settings()["entries_per_s"] == 600
 
 
-def test_a_failure_half_way_restores_the_former_settings(house):
-    one, before = house.manager(), house.settings()
-    probes, calls = house.service.health_checks, []
+def test_a_failure_half_way_through_applying_restores_the_previous_settings(server):
+    client, before = server.manager(), server.settings()
+    probes, calls = server.service.health_checks, []
 
     def fails(config):
         calls.append(config)
         if len(calls) == 1:
-            raise RuntimeError("a part that cannot")
+            raise RuntimeError("the settings cannot be applied")
 
     real, probes.new_config = probes.new_config, fails
-    one.edit(PACE.format("500"))
-    answer = one.commit()
-    assert reply_tag(answer) == "operation-failed" and "former" in answer and house.settings() == before
+    client.edit(LINES_PER_SECOND.format("500"))
+    answer = client.commit()
+    assert reply_tag(answer) == "operation-failed" and "former" in answer and server.settings() == before
     assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
     probes.new_config = real
-    assert reply_tag(one.commit()) == "ok" and house.settings()["entries_per_s"] == 500
-    house.logged("task_failed")  # read by then: the log has a thread of its own
-    house.lines[:] = [line for line in house.lines if line["event"] != "task_failed"]
-
-
-def test_one_session_kills_another_and_subscribers_are_notified_of_changes(house):
-    one, two = house.manager(), house.manager()
-    sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
-    assert reply_tag(two.ask(sub)) == "ok" and reply_tag(two.ask(sub)) == "in-use"
-    one.edit(PACE.format("500"))
-    one.commit()
-    assert "<version>2</version>" in two.note("settings-changed")
+    assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
+    server.logged("task_failed")  # the log is read in another thread
+    server.lines[:] = [line for line in server.lines if line["event"] != "task_failed"]
+
+
+def test_one_session_kills_another_and_subscribers_are_notified_of_changes(server):
+    client, other_client = server.manager(), server.manager()
+    create_subscription = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
+    assert (
+        reply_tag(other_client.ask(create_subscription)) == "ok"
+        and reply_tag(other_client.ask(create_subscription)) == "in-use"
+    )
+    client.edit(LINES_PER_SECOND.format("500"))
+    client.commit()
+    assert "<version>2</version>" in other_client.note("settings-changed")
     for _ in range(2):
-        house.service.coordinator.report(
-            house.service.loop.now,
+        server.service.coordinator.report(
+            server.service.loop.now,
             LoadReport(zone="n", backend="s-1", attempts=9, failures=9, mean=0, window=10**9, load={}),
         )
-    assert "<backend>s-1</backend>" in two.note("backend-cut")
-    one.edit(PACE.format("0.1"))
-    proxy = house.proxy()
-    assert reply_tag(one.commit()) == "operation-failed" and "one drain takes" in two.note("change-refused")
-    one.ask("<discard-changes/>")
-    house.service.coordinator.set_admission(0, 1, 0.5, 0)
-    assert "<share>0.5</share>" in two.note("levels-changed") and alive(proxy)
+    assert "<backend>s-1</backend>" in other_client.note("backend-cut")
+    client.edit(LINES_PER_SECOND.format("0.1"))
+    proxy = server.proxy()
+    assert reply_tag(client.commit()) == "operation-failed" and "one drain takes" in other_client.note(
+        "change-refused"
+    )
+    client.ask("<discard-changes/>")
+    server.service.coordinator.set_admission(0, 1, 0.5, 0)
+    assert "<share>0.5</share>" in other_client.note("levels-changed") and alive(proxy)
     proxy.close()
-    number = re.search(r"<session-id>(\d+)<", two.hello)[1]
-    assert reply_tag(one.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
+    number = re.search(r"<session-id>(\d+)<", other_client.hello)[1]
+    assert reply_tag(client.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
     with pytest.raises(ConnectionEndedError):
-        two.receive()
-    house.logged("manager_disconnected", reason="killed by operations")
+        other_client.receive()
+    server.logged("manager_disconnected", reason="killed by operations")
 
 
-# What outlasts a restart
+# Persistence across restarts
 
 
-def test_a_commit_is_answered_after_its_sync_and_outlasts_sigkill(tmp_path, folder):
-    house = ServiceThread(tmp_path, folder, state=True)
+def test_a_commit_is_answered_after_its_sync_and_survives_sigkill(tmp_path, keys_folder):
+    server = ServiceThread(tmp_path, keys_folder, state=True)
     operator = tmp_path / "operator.ini"
     operator.write_text(
-        f"[state]\nfolder = state\nevery_ms = 100\n[tls]\ncertificate = {folder}/server.pem\n"
-        f"key = {folder}/server.key\nauthorities = {folder}/ca.pem\n"
+        f"[state]\nfolder = state\nevery_ms = 100\n[tls]\ncertificate = {keys_folder}/server.pem\n"
+        f"key = {keys_folder}/server.key\nauthorities = {keys_folder}/ca.pem\n"
         "[netconf]\nlisten = 127.0.0.1:"
-        f"{house.where[1]}\n[user.operations]\ncertificate = cn:operations\nwrite = *\n"
+        f"{server.where[1]}\n[user.operations]\ncertificate = cn:operations\nwrite = *\n"
     )
-    for pace in ("1000.0", "500.0", "400.0"):
+    for lines_per_second in ("1000.0", "500.0", "400.0"):
         process = subprocess.Popen(
             [
                 sys.executable,
@@ -468,7 +497,7 @@
                 "granitespool",
                 "serve",
                 "--config",
-                str(house.file),
+                str(server.file),
                 "--operator",
                 str(operator),
             ],
@@ -479,104 +508,115 @@
             for line in iter(process.stdout.readline, ""):
                 if '"serving"' in line:
                     break
-            one = NetconfClient(house.where, folder)
-            assert f"<lines-per-second>{pace}<" in one.config()
-            following = {"1000.0": "500.0", "500.0": "400.0"}.get(pace, "300.0")
-            assert reply_tag(one.edit(PACE.format(following))) == "ok" and reply_tag(one.commit()) == "ok"
+            client = NetconfClient(server.where, keys_folder)
+            assert f"<lines-per-second>{lines_per_second}<" in client.config()
+            next_value = {"1000.0": "500.0", "500.0": "400.0"}.get(lines_per_second, "300.0")
+            assert (
+                reply_tag(client.edit(LINES_PER_SECOND.format(next_value))) == "ok"
+                and reply_tag(client.commit()) == "ok"
+            )
         finally:
-            process.send_signal(signal.SIGKILL)  # at once after the answer
+            process.send_signal(signal.SIGKILL)  # immediately after the reply
             process.communicate()
-    house.write(family_info={**house.reading["family_info"], "egress_per_s": 900.0})
-    with house:  # the file has changed since: it holds
-        assert house.settings()["entries_per_s"] == 900.0
-        house.logged("settings_discarded")
-
-
-def test_what_waits_for_a_restart_goes_to_startup_and_takes_effect_after_it(tmp_path, folder):
-    with ServiceThread(tmp_path, folder, state=True) as house:
-        one = house.manager()
-        assert reply_tag(one.edit("<class><name>late</name></class>")) == "ok"
-        assert "put it into startup" in one.commit() and reply_tag(one.ask("<discard-changes/>")) == "ok"
-        assert reply_tag(one.edit("<class><name>late</name></class>", "startup")) == "ok"
-        assert "late" not in one.config() and len(house.settings()["classes"]) == 1
-    with ServiceThread(tmp_path, folder, state=True) as house:
-        assert [kind["name"] for kind in house.settings()["classes"]] == ["pay", "late"]
-        assert "late" in house.manager().config()
-
-
-def test_without_a_state_folder_startup_cannot_differ(house):
-    one = house.manager()
-    answer = one.edit("<class><name>late</name></class>", "startup")
+    server.write(family_info={**server.reading["family_info"], "egress_per_s": 900.0})
+    with server:  # the file has changed since the commit, so its settings apply
+        assert server.settings()["entries_per_s"] == 900.0
+        server.logged("settings_discarded")
+
+
+def test_a_setting_that_needs_a_restart_is_put_into_startup_and_takes_effect_after_the_restart(
+    tmp_path, keys_folder
+):
+    with ServiceThread(tmp_path, keys_folder, state=True) as server:
+        client = server.manager()
+        assert reply_tag(client.edit("<class><name>late</name></class>")) == "ok"
+        assert (
+            "put it into startup" in client.commit() and reply_tag(client.ask("<discard-changes/>")) == "ok"
+        )
+        assert reply_tag(client.edit("<class><name>late</name></class>", "startup")) == "ok"
+        assert "late" not in client.config() and len(server.settings()["classes"]) == 1
+    with ServiceThread(tmp_path, keys_folder, state=True) as server:
+        assert [kind["name"] for kind in server.settings()["classes"]] == ["pay", "late"]
+        assert "late" in server.manager().config()
+
+
+def test_without_a_state_folder_startup_cannot_differ_from_running(server):
+    client = server.manager()
+    answer = client.edit("<class><name>late</name></class>", "startup")
     assert reply_tag(answer) == "operation-failed" and "without a state folder" in answer
-    assert "late" not in one.config("startup")
+    assert "late" not in client.config("startup")
 
 
-def test_a_commit_is_rejected_where_the_disk_does_not_take_it(tmp_path, folder, monkeypatch):
+def test_a_commit_is_rejected_if_the_disk_does_not_save_it_in_time(tmp_path, keys_folder, monkeypatch):
     monkeypatch.setattr("granitespool.net.settings_host.SAVE_TIMEOUT", 300_000_000)
-    with ServiceThread(tmp_path, folder, state=True) as house:
-        one = house.manager()
-        assert reply_tag(one.edit(PACE.format("500"))) == "ok"
-        house.service.snapshotter.writer.folder.sync = lambda name: time.sleep(0.6)
-        answer = one.commit()
-        assert reply_tag(answer) == "resource-denied" and house.settings()["entries_per_s"] == 1000
-        two = house.manager()  # two that wait for the disk are both answered
-        one.send("<commit/>")
-        assert reply_tag(two.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
-        assert reply_tag(one.receive()) == "resource-denied"
-        writer = house.service.snapshotter.writer
-    writer.join(10)  # this process held the folder for as long as its disk hung
+    with ServiceThread(tmp_path, keys_folder, state=True) as server:
+        client = server.manager()
+        assert reply_tag(client.edit(LINES_PER_SECOND.format("500"))) == "ok"
+        server.service.snapshotter.writer.folder.sync = lambda name: time.sleep(0.6)
+        answer = client.commit()
+        assert reply_tag(answer) == "resource-denied" and server.settings()["entries_per_s"] == 1000
+        other_client = server.manager()  # two requests that wait for the disk are both answered
+        client.send("<commit/>")
+        assert (
+            reply_tag(other_client.edit("<class><name>late</name></class>", "startup")) == "resource-denied"
+        )
+        assert reply_tag(client.receive()) == "resource-denied"
+        writer = server.service.snapshotter.writer
+    writer.join(10)  # the folder stays locked until the delayed sync has ended
     with ServiceThread(
-        tmp_path, folder, state=True
-    ) as house:  # what was refused does not come back with a restart
-        assert house.settings()["entries_per_s"] == 1000 and len(house.settings()["classes"]) == 1
+        tmp_path, keys_folder, state=True
+    ) as server:  # the rejected settings do not return with a restart
+        assert server.settings()["entries_per_s"] == 1000 and len(server.settings()["classes"]) == 1
 
 
-# Bad peers
+# Misbehaving peers
 
 
-def bad(where, folder, how):
-    """A peer that is no manager; returns once it has done its worst."""
-    if how in ("no certificate", "foreign", "stranger"):
+def connect_misbehaving_peer(where, keys_folder, behaviour):
+    """Connect as a misbehaving peer, and return once the server has ended the connection."""
+    if behaviour in ("no certificate", "foreign", "stranger"):
         with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
-            NetconfClient(where, folder, {"no certificate": None}.get(how, how)).ask("<get/>")
+            NetconfClient(where, keys_folder, {"no certificate": None}.get(behaviour, behaviour)).ask(
+                "<get/>"
+            )
         return
-    if how in ("plain", "garbage", "tls 1.2"):
+    if behaviour in ("plain", "garbage", "tls 1.2"):
         sock = socket.create_connection(where, timeout=5)
-        if how == "tls 1.2":
-            context = ssl.create_default_context(cafile=f"{folder}/ca.pem")
+        if behaviour == "tls 1.2":
+            context = ssl.create_default_context(cafile=f"{keys_folder}/ca.pem")
             context.maximum_version = ssl.TLSVersion.TLSv1_2
             with pytest.raises((ssl.SSLError, ConnectionError)):
                 context.wrap_socket(sock, server_hostname="127.0.0.1")
         else:
-            sock.sendall(b"GET / HTTP/1.1\r\n\r\n" if how == "plain" else os.urandom(500))
+            sock.sendall(b"GET / HTTP/1.1\r\n\r\n" if behaviour == "plain" else os.urandom(500))
             sock.settimeout(5)
             while sock.recv(1000):
                 pass
         sock.close()
         return
-    one = NetconfClient(where, folder, greet=how not in ("hello", "no hello"))
+    client = NetconfClient(where, keys_folder, greet=behaviour not in ("hello", "no hello"))
     with pytest.raises(ConnectionEndedError):
-        if how == "hello":
-            one.raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
-        elif how == "no hello":
-            one.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), False))
-        elif how == "endless":
-            one.raw(b"\n#4000000\n")
-        elif how == "laughs":
-            one.raw(frame(b'<!DOCTYPE l [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;&a;">]><rpc>&b;</rpc>', True))
-        elif how == "deep":
-            one.raw(frame(b"<a>" * 200 + b"</a>" * 200, True))
-        elif how == "disorder":
-            one.raw(b"\n##\n#5\nhello")
-        elif how == "flood":
-            one.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), True) * 400)
+        if behaviour == "hello":
+            client.raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
+        elif behaviour == "no hello":
+            client.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), False))
+        elif behaviour == "endless":
+            client.raw(b"\n#4000000\n")
+        elif behaviour == "laughs":
+            client.raw(frame(b'<!DOCTYPE l [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;&a;">]><rpc>&b;</rpc>', True))
+        elif behaviour == "deep":
+            client.raw(frame(b"<a>" * 200 + b"</a>" * 200, True))
+        elif behaviour == "disorder":
+            client.raw(b"\n##\n#5\nhello")
+        elif behaviour == "flood":
+            client.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), True) * 400)
         while True:
-            one.receive()
-    one.close()
+            client.receive()
+    client.close()
 
 
 @pytest.mark.parametrize(
-    "how",
+    "behaviour",
     [
         "no certificate",
         "foreign",
@@ -593,70 +633,76 @@
         "flood",
     ],
 )
-def test_a_misbehaving_peer_is_disconnected_without_effect_on_others(house, folder, how, tmp_path):
-    proxy, one = house.proxy(), house.manager()
-    others = keys(tmp_path / "others") if how == "foreign" else folder
-    if how == "foreign":  # trusted by nobody here, under a name that is
+def test_a_misbehaving_peer_is_disconnected_without_effect_on_others(
+    server, keys_folder, behaviour, tmp_path
+):
+    proxy, client = server.proxy(), server.manager()
+    others = keys(tmp_path / "others") if behaviour == "foreign" else keys_folder
+    if behaviour == "foreign":  # a certificate of an unknown authority with the name of an existing user
         import shutil  # noqa: PLC0415
 
-        shutil.copy(f"{folder}/ca.pem", f"{others}/ca.pem")
+        shutil.copy(f"{keys_folder}/ca.pem", f"{others}/ca.pem")
         for ending in ("pem", "key"):
             shutil.copy(f"{others}/operations.{ending}", f"{others}/foreign.{ending}")
-    bad(house.where, others, how)
-    assert reply_tag(one.ask("<get/>")) == "ok" and alive(proxy)
+    connect_misbehaving_peer(server.where, others, behaviour)
+    assert reply_tag(client.ask("<get/>")) == "ok" and alive(proxy)
     proxy.close()
 
 
-def test_an_expired_certificate_is_rejected(house, folder, tmp_path):
+def test_an_expired_certificate_is_rejected(server, keys_folder, tmp_path):
     import datetime  # noqa: PLC0415
 
-    from granitespool.cli import keys as made  # noqa: PLC0415
+    from granitespool.cli import keys as keys_module  # noqa: PLC0415
 
-    with open(f"{folder}/ca.key", "rb") as file:
-        authority_key = made.serialization.load_pem_private_key(file.read(), None)
-    with open(f"{folder}/ca.pem", "rb") as file:
-        authority = made.x509.load_pem_x509_certificate(file.read())
-    key = made.new_key()
+    with open(f"{keys_folder}/ca.key", "rb") as file:
+        authority_key = keys_module.serialization.load_pem_private_key(file.read(), None)
+    with open(f"{keys_folder}/ca.pem", "rb") as file:
+        authority = keys_module.x509.load_pem_x509_certificate(file.read())
+    key = keys_module.new_key()
 
     past = datetime.datetime.now(datetime.UTC) - datetime.timedelta(days=9)
-    subject = made.Subject("operations", made.ExtendedKeyUsageOID.CLIENT_AUTH)
-    old = made.issue(subject, made.Validity(past, 5), key, made.Issuer(authority, authority_key))
-    (tmp_path / "ca.pem").write_bytes(authority.public_bytes(made.serialization.Encoding.PEM))
-    (tmp_path / "old.pem").write_bytes(old.public_bytes(made.serialization.Encoding.PEM))
-    (tmp_path / "old.key").write_bytes(made.key_bytes(key))
+    subject = keys_module.Subject("operations", keys_module.ExtendedKeyUsageOID.CLIENT_AUTH)
+    old = keys_module.issue(
+        subject, keys_module.Validity(past, 5), key, keys_module.Issuer(authority, authority_key)
+    )
+    (tmp_path / "ca.pem").write_bytes(authority.public_bytes(keys_module.serialization.Encoding.PEM))
+    (tmp_path / "old.pem").write_bytes(old.public_bytes(keys_module.serialization.Encoding.PEM))
+    (tmp_path / "old.key").write_bytes(keys_module.key_bytes(key))
     with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
-        NetconfClient(house.where, str(tmp_path), "old").ask("<get/>")
-    house.logged("manager_rejected", reason="expired")
-
-
-def test_hundreds_of_half_open_handshakes_block_nobody(tmp_path, folder):
-    with ServiceThread(tmp_path, folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as house:
-        assert house.service.streams.admission.connections_limit == 256 - 16 - 32 - (6 + 3 + 1)
-        proxy = house.proxy()
-        held = [socket.create_connection(house.where, timeout=5) for _ in range(200)]
-        one = house.manager()
-        assert reply_tag(one.ask("<get/>")) == "ok" and alive(proxy)
-        assert len(house.service.management.listeners[0].connections) <= 9
-        for sock in held:
+        NetconfClient(server.where, str(tmp_path), "old").ask("<get/>")
+    server.logged("manager_rejected", reason="expired")
+
+
+def test_hundreds_of_half_open_handshakes_block_neither_proxies_nor_managers(tmp_path, keys_folder):
+    with ServiceThread(tmp_path, keys_folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as server:
+        assert server.service.streams.admission.connections_limit == 256 - 16 - 32 - (6 + 3 + 1)
+        proxy = server.proxy()
+        sockets = [socket.create_connection(server.where, timeout=5) for _ in range(200)]
+        client = server.manager()
+        assert reply_tag(client.ask("<get/>")) == "ok" and alive(proxy)
+        assert len(server.service.management.listeners[0].connections) <= 9
+        for sock in sockets:
             sock.close()
         proxy.close()
 
 
-def test_sessions_are_limited_and_an_idle_one_is_ended_unless_it_subscribed(tmp_path, folder):
-    with ServiceThread(tmp_path, folder, sessions=2, idle_s=1.0) as house:
-        one, two = house.manager(), house.manager()
+def test_sessions_are_limited_and_an_idle_session_is_ended_unless_it_has_a_subscription(
+    tmp_path, keys_folder
+):
+    with ServiceThread(tmp_path, keys_folder, sessions=2, idle_s=1.0) as server:
+        client, other_client = server.manager(), server.manager()
         with pytest.raises((ConnectionEndedError, ConnectionError)):
-            house.manager().ask("<get/>")
-        sub = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
-        assert reply_tag(two.ask(sub)) == "ok"
-        house.logged("manager_disconnected", reason="idle")
+            server.manager().ask("<get/>")
+        create_subscription = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
+        assert reply_tag(other_client.ask(create_subscription)) == "ok"
+        server.logged("manager_disconnected", reason="idle")
         with pytest.raises(ConnectionEndedError):
-            one.receive()
+            client.receive()
         time.sleep(0.5)
-        assert reply_tag(two.ask("<get/>")) == "ok"
+        assert reply_tag(other_client.ask("<get/>")) == "ok"
 
 
-def test_a_client_that_stops_reading_costs_neither_turns_nor_memory(tmp_path, folder):
+def test_a_client_that_stops_reading_takes_bounded_memory_and_delays_no_turn(tmp_path, keys_folder):
     known = [
         {
             "name": f"s-{k:04}",
@@ -669,47 +715,47 @@
         }
         for k in range(800)
     ]
-    with ServiceThread(tmp_path, folder, known=known) as house:
-        proxy, one, two = house.proxy(), house.manager(), house.manager()
+    with ServiceThread(tmp_path, keys_folder, known=known) as server:
+        proxy, client, other_client = server.proxy(), server.manager(), server.manager()
         for _ in range(14):
-            one.send("<get/>")
+            client.send("<get/>")
         time.sleep(1.0)
-        connections = house.service.management.listeners[0].connections
-        [stuck] = [each for each in connections if each.unsent > 200_000]
+        connections = server.service.management.listeners[0].connections
+        [stuck] = [connection for connection in connections if connection.unsent > 200_000]
         assert stuck.unsent < 2_000_000 and len(stuck.protocol.pending) > 5
         begun = time.monotonic()
-        assert reply_tag(two.ask("<get-config><source><running/></source></get-config>")) == "ok"
+        assert reply_tag(other_client.ask("<get-config><source><running/></source></get-config>")) == "ok"
         assert alive(proxy)
         assert time.monotonic() - begun < 1.0
-        assert all(one.receive().count("<backend>") == 800 for _ in range(14))
+        assert all(client.receive().count("<backend>") == 800 for _ in range(14))
         proxy.close()
 
 
-def test_keys_are_reloaded_without_ending_sessions_and_a_wrong_file_changes_nothing(tmp_path, folder):
+def test_keys_are_reloaded_without_ending_sessions_and_an_invalid_file_changes_nothing(tmp_path, keys_folder):
     own = keys(tmp_path / "keys")
-    with ServiceThread(tmp_path, own) as house:
-        one = house.manager()
+    with ServiceThread(tmp_path, own) as server:
+        client = server.manager()
         fresh = keys(tmp_path / "fresh")
         for name in os.listdir(own):
             os.replace(f"{fresh}/{name}", f"{own}/{name}")
-        assert house.reload()["event"] == "reloaded" and reply_tag(one.ask("<get/>")) == "ok"
-        assert reply_tag(house.manager().ask("<get/>")) == "ok"
+        assert server.reload()["event"] == "reloaded" and reply_tag(client.ask("<get/>")) == "ok"
+        assert reply_tag(server.manager().ask("<get/>")) == "ok"
         with open(f"{own}/server.pem", "w") as file:
             file.write("nothing")
-        assert "cannot be used" in house.reload()["reason"]
-        assert reply_tag(one.ask("<get/>")) == "ok"
+        assert "cannot be used" in server.reload()["reason"]
+        assert reply_tag(client.ask("<get/>")) == "ok"
 
 
-# A real client
+# The client library ncclient
 
 
-def test_ncclient_reads_commits_is_rejected_and_finds_nothing_half_applied(house, folder):
+def test_ncclient_reads_commits_is_rejected_and_finds_nothing_half_applied(server, keys_folder):
     with ncclient_manager.connect_tls(
-        host=house.where[0],
-        port=house.where[1],
-        keyfile=f"{folder}/operations.key",
-        certfile=f"{folder}/operations.pem",
-        ca_certs=f"{folder}/ca.pem",
+        host=server.where[0],
+        port=server.where[1],
+        keyfile=f"{keys_folder}/operations.key",
+        certfile=f"{keys_folder}/operations.pem",
+        ca_certs=f"{keys_folder}/ca.pem",
         server_hostname="127.0.0.1",
         protocol=ssl.PROTOCOL_TLS_CLIENT,
     ) as client:
@@ -722,10 +768,10 @@
             edit("<class><name>pay</name><benefit>7.5</benefit></class>")
             client.validate("candidate")
             client.commit()
-        assert house.settings()["classes"][0]["priority_weight"] == 7.5
+        assert server.settings()["classes"][0]["priority_weight"] == 7.5
         before = client.get_config("running").xml
         for settings, tag in (
-            (PACE.format("0"), "invalid-value"),
+            (LINES_PER_SECOND.format("0"), "invalid-value"),
             ("<class><name>x</name></class>", "operation-failed"),
         ):
             with pytest.raises(RPCError) as refused:
@@ -738,8 +784,8 @@
         assert before == after
         client.commit(confirmed=True, timeout="60")
         assert "module granitespool" in client.get_schema("granitespool").data
-    assert house.settings()["drain_grace"] == 3 * 10**9
+    assert server.settings()["drain_grace"] == 3 * 10**9
 
 
-def test_both_framings_encode_as_the_rfc_has_them():
+def test_both_framings_encode_by_the_rfc():
     assert END_OF_MESSAGE == b"]]>]]>" and frame(b"x", True) == b"\n#1\nx\n##\n"
