--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -1,4 +1,4 @@
-"""gNMI over gRPC on loopback: grpcio as a real client, and peers that misbehave below it."""
+"""gNMI over gRPC on loopback: regular calls with grpcio, and HTTP/2 peers that misbehave."""
 
 import json
 import socket
@@ -21,11 +21,11 @@
 from granitespool.rpc.http2 import MAX_COSTLY_FRAMES
 from granitespool.simulation.netconf_client import client_context, reply_tag
 
-BASE = "/coordinator/settings/channel/lines-per-second"
+LINES_PER_SECOND = "/coordinator/settings/channel/lines-per-second"
 
 
 def path(text):
-    """A path message of "/a/b[k=v]/c"."""
+    """Return the path message of a text such as "/a/b[k=v]/c"."""
     message = pb.Path()
     for part in filter(None, text.split("/")):
         name, _, keys_ = part.partition("[")
@@ -36,12 +36,12 @@
 
 
 @pytest.fixture(scope="module")
-def folder(tmp_path_factory):
+def keys_folder(tmp_path_factory):
     return keys(tmp_path_factory.mktemp("keys"))
 
 
-class Gnmis(ServiceThread):
-    """A house with both doors, and gNMI clients."""
+class GnmiServiceThread(ServiceThread):
+    """A service with NETCONF and gNMI listeners, and gNMI clients."""
 
     def __init__(self, path_, keys_folder, **more):
         super().__init__(path_, keys_folder, **more)
@@ -54,7 +54,7 @@
         self.channels = []
 
     def client(self, user="operations"):
-        read = {
+        credentials = {
             name: open(f"{self.keys}/{file}", "rb").read()
             for name, file in (
                 ("root_certificates", "ca.pem"),
@@ -64,7 +64,7 @@
         }
         channel = grpc.secure_channel(
             "{}:{}".format(*self.gnmi),
-            grpc.ssl_channel_credentials(**read),
+            grpc.ssl_channel_credentials(**credentials),
             [("grpc.use_local_subchannel_pool", 1)],
         )
         self.channels.append(channel)
@@ -78,9 +78,9 @@
 
 class Client:
     def __init__(self, channel):
-        def unary(name, kind):
+        def unary(name, response_type):
             return channel.unary_unary(
-                f"/gnmi.gNMI/{name}", lambda message: message.SerializeToString(), kind.FromString
+                f"/gnmi.gNMI/{name}", lambda message: message.SerializeToString(), response_type.FromString
             )
 
         self.capabilities, self.get_, self.set_ = (
@@ -94,9 +94,9 @@
             pb.SubscribeResponse.FromString,
         )
 
-    def get(self, *texts, encoding=pb.JSON_IETF, kind=pb.GetRequest.ALL, **more):
+    def get(self, *texts, encoding=pb.JSON_IETF, data_type=pb.GetRequest.ALL, **more):
         return self.get_(
-            pb.GetRequest(path=map(path, texts), encoding=encoding, type=kind, **more), timeout=10
+            pb.GetRequest(path=map(path, texts), encoding=encoding, type=data_type, **more), timeout=10
         )
 
     def value(self, text, **more):
@@ -104,7 +104,11 @@
         return json.loads(update.val.json_ietf_val)
 
     def set(self, **parts):
-        """delete=[text], replace={text: value}, update={text: value}; code of the answer, or "ok"."""
+        """Call Set, and return "ok" or the name of the status code.
+
+        Args:
+            **parts: delete=[path text], replace={path text: value}, update={path text: value}.
+        """
         request = pb.SetRequest(delete=map(path, parts.get("delete", ())))
         for name in ("replace", "update"):
             for text, value in parts.get(name, {}).items():
@@ -118,11 +122,13 @@
             self.set_(request, timeout=10)
             return "ok"
         except grpc.RpcError as error:
-            self.why = error.details()
+            self.details = error.details()
             return error.code().name
 
 
-def listed(*texts, mode=pb.SubscriptionList.STREAM, one=pb.ON_CHANGE, encoding=pb.PROTO, **more):
+def subscribe_request(
+    *texts, mode=pb.SubscriptionList.STREAM, subscription_mode=pb.ON_CHANGE, encoding=pb.PROTO, **more
+):
     subscription = {
         key: more.pop(key)
         for key in ("sample_interval", "heartbeat_interval", "suppress_redundant")
@@ -132,50 +138,54 @@
         subscribe=pb.SubscriptionList(
             mode=mode,
             encoding=encoding,
-            subscription=[pb.Subscription(path=path(text), mode=one, **subscription) for text in texts],
+            subscription=[
+                pb.Subscription(path=path(text), mode=subscription_mode, **subscription) for text in texts
+            ],
             **more,
         )
     )
 
 
 @pytest.fixture
-def house(tmp_path, folder):
-    with Gnmis(tmp_path, folder) as house:
-        yield house
+def server(tmp_path, keys_folder):
+    with GnmiServiceThread(tmp_path, keys_folder) as server:
+        yield server
 
 
-def test_capabilities_name_the_model_and_its_encodings(house):
-    answer = house.client().capabilities(pb.CapabilityRequest(), timeout=10)
-    assert answer.gNMI_version == "0.8.0" and list(answer.supported_encodings) == [
+def test_capabilities_name_the_model_and_its_encodings(server):
+    response = server.client().capabilities(pb.CapabilityRequest(), timeout=10)
+    assert response.gNMI_version == "0.8.0" and list(response.supported_encodings) == [
         pb.JSON,
         pb.JSON_IETF,
         pb.PROTO,
     ]
-    assert [(each.name, each.version) for each in answer.supported_models] == [("granitespool", "2026-12-01")]
+    assert [(module.name, module.version) for module in response.supported_models] == [
+        ("granitespool", "2026-12-01")
+    ]
 
 
-def test_get_takes_types_encodings_keys_wildcards_and_prefixes(house):
-    client = house.client()
-    assert client.value(BASE) == "1000.0"
+def test_get_supports_types_encodings_keys_wildcards_and_prefixes(server):
+    client = server.client()
+    assert client.value(LINES_PER_SECOND) == "1000.0"
     assert client.value("/granitespool:coordinator/settings/zone") == ["n", "s"]
     assert client.value("/coordinator/settings/class[name=pay]")["benefit"] == "5.0"
     assert len(client.get("/coordinator/state/backend[name=*]/phase").notification[0].update) == 6
     assert len(client.get("/coordinator/state/backend/phase").notification[0].update) == 6
     assert len(client.get("/.../phase").notification[0].update) == 6
     assert set(client.value("/")) == {"granitespool:coordinator"}
-    assert set(client.value("/", kind=pb.GetRequest.CONFIG)["granitespool:coordinator"]) == {"settings"}
-    assert set(client.value("/coordinator", kind=pb.GetRequest.STATE)) == {"state"}
-    [update] = client.get(BASE, encoding=pb.PROTO).notification[0].update
+    assert set(client.value("/", data_type=pb.GetRequest.CONFIG)["granitespool:coordinator"]) == {"settings"}
+    assert set(client.value("/coordinator", data_type=pb.GetRequest.STATE)) == {"state"}
+    [update] = client.get(LINES_PER_SECOND, encoding=pb.PROTO).notification[0].update
     assert update.val.double_val == 1000.0
     [update] = (
         client.get("lines-per-second", prefix=path("/coordinator/settings/channel")).notification[0].update
     )
-    assert text_format.MessageToString(update.path) == text_format.MessageToString(path(BASE))
-    values_ = {
-        each.path.elem[-1].name: each.val.WhichOneof("value")
-        for each in client.get("/coordinator/state", encoding=pb.PROTO).notification[0].update
+    assert text_format.MessageToString(update.path) == text_format.MessageToString(path(LINES_PER_SECOND))
+    value_types = {
+        leaf_update.path.elem[-1].name: leaf_update.val.WhichOneof("value")
+        for leaf_update in client.get("/coordinator/state", encoding=pb.PROTO).notification[0].update
     }
-    assert (values_["named"], values_["index"], values_["let-in"], values_["phase"]) == (
+    assert (value_types["named"], value_types["index"], value_types["let-in"], value_types["phase"]) == (
         "bool_val",
         "int_val",
         "double_val",
@@ -189,31 +199,31 @@
         (pb.GetRequest(path=[path("/nothing")]), "INVALID_ARGUMENT"),
         (pb.GetRequest(path=[path("/coordinator/state/backend[name=none]")]), "NOT_FOUND"),
         (pb.GetRequest(path=[path("/coordinator/state/backend[colour=red]")]), "INVALID_ARGUMENT"),
-        (pb.GetRequest(path=[path(BASE)], encoding=pb.ASCII), "UNIMPLEMENTED"),
+        (pb.GetRequest(path=[path(LINES_PER_SECOND)], encoding=pb.ASCII), "UNIMPLEMENTED"),
         (pb.GetRequest(path=[pb.Path(origin="openconfig")]), "INVALID_ARGUMENT"),
         (pb.GetRequest(path=[path("/a" * 40)]), "INVALID_ARGUMENT"),
     ],
 )
-def test_a_get_that_cannot_be_answered_has_the_specifications_status(house, request_, code):
+def test_an_invalid_get_fails_with_the_status_of_the_specification(server, request_, code):
     with pytest.raises(grpc.RpcError) as raised:
-        house.client().get_(request_, timeout=10)
+        server.client().get_(request_, timeout=10)
     assert raised.value.code().name == code and raised.value.details()
 
 
-def test_a_set_is_one_transaction_of_deletes_replaces_and_updates_in_this_order(house):
-    client = house.client()
+def test_a_set_is_one_transaction_of_deletes_replaces_and_updates_in_this_order(server):
+    client = server.client()
     assert (
         client.set(
             delete=["/coordinator/settings/drain"],
             replace={"/coordinator/settings/channel": {"lines-per-second": "500.0", "backlog-limit": 900}},
             update={
                 "/coordinator/settings/class[name=pay]": {"benefit": "7"},
-                BASE: pb.TypedValue(double_val=450.0),
+                LINES_PER_SECOND: pb.TypedValue(double_val=450.0),
             },
         )
         == "ok"
     )
-    settings = house.settings()
+    settings = server.settings()
     assert (
         settings["entries_per_s"],
         settings["backlog_limit"],
@@ -228,60 +238,60 @@
         client.set(delete=["/coordinator/settings/drain", "/coordinator/settings/channel/admission"]) == "ok"
     )
     assert client.set(update={"/": {"granitespool:coordinator": {"settings": {"cold": {"time": 5}}}}}) == "ok"
-    assert house.settings()["warm_up_time"] == 5000
+    assert server.settings()["warm_up_time"] == 5000
     assert client.set(replace={"/coordinator/settings/zone": ["n", "s", "t"]}) == "ok"
-    assert house.settings()["zones"] == ["n", "s", "t"]
-    house.logged("settings_changed", by="operations", version=2)
+    assert server.settings()["zones"] == ["n", "s", "t"]
+    server.logged("settings_changed", by="operations", version=2)
 
 
 @pytest.mark.parametrize(
     "parts, code",
     [
-        ({"update": {BASE: 0}}, "INVALID_ARGUMENT"),
-        ({"update": {BASE: "fast"}}, "INVALID_ARGUMENT"),
+        ({"update": {LINES_PER_SECOND: 0}}, "INVALID_ARGUMENT"),
+        ({"update": {LINES_PER_SECOND: "fast"}}, "INVALID_ARGUMENT"),
         ({"update": {"/coordinator/state/name": "x"}}, "INVALID_ARGUMENT"),
         ({"update": {"/coordinator/settings/nope": 1}}, "INVALID_ARGUMENT"),
         ({"update": {"/coordinator/settings/class": {"benefit": 1}}}, "INVALID_ARGUMENT"),
         ({"update": {"/coordinator/settings/cold/share": "0.5"}}, "FAILED_PRECONDITION"),
         ({"update": {"/coordinator/settings/class[name=new]": {}}}, "FAILED_PRECONDITION"),
         ({"delete": ["/coordinator/settings/class[name=pay]"]}, "FAILED_PRECONDITION"),
-        ({"update": {BASE: pb.TypedValue(json_ietf_val=b"{")}}, "INVALID_ARGUMENT"),
-        ({"update": {BASE: pb.TypedValue(bytes_val=b"x")}}, "INVALID_ARGUMENT"),
+        ({"update": {LINES_PER_SECOND: pb.TypedValue(json_ietf_val=b"{")}}, "INVALID_ARGUMENT"),
+        ({"update": {LINES_PER_SECOND: pb.TypedValue(bytes_val=b"x")}}, "INVALID_ARGUMENT"),
         ({"replace": {"/": {"granitespool:coordinator": {"settings": {}}}}}, "FAILED_PRECONDITION"),
     ],
 )
-def test_a_rejected_set_changes_nothing(house, parts, code):
-    client, before = house.client(), house.settings()
+def test_a_rejected_set_changes_nothing(server, parts, code):
+    client, before = server.client(), server.settings()
     parts = {**parts, "update": {"/coordinator/settings/drain/grace": 7, **parts.get("update", {})}}
-    assert client.set(**parts) == code and client.why
-    assert house.settings() == before and client.value("/coordinator/state/version") == 1
+    assert client.set(**parts) == code and client.details
+    assert server.settings() == before and client.value("/coordinator/state/version") == 1
 
 
-def test_users_are_authorized_and_gnmi_and_netconf_cannot_overwrite_each_other(house):
-    client, netconf = house.client(), house.manager()
-    assert house.client("reader").value(BASE) == "1000.0"
-    assert house.client("reader").set(update={BASE: "5"}) == "PERMISSION_DENIED"
-    assert house.client("pacer").set(update={BASE: "900"}) == "ok"
-    assert house.client("pacer").set(update={"/coordinator/settings/drain/grace": 5}) == "PERMISSION_DENIED"
+def test_users_are_authorized_and_gnmi_and_netconf_cannot_overwrite_each_other(server):
+    client, netconf = server.client(), server.manager()
+    assert server.client("reader").value(LINES_PER_SECOND) == "1000.0"
+    assert server.client("reader").set(update={LINES_PER_SECOND: "5"}) == "PERMISSION_DENIED"
+    assert server.client("pacer").set(update={LINES_PER_SECOND: "900"}) == "ok"
+    assert server.client("pacer").set(update={"/coordinator/settings/drain/grace": 5}) == "PERMISSION_DENIED"
     assert reply_tag(netconf.edit("<channel><lines-per-second>800</lines-per-second></channel>")) == "ok"
-    assert client.set(update={BASE: "700"}) == "ok"
-    assert "based on version 2 of running" in netconf.commit() and house.settings()["entries_per_s"] == 700
+    assert client.set(update={LINES_PER_SECOND: "700"}) == "ok"
+    assert "based on version 2 of running" in netconf.commit() and server.settings()["entries_per_s"] == 700
     assert reply_tag(netconf.lock("running")) == "ok"
-    assert client.set(update={BASE: "600"}) == "ABORTED"
+    assert client.set(update={LINES_PER_SECOND: "600"}) == "ABORTED"
     netconf.reset()
-    house.logged("manager_disconnected")
-    assert client.set(update={BASE: "600"}) == "ok" and house.settings()["entries_per_s"] == 600
+    server.logged("manager_disconnected")
+    assert client.set(update={LINES_PER_SECOND: "600"}) == "ok" and server.settings()["entries_per_s"] == 600
     with pytest.raises(grpc.RpcError):
-        house.client("stranger").capabilities(pb.CapabilityRequest(), timeout=2)
+        server.client("stranger").capabilities(pb.CapabilityRequest(), timeout=2)
 
 
-def test_a_set_whose_client_disconnects_is_applied_completely_or_not_at_all(house):
+def test_a_set_whose_client_disconnects_is_applied_completely_or_not_at_all(server):
     for number in range(8):
-        channel = house.client()
+        channel = server.client()
         future = channel.set_.future(
             pb.SetRequest(
                 update=[
-                    pb.Update(path=path(BASE), val=pb.TypedValue(uint_val=500 + number)),
+                    pb.Update(path=path(LINES_PER_SECOND), val=pb.TypedValue(uint_val=500 + number)),
                     pb.Update(
                         path=path("/coordinator/settings/drain/grace"),
                         val=pb.TypedValue(uint_val=500 + number),
@@ -290,23 +300,25 @@
             )
         )
         time.sleep(0.004 * number)
-        house.channels.pop().close()
+        server.channels.pop().close()
         del future
         time.sleep(0.1)
-        settings = house.settings()
+        settings = server.settings()
         assert (
             settings["entries_per_s"] == 1000.0 or settings["drain_grace"] == settings["entries_per_s"] * 1000
         )
-    assert house.client().set(update={BASE: "300"}) == "ok"
+    assert server.client().set(update={LINES_PER_SECOND: "300"}) == "ok"
 
 
-def test_once_and_poll_send_all_values_and_the_sync_response(house):
-    client = house.client()
-    answers = list(
-        client.subscribe(iter([listed("/coordinator/state/backend/phase", mode=pb.SubscriptionList.ONCE)]))
+def test_once_and_poll_send_all_values_and_the_sync_response(server):
+    client = server.client()
+    responses = list(
+        client.subscribe(
+            iter([subscribe_request("/coordinator/state/backend/phase", mode=pb.SubscriptionList.ONCE)])
+        )
     )
-    assert len(answers[0].update.update) == 6 and answers[-1].sync_response and len(answers) == 2
-    polls, gate = [listed(BASE, mode=pb.SubscriptionList.POLL)], threading.Event()
+    assert len(responses[0].update.update) == 6 and responses[-1].sync_response and len(responses) == 2
+    polls, gate = [subscribe_request(LINES_PER_SECOND, mode=pb.SubscriptionList.POLL)], threading.Event()
 
     def requests():
         yield polls[0]
@@ -315,40 +327,45 @@
             gate.clear()
             yield pb.SubscribeRequest(poll=pb.Poll())
 
-    answers = client.subscribe(requests())
+    responses = client.subscribe(requests())
     for value in (1000.0, 400.0, 400.0):
-        assert next(answers).update.update[0].val.double_val == value and next(answers).sync_response
-        client.set(update={BASE: "400"})
+        assert next(responses).update.update[0].val.double_val == value and next(responses).sync_response
+        client.set(update={LINES_PER_SECOND: "400"})
         gate.set()
-    assert list(answers) == []
+    assert list(responses) == []
 
 
-def test_a_stream_sends_changes_and_deletions(house):
-    client = house.client()
+def test_a_stream_sends_changes_and_deletions(server):
+    client = server.client()
     stream = client.subscribe(
-        iter([listed("/coordinator/settings/channel", "/coordinator/state/backend/phase")])
+        iter([subscribe_request("/coordinator/settings/channel", "/coordinator/state/backend/phase")])
     )
-    seen = []
-    while not seen or not seen[-1].sync_response:
-        seen.append(next(stream))
-    assert sum(len(each.update.update) for each in seen) >= 7
-    assert client.set(update={BASE: "450"}, delete=["/coordinator/settings/channel/messages-limit"]) == "ok"
-    note = next(stream).update
-    assert [each.val.double_val for each in note.update] == [450.0]
+    responses = []
+    while not responses or not responses[-1].sync_response:
+        responses.append(next(stream))
+    assert sum(len(response.update.update) for response in responses) >= 7
+    assert (
+        client.set(update={LINES_PER_SECOND: "450"}, delete=["/coordinator/settings/channel/messages-limit"])
+        == "ok"
+    )
+    notification = next(stream).update
+    assert [leaf_update.val.double_val for leaf_update in notification.update] == [450.0]
     assert client.set(delete=["/coordinator/settings/channel/message-head"]) == "ok"
-    note = next(stream).update
-    assert [each.elem[-1].name for each in note.delete] == ["message-head"] and not note.update
+    notification = next(stream).update
+    assert [deleted.elem[-1].name for deleted in notification.delete] == [
+        "message-head"
+    ] and not notification.update
     stream.cancel()
 
 
-def test_samples_are_periodic_and_heartbeats_repeat_what_is_suppressed(house):
-    client = house.client()
+def test_samples_are_periodic_and_heartbeats_repeat_suppressed_values(server):
+    client = server.client()
     stream = client.subscribe(
         iter(
             [
-                listed(
+                subscribe_request(
                     "/coordinator/state/fleet/strained",
-                    one=pb.SAMPLE,
+                    subscription_mode=pb.SAMPLE,
                     updates_only=True,
                     sample_interval=300_000_000,
                 )
@@ -356,17 +373,17 @@
         )
     )
     assert next(stream).sync_response
-    begun = time.monotonic()
+    started_at = time.monotonic()
     for _ in range(3):
         assert next(stream).update.update[0].val.bool_val is False
-    assert 0.6 < time.monotonic() - begun < 2.5
+    assert 0.6 < time.monotonic() - started_at < 2.5
     stream.cancel()
     stream = client.subscribe(
         iter(
             [
-                listed(
+                subscribe_request(
                     "/coordinator/state/fleet/strained",
-                    one=pb.SAMPLE,
+                    subscription_mode=pb.SAMPLE,
                     updates_only=True,
                     sample_interval=250_000_000,
                     suppress_redundant=True,
@@ -376,8 +393,8 @@
         )
     )
     assert next(stream).sync_response
-    begun = time.monotonic()
-    assert next(stream).update.update and time.monotonic() - begun > 0.7
+    started_at = time.monotonic()
+    assert next(stream).update.update and time.monotonic() - started_at > 0.7
     stream.cancel()
 
 
@@ -385,50 +402,53 @@
     "request_, code",
     [
         (pb.SubscribeRequest(), "INVALID_ARGUMENT"),
-        (listed("/nothing"), "INVALID_ARGUMENT"),
-        (listed(*[BASE] * 65), "RESOURCE_EXHAUSTED"),
-        (listed(BASE, encoding=pb.BYTES), "UNIMPLEMENTED"),
-        (listed(BASE, one=pb.SAMPLE, sample_interval=5), "INVALID_ARGUMENT"),
+        (subscribe_request("/nothing"), "INVALID_ARGUMENT"),
+        (subscribe_request(*[LINES_PER_SECOND] * 65), "RESOURCE_EXHAUSTED"),
+        (subscribe_request(LINES_PER_SECOND, encoding=pb.BYTES), "UNIMPLEMENTED"),
+        (
+            subscribe_request(LINES_PER_SECOND, subscription_mode=pb.SAMPLE, sample_interval=5),
+            "INVALID_ARGUMENT",
+        ),
     ],
 )
-def test_a_wrong_subscription_is_rejected(house, request_, code):
+def test_an_invalid_subscription_is_rejected(server, request_, code):
     with pytest.raises(grpc.RpcError) as raised:
-        list(house.client().subscribe(iter([request_])))
+        list(server.client().subscribe(iter([request_])))
     assert raised.value.code().name == code
 
 
-def test_deadlines_cancellation_and_unknown_methods(house):
-    client = house.client()
+def test_deadlines_cancellation_and_unknown_methods(server):
+    client = server.client()
     with pytest.raises(grpc.RpcError) as raised:
-        for _ in client.subscribe(iter([listed(BASE)]), timeout=0.5):
+        for _ in client.subscribe(iter([subscribe_request(LINES_PER_SECOND)]), timeout=0.5):
             pass
     assert raised.value.code().name == "DEADLINE_EXCEEDED"
-    stream = client.subscribe(iter([listed(BASE)]))
+    stream = client.subscribe(iter([subscribe_request(LINES_PER_SECOND)]))
     next(stream)
     stream.cancel()
-    channel = house.channels[0]
-    for name, kind in (("/gnmi.gNMI/Nothing", "UNIMPLEMENTED"), ("/other.Service/Get", "UNIMPLEMENTED")):
+    channel = server.channels[0]
+    for name, code in (("/gnmi.gNMI/Nothing", "UNIMPLEMENTED"), ("/other.Service/Get", "UNIMPLEMENTED")):
         with pytest.raises(grpc.RpcError) as raised:
             channel.unary_unary(name)(b"", timeout=5)
-        assert raised.value.code().name == kind
+        assert raised.value.code().name == code
     with pytest.raises(grpc.RpcError) as raised:
         channel.unary_unary("/gnmi.gNMI/Get")(b"\xff\xff\xff", timeout=5)
     assert raised.value.code().name == "INVALID_ARGUMENT"
-    session = next(iter(house.service.management.sessions.values()))
+    session = next(iter(server.service.management.sessions.values()))
     end = time.monotonic() + 3
     while session.calls.open and time.monotonic() < end:
         time.sleep(0.01)
     assert not session.calls.open and not session.http2.queued
 
 
-class Raw:
-    """An HTTP/2 client that does as it is told, by h2 on a blocking TLS socket."""
+class RawHttp2Client:
+    """An HTTP/2 client for arbitrary frames, with h2 on a blocking TLS socket."""
 
-    def __init__(self, house, folder):
-        context = client_context(folder, "operations")
+    def __init__(self, server, keys_folder):
+        context = client_context(keys_folder, "operations")
         context.set_alpn_protocols(["h2"])
         self.sock = context.wrap_socket(
-            socket.create_connection(house.gnmi, timeout=5), server_hostname="127.0.0.1"
+            socket.create_connection(server.gnmi, timeout=5), server_hostname="127.0.0.1"
         )
         self.h2 = H2Connection(
             H2Configuration(
@@ -458,12 +478,12 @@
         )
         return stream
 
-    def until(self, kind, seconds=5):
-        """The first event of a kind; ConnectionError where the connection ends before."""
+    def until(self, event_type, seconds=5):
+        """Return the first event of a type; raise ConnectionError if the connection ends before."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             for event in self.events:
-                if isinstance(event, kind):
+                if isinstance(event, event_type):
                     self.events.remove(event)
                     return event
             try:
@@ -473,7 +493,7 @@
             if not data:
                 raise ConnectionError
             self.events += self.h2.receive_data(data)
-        raise AssertionError((kind, self.events))
+        raise AssertionError((event_type, self.events))
 
 
 def framed(message):
@@ -481,34 +501,34 @@
     return b"\0" + len(data).to_bytes(4, "big") + data
 
 
-def flood_of(raw, how):
-    """Plays one kind of abuse; the server is to end the connection."""
-    if how == "rapid resets":
+def send_flood(raw, behaviour):
+    """Send one kind of abuse, for which the server ends the connection."""
+    if behaviour == "rapid resets":
         for _ in range(MAX_COSTLY_FRAMES + 20):
             raw.h2.reset_stream(raw.call())
-    elif how == "settings":
+    elif behaviour == "settings":
         raw.flush()
         raw.sock.sendall(b"\0\0\0\4\0\0\0\0\0" * (MAX_COSTLY_FRAMES + 20))
-    elif how == "pings":
+    elif behaviour == "pings":
         for number in range(MAX_COSTLY_FRAMES + 20):
             raw.h2.ping(number.to_bytes(8, "big"))
-    elif how == "headers":
+    elif behaviour == "headers":
         raw.call(headers=[("x-large", "y" * 20_000)])
-    elif how == "hpack":
+    elif behaviour == "hpack":
         raw.call(headers=[("x-large", "y" * 3_000)] * 400)
-    elif how == "no http2":
+    elif behaviour == "no http2":
         raw.sock.sendall(b"\xff" * 200)
     raw.flush()
 
 
-@pytest.mark.parametrize("how", ["rapid resets", "settings", "pings", "headers", "hpack", "no http2"])
-def test_a_flood_ends_its_connection_without_effect_on_others(house, folder, how):
-    proxy, client, raw = house.proxy(), house.client(), Raw(house, folder)
+@pytest.mark.parametrize("behaviour", ["rapid resets", "settings", "pings", "headers", "hpack", "no http2"])
+def test_a_flood_ends_its_connection_without_effect_on_others(server, keys_folder, behaviour):
+    proxy, client, raw = server.proxy(), server.client(), RawHttp2Client(server, keys_folder)
     with pytest.raises(ConnectionError):
-        flood_of(raw, how)
+        send_flood(raw, behaviour)
         event = raw.until(ConnectionTerminated)
         raise ConnectionError(str(event))
-    assert client.value(BASE) == "1000.0" and alive(proxy)
+    assert client.value(LINES_PER_SECOND) == "1000.0" and alive(proxy)
     proxy.close()
 
 
@@ -520,8 +540,8 @@
         (framed(pb.Poll()) * 100, StatusCode.RESOURCE_EXHAUSTED),
     ],
 )
-def test_bodies_over_the_limits_are_answered_by_a_status(house, folder, data, code):
-    raw = Raw(house, folder)
+def test_bodies_over_the_limits_fail_with_a_status(server, keys_folder, data, code):
+    raw = RawHttp2Client(server, keys_folder)
     stream = raw.call()
     raw.h2.send_data(stream, data)
     raw.flush()
@@ -531,52 +551,59 @@
     assert int(status) == code
 
 
-def test_a_stalled_message_ends_at_its_deadline_and_a_stalled_reader_delays_nobody(house, folder):
-    raw, client = Raw(house, folder), house.client()
+def test_a_stalled_message_fails_at_its_deadline_and_a_stalled_reader_delays_no_other_client(
+    server, keys_folder
+):
+    raw, client = RawHttp2Client(server, keys_folder), server.client()
     stream = raw.call(headers=[("grpc-timeout", "500m")])
-    raw.h2.send_data(stream, framed(listed(BASE))[:-4])
+    raw.h2.send_data(stream, framed(subscribe_request(LINES_PER_SECOND))[:-4])
     raw.flush()
     headers = {
         key.decode() if isinstance(key, bytes) else key: value
         for key, value in raw.until(ResponseReceived).headers
     }
     assert int(headers["grpc-status"]) == StatusCode.DEADLINE_EXCEEDED
-    stalled = Raw(house, folder)
-    for _ in range(8):  # all of the state, sampled, on windows that nobody opens
-        one = stalled.call()
-        stalled.h2.send_data(one, framed(listed("/coordinator", one=pb.SAMPLE, sample_interval=250_000_000)))
+    stalled = RawHttp2Client(server, keys_folder)
+    for _ in range(8):  # samples of the whole state; the client never extends its flow control windows
+        stream_id = stalled.call()
+        stalled.h2.send_data(
+            stream_id,
+            framed(
+                subscribe_request("/coordinator", subscription_mode=pb.SAMPLE, sample_interval=250_000_000)
+            ),
+        )
     stalled.flush()
-    begun = time.monotonic()
-    while time.monotonic() - begun < 1.5:
-        asked = time.monotonic()
-        assert client.value(BASE) == "1000.0"
-        assert time.monotonic() - asked < 0.5
-    for session in list(house.service.management.sessions.values()):
+    started_at = time.monotonic()
+    while time.monotonic() - started_at < 1.5:
+        requested_at = time.monotonic()
+        assert client.value(LINES_PER_SECOND) == "1000.0"
+        assert time.monotonic() - requested_at < 0.5
+    for session in list(server.service.management.sessions.values()):
         assert all(len(queue) < 300_000 for queue in session.http2.queued.values())
     for _ in range(40):
-        stalled.call()  # over the streams that a connection may have
-    with pytest.raises(Exception):  # noqa: B017 the server resets or ends
+        stalled.call()  # more than the maximum number of streams
+    with pytest.raises(Exception):  # noqa: B017 the server resets the stream or ends the connection
         stalled.flush()
         stalled.until((StreamReset, ConnectionTerminated))
         raise RuntimeError
 
 
-def test_a_shutdown_sends_goaway(tmp_path, folder):
-    house = Gnmis(tmp_path, folder)
-    with house:
-        raw = Raw(house, folder)
+def test_a_shutdown_sends_goaway(tmp_path, keys_folder):
+    server = GnmiServiceThread(tmp_path, keys_folder)
+    with server:
+        raw = RawHttp2Client(server, keys_folder)
         raw.call()
         raw.flush()
         end = time.monotonic() + 3
-        while not house.service.management.sessions and time.monotonic() < end:
+        while not server.service.management.sessions and time.monotonic() < end:
             time.sleep(0.01)
-        most = house.service.streams.admission.connections_limit
-        assert most == house.read()["connections"] - (8 + 4 + 1) - (6 + 3 + 1)
+        connections_limit = server.service.streams.admission.connections_limit
+        assert connections_limit == server.read()["connections"] - (8 + 4 + 1) - (6 + 3 + 1)
     assert raw.until(ConnectionTerminated).error_code == 0
 
 
-def test_what_is_not_grpc_is_answered_415_and_the_connection_goes_on(house, folder):
-    raw = Raw(house, folder)
+def test_a_request_that_is_not_grpc_gets_status_415_and_the_connection_continues(server, keys_folder):
+    raw = RawHttp2Client(server, keys_folder)
     stream = raw.h2.get_next_available_stream_id()
     raw.h2.send_headers(
         stream,
@@ -586,8 +613,8 @@
     raw.flush()
     headers = dict(raw.until(ResponseReceived).headers)
     assert headers.get(b":status", headers.get(":status")) in (b"415", "415")
-    two = raw.call("Capabilities")
-    raw.h2.send_data(two, framed(pb.CapabilityRequest()), end_stream=True)
+    second_stream = raw.call("Capabilities")
+    raw.h2.send_data(second_stream, framed(pb.CapabilityRequest()), end_stream=True)
     raw.flush()
     assert raw.until(DataReceived).data
 
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -172,8 +172,8 @@
 )
 def test_a_rejected_operation_has_the_error_tag_of_the_rfc_and_the_session_continues(server, body, tag):
     client = server.manager()
-    answer = client.ask(body)
-    assert reply_tag(answer) == tag and "<error-message" in answer and reply_tag(client.ask("<get/>")) == "ok"
+    reply = client.ask(body)
+    assert reply_tag(reply) == tag and "<error-message" in reply and reply_tag(client.ask("<get/>")) == "ok"
     assert reply_tag(client.ask("<get/>", "")) == "missing-attribute"
 
 
@@ -197,8 +197,8 @@
 def test_an_invalid_edit_is_rejected_with_its_path_and_changes_nothing(server, settings, tag, path):
     client, before = server.manager(), None
     before = client.config("candidate")
-    answer = client.edit("<drain><grace>7</grace></drain>" + settings)
-    assert reply_tag(answer) == tag and path in answer and client.config("candidate") == before
+    reply = client.edit("<drain><grace>7</grace></drain>" + settings)
+    assert reply_tag(reply) == tag and path in reply and client.config("candidate") == before
     assert reply_tag(client.commit()) == "ok" and server.settings()["drain_grace"] == 3 * 10**9
 
 
@@ -219,8 +219,8 @@
 ):
     proxy, client, before = server.proxy(), server.manager(), server.settings()
     assert reply_tag(client.edit(settings)) == "ok"
-    answer = client.commit()
-    assert reply_tag(answer) == "operation-failed" and expected_text in answer
+    reply = client.commit()
+    assert reply_tag(reply) == "operation-failed" and expected_text in reply
     assert server.settings() == before and "<version>1</version>" in client.ask("<get/>") and alive(proxy)
     assert "<refused>1</refused>" in client.ask("<get/>")
     proxy.close()
@@ -236,10 +236,10 @@
         )
 
     assert state("<state><backend><name>s-2</name></backend></state>").count("<backend>") == 1
-    answer = state("<state><backend><name>s-2</name><phase/></backend></state>")
-    assert "<phase>" in answer and "<seen-from>" not in answer and "s-3" not in answer
-    answer = state("<state><backend><name/></backend></state>")
-    assert answer.count("<name>") == 6 and "<phase>" not in answer
+    reply = state("<state><backend><name>s-2</name><phase/></backend></state>")
+    assert "<phase>" in reply and "<seen-from>" not in reply and "s-3" not in reply
+    reply = state("<state><backend><name/></backend></state>")
+    assert reply.count("<name>") == 6 and "<phase>" not in reply
     assert "<settings>" not in state("<state><fleet/></state>")
     assert "<strained>" in state("<state><fleet/></state>")
     assert "coordinator" not in state("<state><backend><name>none</name></backend></state>")
@@ -343,8 +343,8 @@
 def test_two_sessions_and_a_reload_cannot_overwrite_each_others_changes(server):
     client, other_client = server.manager(), server.manager()
     assert reply_tag(client.lock()) == "ok"
-    reply = other_client.lock()
-    assert reply_tag(reply) == "lock-denied" and "<session-id>1</session-id>" in reply
+    lock_reply = other_client.lock()
+    assert reply_tag(lock_reply) == "lock-denied" and "<session-id>1</session-id>" in lock_reply
     assert (
         reply_tag(other_client.edit(LINES_PER_SECOND.format("400"))) == "in-use"
         and reply_tag(other_client.commit()) == "in-use"
@@ -354,8 +354,8 @@
     assert (
         server.reload(family_info=info)["event"] == "reloaded" and server.settings()["entries_per_s"] == 700.0
     )
-    answer = client.commit()
-    assert reply_tag(answer) == "operation-failed" and "candidate is based on version 1 of running" in answer
+    reply = client.commit()
+    assert reply_tag(reply) == "operation-failed" and "candidate is based on version 1 of running" in reply
     assert server.settings()["entries_per_s"] == 700.0
     assert (
         reply_tag(client.ask("<discard-changes/>")) == "ok"
@@ -364,8 +364,8 @@
     assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
     assert server.reload()["event"] == "reloaded" and server.settings()["entries_per_s"] == 500
     assert reply_tag(client.lock("running")) == "ok"
-    refused = server.reload(family_info={**info, "egress_per_s": 800.0})
-    assert refused["event"] == "reload_rejected" and "locked by a manager" in refused["reason"]
+    rejected = server.reload(family_info={**info, "egress_per_s": 800.0})
+    assert rejected["event"] == "reload_rejected" and "locked by a manager" in rejected["reason"]
     client.reset()
     server.logged("manager_disconnected")
     assert server.reload()["event"] == "reloaded" and server.settings()["entries_per_s"] == 800.0
@@ -436,8 +436,8 @@
 
     real, probes.new_config = probes.new_config, fails
     client.edit(LINES_PER_SECOND.format("500"))
-    answer = client.commit()
-    assert reply_tag(answer) == "operation-failed" and "former" in answer and server.settings() == before
+    reply = client.commit()
+    assert reply_tag(reply) == "operation-failed" and "former" in reply and server.settings() == before
     assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
     probes.new_config = real
     assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
@@ -542,8 +542,8 @@
 
 def test_without_a_state_folder_startup_cannot_differ_from_running(server):
     client = server.manager()
-    answer = client.edit("<class><name>late</name></class>", "startup")
-    assert reply_tag(answer) == "operation-failed" and "without a state folder" in answer
+    reply = client.edit("<class><name>late</name></class>", "startup")
+    assert reply_tag(reply) == "operation-failed" and "without a state folder" in reply
     assert "late" not in client.config("startup")
 
 
@@ -553,8 +553,8 @@
         client = server.manager()
         assert reply_tag(client.edit(LINES_PER_SECOND.format("500"))) == "ok"
         server.service.snapshotter.writer.folder.sync = lambda name: time.sleep(0.6)
-        answer = client.commit()
-        assert reply_tag(answer) == "resource-denied" and server.settings()["entries_per_s"] == 1000
+        reply = client.commit()
+        assert reply_tag(reply) == "resource-denied" and server.settings()["entries_per_s"] == 1000
         other_client = server.manager()  # two requests that wait for the disk are both answered
         client.send("<commit/>")
         assert (
@@ -563,9 +563,8 @@
         assert reply_tag(client.receive()) == "resource-denied"
         writer = server.service.snapshotter.writer
     writer.join(10)  # the folder stays locked until the delayed sync has ended
-    with ServiceThread(
-        tmp_path, keys_folder, state=True
-    ) as server:  # the rejected settings do not return with a restart
+    # The rejected settings do not return with a restart.
+    with ServiceThread(tmp_path, keys_folder, state=True) as server:
         assert server.settings()["entries_per_s"] == 1000 and len(server.settings()["classes"]) == 1
 
 
@@ -774,10 +773,10 @@
             (LINES_PER_SECOND.format("0"), "invalid-value"),
             ("<class><name>x</name></class>", "operation-failed"),
         ):
-            with pytest.raises(RPCError) as refused:
+            with pytest.raises(RPCError) as rejected:
                 edit("<drain><grace>9</grace></drain>" + settings)
                 client.commit()
-            assert refused.value.tag == tag
+            assert rejected.value.tag == tag
             client.discard_changes()
         after = client.get_config("running").xml
         before, after = (etree.tostring(etree.fromstring(text.encode())[0]) for text in (before, after))
