--- a/granitespool/gnmi/connection.py
+++ b/granitespool/gnmi/connection.py
@@ -83,7 +83,7 @@
         self.http2.send_goaway()
         self._flush()
 
-    def on_closed(self, _why: str) -> None:
+    def on_closed(self, _reason: str) -> None:
         """Remove all calls; the connection has ended."""
         self.calls.close()
         self.service.on_session_closed(self)
--- a/granitespool/gnmi/context.py
+++ b/granitespool/gnmi/context.py
@@ -60,8 +60,8 @@
     Raises:
         StatusError: the call has no message, or one of another type.
     """
-    while not call.inbox and not call.ended:
-        call.waiting = True
+    while not call.inbox and not call.is_half_closed:
+        call.is_waiting = True
         yield
     if not call.inbox:
         raise StatusError(StatusCode.INVALID_ARGUMENT, "the call has no message")
--- a/granitespool/gnmi/set.py
+++ b/granitespool/gnmi/set.py
@@ -35,7 +35,7 @@
 
     context.service.datastores.transact(context.owner, context.user.name, make_tree, on_done)
     while not results:
-        call.waiting = True
+        call.is_waiting = True
         yield
     if results[0] is not None:
         raise status_error(results[0])
--- a/granitespool/gnmi/subscribe.py
+++ b/granitespool/gnmi/subscribe.py
@@ -57,9 +57,9 @@
 def _poll(sender: "_Sender", call: Call, subscriptions: Sequence[Subscription]) -> Iterator[None]:
     """Send all values at first, and again for each poll."""
     yield from sender.send_all(subscriptions)
-    while not call.ended or call.inbox:
+    while not call.is_half_closed or call.inbox:
         if not call.inbox:
-            call.waiting = True
+            call.is_waiting = True
             yield
             continue
         request = parse_message(pb.SubscribeRequest, call.inbox.pop(0))
@@ -89,7 +89,7 @@
         due = [subscription for subscription in subscriptions if subscription.next_sample_at <= now]
         if not due:
             call.wake_at = min(subscription.next_sample_at for subscription in subscriptions)
-            call.waiting = True
+            call.is_waiting = True
             yield
         for subscription in due:
             values = yield from sender.current(subscription)
@@ -129,12 +129,12 @@
         leaf_values = shared.leaf_values  # of this reading: a newer one may replace it between two steps
         values: dict[Leaf, Value] = {}
         for match in matches(RootNode(service.model.top), tree, subscription.path):
-            for part in leaves(match):
-                text = path_text(part.path)
+            for leaf_match in leaves(match):
+                text = path_text(leaf_match.path)
                 leaf = shared.leaf_cache.get(text)
                 if leaf is None:
-                    leaf = shared.leaf_cache[text] = Leaf(part.path, part.node)
-                values[leaf] = part.value
+                    leaf = shared.leaf_cache[text] = Leaf(leaf_match.path, leaf_match.node)
+                values[leaf] = leaf_match.value
                 if len(values) % UPDATES_PER_STEP == 0:
                     yield
         leaf_values[key] = values
--- a/granitespool/gnmi/subscription.py
+++ b/granitespool/gnmi/subscription.py
@@ -94,12 +94,12 @@
         if self._is_heartbeat(now) or not self.suppress_unchanged:
             self._heartbeat_at = now
         else:
-            updates = {leaf: value for leaf, value in leaves.items() if self._is_new(leaf, value)}
+            updates = {leaf: value for leaf, value in leaves.items() if self._is_changed(leaf, value)}
         self.sent = leaves
         return Delta(updates, deletes)
 
     def _is_heartbeat(self, now: int) -> bool:
         return bool(self.heartbeat_interval) and now - self._heartbeat_at >= self.heartbeat_interval
 
-    def _is_new(self, leaf: Leaf, value: Value) -> bool:
+    def _is_changed(self, leaf: Leaf, value: Value) -> bool:
         return leaf not in self.sent or self.sent[leaf] != value
--- a/granitespool/management/changes.py
+++ b/granitespool/management/changes.py
@@ -27,10 +27,10 @@
     def replace_saved(self, tree: Tree, version: int) -> None:
         """Save this tree in place of the one that was saved last."""
 
-    def apply(self, tree: Tree, by: str) -> None:
+    def apply(self, tree: Tree, changed_by: str) -> None:
         """Apply a tree to the service before returning, or raise ManagementError and change nothing."""
 
-    def on_rejected(self, by: str, reason: str) -> None:
+    def on_rejected(self, changed_by: str, reason: str) -> None:
         """Handle the rejection of a change."""
 
 
@@ -38,7 +38,7 @@
     """A tree that is to become running; `is_durable` is whether it survives a restart."""
 
     tree: Tree
-    by: str
+    changed_by: str
     is_durable: bool
     on_done: CompletionCallback
 
@@ -63,39 +63,45 @@
         self.model.check(tree)
         self.host.check(tree, self.trees.running)
 
-    def reject(self, by: str, error: ManagementError) -> ManagementError:
+    def reject(self, changed_by: str, error: ManagementError) -> ManagementError:
         """Count and report a rejected change, and return its error."""
         self.rejected += 1
-        self.host.on_rejected(by, error.reason)
+        self.host.on_rejected(changed_by, error.reason)
         return error
 
     def start(
-        self, session: object, by: str, tree: Tree, on_done: CompletionCallback, *, is_durable: bool = True
+        self,
+        session: object,
+        changed_by: str,
+        tree: Tree,
+        on_done: CompletionCallback,
+        *,
+        is_durable: bool = True,
     ) -> None:
         """Check, save and apply a tree.
 
         A change that may still be undone must not survive a restart, so it is not durable.
         """
-        self._start(session, _PendingChange(tree, by, is_durable, on_done), self.validate)
+        self._start(session, _PendingChange(tree, changed_by, is_durable, on_done), self.validate)
 
-    def restore(self, session: object, by: str, tree: Tree, on_done: CompletionCallback) -> None:
+    def restore(self, session: object, changed_by: str, tree: Tree, on_done: CompletionCallback) -> None:
         """Apply a tree that was running before.
 
         It is not checked again: the state that the checks depend on may have changed since.
         """
-        self._start(session, _PendingChange(tree, by, False, on_done), lambda _: None)
+        self._start(session, _PendingChange(tree, changed_by, False, on_done), lambda _: None)
 
     def _start(self, session: object, change: _PendingChange, check: Callable[[Tree], None]) -> None:
         if self.committing_session is not None:
             error = ManagementError(
                 ErrorTag.IN_USE, "another commit is being saved", session=self.committing_session
             )
-            change.on_done(self.reject(change.by, error))
+            change.on_done(self.reject(change.changed_by, error))
             return
         try:
             check(change.tree)
         except ManagementError as error:
-            change.on_done(self.reject(change.by, error))
+            change.on_done(self.reject(change.changed_by, error))
             return
         self.committing_session = session
         if change.is_durable:
@@ -111,7 +117,7 @@
             if change.is_durable:
                 # The tree may be on the disk already or reach it later: a restart must not use it.
                 self.host.replace_saved(self.trees.tree(STARTUP), self.trees.version)
-            change.on_done(self.reject(change.by, error))
+            change.on_done(self.reject(change.changed_by, error))
             return
         self.trees.replace_running(change.tree, change.is_durable)
         self.commits += 1
@@ -121,4 +127,4 @@
         if save_error:
             reason = f"the settings could not be saved for a restart: {save_error}"
             raise ManagementError(ErrorTag.RESOURCE_DENIED, reason)
-        self.host.apply(change.tree, change.by)
+        self.host.apply(change.tree, change.changed_by)
--- a/granitespool/management/datastores.py
+++ b/granitespool/management/datastores.py
@@ -4,8 +4,8 @@
 confirmed by another commit. If it is cancelled, if its timeout expires, or if its session ends and the commit
 has no persist identifier, the settings before it are applied again.
 
-Times are in whole nanoseconds. A session is any object; sessions are compared by identity. `by` is the name
-of the session's user, for the log.
+Times are in whole nanoseconds. A session is any object; sessions are compared by identity. `changed_by` is
+the name of the session's user, "file", "timeout" or "session ended", for the log.
 """
 
 import copy
@@ -140,7 +140,7 @@
     def commit(
         self,
         session: object,
-        by: str,
+        changed_by: str,
         now: int,
         on_done: CompletionCallback,
         options: CommitOptions = PERMANENT_COMMIT,
@@ -152,7 +152,7 @@
         try:
             self._check_commit(session, options)
         except ManagementError as error:
-            on_done(self.changes.reject(by, error))
+            on_done(self.changes.reject(changed_by, error))
             return
         tree = self.trees.candidate
         confirmation = self._next_confirmation(session, now, options)
@@ -162,7 +162,7 @@
             on_change(None)
         else:
             is_durable = confirmation is None
-            self.changes.start(session, by, copy.deepcopy(tree), on_change, is_durable=is_durable)
+            self.changes.start(session, changed_by, copy.deepcopy(tree), on_change, is_durable=is_durable)
 
     def _finish_commit(
         self,
@@ -195,7 +195,7 @@
         self.trees.check_candidate_is_current()
 
     def transact(
-        self, session: object, by: str, make_tree: Callable[[Tree], Tree], on_done: CompletionCallback
+        self, session: object, changed_by: str, make_tree: Callable[[Tree], Tree], on_done: CompletionCallback
     ) -> None:
         """Change running in one commit that does not use candidate.
 
@@ -203,19 +203,19 @@
 
         Args:
             session: the session that makes the change.
-            by: the name of its user.
+            changed_by: the name of its user.
             make_tree: returns the new tree for the running one.
             on_done: called once the outcome is certain.
         """
         try:
             tree = self._transaction_tree(session, make_tree)
         except ManagementError as error:
-            on_done(self.changes.reject(by, error))
+            on_done(self.changes.reject(changed_by, error))
             return
         if tree == self.trees.running:
             on_done(None)
         else:
-            self.changes.start(session, by, tree, on_done)
+            self.changes.start(session, changed_by, tree, on_done)
 
     def _transaction_tree(self, session: object, make_tree: Callable[[Tree], Tree]) -> Tree:
         self.locks.check_usable(RUNNING, session)
@@ -224,7 +224,9 @@
             raise ManagementError(ErrorTag.IN_USE, reason, session=self.pending_confirmation.session)
         return make_tree(self.trees.running)
 
-    def cancel(self, session: object, by: str, persist_id: str | None, on_done: CompletionCallback) -> None:
+    def cancel(
+        self, session: object, changed_by: str, persist_id: str | None, on_done: CompletionCallback
+    ) -> None:
         """Undo the commit that waits to be confirmed."""
         if self.pending_confirmation is None:
             on_done(ManagementError(ErrorTag.OPERATION_FAILED, "no commit waits to be confirmed"))
@@ -234,9 +236,9 @@
         except ManagementError as error:
             on_done(error)
             return
-        self._undo(self.pending_confirmation, by, on_done)
+        self._undo(self.pending_confirmation, changed_by, on_done)
 
-    def _undo(self, confirmation: PendingConfirmation, by: str, on_done: CompletionCallback) -> None:
+    def _undo(self, confirmation: PendingConfirmation, changed_by: str, on_done: CompletionCallback) -> None:
         self.pending_confirmation = None
 
         def on_change(error: ManagementError | None) -> None:
@@ -244,7 +246,7 @@
                 self.trees.discard_candidate()
             on_done(error)
 
-        self.changes.restore(self, by, confirmation.previous_tree, on_change)
+        self.changes.restore(self, changed_by, confirmation.previous_tree, on_change)
 
     # Timeouts, closed sessions, reloaded files
 
@@ -274,7 +276,7 @@
         else:  # undone by `tick` as soon as the other commit is complete
             self.pending_confirmation = confirmation._replace(deadline=0)
 
-    def apply_file(self, tree: Tree, by: str = "file") -> None:
+    def apply_file(self, tree: Tree, changed_by: str = "file") -> None:
         """Apply the settings of the operators' files after a reload.
 
         Changes of candidate stay, but as they are based on the previous version they cannot be committed.
@@ -282,14 +284,14 @@
         Raises:
             ManagementError: the settings are invalid, or a session's commit or lock prevents the change.
         """
-        self._check_file_may_change()
-        answers: list[ManagementError | None] = []
-        self.changes.start(self, by, tree, answers.append, is_durable=False)
-        if answers[0] is not None:
-            raise answers[0]
+        self._check_file_can_be_applied()
+        results: list[ManagementError | None] = []
+        self.changes.start(self, changed_by, tree, results.append, is_durable=False)
+        if results[0] is not None:
+            raise results[0]
         self.reset_startup()
 
-    def _check_file_may_change(self) -> None:
+    def _check_file_can_be_applied(self) -> None:
         if self.changes.committing_session is not None:
             raise ManagementError(ErrorTag.IN_USE, "a manager's commit is being saved")
         holder = self.locks.holder(RUNNING)
--- a/granitespool/management/edits.py
+++ b/granitespool/management/edits.py
@@ -23,7 +23,7 @@
     `reference` identifies the other entry by its keys or its value.
     """
 
-    where: str
+    position: str
     reference: Value = None
 
 
@@ -55,7 +55,7 @@
         return self._replace(path=(*self.path, element))
 
     @property
-    def removes(self) -> bool:
+    def is_removal(self) -> bool:
         """Whether the operation removes the node."""
         return self.operation in REMOVALS
 
@@ -76,7 +76,7 @@
 
 
 def _apply(node: SchemaNode, parent: Tree, change: Change, inherited: str, path: NodePath) -> None:
-    if not node.config:
+    if not node.is_config:
         reason = f"{node.name} is state and cannot be set"
         raise ManagementError(ErrorTag.INVALID_VALUE, reason, (*path, PathElement(node.name)))
     operation = change.operation or inherited
@@ -104,7 +104,7 @@
     if edit.operation == "none":
         return  # the leaf only identifies its parent
     _check_existence(edit, name in parent)
-    if edit.removes:
+    if edit.is_removal:
         parent.pop(name, None)
         return
     if edit.change.value is None:
@@ -115,10 +115,10 @@
 def _apply_container(parent_edit: _Edit, parent: Tree) -> None:
     edit = parent_edit.at()
     name = edit.node.name
-    if edit.node.presence or edit.operation in ("create", "delete"):
+    if edit.node.has_presence or edit.operation in ("create", "delete"):
         # For all other operations a container without presence always exists.
         _check_existence(edit, name in parent)
-    if edit.removes:
+    if edit.is_removal:
         parent.pop(name, None)
         return
     if edit.operation == "replace":
@@ -134,12 +134,12 @@
 
 def _apply_list(parent_edit: _Edit, parent: Tree) -> None:
     node = parent_edit.node
-    keys = _keys_of(parent_edit)
+    keys = _entry_keys(parent_edit)
     edit = parent_edit.at(keys)
     entries = parent.setdefault(node.name, [])
-    index = _index_of(entries, keys)
+    index = _find_index(entries, keys)
     _check_existence(edit, index is not None)
-    if edit.removes:
+    if edit.is_removal:
         if index is not None:
             del entries[index]
         return
@@ -154,18 +154,18 @@
         _place(edit, edit.change.placement, entries, entry)
 
 
-def _keys_of(edit: _Edit) -> dict[str, Value]:
+def _entry_keys(edit: _Edit) -> dict[str, Value]:
     """Return the key values of a list entry by name, taken from the children of its change."""
     node = edit.node
-    given = {child.name: child.value for child in edit.change.children if child.name in node.keys}
+    key_values = {child.name: child.value for child in edit.change.children if child.name in node.keys}
     for name in node.keys:
-        if given.get(name) is None:
+        if key_values.get(name) is None:
             reason = f"an entry of {node.name} lacks its key {name}"
             raise ManagementError(ErrorTag.MISSING_ELEMENT, reason, edit.path, element=name)
-    return {name: given[name] for name in node.keys}
+    return {name: key_values[name] for name in node.keys}
 
 
-def _index_of(entries: list[Value], reference: Value) -> int | None:
+def _find_index(entries: list[Value], reference: Value) -> int | None:
     """Return the index of the entry with these keys, or with this value, None if there is none."""
     for index, entry in enumerate(entries):
         if entry == reference or (isinstance(reference, dict) and _has_keys(entry, reference)):
@@ -185,7 +185,7 @@
     if edit.operation == "none":
         return
     _check_existence(edit, exists)
-    if edit.removes:
+    if edit.is_removal:
         if exists:
             values.remove(value)
         return
@@ -197,24 +197,24 @@
 
 def _place(edit: _Edit, placement: Placement, entries: list[Value], entry: Value) -> None:
     """Move an entry of a list or leaf-list to its placement."""
-    where, reference = placement
-    if not edit.node.ordered:
+    position, reference = placement
+    if not edit.node.is_user_ordered:
         reason = f"the entries of {edit.node.name} are not ordered by the user"
         raise _bad_attribute(edit.node, reason, edit.path, "insert")
     if isinstance(entry, dict):
         entries[:] = [other for other in entries if other is not entry]
     else:
         entries[:] = [other for other in entries if other != entry]
-    if where == "first":
+    if position == "first":
         entries.insert(0, entry)
-    elif where == "last":
+    elif position == "last":
         entries.append(entry)
     else:
-        index = _index_of(entries, reference)
+        index = _find_index(entries, reference)
         if index is None:
-            reason = f"{edit.node.name} has no {reference!r:.60} to be put {where}"
+            reason = f"{edit.node.name} has no {reference!r:.60} to be put {position}"
             raise _bad_attribute(edit.node, reason, edit.path, "insert")
-        entries.insert(index + (where == "after"), entry)
+        entries.insert(index + (position == "after"), entry)
 
 
 _APPLY_BY_KIND = {
@@ -236,7 +236,7 @@
         elif child.kind == "list":
             for entry in value:
                 prune(child, entry)
-        if not value and not child.presence:
+        if not value and not child.has_presence:
             del tree[name]
 
 
@@ -256,9 +256,9 @@
 def _value_with_defaults(node: SchemaNode, value: Value) -> Value:
     """Return the value of a child with defaults, None if it has none."""
     if node.kind == "container":
-        if value is None and node.presence:
+        if value is None and node.has_presence:
             return None
-        return with_defaults(node, value or {}) or ({} if node.presence else None)
+        return with_defaults(node, value or {}) or ({} if node.has_presence else None)
     if node.kind == "list":
         return [with_defaults(node, entry) for entry in value] if value else None
     return node.default if value is None else value
--- a/granitespool/management/impact_check.py
+++ b/granitespool/management/impact_check.py
@@ -56,16 +56,18 @@
     return ManagementError(ErrorTag.OPERATION_FAILED, reason, path)
 
 
-def _check_classes(settings: Settings, former: Settings) -> None:
-    if former.classes and not settings.classes:
+def _check_classes(settings: Settings, current: Settings) -> None:
+    if current.classes and not settings.classes:
         reason = "without a class there is nothing left to plan for"
         raise _failed(reason, settings_path("class"))
 
 
 def _check_zones(settings: Settings, zones_in_use: Collection[str]) -> None:
-    lost = sorted(set(zones_in_use) - set(settings.zones or ()))
-    if lost:
-        reason = f"proxies of the zone {lost[0]} have joined, and they would be left without a backend"
+    removed_zones = sorted(set(zones_in_use) - set(settings.zones or ()))
+    if removed_zones:
+        reason = (
+            f"proxies of the zone {removed_zones[0]} have joined, and they would be left without a backend"
+        )
         raise _failed(reason, settings_path("zone"))
 
 
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -135,18 +135,18 @@
 def config_of(tree: Tree, config: Configuration) -> dict[str, Any]:
     """Return a configuration changed to match a tree of settings."""
     previous_tree = tree_of(config)
-    result = {**config, "settings": _settings_of(tree, previous_tree, config["settings"])}
+    result = {**config, "settings": _changed_settings(tree, previous_tree, config["settings"])}
     if tree.get("limits") != previous_tree.get("limits"):
         limits = tree.get("limits", {})
         result["limits"] = {name: limits[leaf] for leaf, name in LIMITS.items() if leaf in limits}
         if not result["limits"]:
             result["limits"] = dict(config["limits_told"])
     if tree.get("operator") != previous_tree.get("operator"):
-        result["operator"] = _operator_of(tree.get("operator", {}), config.get("operator"))
+        result["operator"] = _changed_operator(tree.get("operator", {}), config.get("operator"))
     return result
 
 
-def _settings_of(tree: Tree, previous_tree: Tree, previous: Settings) -> Settings:
+def _changed_settings(tree: Tree, previous_tree: Tree, previous: Settings) -> Settings:
     changes: dict[str, Any] = {}
     for (container, leaf), (name, representation) in SETTINGS.items():
         value = tree.get(container, {}).get(leaf)
@@ -155,14 +155,15 @@
     if tree.get("class") != previous_tree.get("class"):
         by_name = {request_class.name: request_class for request_class in previous.classes}
         changes["classes"] = [
-            _class_of(entry, by_name.get(entry["name"], RequestClass())) for entry in tree.get("class", ())
+            _changed_class(entry, by_name.get(entry["name"], RequestClass()))
+            for entry in tree.get("class", ())
         ]
     if tree.get("zone") != previous_tree.get("zone"):
         changes["zones"] = list(tree.get("zone", ()))
     return msgspec.structs.replace(previous, **changes)
 
 
-def _class_of(entry: Tree, previous: RequestClass) -> RequestClass:
+def _changed_class(entry: Tree, previous: RequestClass) -> RequestClass:
     previous_tree = _class_tree(previous)
     changes: dict[str, Any] = {}
     for leaf, (name, representation) in CLASS_SETTINGS.items():
@@ -171,7 +172,7 @@
     return msgspec.structs.replace(previous, **changes)
 
 
-def _operator_of(tree: Tree, previous: Operator | None) -> Operator:
+def _changed_operator(tree: Tree, previous: Operator | None) -> Operator:
     state = None
     if tree.get("state"):
         values = {leaf.replace("-", "_"): value for leaf, value in tree["state"].items()}
--- a/granitespool/management/model.py
+++ b/granitespool/management/model.py
@@ -39,15 +39,15 @@
 
     __slots__ = (
         "children",
-        "config",
         "default",
+        "has_presence",
+        "is_config",
         "is_leaf",
+        "is_user_ordered",
         "keys",
         "kind",
         "name",
-        "ordered",
         "parent",
-        "presence",
         "type",
     )
 
@@ -55,12 +55,12 @@
         self.kind = next(kind for node_class, kind in KINDS if isinstance(schema, node_class))
         self.name: str = schema.name
         self.parent = parent
-        self.config = schema.content_type() != ContentType.nonconfig
+        self.is_config = schema.content_type() != ContentType.nonconfig
         self.is_leaf = self.kind in ("leaf", "leaf-list")
         self.type = _yang_type(schema, self.kind)
         self.keys = tuple(name for name, _ in schema.keys) if self.kind == "list" else ()
-        self.ordered = bool(getattr(schema, "user_ordered", False))
-        self.presence = bool(getattr(schema, "presence", False))
+        self.is_user_ordered = bool(getattr(schema, "user_ordered", False))
+        self.has_presence = bool(getattr(schema, "presence", False))
         default = getattr(schema, "default", None) if self.kind == "leaf" else None
         self.default = None if default is None else self.type.to_raw(default)
         children: list[YangNode] = getattr(schema, "data_children", list)()
@@ -145,12 +145,12 @@
         except ValidationError as error:
             pointer = error.instance.json_pointer()
             tag = TAGS.get(error.tag, ErrorTag.INVALID_VALUE)
-            raise ManagementError(tag, _error_text(pointer, error), _path_of_pointer(pointer)) from None
+            raise ManagementError(tag, _error_text(pointer, error), _pointer_path(pointer)) from None
         except RawDataError as error:
             is_unknown = isinstance(error, RawMemberError)
             tag = ErrorTag.UNKNOWN_ELEMENT if is_unknown else ErrorTag.INVALID_VALUE
             pointer = str(error.path)
-            raise ManagementError(tag, _error_text(pointer, error), _path_of_pointer(pointer)) from None
+            raise ManagementError(tag, _error_text(pointer, error), _pointer_path(pointer)) from None
         except YangsonException as error:
             reason = f"the settings are not valid by the YANG module: {error}"
             raise ManagementError(ErrorTag.INVALID_VALUE, reason) from None
@@ -172,7 +172,7 @@
     return f"{where}: {getattr(error, 'message', None) or 'there is no such node'}"
 
 
-def _path_of_pointer(pointer: str) -> NodePath:
+def _pointer_path(pointer: str) -> NodePath:
     """Return the path of a JSON pointer, without positions in lists."""
     parts = [part for part in pointer.split("/") if part and not part.isdigit()]
     return node_path(*(part.rpartition(":")[2] for part in parts))
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -4,7 +4,7 @@
     for _ in state.steps(): ...             # the event loop runs between two steps
     state.tree                              # the complete state subtree
 
-Each backend is read in one step. Changes after that step appear only in the next reading.
+A backend is read within one step. Changes after that step appear only in the next reading.
 """
 
 from collections.abc import Iterator, Mapping
@@ -118,8 +118,8 @@
     }
 
 
-def _folder_tree(figures: StateFolderMetrics) -> Tree:
-    written, batches, failing = figures
+def _folder_tree(metrics: StateFolderMetrics) -> Tree:
+    written, batches, failing = metrics
     return {"written": str(written), "batches": batches, "failing": failing}
 
 
@@ -146,21 +146,21 @@
         backend["kind"] = planner_status.machine_type
     if planner_status.entries:
         backend["seen-from"] = [
-            _view_tree(status, zone, entry) for zone, entry in planner_status.entries.items()
+            _link_tree(status, zone, entry) for zone, entry in planner_status.entries.items()
         ]
     return backend
 
 
-def _view_tree(status: CoordinatorBackendStatus, zone: str, entry: EntryStatus) -> Tree:
-    view: Tree = {"zone": zone, "cut": entry.is_ejected}
+def _link_tree(status: CoordinatorBackendStatus, zone: str, entry: EntryStatus) -> Tree:
+    link: Tree = {"zone": zone, "cut": entry.is_ejected}
     reason = _absence_reason(status, entry)
     if entry.weight:
-        view["weight"] = decimal_text(min(entry.weight, MAX_FIGURE))
+        link["weight"] = decimal_text(min(entry.weight, MAX_FIGURE))
     elif reason:
-        view["out"] = reason
+        link["out"] = reason
     if entry.cost is not None:
-        view["cost"] = str(min(int(entry.cost) // MICROSECOND, MAX_COST))
-    return view
+        link["cost"] = str(min(int(entry.cost) // MICROSECOND, MAX_COST))
+    return link
 
 
 def _absence_reason(status: CoordinatorBackendStatus, entry: EntryStatus) -> str | None:
--- a/granitespool/netconf/content.py
+++ b/granitespool/netconf/content.py
@@ -9,8 +9,14 @@
 from granitespool.management.edits import REMOVALS, Change, Placement
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.model import SchemaNode
-from granitespool.netconf.namespaces import YANG, base, own
-from granitespool.netconf.xmltree import Element, is_own, local_name, namespace_of, text_of
+from granitespool.netconf.namespaces import YANG, base_tag, module_tag
+from granitespool.netconf.xmltree import (
+    Element,
+    element_namespace,
+    element_text,
+    is_module_element,
+    local_name,
+)
 
 EDIT_OPERATIONS = ("merge", "replace", "create", "delete", "remove")
 
@@ -24,7 +30,7 @@
     return str(value)
 
 
-def changes_of(node: SchemaNode, element: Element) -> tuple[Change, ...]:
+def changes_from_element(node: SchemaNode, element: Element) -> tuple[Change, ...]:
     """Return the changes that the children of an element make to a container or list entry of the module.
 
     Raises:
@@ -34,13 +40,13 @@
 
 
 def _data_name(node: SchemaNode, element: Element) -> str:
-    if not is_own(element):
+    if not is_module_element(element):
         raise ManagementError(
             ErrorTag.UNKNOWN_NAMESPACE,
-            f"{local_name(element)} is of the namespace {namespace_of(element)!r:.80}",
+            f"{local_name(element)} is of the namespace {element_namespace(element)!r:.80}",
             node.path(),
             element=local_name(element),
-            namespace=namespace_of(element),
+            namespace=element_namespace(element),
         )
     return local_name(element)
 
@@ -49,17 +55,17 @@
     operation = _edit_operation(node, element)
     placement = _placement(node, element)
     if node.kind in ("container", "list"):
-        return Change(node.name, operation, None, changes_of(node, element), placement)
+        return Change(node.name, operation, None, changes_from_element(node, element), placement)
     if len(element):
         reason = f"{node.name} is a leaf and holds elements"
         raise ManagementError(ErrorTag.BAD_ELEMENT, reason, node.path(), element=node.name)
     is_removed_leaf = operation in REMOVALS and node.kind == "leaf"
-    value = None if is_removed_leaf else node.parse(text_of(element))
+    value = None if is_removed_leaf else node.parse(element_text(element))
     return Change(node.name, operation, value, (), placement)
 
 
 def _edit_operation(node: SchemaNode, element: Element) -> str | None:
-    operation: str | None = element.get(base("operation"))
+    operation: str | None = element.get(base_tag("operation"))
     if operation is not None and operation not in EDIT_OPERATIONS:
         raise _bad_attribute(node, f"there is no operation {operation!r:.40}", "operation")
     return operation
@@ -112,18 +118,18 @@
         if value is None:
             continue
         if child.kind == "leaf":
-            etree.SubElement(parent, own(name)).text = value_text(value)
+            etree.SubElement(parent, module_tag(name)).text = value_text(value)
         elif child.kind == "leaf-list":
             for entry_value in value:
-                etree.SubElement(parent, own(name)).text = value_text(entry_value)
+                etree.SubElement(parent, module_tag(name)).text = value_text(entry_value)
         elif child.kind == "container":
-            yield from append_tree(etree.SubElement(parent, own(name)), child, value)
+            yield from append_tree(etree.SubElement(parent, module_tag(name)), child, value)
         else:
             for entry in value:
-                yield from append_tree(etree.SubElement(parent, own(name)), child, entry)
+                yield from append_tree(etree.SubElement(parent, module_tag(name)), child, entry)
                 yield
 
 
 def top_element(parent: Element, name: str) -> Element:
     """Add a child element that declares the module's namespace as the default, and return it."""
-    return etree.SubElement(parent, own(name), nsmap={None: model.NAMESPACE})
+    return etree.SubElement(parent, module_tag(name), nsmap={None: model.NAMESPACE})
--- a/granitespool/netconf/context.py
+++ b/granitespool/netconf/context.py
@@ -33,7 +33,7 @@
         self.awaiting_completion = False
         self.notified_events: frozenset[str] | None = None
 
-    def wait_for(self, start: Callable[[CompletionCallback], object]) -> Steps:
+    def wait_for(self, start_operation: Callable[[CompletionCallback], object]) -> Steps:
         """Start an operation that completes later, and wait for its completion.
 
         Raises:
@@ -47,7 +47,7 @@
                 self.awaiting_completion = False
                 self.transport.wake()
 
-        start(on_done)
+        start_operation(on_done)
         while not results:
             self.awaiting_completion = True
             yield
--- a/granitespool/netconf/filters.py
+++ b/granitespool/netconf/filters.py
@@ -6,8 +6,8 @@
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.model import SchemaNode
 from granitespool.netconf.content import value_text
-from granitespool.netconf.namespaces import base
-from granitespool.netconf.xmltree import Element, is_own, local_name, text_of
+from granitespool.netconf.namespaces import base_tag
+from granitespool.netconf.xmltree import Element, element_text, is_module_element, local_name
 
 SUBTREE = "subtree"
 XPATH = "xpath"
@@ -17,7 +17,7 @@
     """The filter of a request; a request without a filter selects everything."""
 
     def __init__(self, request: Element) -> None:
-        self.element = request.find(base("filter"))
+        self.element = request.find(base_tag("filter"))
         self.kind = SUBTREE
         if self.element is not None:
             self.kind = self.element.get("type") or SUBTREE
@@ -38,7 +38,7 @@
             return tree
         selected: Tree | None = None
         for child in self.element:
-            if local_name(child) == top.name and is_own(child):
+            if local_name(child) == top.name and is_module_element(child):
                 part = select_subtree(top, tree, child)
                 selected = part if selected is None else {**selected, **(part or {})}
         return selected
@@ -113,11 +113,11 @@
 
 
 def _is_content_match(element: Element) -> bool:
-    return not len(element) and bool(text_of(element))
+    return not len(element) and bool(element_text(element))
 
 
 def _child_node(node: SchemaNode, element: Element) -> SchemaNode | None:
-    return node.children.get(local_name(element)) if is_own(element) else None
+    return node.children.get(local_name(element)) if is_module_element(element) else None
 
 
 def _content_matches(node: SchemaNode, tree: Tree, element: Element) -> bool:
@@ -126,7 +126,7 @@
         return False
     value = tree.get(child.name)
     values = value if child.kind == "leaf-list" else [value]
-    return text_of(element) in [
+    return element_text(element) in [
         value_text(leaf_value) for leaf_value in values or () if leaf_value is not None
     ]
 
@@ -161,12 +161,12 @@
             name: _merged(node.children[name], first.get(name), second.get(name, first.get(name)))
             for name in {**first, **second}
         }
-    entries = {_key_of(node, entry): entry for entry in first}
+    entries = {_entry_key(node, entry): entry for entry in first}
     for entry in second:
-        key = _key_of(node, entry)
+        key = _entry_key(node, entry)
         entries[key] = {**entries.get(key, {}), **entry}
     return list(entries.values())
 
 
-def _key_of(node: SchemaNode, entry: Tree) -> tuple[Value, ...]:
+def _entry_key(node: SchemaNode, entry: Tree) -> tuple[Value, ...]:
     return tuple(entry.get(key) for key in node.keys)
--- a/granitespool/netconf/namespaces.py
+++ b/granitespool/netconf/namespaces.py
@@ -31,12 +31,12 @@
 )
 
 
-def base(name: str) -> str:
+def base_tag(name: str) -> str:
     """Return the qualified name of an element or attribute of NETCONF's base namespace."""
     return f"{{{BASE}}}{name}"
 
 
 @cache  # called for each leaf of a reply; bounded, as all names are those of the module
-def own(name: str) -> str:
+def module_tag(name: str) -> str:
     """Return the qualified name of a data node of the granitespool module."""
     return f"{{{model.NAMESPACE}}}{name}"
--- a/granitespool/netconf/operations/editing.py
+++ b/granitespool/netconf/operations/editing.py
@@ -5,9 +5,9 @@
 from granitespool.management.edits import REMOVALS, Change, apply_changes, differing_names
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.settings_trees import STARTUP
-from granitespool.netconf.content import changes_of
+from granitespool.netconf.content import changes_from_element
 from granitespool.netconf.context import OperationContext, Steps
-from granitespool.netconf.namespaces import base
+from granitespool.netconf.namespaces import base_tag
 from granitespool.netconf.parameters import (
     choice_parameter,
     config_content,
@@ -30,12 +30,12 @@
     test_option = choice_parameter(operation, "test-option", TEST_OPTIONS)
     # An edit is applied as a whole or not at all, whatever the error option.
     choice_parameter(operation, "error-option", ERROR_OPTIONS)
-    config = operation.find(base("config"))
+    config = operation.find(base_tag("config"))
     if config is None:
         raise ManagementError(ErrorTag.MISSING_ELEMENT, "edit-config lacks a config", element="config")
     content = config_content(config)
     node = context.service.model.settings
-    changes = () if content.settings is None else changes_of(node, content.settings)
+    changes = () if content.settings is None else changes_from_element(node, content.settings)
     if content.operation in (*REMOVALS, "replace") or default_operation == "replace":
         _replace_settings(context, target, content.operation, changes, test_option)
     else:
--- a/granitespool/netconf/operations/notifications.py
+++ b/granitespool/netconf/operations/notifications.py
@@ -9,7 +9,7 @@
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.netconf.content import value_text
 from granitespool.netconf.context import OperationContext
-from granitespool.netconf.namespaces import NOTIFICATION, own
+from granitespool.netconf.namespaces import NOTIFICATION, module_tag
 from granitespool.netconf.xmltree import Element, local_name
 
 STREAM = "NETCONF"
@@ -36,7 +36,7 @@
     """Return the notification message of an event; `event_time` is in the format of RFC 3339."""
     message = etree.Element(f"{{{NOTIFICATION}}}notification", nsmap={None: NOTIFICATION})
     etree.SubElement(message, f"{{{NOTIFICATION}}}eventTime").text = event_time
-    event = etree.SubElement(message, own(name), nsmap={None: model.NAMESPACE})
+    event = etree.SubElement(message, module_tag(name), nsmap={None: model.NAMESPACE})
     for field, value in fields.items():
-        etree.SubElement(event, own(field)).text = value_text(value)
+        etree.SubElement(event, module_tag(field)).text = value_text(value)
     return message
--- a/granitespool/netconf/operations/retrieval.py
+++ b/granitespool/netconf/operations/retrieval.py
@@ -11,7 +11,7 @@
 from granitespool.netconf.content import append_tree, top_element
 from granitespool.netconf.context import OperationContext, Steps
 from granitespool.netconf.filters import XPATH, Filter
-from granitespool.netconf.namespaces import WITH_DEFAULTS, base
+from granitespool.netconf.namespaces import WITH_DEFAULTS, base_tag
 from granitespool.netconf.parameters import datastore_parameter
 from granitespool.netconf.xmltree import Element
 
@@ -52,7 +52,7 @@
     request_filter = Filter(operation)
     top = context.service.model.top
     selected = request_filter.select_tree(top, tree)
-    data = etree.SubElement(reply, base("data"))
+    data = etree.SubElement(reply, base_tag("data"))
     if selected:
         for step, _ in enumerate(append_tree(top_element(data, top.name), top, selected)):
             if step % ENTRIES_PER_STEP == 0:
--- a/granitespool/netconf/operations/sessions.py
+++ b/granitespool/netconf/operations/sessions.py
@@ -3,7 +3,7 @@
 from granitespool.management.authorization import require_write
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.netconf.context import OperationContext
-from granitespool.netconf.namespaces import base
+from granitespool.netconf.namespaces import base_tag
 from granitespool.netconf.xmltree import Element
 
 
@@ -13,7 +13,7 @@
 
 def kill_session(context: OperationContext, operation: Element, _reply: Element) -> None:
     """End another session; the user must be authorized to write all settings."""
-    number = (operation.findtext(base("session-id")) or "").strip()
+    number = (operation.findtext(base_tag("session-id")) or "").strip()
     other = context.service.find_session(number)
     if other is None or other is context.owner:
         reason = f"there is no other session {number!r:.20}"
--- a/granitespool/netconf/replies.py
+++ b/granitespool/netconf/replies.py
@@ -7,7 +7,7 @@
 from granitespool.management import model
 from granitespool.management.data_tree import PathElement
 from granitespool.management.errors import ErrorTag, ManagementError
-from granitespool.netconf.namespaces import BASE, XML, base
+from granitespool.netconf.namespaces import BASE, XML, base_tag
 from granitespool.netconf.xmltree import Element
 
 PROTOCOL_TAGS = frozenset(
@@ -27,12 +27,12 @@
 
 def new_reply(rpc: Element) -> Element:
     """Return an empty rpc-reply with the attributes of its rpc."""
-    return etree.Element(base("rpc-reply"), attrib=dict(rpc.attrib), nsmap={None: BASE})
+    return etree.Element(base_tag("rpc-reply"), attrib=dict(rpc.attrib), nsmap={None: BASE})
 
 
 def add_ok(reply: Element) -> None:
     """Add the ok element, which reports success without data."""
-    etree.SubElement(reply, base("ok"))
+    etree.SubElement(reply, base_tag("ok"))
 
 
 def replace_by_error(reply: Element, error: ManagementError, session_number: Callable[[object], int]) -> None:
@@ -44,23 +44,23 @@
 
 def error_element(error: ManagementError, session_number: Callable[[object], int]) -> Element:
     """Return the rpc-error element of an error."""
-    element = etree.Element(base("rpc-error"), nsmap={None: BASE})
+    element = etree.Element(base_tag("rpc-error"), nsmap={None: BASE})
     is_protocol = error.tag in PROTOCOL_TAGS and not error.path
     _add_text(element, "error-type", "protocol" if is_protocol else "application")
     _add_text(element, "error-tag", error.tag)
     _add_text(element, "error-severity", "error")
     if error.path:
-        path = etree.SubElement(element, base("error-path"), nsmap={"gs": model.NAMESPACE})
+        path = etree.SubElement(element, base_tag("error-path"), nsmap={"gs": model.NAMESPACE})
         path.text = "".join(map(_path_step, error.path))
-    message = etree.SubElement(element, base("error-message"), attrib={f"{{{XML}}}lang": "en"})
+    message = etree.SubElement(element, base_tag("error-message"), attrib={f"{{{XML}}}lang": "en"})
     message.text = error.reason
     if error.has_info:
-        _add_info(etree.SubElement(element, base("error-info")), error, session_number)
+        _add_info(etree.SubElement(element, base_tag("error-info")), error, session_number)
     return element
 
 
 def _add_text(parent: Element, name: str, text: str) -> None:
-    etree.SubElement(parent, base(name)).text = str(text)
+    etree.SubElement(parent, base_tag(name)).text = str(text)
 
 
 def _path_step(step: PathElement) -> str:
--- a/granitespool/netconf/session.py
+++ b/granitespool/netconf/session.py
@@ -11,11 +11,11 @@
 from granitespool.netconf.context import OperationContext, Steps
 from granitespool.netconf.errors import MalformedMessageError, NetconfError
 from granitespool.netconf.framing import MessageReader, frame
-from granitespool.netconf.namespaces import BASE, BASE_10, BASE_11, CAPABILITIES, base
+from granitespool.netconf.namespaces import BASE, BASE_10, BASE_11, CAPABILITIES, base_tag
 from granitespool.netconf.operations.notifications import notification_element
 from granitespool.netconf.operations.table import CLOSE_SESSION, HANDLERS
 from granitespool.netconf.replies import add_ok, new_reply, replace_by_error
-from granitespool.netconf.xmltree import Element, local_name, namespace_of, parse_message, text_of
+from granitespool.netconf.xmltree import Element, element_namespace, element_text, local_name, parse_message
 
 MAX_MESSAGE_BYTES = 1 << 20  # settings with a thousand classes take a tenth of it
 MAX_PENDING_REQUESTS = 16  # requests that wait for the one in progress
@@ -61,11 +61,11 @@
 
     def start(self) -> None:
         """Send the server's hello; the TLS handshake is complete."""
-        hello = etree.Element(base("hello"), nsmap={None: BASE})
-        capabilities = etree.SubElement(hello, base("capabilities"))
+        hello = etree.Element(base_tag("hello"), nsmap={None: BASE})
+        capabilities = etree.SubElement(hello, base_tag("capabilities"))
         for capability in CAPABILITIES:
-            etree.SubElement(capabilities, base("capability")).text = capability
-        etree.SubElement(hello, base("session-id")).text = str(self.number)
+            etree.SubElement(capabilities, base_tag("capability")).text = capability
+        etree.SubElement(hello, base_tag("session-id")).text = str(self.number)
         self._send(hello)
 
     def receive(self, data: bytes) -> None:
@@ -99,7 +99,7 @@
     def announce_shutdown(self) -> None:
         """Do nothing: NETCONF has no message for a shutdown; the client sees the end of the TLS session."""
 
-    def on_closed(self, _why: str) -> None:
+    def on_closed(self, _reason: str) -> None:
         """Discard the pending requests; the connection has ended."""
         self._open = False
         self.pending.clear()
@@ -130,16 +130,16 @@
         data = etree.tostring(element, xml_declaration=True, encoding="UTF-8")
         self.transport.send(frame(data, self._reader.chunked))
 
-    def _finish(self, why: str) -> None:
+    def _finish(self, reason: str) -> None:
         self._open = False
-        self.transport.end(why)
+        self.transport.end(reason)
 
     def _receive_message(self, data: bytes) -> None:
         root = parse_message(data)
         if not self._hello_received:
             self._receive_hello(root)
             return
-        if root.tag != base("rpc"):
+        if root.tag != base_tag("rpc"):
             reason = f"the message {local_name(root)!r:.40} is not an rpc"
             raise MalformedMessageError(reason)
         if len(self.pending) >= MAX_PENDING_REQUESTS:
@@ -148,11 +148,11 @@
         self.pending.append(root)
 
     def _receive_hello(self, root: Element) -> None:
-        capabilities = {text_of(element) for element in root.iter(base("capability"))}
-        if root.tag != base("hello") or not capabilities & {BASE_10, BASE_11}:
+        capabilities = {element_text(element) for element in root.iter(base_tag("capability"))}
+        if root.tag != base_tag("hello") or not capabilities & {BASE_10, BASE_11}:
             reason = "the first message is not a hello with a base capability"
             raise MalformedMessageError(reason)
-        if root.find(base("session-id")) is not None:
+        if root.find(base_tag("session-id")) is not None:
             reason = "the client's hello has a session-id"
             raise MalformedMessageError(reason)
         self._hello_received = True
@@ -192,7 +192,7 @@
         if len(rpc) != 1:
             raise ManagementError(ErrorTag.MALFORMED_MESSAGE, "an rpc holds one operation")
         operation = rpc[0]
-        handler = HANDLERS.get((namespace_of(operation), local_name(operation)))
+        handler = HANDLERS.get((element_namespace(operation), local_name(operation)))
         if handler is None:
             reason = f"there is no operation {local_name(operation)!r:.40}"
             raise ManagementError(ErrorTag.OPERATION_NOT_SUPPORTED, reason)
--- a/granitespool/netconf/xmltree.py
+++ b/granitespool/netconf/xmltree.py
@@ -69,17 +69,17 @@
     return str(etree.QName(element).localname)
 
 
-def namespace_of(element: Element) -> str | None:
+def element_namespace(element: Element) -> str | None:
     """Return the namespace of an element, None if it has none."""
     namespace: str | None = etree.QName(element).namespace
     return namespace
 
 
-def text_of(element: Element) -> str:
+def element_text(element: Element) -> str:
     """Return the text of an element without surrounding whitespace."""
     return (element.text or "").strip()
 
 
-def is_own(element: Element) -> bool:
+def is_module_element(element: Element) -> bool:
     """Return whether an element may name a data node of the module; clients may omit the namespace."""
-    return namespace_of(element) in (model.NAMESPACE, None)
+    return element_namespace(element) in (model.NAMESPACE, None)
--- a/granitespool/rpc/calls.py
+++ b/granitespool/rpc/calls.py
@@ -1,7 +1,7 @@
 """gRPC calls over one HTTP/2 connection: messages, deadlines, cancellation, statuses; no I/O.
 
 A method is a function that takes a Call and returns a generator. The generator is resumed while the call is
-open, its stream's queue has room, and the call is not `waiting`. A waiting call is resumed after `wake` or
+open, its stream's queue has room, and the call is not waiting. A waiting call is resumed after `wake` or
 when `wake_at` has passed. A method ends a call with a status other than OK by raising StatusError.
 """
 
@@ -38,8 +38,9 @@
 class Call:
     """One call.
 
-    `inbox` holds the messages that the method has not processed, `ended` is whether the client has sent its
-    last one. `deadline` and `wake_at` are times in ns, None for never.
+    `inbox` holds the messages that the method has not processed. `is_half_closed` is whether the client has
+    sent its last message, `is_waiting` whether the method waits for `wake` or `wake_at`. `deadline` and
+    `wake_at` are times in ns, None for never.
     """
 
     def __init__(self, calls: "Calls", stream: int) -> None:
@@ -47,8 +48,8 @@
         self.stream = stream
         self.deadline: int | None = None
         self.wake_at: int | None = None
-        self.waiting = False
-        self.ended = False
+        self.is_waiting = False
+        self.is_half_closed = False
         self.inbox: list[bytes] = []
         self.steps: Steps | None = None
         self._received = bytearray()
@@ -79,7 +80,7 @@
 
     def wake(self) -> None:
         """Resume the method if it waits."""
-        self.waiting = False
+        self.is_waiting = False
         self.calls.on_wake()
 
     def receive(self, data: bytes) -> None:
@@ -179,7 +180,7 @@
         call = self.open.get(stream)
         if call is None:
             return
-        call.ended = True
+        call.is_half_closed = True
         if call.has_partial_message:
             self._stop(call, StatusError(StatusCode.INVALID_ARGUMENT, "the request ends within a message"))
         else:
@@ -199,7 +200,7 @@
         return any(self._can_resume(call) for call in self.open.values())
 
     def _can_resume(self, call: Call) -> bool:
-        return not call.waiting and self.http2.has_room(call.stream)
+        return not call.is_waiting and self.http2.has_room(call.stream)
 
     def work(self) -> None:
         """Do one step of one call; calls take turns."""
@@ -234,10 +235,10 @@
                 self._stop(call, StatusError(StatusCode.DEADLINE_EXCEEDED, reason))
             elif call.wake_at is not None and now >= call.wake_at:
                 call.wake_at = None
-                call.waiting = False
+                call.is_waiting = False
 
     def _stop(self, call: Call, error: StatusError) -> None:
-        is_unread = not call.ended
+        is_unread = not call.is_half_closed
         call.finish(error.code, error.reason)
         if is_unread and call.stream not in self.http2.queued:
             # The rest of the request is not needed any more.
