--- a/granitespool/management/impact_check.py
+++ b/granitespool/management/impact_check.py
@@ -74,7 +74,7 @@
 def _check_limits(configuration: Configuration) -> None:
     """Reject limits above those that the process was started with."""
     limits = configuration.get("limits") or {}
-    maxima = configuration.get("limits_told") or {}
+    maxima = configuration.get("configured_limits") or {}
     exceeded = sorted(name for name, limit in limits.items() if limit > maxima.get(name, limit))
     if exceeded:
         name = exceeded[0]
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from granitespool.management.data_tree import Tree, Value
-from granitespool.operator_settings import Operator, State
+from granitespool.operator_settings import OperatorSettings, StateSettings
 from granitespool.settings import RequestClass, Settings
 from granitespool.units import MICROSECOND
 
@@ -125,7 +125,7 @@
     }
 
 
-def _state_tree(state: State) -> Tree:
+def _state_tree(state: StateSettings) -> Tree:
     values = {key.replace("_", "-"): value for key, value in msgspec.structs.asdict(state).items()}
     for leaf in OPERATOR_DECIMALS:
         values[leaf] = decimal_text(values[leaf], OPERATOR_DIGITS)
@@ -140,7 +140,7 @@
         limits = tree.get("limits", {})
         result["limits"] = {name: limits[leaf] for leaf, name in LIMITS.items() if leaf in limits}
         if not result["limits"]:
-            result["limits"] = dict(config["limits_told"])
+            result["limits"] = dict(config["configured_limits"])
     if tree.get("operator") != previous_tree.get("operator"):
         result["operator"] = _changed_operator(tree.get("operator", {}), config.get("operator"))
     return result
@@ -172,7 +172,7 @@
     return msgspec.structs.replace(previous, **changes)
 
 
-def _changed_operator(tree: Tree, previous: Operator | None) -> Operator:
+def _changed_operator(tree: Tree, previous: OperatorSettings | None) -> OperatorSettings:
     state = None
     if tree.get("state"):
         values = {leaf.replace("-", "_"): value for leaf, value in tree["state"].items()}
@@ -180,5 +180,5 @@
             key = leaf.replace("-", "_")
             if key in values:
                 values[key] = float(values[key])
-        state = State(**values)
-    return msgspec.structs.replace(previous or Operator(), state=state)
+        state = StateSettings(**values)
+    return msgspec.structs.replace(previous or OperatorSettings(), state=state)
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -28,7 +28,7 @@
     def status(self) -> CoordinatorStatus:
         """Return the state of the fleet and of the tables of each zone."""
 
-    def listed(self) -> Mapping[str, object]:
+    def endpoint_states(self) -> Mapping[str, object]:
         """Return a mapping whose keys are the names of all backends."""
 
     def backend_status(self, name: str) -> CoordinatorBackendStatus | None:
@@ -80,7 +80,7 @@
             self.tree["table"] = [_table_tree(zone) for zone in status.zones]
         backends = []
         backends_per_step = max(1, LINKS_PER_STEP // max(1, len(status.zones)))
-        for number, name in enumerate(list(self.coordinator.listed())):
+        for number, name in enumerate(list(self.coordinator.endpoint_states())):
             if number % backends_per_step == 0:
                 yield
             backend_status = self.coordinator.backend_status(name)
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -23,7 +23,7 @@
 from granitespool.net.settings_host import SettingsHost
 from granitespool.net.shared_state import SharedState
 from granitespool.net.tls import server_context
-from granitespool.operator_settings import Operator
+from granitespool.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
     from granitespool.net.service import Service
@@ -115,7 +115,7 @@
                 rejected=stores.rejected,
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_changed_at,
-                has_endpoint_list=service.discovery.named,
+                has_endpoint_list=service.discovery.has_listed_backends,
                 folder=_folder_figures(service),
             ),
         )
@@ -141,13 +141,13 @@
         """When `end_of_turn` is to be called at the latest, ns; None for never."""
         return self.settings.due()
 
-    def reread(self, config: Configuration) -> list[str]:
+    def reload(self, config: Configuration) -> list[str]:
         """Takes the files that were read anew; returns the names of what waits for a restart.
 
         Raises InvalidInputError or ManagementError, and nothing changes."""
         operator = _operator_of(config)
         contexts = {listener.name: _context(operator, listener.name) for listener in self.listeners}
-        restart_required = self.settings.reread(config)
+        restart_required = self.settings.reload(config)
         self.users = _users(operator)
         for listener in self.listeners:
             listener.context = contexts[listener.name]
@@ -182,17 +182,17 @@
     return StateFolderMetrics(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
 
 
-def _users(operator: Operator) -> list[User]:
+def _users(operator: OperatorSettings) -> list[User]:
     return [User(name, user.certificate, user.read, user.write) for name, user in operator.users.items()]
 
 
-def _context(operator: Operator, name: str) -> ssl.SSLContext:
+def _context(operator: OperatorSettings, name: str) -> ssl.SSLContext:
     tls = operator.tls
     assert tls is not None, "the operator's settings are checked to have [tls] with a listener"
     return server_context(tls.certificate, tls.key, tls.authorities, ALPN[name])
 
 
-def _operator_of(config: Configuration) -> Operator:
+def _operator_of(config: Configuration) -> OperatorSettings:
     operator = config.get("operator")
     assert operator is not None, "managers are on by the operator's settings"
     return operator
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_slices_are_kept_as_by_the_reference(seed):
-    comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, one_owner=bool(seed))
+    comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, single_owner=bool(seed))
     for table in range(3):
         comparison.report(SliceAssigned(table=table, owned=True))
         comparison.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
@@ -125,14 +125,14 @@
 
 def looked_at(comparison, monkeypatch, act):
     """How many weights the planner works out while this is done."""
-    counted, wanted = Counter(), EntryWeights.wanted
+    counted, wanted = Counter(), EntryWeights.target_weight
 
     def counting(weights, *words):
         counted[weights] += 1
         return wanted(weights, *words)
 
     with monkeypatch.context() as patched:
-        patched.setattr(EntryWeights, "wanted", counting)
+        patched.setattr(EntryWeights, "target_weight", counting)
         act()
     return counted[comparison.changed.planner.weights]
 
@@ -247,19 +247,19 @@
 def test_costs_of_what_began_after_the_last_look_are_unknown_until_the_next():
     costs, rec, other = CostTable(), record(1), record(2)
     for each in (rec, other):
-        costs.restart(each)
+        costs.reset_backend(each)
     costs.begin_evaluation()
     observed = [ObservedCost(rec, rec.link("z0", 0), 50.0)]
-    assert costs.evaluate_zone("z0", observed) and costs.of(other, "z0") == 50.0
+    assert costs.evaluate_zone("z0", observed) and costs.attempt_cost(other, "z0") == 50.0
     later = record(3)
-    costs.restart(later)
-    assert costs.of(later, "z0") is None
+    costs.reset_backend(later)
+    assert costs.attempt_cost(later, "z0") is None
     costs.freeze(other, ["z0"], 0)
     other.machine_type = "else"
-    assert costs.of(other, "z0") == 50.0  # as of the last look, whatever it is by now
+    assert costs.attempt_cost(other, "z0") == 50.0  # as of the last look, whatever it is by now
     costs.begin_evaluation()
     assert not costs.evaluate_zone("z0", observed)
-    assert costs.of(later, "z0") == 50.0 and costs.of(other, "z0") is None
+    assert costs.attempt_cost(later, "z0") == 50.0 and costs.attempt_cost(other, "z0") is None
 
 
 SLOW = Settings(entries_per_s=800.0, drain_grace=36 * SECOND, proxies_expected=1500, coordinators=5)
@@ -294,12 +294,12 @@
             for rec in pairs[number]:
                 setattr(rec, what, value)
         mine, theirs = [[pair[k] for pair in pairs] for k in (0, 1)]
-        split_for = texts[1].split_for
+        split_size = texts[1].split_size
         moved = texts[0].assign(SLOW, channel, mine, [mine[number] for number in sorted(changed)])
         before = [rec.subset for rec in theirs]
         texts[1].assign(SLOW, channel, theirs)
         assert [rec.subset for rec in mine] == [rec.subset for rec in theirs]
         others = [rec for rec, subset in zip(theirs, before) if rec.subset != subset]
-        anew = theirs if texts[1].split_for != split_for else others  # another count gives other tables
+        anew = theirs if texts[1].split_size != split_size else others  # another count gives other tables
         assert {rec.sequence for rec in moved} == {rec.sequence for rec in anew}
         changed.clear()
--- a/tests/reference/adapter.py
+++ b/tests/reference/adapter.py
@@ -22,6 +22,7 @@
     "warm_up_start_share": "cold_share",
     "overload_multiple": "fall_multiple",
     "removal_needs_drain": "drain_needs_entry",
+    "single_owner": "one_owner",
 }
 CLASS = {"latency_objective": "promised_time", "timeout": "time_limit", "priority_weight": "benefit"}
 FORMS = {events.ListForm.COMPLETE: "whole"}
@@ -89,6 +90,7 @@
         "probe": "check_health",
         "observe": "subscribe",
         "lookup": "fetch_endpoints",
+        "forget": "remove_backend",
         "wake": "set_timer",
         "post": "send_gossip",
         "remark": "log",
@@ -130,7 +132,7 @@
         self.former = Planner(FormerHost(actions), actions.now, seed, former_settings(settings))
         self.inspection = FormerInspection(self.former)
 
-    def new_settings(self, settings):
+    def apply_settings(self, settings):
         self.former.new_settings(self.actions.now, former_settings(settings))
 
     def on_timer(self, now, cookie):
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -173,7 +173,7 @@
 
     def __enter__(self):
         self.service = Service(
-            self.config, os.open(os.devnull, os.O_WRONLY), clock=lambda: START, mono=lambda: START
+            self.config, os.open(os.devnull, os.O_WRONLY), clock=lambda: START, monotonic_clock=lambda: START
         )
         self.service.snapshotter.metrics = lambda: StateMetrics(40_960, 12, False)
         self.service.snapshotter.is_durable = lambda ticket: True
@@ -191,7 +191,9 @@
     def end_turn(self, after=0):
         """End a turn, return the orders by recipient, and advance the clock by `after` ns."""
         self.coordinator.tick(self.loop.now)
-        orders = {recipient: self.coordinator.pick(recipient) for recipient in self.coordinator.recipients()}
+        orders = {
+            recipient: self.coordinator.next_message(recipient) for recipient in self.coordinator.recipients()
+        }
         self.loop.now += after
         return orders
 
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from granitespool.coordinator import Coordinator
-from granitespool.net.frames import LENGTH_SIZE, updates
+from granitespool.net.frames import LENGTH_SIZE, encode_update
 from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult, LoadReport
 from granitespool.scale.trace import (
@@ -200,7 +200,7 @@
             self.now += ahead
             return
         self.catch_up()
-        while (request := self.coordinator.pick(Queue.HEALTH_CHECKS)) is not None:
+        while (request := self.coordinator.next_message(Queue.HEALTH_CHECKS)) is not None:
             self._check_health(request.backend)
         super().turn(ahead)
         self._record_backlog()
@@ -225,7 +225,7 @@
             proxy=proxy,
             entries=size.entries,
             parts=size.parts,
-            largest_part=_largest_part(updates(message)),
+            largest_part=_largest_part(encode_update(message)),
         )
         self.fleet.record(written)
         self._record_backlog()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -19,7 +19,7 @@
 from granitespool.management.operational_state import OperationalState, ServiceFacts, StateFolderMetrics
 from granitespool.management.settings_trees import CANDIDATE, RUNNING, STARTUP
 from granitespool.net import config
-from granitespool.operator_settings import Operator, State
+from granitespool.operator_settings import OperatorSettings, StateSettings
 from granitespool.planner.admission_levels import AdmissionLevel
 from granitespool.planner.status import BackendStatus, EntryStatus, PlannerStatus
 from granitespool.settings import RequestClass
@@ -153,7 +153,7 @@
                 **settings,
             }
         ),
-        "operator": Operator(state=State(folder="x", half_life_s=12.5)),
+        "operator": OperatorSettings(state=StateSettings(folder="x", half_life_s=12.5)),
     }
 
 
@@ -181,7 +181,7 @@
     assert new["settings"].classes == [
         RequestClass(name="pay", latency_objective=100_000, writes=True, priority_weight=2)
     ]
-    assert new["operator"].state == State(folder="x", half_life_s=12.5, every_ms=250)
+    assert new["operator"].state == StateSettings(folder="x", half_life_s=12.5, every_ms=250)
     gone = mapping.config_of(
         apply_changes(
             SETTINGS, tree, [node("drain", operation="delete"), node("operator", operation="delete")]
@@ -208,7 +208,7 @@
 )
 def test_the_impact_check_rejects_harmful_changes(change, proxies, restart_required, expected_text):
     limits = {"sockets": change.pop("limits", 1024)}
-    new = {**configuration(**change), "limits": limits, "limits_told": {"sockets": 1024}}
+    new = {**configuration(**change), "limits": limits, "configured_limits": {"sockets": 1024}}
     if expected_text is None:
         return impact_check.check(new, configuration(), proxies, {"n"}, restart_required)
     assert (
@@ -472,7 +472,7 @@
             zones = [ZoneStatus("n", 2, {"pay": AdmissionLevel(0.5, 1)}), ZoneStatus("s", 0, {})]
             return CoordinatorStatus(planner, zones)
 
-        def listed(self):
+        def endpoint_states(self):
             return {"a": None, "b": None, "gone": None}
 
         def backend_status(self, name):
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -434,12 +434,12 @@
         if len(calls) == 1:
             raise RuntimeError("the settings cannot be applied")
 
-    real, probes.new_config = probes.new_config, fails
+    real, probes.reconfigure = probes.reconfigure, fails
     client.edit(LINES_PER_SECOND.format("500"))
     reply = client.commit()
     assert reply_tag(reply) == "operation-failed" and "former" in reply and server.settings() == before
     assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
-    probes.new_config = real
+    probes.reconfigure = real
     assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
     server.logged("task_failed")  # the log is read in another thread
     server.lines[:] = [line for line in server.lines if line["event"] != "task_failed"]
