--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -28,9 +28,9 @@
     """Return the path message of a text such as "/a/b[k=v]/c"."""
     message = pb.Path()
     for part in filter(None, text.split("/")):
-        name, _, keys_ = part.partition("[")
+        name, _, key_text = part.partition("[")
         message.elem.add(
-            name=name, key=dict(pair.split("=") for pair in keys_.rstrip("]").split("][") if pair)
+            name=name, key=dict(pair.split("=") for pair in key_text.rstrip("]").split("][") if pair)
         )
     return message
 
@@ -43,13 +43,14 @@
 class GnmiServiceThread(ServiceThread):
     """A service with NETCONF and gNMI listeners, and gNMI clients."""
 
-    def __init__(self, path_, keys_folder, **more):
-        super().__init__(path_, keys_folder, **more)
+    def __init__(self, folder, keys_folder, **more):
+        super().__init__(folder, keys_folder, **more)
         import msgspec  # noqa: PLC0415
 
-        self.gnmi = "127.0.0.1", free_port()
+        self.gnmi_address = "127.0.0.1", free_port()
         self.operator = msgspec.structs.replace(
-            self.operator, gnmi=GnmiSettings(listen=f"127.0.0.1:{self.gnmi[1]}", sessions=6, streams=16)
+            self.operator,
+            gnmi=GnmiSettings(listen=f"127.0.0.1:{self.gnmi_address[1]}", sessions=6, streams=16),
         )
         self.channels = []
 
@@ -63,20 +64,22 @@
             )
         }
         channel = grpc.secure_channel(
-            "{}:{}".format(*self.gnmi),
+            "{}:{}".format(*self.gnmi_address),
             grpc.ssl_channel_credentials(**credentials),
             [("grpc.use_local_subchannel_pool", 1)],
         )
         self.channels.append(channel)
         return Client(channel)
 
-    def __exit__(self, *words):
+    def __exit__(self, *exception):
         for channel in self.channels:
             channel.close()
-        super().__exit__(*words)
+        super().__exit__(*exception)
 
 
 class Client:
+    """A gNMI client with grpcio."""
+
     def __init__(self, channel):
         def unary(name, response_type):
             return channel.unary_unary(
@@ -448,7 +451,7 @@
         context = client_context(keys_folder, "operations")
         context.set_alpn_protocols(["h2"])
         self.sock = context.wrap_socket(
-            socket.create_connection(server.gnmi, timeout=5), server_hostname="127.0.0.1"
+            socket.create_connection(server.gnmi_address, timeout=5), server_hostname="127.0.0.1"
         )
         self.h2 = H2Connection(
             H2Configuration(
@@ -478,7 +481,7 @@
         )
         return stream
 
-    def until(self, event_type, seconds=5):
+    def wait_for_event(self, event_type, seconds=5):
         """Return the first event of a type; raise ConnectionError if the connection ends before."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -526,7 +529,7 @@
     proxy, client, raw = server.proxy(), server.client(), RawHttp2Client(server, keys_folder)
     with pytest.raises(ConnectionError):
         send_flood(raw, behaviour)
-        event = raw.until(ConnectionTerminated)
+        event = raw.wait_for_event(ConnectionTerminated)
         raise ConnectionError(str(event))
     assert client.value(LINES_PER_SECOND) == "1000.0" and alive(proxy)
     proxy.close()
@@ -545,7 +548,7 @@
     stream = raw.call()
     raw.h2.send_data(stream, data)
     raw.flush()
-    event = raw.until(ResponseReceived)
+    event = raw.wait_for_event(ResponseReceived)
     headers = {key.decode() if isinstance(key, bytes) else key: value for key, value in event.headers}
     status = headers["grpc-status"]
     assert int(status) == code
@@ -560,7 +563,7 @@
     raw.flush()
     headers = {
         key.decode() if isinstance(key, bytes) else key: value
-        for key, value in raw.until(ResponseReceived).headers
+        for key, value in raw.wait_for_event(ResponseReceived).headers
     }
     assert int(headers["grpc-status"]) == StatusCode.DEADLINE_EXCEEDED
     stalled = RawHttp2Client(server, keys_folder)
@@ -584,7 +587,7 @@
         stalled.call()  # more than the maximum number of streams
     with pytest.raises(Exception):  # noqa: B017 the server resets the stream or ends the connection
         stalled.flush()
-        stalled.until((StreamReset, ConnectionTerminated))
+        stalled.wait_for_event((StreamReset, ConnectionTerminated))
         raise RuntimeError
 
 
@@ -599,7 +602,7 @@
             time.sleep(0.01)
         connections_limit = server.service.streams.admission.connections_limit
         assert connections_limit == server.read()["connections"] - (8 + 4 + 1) - (6 + 3 + 1)
-    assert raw.until(ConnectionTerminated).error_code == 0
+    assert raw.wait_for_event(ConnectionTerminated).error_code == 0
 
 
 def test_a_request_that_is_not_grpc_gets_status_415_and_the_connection_continues(server, keys_folder):
@@ -611,12 +614,12 @@
         end_stream=True,
     )
     raw.flush()
-    headers = dict(raw.until(ResponseReceived).headers)
+    headers = dict(raw.wait_for_event(ResponseReceived).headers)
     assert headers.get(b":status", headers.get(":status")) in (b"415", "415")
     second_stream = raw.call("Capabilities")
     raw.h2.send_data(second_stream, framed(pb.CapabilityRequest()), end_stream=True)
     raw.flush()
-    assert raw.until(DataReceived).data
+    assert raw.wait_for_event(DataReceived).data
 
 
 @pytest.mark.parametrize(
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -562,7 +562,7 @@
         )
         assert reply_tag(client.receive()) == "resource-denied"
         writer = server.service.snapshotter.writer
-    writer.join(10)  # the folder stays locked until the delayed sync has ended
+    writer.join(10)  # the writer uses the folder until the delayed sync has ended
     # The rejected settings do not return with a restart.
     with ServiceThread(tmp_path, keys_folder, state=True) as server:
         assert server.settings()["entries_per_s"] == 1000 and len(server.settings()["classes"]) == 1
@@ -593,19 +593,21 @@
                 pass
         sock.close()
         return
-    client = NetconfClient(where, keys_folder, greet=behaviour not in ("hello", "no hello"))
+    client = NetconfClient(
+        where, keys_folder, greet=behaviour not in ("hello without capabilities", "rpc before hello")
+    )
     with pytest.raises(ConnectionEndedError):
-        if behaviour == "hello":
+        if behaviour == "hello without capabilities":
             client.raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
-        elif behaviour == "no hello":
+        elif behaviour == "rpc before hello":
             client.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), False))
-        elif behaviour == "endless":
+        elif behaviour == "oversized chunk":
             client.raw(b"\n#4000000\n")
-        elif behaviour == "laughs":
+        elif behaviour == "entity expansion":
             client.raw(frame(b'<!DOCTYPE l [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;&a;">]><rpc>&b;</rpc>', True))
-        elif behaviour == "deep":
+        elif behaviour == "deep nesting":
             client.raw(frame(b"<a>" * 200 + b"</a>" * 200, True))
-        elif behaviour == "disorder":
+        elif behaviour == "invalid framing":
             client.raw(b"\n##\n#5\nhello")
         elif behaviour == "flood":
             client.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), True) * 400)
@@ -623,12 +625,12 @@
         "plain",
         "garbage",
         "tls 1.2",
-        "hello",
-        "no hello",
-        "endless",
-        "laughs",
-        "deep",
-        "disorder",
+        "hello without capabilities",
+        "rpc before hello",
+        "oversized chunk",
+        "entity expansion",
+        "deep nesting",
+        "invalid framing",
         "flood",
     ],
 )
