--- a/granitespool/netconf/operations/sessions.py
+++ b/granitespool/netconf/operations/sessions.py
@@ -3,17 +3,17 @@
 from granitespool.management.authorization import require_write
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.netconf.context import OperationContext
-from granitespool.netconf.namespaces import base
+from granitespool.netconf.namespaces import base_tag
 from granitespool.netconf.xmltree import Element
 
 
 def close_session(_context: OperationContext, _operation: Element, _reply: Element) -> None:
-    """Is answered as any other operation: the session ends itself after the reply."""
+    """Do nothing: the session ends itself after the reply to this operation."""
 
 
 def kill_session(context: OperationContext, operation: Element, _reply: Element) -> None:
-    """Ends another session; whoever does so must be allowed to write all of the settings."""
-    number = (operation.findtext(base("session-id")) or "").strip()
+    """End another session; the user must be authorized to write all settings."""
+    number = (operation.findtext(base_tag("session-id")) or "").strip()
     other = context.service.find_session(number)
     if other is None or other is context.owner:
         reason = f"there is no other session {number!r:.20}"
--- a/granitespool/netconf/replies.py
+++ b/granitespool/netconf/replies.py
@@ -7,7 +7,7 @@
 from granitespool.management import model
 from granitespool.management.data_tree import PathElement
 from granitespool.management.errors import ErrorTag, ManagementError
-from granitespool.netconf.namespaces import BASE, XML, base
+from granitespool.netconf.namespaces import BASE, XML, base_tag
 from granitespool.netconf.xmltree import Element
 
 PROTOCOL_TAGS = frozenset(
@@ -22,45 +22,45 @@
         ErrorTag.MISSING_ELEMENT,
         ErrorTag.UNKNOWN_ELEMENT,
     )
-)  # of an error without a path these are of the layer protocol, all others of application
+)  # errors with these tags and without a path have the error-type protocol, all others application
 
 
 def new_reply(rpc: Element) -> Element:
-    """An empty rpc-reply with the attributes of its rpc."""
-    return etree.Element(base("rpc-reply"), attrib=dict(rpc.attrib), nsmap={None: BASE})
+    """Return an empty rpc-reply with the attributes of its rpc."""
+    return etree.Element(base_tag("rpc-reply"), attrib=dict(rpc.attrib), nsmap={None: BASE})
 
 
 def add_ok(reply: Element) -> None:
-    """Says that an operation without data has succeeded."""
-    etree.SubElement(reply, base("ok"))
+    """Add the ok element, which reports success without data."""
+    etree.SubElement(reply, base_tag("ok"))
 
 
 def replace_by_error(reply: Element, error: ManagementError, session_number: Callable[[object], int]) -> None:
-    """Has a reply hold this error alone; `session_number` gives the session-id of a session."""
+    """Replace the content of a reply by an error; `session_number` returns the session-id of a session."""
     for child in list(reply):
         reply.remove(child)
     reply.append(error_element(error, session_number))
 
 
 def error_element(error: ManagementError, session_number: Callable[[object], int]) -> Element:
-    """The rpc-error of an error."""
-    element = etree.Element(base("rpc-error"), nsmap={None: BASE})
+    """Return the rpc-error element of an error."""
+    element = etree.Element(base_tag("rpc-error"), nsmap={None: BASE})
     is_protocol = error.tag in PROTOCOL_TAGS and not error.path
     _add_text(element, "error-type", "protocol" if is_protocol else "application")
     _add_text(element, "error-tag", error.tag)
     _add_text(element, "error-severity", "error")
     if error.path:
-        path = etree.SubElement(element, base("error-path"), nsmap={"gs": model.NAMESPACE})
+        path = etree.SubElement(element, base_tag("error-path"), nsmap={"gs": model.NAMESPACE})
         path.text = "".join(map(_path_step, error.path))
-    message = etree.SubElement(element, base("error-message"), attrib={f"{{{XML}}}lang": "en"})
+    message = etree.SubElement(element, base_tag("error-message"), attrib={f"{{{XML}}}lang": "en"})
     message.text = error.reason
     if error.has_info:
-        _add_info(etree.SubElement(element, base("error-info")), error, session_number)
+        _add_info(etree.SubElement(element, base_tag("error-info")), error, session_number)
     return element
 
 
 def _add_text(parent: Element, name: str, text: str) -> None:
-    etree.SubElement(parent, base(name)).text = str(text)
+    etree.SubElement(parent, base_tag(name)).text = str(text)
 
 
 def _path_step(step: PathElement) -> str:
