--- a/granitespool/net/__init__.py
+++ b/granitespool/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets around the coordinator: one epoll loop, generators as coroutines, one owner a resource."""
+"""Network I/O of the coordinator: one epoll loop, generator-based coroutines, one owner per resource."""
--- a/granitespool/net/acceptor.py
+++ b/granitespool/net/acceptor.py
@@ -1,7 +1,8 @@
-"""Listening at the coordinator's address and taking connections.
+"""Listen on the coordinator's address and accept connections.
 
-Owns the listening socket. It never reads from a connection and never decides which is evicted: it asks
-`admission` for room and hands each socket on."""
+Owns the listening socket. It never reads from a connection and never decides which connection is evicted: it
+asks `admission` whether a connection can be accepted and hands each accepted socket to a callback.
+"""
 
 import errno
 import socket
@@ -13,15 +14,18 @@
 from granitespool.net.log_events import log_rejected
 from granitespool.net.loop import IN, SECOND, Coroutine, Loop
 
-BACKLOG = 4096  # connections the system holds for us: all proxies at once after a restart
-ACCEPTS_PER_TURN = 64  # connections taken in one turn: the others are served between
-ACCEPT_RETRY_DELAY = SECOND // 50  # ns between accepts while there is no room
+# Connections that the kernel queues: after a restart all proxies connect at once.
+BACKLOG = 4096
+# Connections accepted in one turn, so that open connections are served in between.
+ACCEPTS_PER_TURN = 64
+ACCEPT_RETRY_DELAY = SECOND // 50  # ns between accepts while no connection can be accepted
 
+# Error numbers of `accept` that mean the process or the machine is short of descriptors or memory.
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Acceptor:
-    """Accepts as long as its coroutine runs; whoever ends `task` closes the listener with it."""
+    """The listener for incoming connections; ending `task` closes the listening socket."""
 
     def __init__(
         self,
@@ -31,10 +35,11 @@
         address: tuple[str, int],
         on_accepted: Callable[[socket.socket, str], None],
     ) -> None:
-        """Listens at once; raises OSError where the address cannot be bound.
+        """Start to listen; raise OSError if the address cannot be bound.
 
-        `on_accepted` is called with each socket and its peer's "host:port"; where it raises OSError the
-        socket is closed here."""
+        `on_accepted` is called with each socket and its peer's "host:port"; if it raises OSError, the socket
+        is closed here.
+        """
         self.loop, self.log, self.admission, self.on_accepted = loop, log, admission, on_accepted
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -50,9 +55,11 @@
                     yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
 
     def _accept_waiting(self) -> bool:
-        """Takes those who wait, as many as a turn may.
+        """Accept queued connections, at most `ACCEPTS_PER_TURN`.
 
-        Returns False where there is no room for one: then a moment must pass before the next is taken."""
+        Return False if no further connection can be accepted for now; the caller then waits for
+        `ACCEPT_RETRY_DELAY`.
+        """
         for attempt in range(ACCEPTS_PER_TURN):
             if self.admission.is_full() and not self.admission.end_pending():
                 return False
@@ -62,13 +69,13 @@
                 return True
             except OSError as error:
                 if error.errno not in OUT_OF_RESOURCES:
-                    continue  # gone before it was taken
-                # The system says so before it looks whether anyone waits: only the first time in a turn does
-                # somebody surely wait, and room must be made.
+                    continue  # the peer closed the connection before it was accepted
+                # `accept` reports a lack of resources even if no connection is queued. Only on the first
+                # attempt of a turn is one known to be queued, and another connection has to be evicted.
                 return attempt > 0 or self.admission.end_pending() or self.admission.end_collector()
             try:
                 self.on_accepted(sock, f"{host}:{port}")
-            except OSError as error:  # reset already: it must not end the accepting
+            except OSError as error:  # already reset by the peer, which must not stop the acceptor
                 sock.close()
                 log_rejected(self.log, peer=host, reason=str(error))
         return True
--- a/granitespool/net/client.py
+++ b/granitespool/net/client.py
@@ -1,6 +1,7 @@
-"""Steps that coroutines share on a non-blocking socket: connecting, sending, an HTTP GET, receiving.
+"""Client operations on a non-blocking socket: connect, send, send an HTTP GET, receive.
 
-Each is a coroutine of the loop, used by `yield from`. The caller owns the socket."""
+Each is a coroutine of the loop, used by `yield from`. The caller owns the socket.
+"""
 
 import errno
 import socket
@@ -10,30 +11,31 @@
 
 from granitespool.net.loop import IN, OUT, Wait
 
-RECEIVE_SIZE = 16 * 1024  # bytes received at once
+RECEIVE_SIZE = 16 * 1024  # bytes, the largest read
 
 
 def dial(sock: socket.socket, address: tuple[str, int], deadline: int | None) -> Generator[Wait, int, None]:
-    """Connects until `deadline` (ns).
+    """Connect to `address`.
 
-    Raises TimeoutError past it, or the OSError that the network tells."""
+    Raise TimeoutError if there is no connection by `deadline` (ns), or the OSError of the failed connect.
+    """
     code = sock.connect_ex(address)
     if code == errno.EINPROGRESS:
         if not (yield sock.fileno(), OUT, deadline):
-            raise TimeoutError("no connection in time")
+            raise TimeoutError("the connection attempt timed out")
         code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
         raise OSError(code, errno.errorcode.get(code, str(code)))
 
 
 def send(sock: socket.socket, data: bytes, deadline: int | None) -> Generator[Wait, int, None]:
-    """Sends all of `data`; raises TimeoutError where it is not taken until `deadline` (ns), or OSError."""
+    """Send all of `data`; raise TimeoutError if it is not sent by `deadline` (ns), or OSError."""
     while data:
         try:
             data = data[sock.send(data) :]
         except BlockingIOError:
             if not (yield sock.fileno(), OUT, deadline):
-                raise TimeoutError("not taken in time") from None
+                raise TimeoutError("sending the request timed out") from None
 
 
 def http_get(
@@ -43,9 +45,10 @@
     deadline: int | None,
     *headers: tuple[str, str],
 ) -> Generator[Wait, int, h11.Connection]:
-    """Sends a GET of `target` and returns the h11 connection that is to read the answer.
+    """Send a GET request for `target` and return the h11 connection that parses the response.
 
-    Raises TimeoutError where it is not taken until `deadline` (ns), or OSError."""
+    Raise TimeoutError if the request is not sent by `deadline` (ns), or OSError.
+    """
     host, port = address
     http = h11.Connection(h11.CLIENT)
     request = h11.Request(method="GET", target=target, headers=[("Host", f"{host}:{port}"), *headers])
@@ -55,16 +58,18 @@
 
 
 def receive(sock: socket.socket, deadline: int | None) -> Generator[Wait, int, bytes]:
-    """Some bytes, b"" at the end of the connection.
+    """Return the next received bytes, b"" at the end of the connection.
 
-    Raises TimeoutError where none come until `deadline` (ns), or OSError. A peer that sends without end
-    leaves the others their turns: after a full read the caller goes on in the next turn."""
+    Raise TimeoutError if none are received by `deadline` (ns), or OSError. After a read of `RECEIVE_SIZE`
+    bytes the caller continues in the next turn, so that a peer that sends without a pause does not starve
+    the others.
+    """
     while True:
         try:
             data = sock.recv(RECEIVE_SIZE)
         except BlockingIOError:
             if not (yield sock.fileno(), IN, deadline):
-                raise TimeoutError("silent") from None
+                raise TimeoutError("no data was received before the deadline") from None
             continue
         if len(data) == RECEIVE_SIZE:
             yield sock.fileno(), OUT, deadline
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -1,7 +1,8 @@
-"""The configuration of a coordinator: one JSON file, named by LB_CONFIG.
+"""The configuration of a coordinator: one JSON file, whose path is in LB_CONFIG.
 
-The one place that knows the file's keys. `load` checks them and gives a typed `Configuration`, in which all
-values are within their limits; nothing else reads the file."""
+Only this module uses the file's keys and reads the file. `load` checks it and returns a typed
+`Configuration`, in which all values are within their limits.
+"""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, NotRequired, TypedDict
@@ -16,18 +17,22 @@
 if TYPE_CHECKING:
     from granitespool.operator_settings import Operator
 
-DEFAULT_SOCKETS = 1024  # descriptors where no limit is told: the platform's largest
-DEFAULT_MEMORY_MB = 192  # MB where no limit is told: the platform's largest
-SOCKETS_MIN = 25  # descriptors under which nobody is served: the reserved ones, a check, some connections
-RESERVED_SOCKETS = 16  # for standard streams, the loop, the listener, datagrams, the watch, a file, and a few
-#                        pending connections where those who joined hold all places
-SOCKETS_PER_HEALTH_CHECK = 8  # one descriptor in so many: a server each of the smallest limit's fleet
-HEALTH_CHECKS_MAX = 64  # in flight at most: more tell nothing sooner
-MEMORY_PER_BUFFERS = 4  # one byte in so many may be receive buffers: the program takes half of 32 MB
+DEFAULT_SOCKETS = 1024  # descriptors if no limit is configured: the platform's largest limit
+DEFAULT_MEMORY_MB = 192  # MB if no limit is configured: the platform's largest limit
+# The smallest descriptor limit: the reserved descriptors, one health check and some connections.
+SOCKETS_MIN = 25
+# Descriptors for the standard streams, the loop, the listener, gossip, the watch of the endpoint list, a
+# file, and a few pending connections while joined connections use up the limit.
+RESERVED_SOCKETS = 16
+# One descriptor in 8 is for health checks: with the smallest limit, one for each backend of its fleet.
+SOCKETS_PER_HEALTH_CHECK = 8
+HEALTH_CHECKS_MAX = 64  # in flight; more would not detect a change sooner
+# One byte in 4 of the memory limit is for receive buffers; the program itself uses half of 32 MB.
+MEMORY_PER_BUFFERS = 4
 CONNECTIONS_MIN = 8
 PORT_MAX = 65535
 MIB = 1 << 20  # bytes
-SETTINGS_TYPES: Mapping[str, type] = {  # of the settings' keys whose type is checked here
+SETTINGS_TYPES: Mapping[str, type] = {  # JSON type by settings key, for the keys that are checked here
     "classes": list,
     "zones": list,
     "family_info": dict,
@@ -39,45 +44,45 @@
 
 
 class Limits(TypedDict):
-    """What the platform permits."""
+    """Resource limits of the platform."""
 
     sockets: int  # descriptors
-    memory_mb: int  # MB
+    memory_mb: int
 
 
 class Quotas(TypedDict):
-    """What the limits leave to each part."""
+    """The share of the resource limits that each part may use."""
 
-    sockets: int  # descriptors in all
-    health_checks: int  # health checks in flight
-    connections: int
+    sockets: int  # descriptors in total
+    health_checks: int  # in flight
+    connections: int  # joined connections
     buffers: int  # receive buffers
 
 
 class WatchConfiguration(TypedDict):
-    """What the watch of the endpoint list needs."""
+    """The part of the configuration that the watch of the endpoint list uses."""
 
     discovery: Address
-    known: dict[str, Any]  # a message of the endpoint list, in discovery's form
+    known: dict[str, Any]  # the endpoint list to start from, in the form of a message of discovery
 
 
 class Configuration(Quotas, WatchConfiguration):
-    """What the service is told."""
+    """The checked configuration of a service."""
 
     name: str
     listen: Address
     seed: int
     limits: Limits
-    configured_limits: Limits  # as the file has them, whatever managers have changed since
-    peer_listen: Address | None
+    configured_limits: Limits  # the limits of the file, without changes by management clients
+    peer_listen: Address | None  # for gossip
     peers: list[Address]
-    peers_all: Address | None
+    peers_all: Address | None  # reaches all peers
     settings: Settings
-    operator: NotRequired["Operator | None"]  # the operator's settings, where the program was given some
+    operator: NotRequired["Operator | None"]  # the operator's settings, if the program was started with any
 
 
 def parse_address(text: object) -> Address:
-    """(host, port) of `host:port`; raises InvalidInputError."""
+    """Return (host, port) of `host:port`; raise InvalidInputError if it is none."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or int(port) > PORT_MAX:
         raise InvalidInputError(f"{text!r:.60} is not an address host:port")
@@ -85,19 +90,19 @@
 
 
 def format_address(host_and_port: Address) -> str:
-    """`host:port` of an address."""
+    """Return `host:port` of an address."""
     host, port = host_and_port
     return f"{host}:{port}"
 
 
 def compute_quotas(limits: Mapping[str, Any]) -> Quotas:
-    """What the limits leave to each part; raises InvalidInputError where they leave no room to serve."""
-    told = {"type": "limits", "sockets": DEFAULT_SOCKETS, "memory_mb": DEFAULT_MEMORY_MB, **limits}
-    sockets: int = required_number(told, "sockets", int)
-    memory_mb = required_number(told, "memory_mb")
+    """Divide the resource limits among the parts; raise InvalidInputError if they are too low."""
+    document = {"type": "limits", "sockets": DEFAULT_SOCKETS, "memory_mb": DEFAULT_MEMORY_MB, **limits}
+    sockets: int = required_number(document, "sockets", int)
+    memory_mb = required_number(document, "memory_mb")
     if sockets < SOCKETS_MIN or memory_mb < 1:
         raise InvalidInputError(
-            f"the limits leave no room to serve: {SOCKETS_MIN} sockets and 1 MB are the least"
+            f"the limits are too low: at least {SOCKETS_MIN} sockets and 1 MB are required"
         )
     health_checks = min(HEALTH_CHECKS_MAX, sockets // SOCKETS_PER_HEALTH_CHECK)
     return {
@@ -109,7 +114,7 @@
 
 
 def with_quotas(config: Configuration, quota: Quotas) -> Configuration:
-    """The configuration with other quotas."""
+    """Return a copy of the configuration with other quotas."""
     replaced = config.copy()
     replaced["sockets"] = quota["sockets"]
     replaced["health_checks"] = quota["health_checks"]
@@ -119,7 +124,7 @@
 
 
 def limits_with_defaults(limits: Mapping[str, Any]) -> Limits:
-    """The limits as they are told, or the usual ones."""
+    """Return the limits, with the default for each one that is unset."""
     sockets = limits.get("sockets")
     memory_mb = limits.get("memory_mb")
     return {
@@ -129,35 +134,35 @@
 
 
 def load(path: str | None) -> Configuration:
-    """The configuration of a file; raises InvalidInputError with one sentence."""
+    """Read and check a configuration file; raise InvalidInputError with one sentence."""
     if not path:
-        raise InvalidInputError("no configuration: LB_CONFIG names no file")
+        raise InvalidInputError("no configuration: LB_CONFIG is not set")
     try:
-        with open(path, "rb") as file:  # noqa: PTH123 pathlib costs a start some milliseconds
-            told = orjson.loads(file.read())
+        with open(path, "rb") as file:  # noqa: PTH123 importing pathlib adds milliseconds to a start
+            document = orjson.loads(file.read())
     except OSError as error:
         raise InvalidInputError(f"the configuration {path} cannot be read: {error.strerror}") from None
     except ValueError as error:
         raise InvalidInputError(f"the configuration {path} is not JSON: {error}") from None
-    if not isinstance(told, dict):
-        raise InvalidInputError(f"the configuration {path} is not an object")
+    if not isinstance(document, dict):
+        raise InvalidInputError(f"the configuration {path} is not a JSON object")
     try:
-        return parse_configuration({"type": "configuration", **told})
+        return parse_configuration({"type": "configuration", **document})
     except (TypeError, AttributeError) as error:
-        raise InvalidInputError(f"the configuration {path} has a field of another type: {error}") from None
+        raise InvalidInputError(f"the configuration {path} has a field of the wrong type: {error}") from None
 
 
-def parse_configuration(told: Mapping[str, Any]) -> Configuration:
-    """The configuration of the file's object; raises InvalidInputError, TypeError or AttributeError."""
-    seed = _seed(told.get("seed") or 0)
-    limits = told.get("limits") or {}
-    wire_settings = required_field(told, "settings", dict)
+def parse_configuration(document: Mapping[str, Any]) -> Configuration:
+    """Check the file's JSON object; raise InvalidInputError, TypeError or AttributeError if it is wrong."""
+    seed = _parse_seed(document.get("seed") or 0)
+    limits = document.get("limits") or {}
+    wire_settings = required_field(document, "settings", dict)
     _check_settings_types(wire_settings)
     if not isinstance(limits, dict):
         raise InvalidInputError("the limits are not a JSON object")
-    name = required_field(told, "name", str)
-    listen = parse_address(required_field(told, "listen", str))
-    discovery = parse_address(required_field(told, "discovery", str))
+    name = required_field(document, "name", str)
+    listen = parse_address(required_field(document, "listen", str))
+    discovery = parse_address(required_field(document, "discovery", str))
     quota = compute_quotas({key: limit for key, limit in limits.items() if limit is not None})
     return {
         "name": name,
@@ -170,16 +175,16 @@
         "buffers": quota["buffers"],
         "limits": limits_with_defaults(limits),
         "configured_limits": limits_with_defaults(limits),
-        "peer_listen": _optional_address(told.get("peer_listen")),
-        "peers": [parse_address(peer) for peer in told.get("peers") or ()],
-        "peers_all": _optional_address(told.get("peers_all")),
-        "known": required_field({"known": {"index": 0, "endpoints": []}, **told}, "known", dict),
+        "peer_listen": _parse_optional_address(document.get("peer_listen")),
+        "peers": [parse_address(peer) for peer in document.get("peers") or ()],
+        "peers_all": _parse_optional_address(document.get("peers_all")),
+        "known": required_field({"known": {"index": 0, "endpoints": []}, **document}, "known", dict),
         "settings": settings_from_wire(wire_settings),
     }
 
 
 def summary(config: Configuration) -> str:
-    """One line for a person: what this configuration holds."""
+    """Return one line that describes the configuration to an operator."""
     settings = config["settings"]
     return (
         f"{config['name']} listens on {format_address(config['listen'])}, "
@@ -189,16 +194,16 @@
     )
 
 
-def _seed(told: object) -> int:
-    text = str(told)
+def _parse_seed(value: object) -> int:
+    text = str(value)
     try:
         return int(text, 16)
     except ValueError:
-        raise InvalidInputError(f"the seed {text!r:.40} is not in hex digits") from None
+        raise InvalidInputError(f"the seed {text!r:.40} is not a hexadecimal number") from None
 
 
-def _optional_address(told: object) -> Address | None:
-    return parse_address(told) if told else None
+def _parse_optional_address(value: object) -> Address | None:
+    return parse_address(value) if value else None
 
 
 def _check_settings_types(wire_settings: Mapping[str, Any]) -> None:
@@ -206,5 +211,5 @@
         if not isinstance(wire_settings.get(key) or kind(), kind):
             name = "array" if kind is list else "object"
             raise InvalidInputError(f"the settings' {key!r} are not a JSON {name}")
-    if not all(isinstance(each, dict) for each in wire_settings.get("classes") or ()):
-        raise InvalidInputError("the settings' 'classes' hold what is not an object")
+    if not all(isinstance(entry, dict) for entry in wire_settings.get("classes") or ()):
+        raise InvalidInputError("the settings' 'classes' contain an item that is not a JSON object")
--- a/granitespool/net/connection.py
+++ b/granitespool/net/connection.py
@@ -1,7 +1,8 @@
-"""The record of one accepted connection, and how bytes are written to it and its end is made orderly.
+"""One accepted connection: its state, writing to it, and its orderly close.
 
-Owns the socket, the reader and the bytes that are not yet sent. It never decides which keeps a place, never
-reads what a message means and reports nothing: that is for `admission`, `messages` and `membership`."""
+Owns the socket, the reader and the bytes that are not yet sent. Eviction is decided by `admission`, messages
+are interpreted by `messages`, and joins and leaves are reported by `membership`.
+"""
 
 import socket
 from dataclasses import dataclass
@@ -11,57 +12,57 @@
 from granitespool.net.loop import IN, OUT, SECOND, Coroutine, Loop, Task
 from granitespool.net.messages import ProxyJoin
 
-DISCARD_SIZE = 16 * 1024  # bytes read at once of what nobody is to hear any more
-READ_PER_TURN = 256 * 1024  # bytes read from one peer in one turn: twice what may stand unread
-LINGER_TIMEOUT = (
-    SECOND // 4
-)  # ns that last words may take to be read: under half of a planned restart's 0.7 s
+DISCARD_SIZE = 16 * 1024  # bytes, the largest read of input that is discarded
+READ_PER_TURN = 256 * 1024  # bytes read from one peer in one turn: twice what may be unread
+# ns for the peer to read the last message: under half of the 0.7 s that a planned restart allows.
+LINGER_TIMEOUT = SECOND // 4
 
-# Why a connection ended, where nothing was wrong with what it sent
-CLOSED_BY_PEER = "closed by peer"  # by the other side
-CLOSED_BY_COORDINATOR = "closed by coordinator"  # by us, for room or with the process
-REJECTED = "rejected"  # its last word was written, and the log has the reason
+# Reasons for the end of a connection that sent nothing invalid; they are written to the log.
+CLOSED_BY_PEER = "closed by peer"
+CLOSED_BY_COORDINATOR = "closed by coordinator"  # evicted, or the process ends
+REJECTED = "rejected"  # the reason was sent to the peer and is in the log
 REPLACED = "replaced"  # by a later stream of the same proxy
 
 
 class Role(StrEnum):
-    """What a connection is used for; the values are words of the log."""
+    """What a connection is used for; the values appear in the log."""
 
-    PENDING = "unauthenticated"  # it has not said who it is
+    PENDING = "unauthenticated"  # the peer has not joined
     PROXY = "proxy"
     COLLECTOR = "collector"
 
 
 @dataclass(eq=False, slots=True)
 class Connection:
-    """One accepted connection. Its coroutine alone reads from it and closes it."""
+    """One accepted connection. Only its own coroutine reads from it and closes it."""
 
     sock: socket.socket
-    peer: str  # the other side's "host:port"
+    peer: str  # the peer's "host:port"
     reader: Reader
     accepted_at: int  # ns
-    number: int  # how many were accepted before it
+    number: int  # the number of connections accepted before it
     role: Role = Role.PENDING
-    task: Task | None = None  # its coroutine in the loop
+    task: Task | None = None  # the coroutine that serves it
     unsent: bytes = b""
-    proxy: int | None = None  # the proxy whose stream it is
-    join: ProxyJoin | None = None  # what that proxy said of itself
-    awaiting_since: int | None = None  # ns of the oldest mark after which nothing came yet
-    is_unreachable: bool = False  # its proxy was silent for too long, and counts as left
+    proxy: int | None = None  # the number of the proxy whose stream it is
+    join: ProxyJoin | None = None  # that proxy's first message
+    awaiting_since: int | None = None  # ns, the oldest barrier since which nothing was received
+    is_unreachable: bool = False  # the proxy was silent for too long and is reported as left
     ended_by_coordinator: bool = False
     leave_reported: bool = False
     end_reason: str = CLOSED_BY_PEER  # for the log
 
     @property
-    def running(self) -> Task:
-        """Its coroutine, from the first wait on."""
+    def running_task(self) -> Task:
+        """The coroutine that serves the connection; only valid once it has reached its first wait."""
         assert self.task is not None
         return self.task
 
     def write(self, data: bytes) -> None:
-        """Sends what waits and then `data`, as far as the system takes it now; the rest waits in `unsent`.
+        """Send the unsent bytes and then `data` without blocking; the rest stays in `unsent`.
 
-        Raises OSError where the connection is broken."""
+        Raise OSError if the connection is broken.
+        """
         unsent = self.unsent + data
         try:
             sent = self.sock.send(unsent) if unsent else 0
@@ -70,37 +71,38 @@
         self.unsent = unsent[sent:]
 
     def linger(self, loop: Loop) -> Coroutine:
-        """Writes what waits, ends our side and waits for the other side's end, for `LINGER_TIMEOUT` at most.
+        """Send the unsent bytes, shut down writing and wait for the peer to close, at most `LINGER_TIMEOUT`.
 
-        What still comes is dropped: a close over bytes that were not read resets, and takes with it what was
-        sent. Raises OSError where the connection is broken."""
-        sock, our_side_ended, until = self.sock, False, loop.now + LINGER_TIMEOUT
-        while loop.now < until:
+        Input is read and discarded: closing a socket with unread input resets the connection, and the peer
+        may lose what was sent to it. Raise OSError if the connection is broken.
+        """
+        sock, write_is_shut_down, deadline = self.sock, False, loop.now + LINGER_TIMEOUT
+        while loop.now < deadline:
             self.write(b"")
-            if not self.unsent and not our_side_ended:
+            if not self.unsent and not write_is_shut_down:
                 sock.shutdown(socket.SHUT_WR)
-                our_side_ended = True
-            their_side_ended = _discard(sock)
-            if their_side_ended and our_side_ended:
+                write_is_shut_down = True
+            peer_has_closed = _discard_input(sock)
+            if peer_has_closed and write_is_shut_down:
                 return
-            mask = (0 if their_side_ended else IN) | (0 if our_side_ended else OUT)
-            yield sock.fileno(), mask, until
+            mask = (0 if peer_has_closed else IN) | (0 if write_is_shut_down else OUT)
+            yield sock.fileno(), mask, deadline
 
     def close(self) -> None:
-        """Gives back the socket and the reader's buffers."""
+        """Close the socket and release the reader's buffers."""
         self.sock.close()
         self.reader.close()
 
 
-def _discard(sock: socket.socket) -> bool:
-    """Drops what one turn may read; whether the other side has ended its own."""
+def _discard_input(sock: socket.socket) -> bool:
+    """Discard up to `READ_PER_TURN` bytes of input; return whether the peer has closed its side."""
     total = 0
     while total < READ_PER_TURN:
         try:
-            dropped = len(sock.recv(DISCARD_SIZE))
+            discarded = len(sock.recv(DISCARD_SIZE))
         except BlockingIOError:
             return False
-        if not dropped:
+        if not discarded:
             return True
-        total += dropped
+        total += discarded
     return False
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -1,8 +1,9 @@
-"""Dispatch: what is done with each message of a connection.
+"""Dispatch of the messages received on a connection.
 
-Owns the names that messages may use, and decides by a message's type and its sender's role whether it is
-answered, joins its sender, is reported to the coordinator, dropped or refused. It never reads a socket, and
-the fields are checked by `messages`. No decision of the planner's is taken here."""
+Owns the names that messages may contain. The message type and the sender's role decide whether a message is
+answered, joins its sender, is reported to the coordinator, is dropped, or ends the connection. It never reads
+a socket; the fields are checked by `messages`, and the planner takes the decisions.
+"""
 
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
@@ -16,8 +17,9 @@
 from granitespool.net.messages import KnownNames, Message
 from granitespool.planner.events import Acknowledged, LoadReport, UsageReport
 
-PENDING = Role.PENDING  # a module's own name costs less than an enum's member, and each message asks
-UNSENT_MAX = 64 * 1024  # bytes of answers that wait for one peer: who asks more and reads none is cut off
+PENDING = Role.PENDING  # compared for each message: a module global is faster than an enum attribute
+# Unsent bytes of answers for one peer; a peer that sends pings and does not read the answers is disconnected.
+UNSENT_MAX = 64 * 1024
 
 
 class Dispatcher:
@@ -28,42 +30,44 @@
     ) -> None:
         self.loop, self.coordinator, self.log = loop, coordinator, log
         self.membership, self.names = membership, names
-        self.joinings = {
+        self.join_handlers = {
             messages.PROXY_JOINING: self._join_proxy,
             messages.COLLECTOR_JOINING: self._join_collector,
         }
-        self.reports = {
+        self.report_handlers = {
             messages.APPLIED: self._report_applied,
             messages.LINK_REPORT: self._report_link,
             messages.USAGE_REPORT: self._report_usage,
         }
 
     def handle(self, connection: Connection, message: Message) -> None:
-        """Does what one message asks for.
+        """Handle one message.
 
-        Raises InvalidInputError where its sender must be rejected or cut off, and OSError where it is
-        broken; any other wrong message is lost alone."""
+        Raise InvalidInputError if the connection has to be rejected or closed, and OSError if it is broken.
+        Any other invalid message is dropped, and the connection stays open.
+        """
         kind: str = message["type"]
         if kind == messages.PING:
             self._answer_ping(connection)
         elif connection.role is PENDING:
             self._join(connection, kind, message)
-        elif kind in self.reports:
+        elif kind in self.report_handlers:
             self._report(connection, kind, message)
         else:
             self._drop(
-                connection, f"a {kind!r:.40} has no place here" if kind else "it is no object with a type"
+                connection,
+                f"a {kind!r:.40} is not expected here" if kind else "it is not an object with a type",
             )
 
     def _answer_ping(self, connection: Connection) -> None:
         if len(connection.unsent) <= UNSENT_MAX:
             connection.write(PONG)
         elif connection.role is not Role.PROXY:
-            raise InvalidInputError("it asks and does not read")
+            raise InvalidInputError("it sends pings and does not read the answers")
 
     def _join(self, connection: Connection, kind: str, message: Message) -> None:
-        if kind in self.joinings:
-            self.joinings[kind](connection, message)
+        if kind in self.join_handlers:
+            self.join_handlers[kind](connection, message)
         elif kind:
             raise InvalidInputError(f"a {kind!r:.40} came before its sender said who it is")
         else:
@@ -77,12 +81,12 @@
 
     def _report(self, connection: Connection, kind: str, message: Message) -> None:
         try:
-            self.reports[kind](connection, message)
+            self.report_handlers[kind](connection, message)
         except InvalidInputError as error:
             self._drop(connection, str(error))
         except Exception as error:
-            # A fault of ours that some message triggers must not cost its sender the connection, and with a
-            # collector all of its zone's reports. It shows in the log alone.
+            # A bug that a message triggers is only logged. It must not end the sender's connection: for a
+            # collector that would lose all reports of its zone.
             self.loop.report_failure(error)
 
     def _drop(self, connection: Connection, reason: str) -> None:
@@ -90,20 +94,23 @@
 
     def _report_applied(self, connection: Connection, message: Message) -> None:
         if connection.role is not Role.PROXY or connection.proxy is None:
-            raise InvalidInputError("only a proxy's own stream brings its 'applied'")
+            raise InvalidInputError("an 'applied' is only accepted on the stream of its proxy")
         try:
-            applied = messages.parse_acknowledgement(message, self.names, connection.proxy)
+            acknowledgement = messages.parse_acknowledgement(message, self.names, connection.proxy)
         except InvalidInputError:
-            # It has answered some mark, at least the oldest: otherwise its entries would stay in the
-            # in-flight account until that mark counts as lost. The same goes for answers of another version.
-            # A proxy that answers what it never applied makes its own entries leave the account too soon.
+            # The proxy has answered some barrier, at least the oldest one. Without this report its entries
+            # would count as in flight until that barrier expires; the same applies to answers of another
+            # protocol version. A proxy that acknowledges what it did not apply only affects the count of its
+            # own entries, which then are no longer in flight too early.
             self.coordinator.report(
                 self.loop.now, Acknowledged(proxy=connection.proxy, sequence=None, latency=None)
             )
             raise
         self.coordinator.report(
             self.loop.now,
-            Acknowledged(proxy=connection.proxy, sequence=applied.barrier, latency=applied.latency),
+            Acknowledged(
+                proxy=connection.proxy, sequence=acknowledgement.barrier, latency=acknowledgement.latency
+            ),
         )
 
     def _report_link(self, _: Connection, message: Message) -> None:
--- a/granitespool/net/fleet_notifier.py
+++ b/granitespool/net/fleet_notifier.py
@@ -1,6 +1,7 @@
-"""Notifications about the fleet: what management clients that subscribed are told of, once a period.
+"""Notifications about the fleet for subscribed management clients, once per period.
 
-It only reads the coordinator, a few backends in a step, and only while somebody has subscribed."""
+It only reads the coordinator, a few backends at a time, and only while a client is subscribed.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -10,27 +11,27 @@
 from granitespool.management.mapping import decimal_text
 from granitespool.net.loop import SECOND, Coroutine, Loop
 
-PERIOD = SECOND  # ns: the planner's period
-BACKENDS_PER_STEP = 200
+PERIOD = SECOND  # ns, the planner's period
+BACKENDS_PER_STEP = 200  # backends read before other coroutines run
 
 Link = tuple[str, str]  # backend and zone
 ZoneClass = tuple[str, str | None]  # zone and request class
 
 
 class Notify(Protocol):
-    """Notifies the subscribers of an event; the names are the YANG module's."""
+    """Sends a notification to the subscribers; the names are those of the YANG module."""
 
     def __call__(self, name: str, **fields: object) -> None:
-        """Of the event `name` with these leaves."""
+        """Send the notification `name` with these leaves."""
 
 
 class FleetNotifier:
-    """Compares the fleet with what it was a period ago."""
+    """Compares the fleet with its state one period ago and sends a notification for each difference."""
 
     def __init__(
         self, loop: Loop, coordinator: Coordinator, notify: Notify, has_subscribers: Callable[[], bool]
     ) -> None:
-        """Runs as long as the loop does."""
+        """Start the notifier, which runs until the loop is closed."""
         self.loop = loop
         self.coordinator = coordinator
         self.notify = notify
@@ -61,20 +62,20 @@
             (zone.zone, name): level.share for zone in status.zones for name, level in zone.levels.items()
         }
         for (zone, name), share in shares.items():
-            # A class without an order so far is admitted whole
+            # The admitted share of a class without an admission level so far is 1
             if self.admitted_shares.get((zone, name), max(share, 1.0)) != share:
                 self.notify("levels-changed", zone=zone, share=decimal_text(share), **{"class": name})
         self.admitted_shares = shares
 
     def _compare_ejections(self) -> Coroutine:
-        seen: dict[Link, bool] = {}
+        ejected: dict[Link, bool] = {}
         for number, name in enumerate(list(self.coordinator.listed()), 1):
             backend = self.coordinator.backend_status(name)
             entries = backend.planner.entries if backend else {}
             for zone, entry in entries.items():
-                seen[name, zone] = entry.is_ejected
+                ejected[name, zone] = entry.is_ejected
                 if self.ejected.get((name, zone), False) != entry.is_ejected:
                     self.notify("backend-cut", backend=name, zone=zone, cut=entry.is_ejected)
             if number % BACKENDS_PER_STEP == 0:
                 yield None, 0, self.loop.now
-        self.ejected = seen
+        self.ejected = ejected
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -1,7 +1,8 @@
-"""Frames of the streams: four bytes of length, least significant first, and one JSON object.
+"""Frames of the streams: a little-endian length of four bytes, followed by one JSON object.
 
-A codec without I/O: `frame` and `updates` make bytes of messages, `Reader` makes messages of bytes. What a
-message means is for `messages` and `dispatch`."""
+A codec without I/O: `frame` and `encode_update` encode messages, `Reader` decodes received bytes. Messages
+are interpreted by `messages` and `dispatch`.
+"""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -13,18 +14,19 @@
 from granitespool.net.buffers import BufferPool
 from granitespool.outgoing import LevelUpdate, ProxyUpdate, TableUpdate
 
-MESSAGE_MAX = 1 << 20  # bytes of a message at most: the protocol's
-PARTS_MAX = 64  # parts of a message at most: the protocol's
-ENTRIES_PER_PART = 2048  # entries in one part: 500 bytes an entry keep it under the largest message
-LENGTH_SIZE = 4  # bytes of length
+MESSAGE_MAX = 1 << 20  # bytes of a message, limited by the protocol
+PARTS_MAX = 64  # parts of a message, limited by the protocol
+# Entries in one part; with up to 500 bytes per entry a part stays under `MESSAGE_MAX`.
+ENTRIES_PER_PART = 2048
+LENGTH_SIZE = 4  # bytes of the length prefix
 UPDATE = "update"  # type of a message to a proxy
-UNTYPED = ""  # type of a message that is no object, or has no type that can be read
+UNTYPED = ""  # type given to a message that is not an object or has no valid type
 
 Message = dict[str, Any]
 
 
 def frame(message: Message) -> bytes:
-    """One message as bytes."""
+    """Encode one message as a frame."""
     body = orjson.dumps(message)
     return len(body).to_bytes(LENGTH_SIZE, "little") + body
 
@@ -33,12 +35,12 @@
 
 
 def parse_body(body: bytes) -> Any:
-    """The JSON value of a frame's body; raises InvalidInputError."""
+    """Return the JSON value of a frame's body; raise InvalidInputError if it is not JSON."""
     try:
         return orjson.loads(body)
     except ValueError as error:
-        # Some languages write NaN or Infinity: that can be read, and the checks of its fields lose that
-        # message alone. The cost: a bad body is parsed twice.
+        # Some JSON libraries write NaN or Infinity. Such a body is parsed here, so that the check of its
+        # fields drops only that message. The cost is that an invalid body is parsed twice.
         try:
             return json.loads(body)
         except (ValueError, RecursionError):
@@ -46,18 +48,18 @@
 
 
 class Reader:
-    """The bytes that one peer has sent and that are not read yet; owns the buffers it took from the pool."""
+    """Decodes the messages of one peer; owns the receive buffers that it acquired from the pool."""
 
     def __init__(self, pool: BufferPool, message_max: int) -> None:
-        """`message_max` is the bytes of a message at most, for now."""
+        """Create a reader for messages of at most `message_max` bytes, a limit that may be raised later."""
         self.pool = pool
         self.message_max = message_max
-        self.buffers: list[tuple[bytearray, int]] = []  # buffers, and how much of each is filled
-        self.offset = 0  # offset in the first buffer
-        self.available = 0  # bytes
+        self.buffers: list[tuple[bytearray, int]] = []  # buffers, and the number of bytes received into each
+        self.offset = 0  # of the next unread byte in the first buffer
+        self.available = 0  # unread bytes
 
     def free_space(self) -> memoryview | None:
-        """Where to receive into, or None when the pool has no buffer left."""
+        """Return the space to receive into, or None if the pool has no free buffer."""
         if not self.buffers or self.buffers[-1][1] == self.pool.size:
             buffer = self.pool.acquire()
             if buffer is None:
@@ -67,32 +69,33 @@
         return memoryview(buffer)[filled:]
 
     def received(self, size: int) -> None:
-        """Notes that so many bytes were received into the view of `free_space`."""
+        """Record that `size` bytes were received into the view returned by `free_space`."""
         buffer, filled = self.buffers[-1]
         self.buffers[-1] = (buffer, filled + size)
         self.available += size
 
     def messages(self) -> Iterator[Message]:
-        """The messages that are complete; raises InvalidInputError for a frame that is not the protocol's."""
+        """Yield the messages that are complete; raise InvalidInputError for an invalid frame."""
         while self.available >= LENGTH_SIZE:
-            size = int.from_bytes(self._bytes(LENGTH_SIZE), "little")
+            size = int.from_bytes(self._peek(LENGTH_SIZE), "little")
             if size > self.message_max:
                 raise InvalidInputError(f"a message of {size} bytes is over the limit")
             if self.available < LENGTH_SIZE + size:
                 return
             self._skip(LENGTH_SIZE)
-            body = self._bytes(size)
+            body = self._peek(size)
             self._skip(size)
-            yield _typed(parse_body(body))
+            yield _with_type(parse_body(body))
 
     def close(self) -> None:
-        """Gives back all buffers."""
+        """Release all buffers."""
         while self.buffers:
             self.pool.release(self.buffers.pop()[0])
         self.offset = 0
         self.available = 0
 
-    def _bytes(self, size: int) -> bytes:
+    def _peek(self, size: int) -> bytes:
+        """Return the next `size` bytes without removing them."""
         pieces = []
         first = self.offset
         for buffer, filled in self.buffers:
@@ -105,6 +108,7 @@
         return b"".join(pieces)
 
     def _skip(self, size: int) -> None:
+        """Remove the next `size` bytes and release the buffers that contained them."""
         self.offset += size
         self.available -= size
         while self.buffers and self.offset >= self.buffers[0][1]:
@@ -113,14 +117,14 @@
             self.pool.release(buffer)
 
 
-def _typed(value: object) -> Message:
-    """A message that has a type, `UNTYPED` where none can be read."""
+def _with_type(value: object) -> Message:
+    """Return the value as a message with a type, `UNTYPED` if it has no valid one."""
     message = value if isinstance(value, dict) else {}
     return message if isinstance(message.get("type"), str) else {**message, "type": UNTYPED}
 
 
 def encode_update(update: ProxyUpdate) -> bytes:
-    """The frames of one message to a proxy."""
+    """Encode one message to a proxy as frames, one for each part."""
     parts: list[Message] = [*_table_parts(update.tables), *_level_parts(update.levels)]
     if not parts:
         parts.append({"type": UPDATE})
@@ -139,9 +143,9 @@
 
 def _table_parts(tables: Iterable[TableUpdate]) -> Iterator[Message]:
     for table in tables:
-        lines = list(table.entries.items())
-        for start in range(0, len(lines) or 1, ENTRIES_PER_PART):
-            part: Message = {"type": UPDATE, "lines": lines[start : start + ENTRIES_PER_PART]}
+        entries = list(table.entries.items())
+        for start in range(0, len(entries) or 1, ENTRIES_PER_PART):
+            part: Message = {"type": UPDATE, "lines": entries[start : start + ENTRIES_PER_PART]}
             if table.classes is not None:
                 part["classes"] = table.classes
             if table.complete and start == 0:
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -1,7 +1,8 @@
 """Gossip: datagrams between coordinators.
 
-Owns the UDP socket. It hands what a known peer sends to the coordinator as it came, and sends what the
-coordinator asks for; a datagram that is lost is not sent again."""
+Owns the UDP socket. It hands datagrams of configured peers to the coordinator without interpreting them, and
+sends the coordinator's datagrams. A lost datagram is not sent again.
+"""
 
 import socket
 from contextlib import suppress
@@ -14,40 +15,41 @@
 from granitespool.net.loop import IN, Coroutine, Loop
 from granitespool.planner.events import GossipReceived
 
-DATAGRAM_MAX = 256  # bytes of a datagram at most: the protocol's
-DATAGRAMS_PER_TURN = 64  # read in one turn: the others are served between
-ALL_PEERS = -1  # in place of a peer's number
+DATAGRAM_MAX = 256  # bytes of a datagram, limited by the protocol
+DATAGRAMS_PER_TURN = 64  # datagrams read in one turn, so that open connections are served in between
+ALL_PEERS = -1  # used instead of a peer's number
 
 
 class Gossip:
-    """Sends and receives datagrams as long as its coroutine runs; whoever ends `task` closes the socket."""
+    """Sends and receives datagrams; ending `task` closes the socket."""
 
     def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, config: Configuration) -> None:
-        """Binds at once; raises OSError where the address cannot be bound."""
+        """Bind the socket and start to receive; raise OSError if the address cannot be bound."""
         self.loop = loop
         self.coordinator = coordinator
         self.log = log
         self.reconfigure(config)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
-        assert config["peer_listen"] is not None, "gossip is on where there is an address for it"
+        assert config["peer_listen"] is not None, "gossip is only enabled if peer_listen is set"
         bind(self.sock, config["peer_listen"], log)
         self.task = loop.spawn(self._run())
 
     def reconfigure(self, config: Configuration) -> None:
-        """Takes the peers' addresses; the socket stays."""
+        """Use the configuration's peer addresses; the bound address does not change."""
         self.peers = config["peers"]
         self.all_peers = config["peers_all"]
         self.numbers = {address: number for number, address in enumerate(self.peers)}
 
     def send(self, peer: int, contents: str) -> None:
-        """Sends hex digits' bytes to one peer by its number, or to `ALL_PEERS`.
+        """Send the bytes of a hex string to the peer with the number `peer`, or to `ALL_PEERS`.
 
-        A datagram that is too long, has no address or is not taken is lost, as the protocol permits."""
+        A datagram that is too long, has no address or cannot be sent is dropped, as the protocol permits.
+        """
         data = bytes.fromhex(contents)
         address = self._address(peer)
         if address is None or len(data) > DATAGRAM_MAX:
             return
-        with suppress(OSError):  # lost on the way, like any datagram
+        with suppress(OSError):  # any datagram may be lost
             self.sock.sendto(data, address)
 
     def _address(self, peer: int) -> tuple[str, int] | None:
@@ -65,14 +67,16 @@
         for _ in range(DATAGRAMS_PER_TURN):
             try:
                 data, sender = self.sock.recvfrom(DATAGRAM_MAX + 1)
-            except OSError:  # nothing more, or the system tells that an earlier datagram was refused
+            except OSError:  # no more datagrams, or the kernel reports that an earlier one was rejected
                 return
-            self._received(data, sender)
+            self._handle_datagram(data, sender)
 
-    def _received(self, data: bytes, sender: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
         if sender in self.numbers and len(data) <= DATAGRAM_MAX:
             received = GossipReceived(peer=self.numbers[sender], payload=data.hex())
             self.coordinator.report(self.loop.now, received)
             return
         host, port = sender
-        log_message_dropped(self.log, peer=f"{host}:{port}", reason="a datagram of no peer, or too long")
+        log_message_dropped(
+            self.log, peer=f"{host}:{port}", reason="a datagram of no configured peer, or too long"
+        )
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -1,7 +1,8 @@
-"""Health checks: one coroutine for each in flight, which owns its socket.
+"""Health checks: one coroutine for each health check in flight, which owns its socket.
 
-The coordinator decides which backend is checked and when; this module asks the backend for its load report
-and hands back how that ended. It never concludes anything from it."""
+The coordinator decides which backend is checked and when. This module requests the load report of the backend
+and reports the result to the coordinator, which interprets it.
+"""
 
 import socket
 from collections.abc import Generator, Iterator, Mapping
@@ -18,16 +19,16 @@
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult
 from granitespool.units import MILLISECOND
 
-ANSWER_TIMEOUT = SECOND // 2  # ns from the start to the answer: half the planner's period
-DIAL_TIMEOUT = SECOND // 4  # ns for a connection to come up, where the settings name no time
-BODY_MAX = 4096  # bytes of a load report that are kept
+ANSWER_TIMEOUT = SECOND // 2  # ns from the start to the answer: half of the planner's period
+DEFAULT_CONNECT_TIMEOUT = SECOND // 4  # ns to establish the connection if connect_timeout is unset
+BODY_MAX = 4096  # bytes of a response body that are kept
 OUTCOMES = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.REJECTED}  # by HTTP status; others: ERROR
 
-Load = dict[str, int | float]  # a load report's metrics; times in ns
+Load = dict[str, int | float]  # the metrics of a load report by name; times in ns
 
 
 class HealthChecks:
-    """Those in flight, and the limit on their number."""
+    """Runs the health checks that the coordinator requests, up to a limit on those in flight."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         config: Configuration,
         addresses: Mapping[str, Address | None],
     ) -> None:
-        """`addresses` has those of the backends that the list has named, now and later."""
+        """Create the runner; `addresses` stays up to date with the endpoint list."""
         self.loop = loop
         self.coordinator = coordinator
         self.log = log
@@ -46,12 +47,12 @@
         self.reconfigure(config)
 
     def reconfigure(self, config: Configuration) -> None:
-        """Takes the limit and the time for a connection; those in flight keep the time they began with."""
-        self.dial_timeout = config["settings"].connect_timeout or DIAL_TIMEOUT
+        """Apply the limit and the connect timeout; health checks in flight keep the former timeout."""
+        self.connect_timeout = config["settings"].connect_timeout or DEFAULT_CONNECT_TIMEOUT
         self.limit = config["health_checks"]
 
     def start(self) -> None:
-        """Starts those that the coordinator asks for, as many as the limit permits."""
+        """Start the health checks that the coordinator requests, up to the limit."""
         while self.in_flight < self.limit:
             request = self.coordinator.pick(Queue.HEALTH_CHECKS)
             if request is None:
@@ -62,10 +63,11 @@
         started_at = self.loop.now
         self.in_flight += 1
         try:
-            outcome, load = yield from self._outcome(backend)
+            outcome, load = yield from self._request(backend)
         finally:
             self.in_flight -= 1
-        # In a turn of its own: the coroutine that asked for this must not end before the result is reported
+        # Report in a turn of its own: the coroutine that requested this must not end before the result is
+        # reported
         yield None, 0, self.loop.now
         latency = self.loop.now - started_at
         self.log.event("health_check", backend=backend, status=outcome, duration_ms=latency // MILLISECOND)
@@ -73,22 +75,22 @@
             self.loop.now, HealthCheckResult(backend=backend, outcome=outcome, latency=latency, load=load)
         )
 
-    def _outcome(self, backend: str) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
-        """How it ends, and the load report where one came."""
+    def _request(self, backend: str) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
+        """Return the outcome of a health check, and the metrics of the load report if one was received."""
         started_at = self.loop.now
         address = self.addresses.get(backend)
-        # While nothing was sent, a failure such as no free descriptor says nothing about the backend
+        # Before anything is sent, a failure such as a lack of descriptors says nothing about the backend
         outcome = HealthCheckOutcome.ERROR
         if address is None:
             return outcome, {}
         try:
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
                 outcome = HealthCheckOutcome.UNREACHABLE
-                yield from dial(sock, address, started_at + self.dial_timeout)
+                yield from dial(sock, address, started_at + self.connect_timeout)
                 outcome = HealthCheckOutcome.TIMED_OUT
                 return (yield from _load_report(sock, address, started_at + ANSWER_TIMEOUT))
         except TimeoutError:
-            pass  # unreachable before the connection was up, timed out after
+            pass  # `outcome` is UNREACHABLE before the connection was established, then TIMED_OUT
         except (OSError, h11.ProtocolError):
             if outcome is HealthCheckOutcome.TIMED_OUT:
                 outcome = HealthCheckOutcome.RESET
@@ -98,7 +100,7 @@
 def _load_report(
     sock: socket.socket, address: Address, deadline: int
 ) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
-    """Asks for the load report; raises TimeoutError, OSError or h11.ProtocolError."""
+    """Request the load report; raise TimeoutError, OSError or h11.ProtocolError if that fails."""
     status, body = None, b""
     http = yield from http_get(sock, address, "/metrics/load", deadline, ("Connection", "close"))
     while True:
@@ -112,17 +114,17 @@
         else:
             break
     outcome = HealthCheckOutcome.ERROR if status is None else OUTCOMES.get(status, HealthCheckOutcome.ERROR)
-    return outcome, load_metrics(_pairs(body))
+    return outcome, load_metrics(_parse_metrics(body))
 
 
-def _pairs(body: bytes) -> Iterator[tuple[str, float | None]]:
-    """The metrics of `inflight=7,util=0.61`; None for a value that is no number."""
+def _parse_metrics(body: bytes) -> Iterator[tuple[str, float | None]]:
+    """Yield the (name, value) pairs of `inflight=7,util=0.61`; None for a value that is not a number."""
     for pair in body.decode("ascii", "replace").split(","):
         key, _, value = pair.partition("=")
-        yield key.strip(), _number(value)
+        yield key.strip(), _parse_number(value)
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
     try:
         return float(text)
     except ValueError:
--- a/granitespool/net/listen_address.py
+++ b/granitespool/net/listen_address.py
@@ -1,4 +1,4 @@
-"""Binding an address that a former process may still hold for a moment."""
+"""Bind an address that a process which is still ending may use for a moment."""
 
 import errno
 import socket
@@ -6,23 +6,25 @@
 
 from granitespool.net.log import Log
 
-IN_USE_TIMEOUT = 5.0  # s that a start waits for a former process to release the address: a planned restart
-#                         gives it 0.7 s from SIGTERM to SIGKILL, and a start may take 30 s
-RETRY_DELAY = 0.02  # s between two attempts
+# s that a start waits for the former process to release the address: a planned restart leaves that process
+# 0.7 s from SIGTERM to SIGKILL, and a start may take 30 s.
+IN_USE_TIMEOUT = 5.0
+RETRY_DELAY = 0.02  # s between two attempts to bind
 
 
 def bind(sock: socket.socket, address: tuple[str, int], log: Log, timeout: float = IN_USE_TIMEOUT) -> None:
-    """Binds; raises the OSError where the address stays in use for `timeout` seconds.
+    """Bind the socket; raise OSError if the address is still in use after `timeout` seconds.
 
-    A successor may start while the former process still ends, so that an address in use is not yet a wrong
-    configuration. The cost: an address that another program holds for good is told some seconds later."""
-    give_up_at = time.monotonic() + timeout
+    A process may be started while the former one is still ending, so an address in use need not be a
+    configuration error. The cost is that an address used by another program is reported seconds later.
+    """
+    deadline = time.monotonic() + timeout
     is_logged = False
     while True:
         try:
             sock.bind(address)
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or time.monotonic() >= give_up_at:
+            if error.errno != errno.EADDRINUSE or time.monotonic() >= deadline:
                 raise
         else:
             return
--- a/granitespool/net/management_connection.py
+++ b/granitespool/net/management_connection.py
@@ -1,6 +1,7 @@
-"""The record of one management connection: its socket, its TLS and the bytes that wait to be written.
+"""One management connection: its socket, its TLS state and the bytes that wait to be written.
 
-It knows no protocol and no user; the listener's coroutine alone reads from it and closes it."""
+It is independent of the protocol and of users. Only the listener's coroutine reads from it and closes it.
+"""
 
 import socket
 from contextlib import suppress
@@ -14,17 +15,19 @@
     from granitespool.management.interfaces import ProtocolSession
     from granitespool.net.management_listener import ManagementListener
 
-READ_SIZE = 8 * 1024  # bytes read in one turn: some thirty calls of gRPC, three milliseconds
-WRITE_SIZE = 64 * 1024  # bytes written in one call
-UNSENT_READ_LIMIT = 256 * 1024  # bytes unsent past which nothing is read from or worked on for a connection
-UNSENT_MAX = 4 << 20  # bytes that may wait at all: the largest answer in the making, and notifications
+READ_SIZE = 8 * 1024  # bytes read in one turn: about thirty gRPC calls, which take 3 ms
+WRITE_SIZE = 64 * 1024  # bytes written in one system call
+# Unsent bytes from which a connection is neither read from nor worked on.
+UNSENT_READ_LIMIT = 256 * 1024
+# Unsent bytes at which a connection is closed: enough for the largest answer, and notifications.
+UNSENT_MAX = 4 << 20
 
 
 class ManagementConnection:
-    """One accepted connection; `protocol` is None until the handshake is done."""
+    """One accepted connection; `protocol` is None until the TLS handshake is complete."""
 
     def __init__(self, listener: "ManagementListener", sock: socket.socket, peer: str) -> None:
-        """`peer` is the other side's "host:port"."""
+        """Wrap an accepted socket; `peer` is the client's "host:port"."""
         self.listener = listener
         self.sock = sock
         self.peer = peer
@@ -33,7 +36,7 @@
         self.user: User | None = None
         self.protocol: ProtocolSession | None = None
         self.task: Task | None = None
-        self.ending: str | None = None  # why it is about to end
+        self.ending: str | None = None  # the reason for its end; None while it stays open
         self.accepted_at = listener.loop.now  # ns
         self.last_received_at = listener.loop.now  # ns
 
@@ -44,37 +47,38 @@
 
     @property
     def is_readable(self) -> bool:
-        """Whether its other side reads enough for more to be read from it and worked on for it."""
+        """Whether the connection may be read from and worked on: the client reads what is sent to it."""
         return self.unsent < UNSENT_READ_LIMIT
 
     @property
     def is_busy(self) -> bool:
-        """Whether its protocol has work that may be done now."""
+        """Whether the protocol has work that may be done now."""
         return self.protocol is not None and self.is_readable and self.protocol.busy
 
     def now(self) -> int:
-        """The turn's time, ns."""
+        """Return the time of the turn in ns."""
         return self.listener.loop.now
 
     def send(self, data: bytes) -> None:
-        """Takes plain bytes, which are written as the other side takes them."""
+        """Encrypt and queue bytes for the client."""
         self.tls.write(data)
         self.unsent_bytes += self.tls.outgoing()
         if self.unsent > UNSENT_MAX:
-            self.end("it does not read")
+            self.end("the client does not read")
 
     def end(self, reason: str) -> None:
-        """Ends the connection once what waits is written, as far as it can be at once."""
+        """End the connection after one more attempt to write the unsent bytes."""
         self.ending = self.ending or reason
 
     def wake(self) -> None:
-        """Has the listener look at the connection again in the next turn."""
+        """Make the listener resume the connection's coroutine at the end of the turn."""
         self.listener.woken[self] = None
 
     def receive(self) -> tuple[bytes, bool] | None:
-        """Plain bytes and whether the other side has ended; None where nothing is there.
+        """Return (decrypted bytes, whether the client has closed its side), None if nothing was received.
 
-        Raises TlsError or OSError."""
+        Raise TlsError or OSError.
+        """
         try:
             data = self.sock.recv(READ_SIZE)
         except BlockingIOError:
@@ -85,7 +89,7 @@
         return plain, not data or self.tls.has_ended
 
     def flush(self) -> None:
-        """Writes what the other side takes at once; raises OSError where the connection is broken."""
+        """Write the unsent bytes without blocking; raise OSError if the connection is broken."""
         while self.unsent_bytes:
             try:
                 sent = self.sock.send(self.unsent_bytes[:WRITE_SIZE])
@@ -94,7 +98,7 @@
             del self.unsent_bytes[:sent]
 
     def flush_last(self) -> None:
-        """Writes what TLS has to say at the end, as far as it is taken."""
+        """Write what TLS sends before the close (an alert, for example), without blocking."""
         self.unsent_bytes += self.tls.outgoing()
-        with suppress(OSError):  # it is closed all the same
+        with suppress(OSError):  # the connection is closed in any case
             self.flush()
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -1,11 +1,11 @@
-"""A listener for management clients: TLS with certificates on both sides, and a protocol behind it.
+"""A listener for management clients: TLS with mutual authentication, and a protocol on top of it.
 
-Owns the listening socket and a coroutine for each connection, which owns that connection's socket. A protocol
-is made for a user once the handshake is done, by `make(user, connection)`; what it has to do is the class
-`ProtocolSession`.
+Owns the listening socket and a coroutine for each connection, which owns that connection's socket. After the
+handshake `make(user, connection)` creates the protocol session of the user, a `ProtocolSession`.
 
-Management never costs a proxy anything: its connections have a number of their own, what they ask is worked
-off in small steps, and a client that does not read is not read from."""
+Management does not slow down proxies: its connections have a limit of their own, requests are processed in
+small steps, and a client that does not read is not read from.
+"""
 
 import errno
 import socket
@@ -28,24 +28,26 @@
 from granitespool.net.tls import TlsError
 from granitespool.operator_settings import Gnmi, Netconf
 
-BACKLOG = 16  # connections the system holds for us: management clients are few
-HANDSHAKE_TIMEOUT = 5 * SECOND  # ns: a long way and a slow client's signature
-WORK_PER_TURN = 2_000_000  # ns of work in one turn for all of a listener: half of what a turn may grow by
-ACCEPT_RETRY_DELAY = SECOND // 20  # ns between accepts while there is no place
+BACKLOG = 16  # connections that the kernel queues: there are few management clients
+HANDSHAKE_TIMEOUT = 5 * SECOND  # ns, for a long round trip and a slow client's signature
+# ns of work in one turn for all connections of a listener: half of what may be added to a turn.
+WORK_PER_TURN = 2_000_000
+ACCEPT_RETRY_DELAY = SECOND // 20  # ns between accepts while no connection can be accepted
 SUBJECT_MAX = 100  # characters of a certificate's subject in the log
+# Error numbers of `accept` that mean the process or the machine is short of descriptors or memory.
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
-FindUser = Callable[[dict[str, Any], str], User | None]  # of a certificate and its SHA-256 in hex
+FindUser = Callable[[dict[str, Any], str], User | None]  # (certificate, its SHA-256 in hex) -> user
 MakeProtocol = Callable[[User, ManagementConnection], ProtocolSession]
 
 
 def handshakes_max(sessions: int) -> int:
-    """Connections in their handshake that a listener with so many sessions takes beside them."""
+    """Return the largest number of connections in their handshake beside `sessions` sessions."""
     return max(2, sessions // 2)
 
 
 def sockets_max(sessions: int) -> int:
-    """Descriptors that a listener with so many sessions may hold, its own included."""
+    """Return the largest number of descriptors of a listener with `sessions` sessions, its own included."""
     return sessions + handshakes_max(sessions) + 1
 
 
@@ -62,47 +64,47 @@
         find_user: FindUser,
         make: MakeProtocol,
     ) -> None:
-        """Listens at once; raises OSError where the address cannot be bound."""
+        """Start to listen; raise OSError if the address cannot be bound."""
         self.loop = loop
         self.log = log
         self.name = name
-        self.context = context  # for connections from now on
+        self.context = context  # for new connections
         self.find_user = find_user
         self.make = make
         self.sessions_max = settings.sessions
         self.idle_timeout = int(settings.idle_s * SECOND)  # ns
-        self.streams: int | None = getattr(settings, "streams", None)  # calls at once on one connection
-        self.connections: dict[ManagementConnection, None] = {}  # in order of age
-        self.woken: dict[ManagementConnection, None] = {}  # to be looked at again
-        self.worked_at = 0  # ns, the turn that `worked` is of
+        self.streams: int | None = getattr(settings, "streams", None)  # concurrent calls on one connection
+        self.connections: dict[ManagementConnection, None] = {}  # oldest first
+        self.woken: dict[ManagementConnection, None] = {}  # to be resumed at the end of the turn
+        self.worked_at = 0  # ns, the time of the turn that `worked` counts
         self.worked = 0  # ns of work in that turn
         host, _, port = settings.listen.rpartition(":")
-        self.socket = self._listening((host, int(port)))
+        self.socket = self._listen((host, int(port)))
         loop.spawn(self._accept())
 
     def end_of_turn(self) -> None:
-        """Resumes connections that others have changed: what was sent to them is written."""
+        """Resume the woken connections, so that bytes queued by other coroutines are written."""
         for connection in list(self.woken):
             self.woken.pop(connection, None)
             if connection.task is not None:
                 self.loop.resume(connection.task)
 
-    def _listening(self, address: Address) -> socket.socket:
-        listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    def _listen(self, address: Address) -> socket.socket:
+        listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            bind(listening, address, self.log)
+            bind(listener, address, self.log)
         except OSError:
-            listening.close()
+            listener.close()
             raise
-        listening.listen(BACKLOG)
-        return listening
+        listener.listen(BACKLOG)
+        return listener
 
     def _accept(self) -> Coroutine:
         with self.socket:
             while True:
                 yield self.socket.fileno(), IN, None
-                if not self._has_place():
+                if not self._can_accept():
                     yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
                     continue
                 try:
@@ -116,17 +118,18 @@
     def _open(self, sock: socket.socket, peer: str) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, UNSENT_READ_LIMIT)  # the system's share too
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, UNSENT_READ_LIMIT)  # the kernel buffer too
         connection = ManagementConnection(self, sock, peer)
         self.connections[connection] = None
         connection.task = self.loop.spawn(self._serve(connection))
 
-    def _has_place(self) -> bool:
-        """Whether another may be accepted.
+    def _can_accept(self) -> bool:
+        """Return whether another connection may be accepted; evict one if too many are in their handshake.
 
-        Among many connections in their handshake the oldest is evicted, so that a client with a certificate
-        gets in; a slow handshake in a flood is cut off by that."""
-        in_handshake = [each for each in self.connections if each.protocol is None]
+        The oldest one in its handshake is evicted, so that a flood of connections does not lock out clients
+        with a certificate. During a flood this also ends slow handshakes.
+        """
+        in_handshake = [connection for connection in self.connections if connection.protocol is None]
         limit = handshakes_max(self.sessions_max)
         if len(in_handshake) >= limit and in_handshake[0].task is not None:
             self.loop.end(in_handshake[0].task)
@@ -150,7 +153,7 @@
             self._close(connection, reason)
 
     def _exchange(self, connection: ManagementConnection) -> Coroutine:
-        """Reads, works and writes until one side ends; raises TlsError or OSError."""
+        """Read, work and write until one side closes the connection; raise TlsError or OSError."""
         while connection.ending is None:
             mask = (OUT if connection.unsent else 0) | (IN if connection.is_readable else 0)
             events = yield connection.sock.fileno(), mask, self._deadline(connection)
@@ -167,7 +170,7 @@
         if protocol is None:
             return connection.accepted_at + HANDSHAKE_TIMEOUT
         if connection.is_busy:
-            return now + 1  # a step in each turn; with a deadline of now it would be resumed in this one
+            return now + 1  # one step in each turn; a deadline of `now` would resume it in the same turn
         idle_at = None if protocol.keeps else connection.last_received_at + self.idle_timeout
         deadlines = [deadline for deadline in (idle_at, protocol.due()) if deadline is not None]
         return max(min(deadlines), now + 1) if deadlines else None
@@ -176,14 +179,14 @@
         now = self.loop.now
         if connection.protocol is None:
             if now >= connection.accepted_at + HANDSHAKE_TIMEOUT:
-                connection.end("no handshake in time")
+                connection.end("the TLS handshake timed out")
             return
         if now >= connection.last_received_at + self.idle_timeout and not connection.protocol.keeps:
             connection.end("idle")
         connection.protocol.tick(now)
 
     def _read(self, connection: ManagementConnection) -> bool:
-        """Reads what is there and hands it to the protocol; False once the other side has ended."""
+        """Read and hand the decrypted bytes to the protocol; return False once the client has closed."""
         received = connection.receive()
         if received is None:
             return True
@@ -201,27 +204,27 @@
         connection.user = user
         if user is None:
             subject = [value for pairs in certificate.get("subject", ()) for _, value in pairs]
-            named = ", ".join(subject)[:SUBJECT_MAX] or digest
-            connection.end(f"no user has the certificate of {named}")
+            subject_text = ", ".join(subject)[:SUBJECT_MAX] or digest
+            connection.end(f"no user has the certificate of {subject_text}")
             return
-        if sum(each.protocol is not None for each in self.connections) >= self.sessions_max:
-            connection.end("there are as many sessions as may be")
+        if sum(other.protocol is not None for other in self.connections) >= self.sessions_max:
+            connection.end("the session limit is reached")
             return
         connection.protocol = self.make(user, connection)
         self.log.event("manager_connected", listener=self.name, peer=connection.peer, user=user.name)
         connection.protocol.begin()
 
     def _work(self, connection: ManagementConnection) -> None:
-        """Some of what takes long, within this turn's share."""
+        """Do pending work of the protocol until `WORK_PER_TURN` is used up in this turn."""
         if connection.protocol is None or connection.ending is not None:
             return
         if self.worked_at != self.loop.now:
             self.worked_at = self.loop.now
             self.worked = 0
         while self.worked < WORK_PER_TURN and connection.is_busy:
-            begun = time.perf_counter_ns()
+            started_at = time.perf_counter_ns()
             connection.protocol.work()
-            self.worked += time.perf_counter_ns() - begun
+            self.worked += time.perf_counter_ns() - started_at
         connection.flush()
 
     def _close(self, connection: ManagementConnection, reason: str) -> None:
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -2,7 +2,8 @@
 
 Made only where a listener is on: a management.interfaces.ManagementService. Everything that changes settings,
 the file read anew as well, goes through the datastores of `settings_host`, and is applied by the service in
-one turn or not at all."""
+one turn or not at all.
+"""
 
 import ssl
 import time
@@ -144,7 +145,8 @@
     def reload(self, config: Configuration) -> list[str]:
         """Takes the files that were read anew; returns the names of what waits for a restart.
 
-        Raises InvalidInputError or ManagementError, and nothing changes."""
+        Raises InvalidInputError or ManagementError, and nothing changes.
+        """
         operator = _operator_of(config)
         contexts = {listener.name: _context(operator, listener.name) for listener in self.listeners}
         restart_required = self.settings.reload(config)
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -1,7 +1,8 @@
 """Membership: which proxies and collectors have joined, and on which connection.
 
 Owns the map from a proxy to its current stream, and tells the coordinator and the log of every joining,
-leaving, silence and return. It never reads or writes a socket, and it checks no message."""
+leaving, silence and return. It never reads or writes a socket, and it checks no message.
+"""
 
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
@@ -28,7 +29,8 @@
     def join_proxy(self, connection: Connection, joining: ProxyJoin) -> None:
         """Makes a pending connection a proxy's current stream and ends the one before it.
 
-        Raises InvalidInputError where no place is free, or where the proxy has joined on a later one."""
+        Raises InvalidInputError where no place is free, or where the proxy has joined on a later one.
+        """
         former = self.proxies.get(joining.proxy)
         if former and former.number > connection.number:
             # A joining can be held up until its proxy has dialled again: the stream that the proxy gave up
@@ -48,7 +50,7 @@
             ),
         )
         if former:  # it has moved on: the old stream carries nothing more
-            self.loop.end(former.running)
+            self.loop.end(former.running_task)
 
     def leave(self, connection: Connection) -> None:
         """Reports the leaving, where this is a proxy's current stream; else nothing."""
@@ -64,7 +66,8 @@
         """Reports a silent proxy as left until it speaks.
 
         A proxy that answers no mark and reports nothing is cut off, so nothing is booked or written for it.
-        Its stream stays: it is the proxy's to end."""
+        Its stream stays: it is the proxy's to end.
+        """
         assert connection.proxy is not None, "only a proxy's stream is ever unreachable"
         connection.is_unreachable = True
         connection.awaiting_since = None
--- a/granitespool/net/messages.py
+++ b/granitespool/net/messages.py
@@ -2,7 +2,8 @@
 
 Owns the wire's names of the fields and the limits of what they may hold. It never touches a socket, keeps
 nothing between messages and reports to nobody: who calls it does. Times are whole nanoseconds in what it
-returns. Every check ends in `InvalidInputError`, whose text says in one sentence what is wrong."""
+returns. Every check ends in `InvalidInputError`, whose text says in one sentence what is wrong.
+"""
 
 from collections.abc import Container
 from dataclasses import dataclass
--- a/granitespool/net/metrics.py
+++ b/granitespool/net/metrics.py
@@ -1,7 +1,8 @@
 """A line of the log with this coordinator's measurements, once a period (docs/fleet.md).
 
 Off unless the operator's settings have the section [figures]. It only reads the planner's metrics, the list's
-age and the longest turn; it takes no decision and changes no order."""
+age and the longest turn; it takes no decision and changes no order.
+"""
 
 from granitespool.coordinator import Coordinator
 from granitespool.net.discovery import Discovery
--- a/granitespool/net/reconfiguration.py
+++ b/granitespool/net/reconfiguration.py
@@ -1,6 +1,7 @@
 """A new configuration while the service runs: who takes what of it, and what waits for a restart.
 
-It knows the parts' `new_config`. It never reads a file: the configurations it is given have been checked."""
+It knows the parts' `new_config`. It never reads a file: the configurations it is given have been checked.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -55,7 +56,8 @@
     def apply(self, config: Configuration) -> list[str]:
         """Has each part take what is its own; returns the names of what waits for a restart.
 
-        Where one part fails, all have the former configuration again, and its exception is raised."""
+        Where one part fails, all have the former configuration again, and its exception is raised.
+        """
         names = self.restart_required_by(config)
         try:
             self._apply_to_parts(config)
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -1,7 +1,8 @@
 """One coordinator on sockets: makes the parts, ends each turn, and gives all back at the end.
 
 Owns the loop, the log and the parts; what each may take of a new configuration is for `reconfiguration`. It
-takes no decision: it hands what the coordinator orders to the part that writes it."""
+takes no decision: it hands what the coordinator orders to the part that writes it.
+"""
 
 import time
 import traceback
@@ -58,7 +59,8 @@
     ) -> None:
         """`clock` is the loop's; `monotonic_clock` is not moved by a setting of the time (state folder).
 
-        Raises InvalidInputError or OSError where the service cannot start."""
+        Raises InvalidInputError or OSError where the service cannot start.
+        """
         self.read_configuration = read_configuration
         self.monotonic_clock = monotonic_clock
         self.is_reload_requested = False
@@ -159,7 +161,8 @@
     def _with_managed_settings(self, config: Configuration) -> Configuration:
         """The configuration with what managers changed before the restart.
 
-        That holds as long as the files are those that they changed it from."""
+        That holds as long as the files are those that they changed it from.
+        """
         from granitespool.management import mapping  # noqa: PLC0415 only where it is on
 
         self.file_tree = mapping.tree_of(config)
@@ -233,7 +236,8 @@
         """Ends all streams after what was ordered.
 
         A proxy that takes nothing is waited for, `LINGER_TIMEOUT` at most and not past a second stop. No
-        decision is taken any more."""
+        decision is taken any more.
+        """
         until = self.loop.clock() + LINGER_TIMEOUT
         self.streams.finish()
         while self.streams.connections and self.stop_count < 2 and (left := until - self.loop.clock()) > 0:
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -1,7 +1,8 @@
 """What the managers' datastores act on: the service, its files and its state folder.
 
 It makes a configuration of a tree of settings, has it checked, applied and saved. Whether a change is allowed
-is for the datastores; which part takes what is for `reconfiguration`."""
+is for the datastores; which part takes what is for `reconfiguration`.
+"""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, cast
@@ -150,7 +151,8 @@
         """Takes the files that were read anew; returns the names of what waits for a restart.
 
         Raises ManagementError, and nothing changes. Where the files hold what they held before, what managers
-        have changed since stands."""
+        have changed since stands.
+        """
         reconfiguration = self.service.reconfiguration
         tree = mapping.tree_of(config)
         if tree == self.file_tree:
--- a/granitespool/net/shared_state.py
+++ b/granitespool/net/shared_state.py
@@ -17,7 +17,8 @@
     `flat` holds what protocols derived of the newest tree, `leaves` (by the text of their path) what they
     know of a leaf for as long as any of them holds it: a hundred subscribers of the same paths cost one
     flattening, and a value is encoded once. Few objects matter as much: the garbage collector walks them
-    all."""
+    all.
+    """
 
     def __init__(self, make_reader: Callable[[], StateReader]) -> None:
         """`make_reader` begins a new reading."""
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -2,7 +2,8 @@
 
 Owns one coroutine for each connection, which reads from it, writes to it and closes it, and joins the parts
 that know more: `acceptor` takes connections, `admission` says who gives way, `dispatch` handles messages,
-`membership` knows who has joined. It never looks into a message and takes no decision on orders."""
+`membership` knows who has joined. It never looks into a message and takes no decision on orders.
+"""
 
 import socket
 from collections.abc import Mapping
@@ -52,7 +53,8 @@
     ) -> None:
         """Listens at once; raises OSError where the address cannot be bound.
 
-        `backends` has those the list has named, now and later."""
+        `backends` has those the list has named, now and later.
+        """
         self.loop, self.coordinator, self.log, self.pool = loop, coordinator, log, pool
         self.names = KnownNames(backends=backends, request_classes=coordinator.classes)
         self.admission = Admission(loop, log, config["connections"])
@@ -109,14 +111,14 @@
             connection.unsent = data  # the coroutine meets the same end, or where it is none goes on with it
         if update.barrier is not None and connection.awaiting_since is None:
             connection.awaiting_since = self.loop.now
-        self.loop.resume(connection.running)  # it waits anew, for the socket or for the answer
+        self.loop.resume(connection.running_task)  # it waits anew, for the socket or for the answer
 
     def finish(self) -> None:
         """No more are taken; each is told the end after what waits for it, and all have ended soon."""
         self.loop.end(self.acceptor.task)
         self.finishing = True
         for connection in list(self.connections):
-            self.loop.resume(connection.running)
+            self.loop.resume(connection.running_task)
 
     def _open(self, sock: socket.socket, peer: str) -> None:
         """Serves a socket that was accepted; raises OSError where it is reset already."""
@@ -150,7 +152,8 @@
     def _exchange(self, connection: Connection) -> Coroutine:
         """Reads and writes until one side ends.
 
-        Raises InvalidInputError for what must end the connection, and OSError where it is broken."""
+        Raises InvalidInputError for what must end the connection, and OSError where it is broken.
+        """
         while self._read(connection):  # at once: a joining that came with it must not wait
             if connection.unsent:  # after what it sent: a reset ends the one, and not the other
                 connection.write(b"")
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -2,7 +2,8 @@
 
 The standard library's ssl over memory BIOs. Both sides show a certificate; there is nothing older than 1.3,
 so no renegotiation, and no early data, which the library does not take. Tickets are off: each session is
-checked anew."""
+checked anew.
+"""
 
 import hashlib
 import ssl
@@ -20,7 +21,8 @@
 class TlsError(GranitespoolError):
     """The other side's TLS is wrong; the text says how.
 
-    What `TlsConnection.outgoing` holds then may be an alert for it."""
+    What `TlsConnection.outgoing` holds then may be an alert for it.
+    """
 
 
 def server_context(
@@ -28,7 +30,8 @@
 ) -> ssl.SSLContext:
     """A server's context of three PEM files and the protocol that clients must agree to, if any.
 
-    Raises InvalidInputError with one sentence."""
+    Raises InvalidInputError with one sentence.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     context.verify_mode = ssl.CERT_REQUIRED
@@ -64,7 +67,8 @@
     def feed(self, data: bytes) -> bytes:
         """Takes bytes of the network, b"" for its end; returns the plain bytes that are complete.
 
-        Raises TlsError."""
+        Raises TlsError.
+        """
         if data:
             self.incoming.write(data)
         else:
--- a/tests/service/test_service_connection_limits.py
+++ b/tests/service/test_service_connection_limits.py
@@ -123,7 +123,7 @@
     clients.connect("x")
     clients.stop_reading("x")
     clients.send_repeatedly("x", 4000, messages.HEARTBEAT)
-    log.wait_for("it asks and does not read")
+    log.wait_for("it sends pings and does not read the answers")
     clients.wait_for_end("x")
     clients.wait_for_heartbeat("q")
 
@@ -205,7 +205,7 @@
     clients.wait_for("t7", "whole")
     clients.connect("q")
     clients.send("q", messages.joined(9, "n"))
-    clients.wait_for("q", "no place is free here")
+    clients.wait_for("q", "the connection limit is reached and no collector can be evicted")
     clients.wait_for_end("q")
     clients.wait_for_heartbeat("t0")
     service.state.wait_for_joined(0, 1, 2, 3, 4, 5, 6, 7)
--- a/tests/service/test_service_discovery_watch.py
+++ b/tests/service/test_service_discovery_watch.py
@@ -113,7 +113,7 @@
 ) -> None:
     discovery.wait_for_request("after=7")
     discovery.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-    log.wait_for("was answered 503")
+    log.wait_for("was answered with status 503")
     service.advance_to(SECOND)
     discovery.wait_for_request("after=7")
     discovery.send("nonsense\r\n\r\n")
@@ -144,7 +144,7 @@
     discovery.drip(8 * SECOND, '{"index":9,')
     assert '"watch_ended"' not in log.text
     discovery.drip(2 * SECOND, '{"index":9,')
-    log.wait_for("did not end in time")
+    log.wait_for("was not completed before the deadline")
     discovery.wait_for_request("after=7")
     assert '["a",0.0]' not in clients.received("p")
 
@@ -158,7 +158,7 @@
     discovery.send_line(messages.list_changes(9))
     service.advance_to(SECOND)
     discovery.send("0\r\n\r\n")
-    log.wait_for('"reason":"the list\'s watch was ended","index":9,"silence_ms":99')
+    log.wait_for('"reason":"discovery closed the watch","index":9,"silence_ms":99')
     service.advance_to(2 * SECOND)
     discovery.wait_for_request("after=9")
 
@@ -207,7 +207,7 @@
     clients.wait_for("p", '["a",0.0]')
     service.advance_to(1100 * MILLISECOND)
     discovery.send_line()
-    log.wait_for("asked for again")
+    log.wait_for("invalid entries are requested again")
     service.advance_to(2 * SECOND)
     discovery.wait_for_request("after=7")
     discovery.accept_watch()
--- a/tests/service/test_service_endings.py
+++ b/tests/service/test_service_endings.py
@@ -505,9 +505,9 @@
         ({"settings": {"zones": ["n"], "classes": [{"name": {}}]}}, "name a class"),
         ({"settings": {"zones": ["n"], "classes": [{"name": "a"}, {"name": "a"}]}}, "the class 'a' twice"),
         ({"settings": {"zones": ["n"], "family_info": {"most_waiting": 0}}}, "may hold no line"),
-        ({"limits": {"sockets": 0}}, "no room to serve"),
-        ({"limits": {"sockets": 24}}, "no room to serve"),
-        ({"limits": {"memory_mb": 0}}, "no room to serve"),
+        ({"limits": {"sockets": 0}}, "the limits are too low"),
+        ({"limits": {"sockets": 24}}, "the limits are too low"),
+        ({"limits": {"memory_mb": 0}}, "the limits are too low"),
     ],
 )
 def test_what_cannot_be_served_is_refused_in_one_sentence(change, words):
--- a/tests/service/test_service_gossip.py
+++ b/tests/service/test_service_gossip.py
@@ -12,7 +12,7 @@
     peers.send(peers.peer, b"a" * 256)
     assert '"message_dropped"' not in log.text
     peers.send(peers.unknown, b"hi")
-    log.wait_for("a datagram of no peer")
+    log.wait_for("a datagram of no configured peer")
     peers.send(peers.peer, b"b" * 257)
     log.wait_for_dropped(2)
     assert '"task_failed"' not in log.text
--- a/tests/service/test_service_invalid_messages.py
+++ b/tests/service/test_service_invalid_messages.py
@@ -107,9 +107,9 @@
     clients.send("p", messages.applied(node=1, nonce=None, latency=1.0))
     log.wait_for("lacks the field 'nonce'")
     clients.send("p", '{"type":"odd"}')
-    log.wait_for("a 'odd' has no place here")
+    log.wait_for("a 'odd' is not expected here")
     clients.send("p", messages.joined(2, "n", w=1.0))
-    log.wait_for("a 'joined' has no place here")
+    log.wait_for("a 'joined' is not expected here")
     clients.wait_for_heartbeat("p")
     service.state.wait_for_joined(1)
 
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -2,7 +2,8 @@
 
 Each scenario drives a whole service on loopback and notes, for each connection in order, all bytes that the
 service wrote to it. Addresses of the day are replaced by names. A recording is written anew, after a wanted
-change of the wire, by `GRANITESPOOL_RECORD=1 python -m pytest tests/test_wire_recordings.py`."""
+change of the wire, by `GRANITESPOOL_RECORD=1 python -m pytest tests/test_wire_recordings.py`.
+"""
 
 import json
 import os
