--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -1,8 +1,8 @@
-"""The management side of a service: its listeners, users and sessions, and what sessions are notified of.
+"""The management interface of a service: its listeners, users, sessions and notifications.
 
-Made only where a listener is on: a management.interfaces.ManagementService. Everything that changes settings,
-the file read anew as well, goes through the datastores of `settings_host`, and is applied by the service in
-one turn or not at all.
+Implements management.interfaces.ManagementService; created only if a management listener is configured. Every
+change of settings, including a reload of the files, goes through the datastores of `settings_host`. The
+service applies it completely within one turn, or not at all.
 """
 
 import ssl
@@ -31,32 +31,32 @@
 
 NETCONF = "netconf"
 GNMI = "gnmi"
-ALPN = {NETCONF: None, GNMI: "h2"}  # the protocol that a listener's clients must agree to
+ALPN = {NETCONF: None, GNMI: "h2"}  # by listener: the ALPN protocol that clients have to negotiate
 
 MakeSession = Callable[["ManagementService", User, Transport, int], ProtocolSession]
 
 
 class ManagementService:
-    """What the sessions of all protocols share."""
+    """The listeners and the state that the sessions of all protocols share."""
 
     def __init__(self, service: "Service", loop: Loop, log: Log) -> None:
-        """Listens at once; raises InvalidInputError or OSError where it cannot."""
+        """Start the configured listeners; raise InvalidInputError or OSError if that fails."""
         self.service = service
         self.loop = loop
         self.log = log
         self.model = Model()
         self.settings = SettingsHost(service, self.model, self.notify)
         self.sessions: dict[int, ProtocolSession] = {}  # by number
-        self.session_count = 0  # so far
+        self.session_count = 0  # opened so far
         self.list_index = service.discovery.index  # the endpoint list's version
         self.list_changed_at = loop.now  # ns
         self.shared = SharedState(self.picture)
-        operator = _operator_of(service.config)
+        operator = _required_operator(service.config)
         self.users = _users(operator)
         self.listeners: list[ManagementListener] = []
         for name, settings in ((NETCONF, operator.netconf), (GNMI, operator.gnmi)):
             if settings:
-                context = _context(operator, name)
+                context = _tls_context(operator, name)
                 make = self._session_maker(name)
                 self.listeners.append(
                     ManagementListener(loop, log, name, context, settings, self._find_user, make)
@@ -69,43 +69,43 @@
         return self.settings.datastores
 
     def close(self) -> None:
-        """Tells each session that the server goes."""
+        """Notify each session that the server ends."""
         for session in list(self.sessions.values()):
             session.leave()
 
     # Sessions
 
     def open_session(self, make: MakeSession, user: User, transport: Transport) -> ProtocolSession:
-        """The session of a connection whose handshake is done."""
+        """Create the session of a connection whose handshake is complete."""
         self.session_count += 1
         session = make(self, user, transport, self.session_count)
         self.sessions[self.session_count] = session
         return session
 
     def left(self, session: Any) -> None:
-        """A session has ended, however."""
+        """Remove a session that has ended for any reason."""
         self.sessions.pop(session.number, None)
         self.datastores.closed(session, self.settings.log_undone)
 
     def session(self, number: str) -> ProtocolSession | None:
-        """The session of a number."""
+        """Return the session with this number, None if there is none."""
         return self.sessions.get(int(number)) if number.isdecimal() else None
 
     @staticmethod
     def number_of(session: object) -> int:
-        """A session's number, 0 for the coordinator itself."""
+        """Return a session's number, 0 for the coordinator itself."""
         return getattr(session, "number", 0)
 
     def keep_startup(self, answer: Answer) -> None:
-        """Has startup outlast the process, and answers once that is safe."""
+        """Save the startup datastore, and call `answer` once it is durable or has failed."""
         self.settings.keep_startup(answer)
 
     def failed(self, error: Exception) -> None:
-        """Logs a fault of this program."""
+        """Log an internal error."""
         self.loop.report_failure(error)
 
     def picture(self) -> OperationalState:
-        """A new reading of the operational state."""
+        """Return a new reader of the operational state."""
         service, stores = self.service, self.datastores
         return OperationalState(
             service.coordinator,
@@ -122,7 +122,7 @@
         )
 
     def notify(self, name: str, **fields: object) -> None:
-        """Notifies the sessions that subscribed of an event; the names are the YANG module's."""
+        """Send a notification to the subscribed sessions; the names are those of the YANG module."""
         at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(self.loop.now // SECOND))
         for session in list(self.sessions.values()):
             session.notify(name, fields, at)
@@ -130,7 +130,7 @@
     # For the service
 
     def end_of_turn(self, now: int) -> None:
-        """Answers and undoes what is due, and writes what was sent to sessions; ns."""
+        """Run due timers of the settings and write what was sent to sessions; `now` in ns."""
         if self.service.discovery.index != self.list_index:
             self.list_index = self.service.discovery.index
             self.list_changed_at = now
@@ -139,16 +139,16 @@
             listener.end_of_turn()
 
     def due(self) -> int | None:
-        """When `end_of_turn` is to be called at the latest, ns; None for never."""
+        """Return the latest time (ns) of the next `end_of_turn`, None if there is none."""
         return self.settings.due()
 
     def reload(self, config: Configuration) -> list[str]:
-        """Takes the files that were read anew; returns the names of what waits for a restart.
+        """Apply the reloaded files; return the names of the settings that require a restart.
 
-        Raises InvalidInputError or ManagementError, and nothing changes.
+        Raise InvalidInputError or ManagementError if they cannot be applied; then nothing has changed.
         """
-        operator = _operator_of(config)
-        contexts = {listener.name: _context(operator, listener.name) for listener in self.listeners}
+        operator = _required_operator(config)
+        contexts = {listener.name: _tls_context(operator, listener.name) for listener in self.listeners}
         restart_required = self.settings.reload(config)
         self.users = _users(operator)
         for listener in self.listeners:
@@ -159,15 +159,15 @@
         return find_user(self.users, certificate_identities(certificate, digest))
 
     def _session_maker(self, name: str) -> Callable[[User, Transport], ProtocolSession]:
-        make = _protocol(name)
+        make = _session_class(name)
         return lambda user, transport: self.open_session(make, user, transport)
 
     def _has_subscribers(self) -> bool:
         return any(session.subscribed is not None for session in self.sessions.values())
 
 
-def _protocol(name: str) -> MakeSession:
-    """The class of a protocol's sessions, imported only where its listener is on."""
+def _session_class(name: str) -> MakeSession:
+    """Return the session class of a protocol, imported only if its listener is configured."""
     if name == NETCONF:
         from granitespool.netconf.session import NetconfSession  # noqa: PLC0415
 
@@ -188,13 +188,13 @@
     return [User(name, user.certificate, user.read, user.write) for name, user in operator.users.items()]
 
 
-def _context(operator: Operator, name: str) -> ssl.SSLContext:
+def _tls_context(operator: Operator, name: str) -> ssl.SSLContext:
     tls = operator.tls
-    assert tls is not None, "the operator's settings are checked to have [tls] with a listener"
+    assert tls is not None, "the check of the operator's settings requires [tls] with a listener"
     return server_context(tls.certificate, tls.key, tls.authorities, ALPN[name])
 
 
-def _operator_of(config: Configuration) -> Operator:
+def _required_operator(config: Configuration) -> Operator:
     operator = config.get("operator")
-    assert operator is not None, "managers are on by the operator's settings"
+    assert operator is not None, "management is enabled by the operator's settings"
     return operator
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -1,7 +1,8 @@
 """Membership: which proxies and collectors have joined, and on which connection.
 
-Owns the map from a proxy to its current stream, and tells the coordinator and the log of every joining,
-leaving, silence and return. It never reads or writes a socket, and it checks no message.
+Owns the map from a proxy to its current stream. Reports to the coordinator and the log when a proxy joins,
+leaves, becomes unreachable and becomes reachable again. It never reads or writes a socket, and messages are
+checked by `messages`.
 """
 
 from granitespool.coordinator import Coordinator
@@ -15,74 +16,72 @@
 
 
 class Membership:
-    """The peers that have joined. A proxy's stream that is replaced by a later one ends without a leaving."""
+    """The peers that have joined.
+
+    When a later stream of the same proxy replaces a stream, no leave is reported for the replaced one.
+    """
 
     def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, admission: Admission) -> None:
         self.loop, self.coordinator, self.log, self.admission = loop, coordinator, log, admission
-        self.proxies: dict[int, Connection] = {}  # number -> its current stream
+        self.proxies: dict[int, Connection] = {}  # current stream by proxy number
 
     def join_collector(self, connection: Connection, zone: str) -> None:
-        """Makes a pending connection a collector's, or raises InvalidInputError where no place is free."""
+        """Join a pending connection as a collector; raise InvalidInputError at the connection limit."""
         self.admission.admit(connection, Role.COLLECTOR)
         self.log.event("collector_joined", peer=connection.peer, zone=zone)
 
-    def join_proxy(self, connection: Connection, joining: ProxyJoin) -> None:
-        """Makes a pending connection a proxy's current stream and ends the one before it.
+    def join_proxy(self, connection: Connection, join: ProxyJoin) -> None:
+        """Make a pending connection the current stream of a proxy and end the proxy's former stream.
 
-        Raises InvalidInputError where no place is free, or where the proxy has joined on a later one.
+        Raise InvalidInputError at the connection limit, or if the proxy has joined on a later connection.
         """
-        former = self.proxies.get(joining.proxy)
+        former = self.proxies.get(join.proxy)
         if former and former.number > connection.number:
-            # A joining can be held up until its proxy has dialled again: the stream that the proxy gave up
-            # must not end the one it uses. A proxy that joins on the older of two is rejected.
-            raise InvalidInputError(f"the proxy {joining.proxy} has joined on a later connection")
+            # The join message can be delayed until the proxy has reconnected. The abandoned stream must not
+            # end the one in use, so a join on the older of two connections is rejected.
+            raise InvalidInputError(f"the proxy {join.proxy} has joined on a later connection")
         self.admission.admit(connection, Role.PROXY, replaces=former is not None)
-        connection.proxy = joining.proxy
-        connection.join = joining
-        self.proxies[joining.proxy] = connection
-        self.log.event(
-            "joined", peer=connection.peer, proxy=joining.proxy, zone=joining.zone, cold=joining.bootstrap
-        )
+        connection.proxy = join.proxy
+        connection.join = join
+        self.proxies[join.proxy] = connection
+        self.log.event("joined", peer=connection.peer, proxy=join.proxy, zone=join.zone, cold=join.bootstrap)
         self.coordinator.report(
             self.loop.now,
-            ProxyJoined(
-                proxy=joining.proxy, zone=joining.zone, bootstrap=joining.bootstrap, rate=joining.rate
-            ),
+            ProxyJoined(proxy=join.proxy, zone=join.zone, bootstrap=join.bootstrap, rate=join.rate),
         )
-        if former:  # it has moved on: the old stream carries nothing more
+        if former:  # the proxy has abandoned this stream
             self.loop.end(former.running_task)
 
     def leave(self, connection: Connection) -> None:
-        """Reports the leaving, where this is a proxy's current stream; else nothing."""
+        """Report that a proxy has left if the connection is its current stream."""
         if connection.proxy is not None and self.proxies.get(connection.proxy) is connection:
             del self.proxies[connection.proxy]
-            # What we end ourselves has not left by the protocol: what waits for it stays in the account
+            # A proxy whose connection the coordinator ended has not left by the protocol, and its unsent
+            # entries still count as in flight
             self.coordinator.report(
                 self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=connection.ended_by_coordinator)
             )
             connection.leave_reported = True
 
     def mark_unreachable(self, connection: Connection) -> None:
-        """Reports a silent proxy as left until it speaks.
+        """Report a silent proxy as left until something is received from it.
 
-        A proxy that answers no mark and reports nothing is cut off, so nothing is booked or written for it.
-        Its stream stays: it is the proxy's to end.
+        A proxy that acknowledges no barrier and reports nothing is cut off from the network: nothing is
+        counted as in flight or written for it. Its stream stays open, because only the proxy ends it.
         """
-        assert connection.proxy is not None, "only a proxy's stream is ever unreachable"
+        assert connection.proxy is not None, "only a proxy's stream can be unreachable"
         connection.is_unreachable = True
         connection.awaiting_since = None
         self.log.event("unreachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=True))
 
     def mark_reachable(self, connection: Connection) -> None:
-        """An unreachable proxy has spoken: it counts as joined anew, with the tables that it was written."""
-        joining = connection.join
-        assert joining is not None, "only a proxy's stream is ever unreachable"
+        """Report an unreachable proxy as joined again, with the tables that were written to it."""
+        join = connection.join
+        assert join is not None, "only a proxy's stream can be unreachable"
         connection.is_unreachable = False
         self.log.event("reachable", peer=connection.peer, proxy=connection.proxy)
         self.coordinator.report(
             self.loop.now,
-            ProxyJoined(
-                resumed=True, proxy=joining.proxy, zone=joining.zone, bootstrap=False, rate=joining.rate
-            ),
+            ProxyJoined(resumed=True, proxy=join.proxy, zone=join.zone, bootstrap=False, rate=join.rate),
         )
--- a/granitespool/net/messages.py
+++ b/granitespool/net/messages.py
@@ -1,8 +1,8 @@
-"""The platform's messages at the coordinator's address, checked and turned into typed words.
+"""Check the platform's messages to the coordinator and convert them to typed messages.
 
-Owns the wire's names of the fields and the limits of what they may hold. It never touches a socket, keeps
-nothing between messages and reports to nobody: who calls it does. Times are whole nanoseconds in what it
-returns. Every check ends in `InvalidInputError`, whose text says in one sentence what is wrong.
+Defines the names of the fields on the wire and the limits of their values. It is stateless and does no I/O.
+Times in the typed messages are whole nanoseconds. A failed check raises `InvalidInputError`, whose text is
+one sentence that says what is wrong.
 """
 
 from collections.abc import Container
@@ -16,26 +16,27 @@
 from granitespool.fields import REPORTED_COUNT_MAX, REPORTED_TIME_MAX_MS, required_field, required_number
 from granitespool.units import MILLISECOND
 
-Message = dict[str, Any]  # one object of the wire; its "type" is text, and empty where it had none
+Message = dict[str, Any]  # one decoded object; its "type" is a string, empty if the object had none
 
-PING = "ping"  # the readiness check, answered on every connection
+# Values of "type"
+PING = "ping"  # readiness check, answered on every connection
 PROXY_JOINING = "joined"
 COLLECTOR_JOINING = "collector"
 APPLIED = "applied"
 LINK_REPORT = "heard"
 USAGE_REPORT = "usage"
 
-BARRIER_MAX = 65535  # the highest mark: the protocol's
+BARRIER_MAX = 65535  # the highest acknowledgement barrier, limited by the protocol
 
 
 @dataclass(slots=True)
 class KnownNames:
-    """The names that a message may use; a later configuration changes them in place."""
+    """The names that a message may contain; a new configuration changes them in place."""
 
-    backends: Container[str]  # those the list has named
+    backends: Container[str]  # the backends that the endpoint list has contained
     request_classes: Container[str | None]
     zones: Container[str] = ()
-    proxies_expected: int = 0  # proxies are numbered from 0 up to this less 1
+    proxies_expected: int = 0  # proxies are numbered from 0 to this number minus 1
 
 
 class ProxyJoin(msgspec.Struct, frozen=True, kw_only=True):
@@ -43,27 +44,27 @@
 
     proxy: int
     zone: str
-    bootstrap: bool  # "cold" on the wire: the proxy holds no table that was ordered
-    rate: float  # requests a second, roughly; 0 where it was not told
+    bootstrap: bool  # "cold" on the wire: the proxy uses its bootstrap table
+    rate: float  # approximate requests per second; 0 if the field is missing
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, kw_only=True):
-    """A proxy has applied everything up to a mark."""
+    """A proxy's answer to an acknowledgement barrier: it has applied everything up to there."""
 
     barrier: int
     latency: int  # ns
 
 
 class LinkReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What the proxies of a zone met at a backend."""
+    """A load report: what the proxies of a zone observed at a backend."""
 
     zone: str
     backend: str
     attempts: int | float
     failures: int | float
-    mean: int  # ns that a try took, of those that did not fail
-    window: int  # ns that the report covers
-    load: dict[str, int | float]  # the latest load report in our words; empty where there was none
+    mean: int  # ns, mean round trip of the attempts that did not fail
+    window: int  # ns covered by the report
+    load: dict[str, int | float]  # the backend's latest load metrics, by our names; empty if there were none
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
@@ -73,11 +74,11 @@
     request_class: str
     requests: int | float
     unanswered: int | float
-    window: int  # ns that the report covers
+    window: int  # ns covered by the report
 
 
 def parse_proxy_join(message: Message, names: KnownNames) -> ProxyJoin:
-    """A joining with known names, or `InvalidInputError`."""
+    """Check the first message of a proxy; raise `InvalidInputError` if it is invalid."""
     proxy = _proxy_number(message, names)
     zone = _known_name(message, "locality", names.zones)
     rate = required_number(message, "w") if message.get("w") is not None else 0
@@ -85,12 +86,12 @@
 
 
 def parse_collector_zone(message: Message, names: KnownNames) -> str:
-    """The zone whose reports a collector forwards, or `InvalidInputError`."""
+    """Return the zone whose reports a collector forwards; raise `InvalidInputError` if it is invalid."""
     return _known_name(message, "locality", names.zones)
 
 
 def parse_acknowledgement(message: Message, names: KnownNames, sender: int) -> Acknowledgement:
-    """An answer to a mark on the stream of the proxy `sender`, or `InvalidInputError`."""
+    """Check an acknowledgement on the stream of the proxy `sender`; raise `InvalidInputError`."""
     barrier = required_number(message, "nonce", int, BARRIER_MAX)
     latency = _time(message, "latency")
     _own_proxy(message, names, sender)
@@ -98,12 +99,12 @@
 
 
 def parse_link_report(message: Message, names: KnownNames) -> LinkReport:
-    """A zone's report of a backend, or `InvalidInputError`."""
+    """Check a load report; raise `InvalidInputError` if it is invalid."""
     attempts = _count(message, "total")
     failures = _count(message, "errors")
     load = required_field(message, "metrics", dict) if message.get("metrics") is not None else None
     if failures > attempts:
-        raise InvalidInputError(f"a 'heard' tells {failures!r:.20} errors of {attempts!r:.20} tries")
+        raise InvalidInputError(f"a 'heard' reports {failures!r:.20} errors of {attempts!r:.20} attempts")
     return LinkReport(
         zone=_known_name(message, "locality", names.zones),
         backend=_known_name(message, "endpoint", names.backends),
@@ -116,7 +117,10 @@
 
 
 def parse_usage_report(message: Message, names: KnownNames, sender: int | None) -> UsageReport:
-    """A proxy's usage, or `InvalidInputError`; `sender` is its stream's proxy, None for a collector."""
+    """Check a usage report; raise `InvalidInputError` if it is invalid.
+
+    `sender` is the proxy whose stream it was received on, None for a collector.
+    """
     return UsageReport(
         proxy=_own_proxy(message, names, sender),
         request_class=_known_name(message, "route", names.request_classes),
@@ -127,7 +131,7 @@
 
 
 def _time(message: Message, key: str) -> int:
-    """A time that must be there, in whole nanoseconds."""
+    """Return a required time in whole nanoseconds."""
     return int(required_number(message, key, maximum=REPORTED_TIME_MAX_MS) * MILLISECOND)
 
 
@@ -151,9 +155,9 @@
 
 
 def _own_proxy(message: Message, names: KnownNames, sender: int | None) -> int:
-    """The proxy that a message names: on a proxy's stream that proxy alone."""
+    """Return the proxy that a message names; on a proxy's stream only that proxy is valid."""
     if sender is not None and message.get("node") == sender:
-        return sender  # also where a new configuration expects fewer proxies: who joined stays
+        return sender  # valid even if a new configuration expects fewer proxies: a joined proxy stays
     number = _proxy_number(message, names)
     if sender is not None and number != sender:
         raise InvalidInputError(f"a {message['type']!r} names the proxy {number} on another's stream")
--- a/granitespool/net/metrics.py
+++ b/granitespool/net/metrics.py
@@ -1,7 +1,7 @@
-"""A line of the log with this coordinator's measurements, once a period (docs/fleet.md).
+"""Periodic log event with the metrics of this coordinator (docs/fleet.md).
 
-Off unless the operator's settings have the section [figures]. It only reads the planner's metrics, the list's
-age and the longest turn; it takes no decision and changes no order.
+Disabled unless the operator's settings contain the section [figures]. It reads the planner's metrics, the age
+of the endpoint list and the longest turn, and changes nothing.
 """
 
 from granitespool.coordinator import Coordinator
@@ -12,8 +12,8 @@
 from granitespool.planner.status import Outlier
 from granitespool.units import MICROSECOND, MILLISECOND
 
-SHARE_DIGITS = 3  # digits of a share, a rate or a number of entries in the log
-OUTLIER_DIGITS = 2  # digits of an outlier's numbers
+SHARE_DIGITS = 3  # decimal places of a share, a rate or a number of entries in the log
+OUTLIER_DIGITS = 2  # decimal places of an outlier's numbers
 
 
 class Metrics:
@@ -27,20 +27,20 @@
         self.log = log
         self.options = options
         self.discovery = discovery
-        self.longest_turn = 0  # ns, since the line before
+        self.longest_turn = 0  # ns, since the last event
         loop.spawn(self._run())
 
     def turn_ended(self, began_at: int) -> None:
-        """Notes how long a turn took that began at `began_at` (ns) and ends now; called last in it."""
+        """Record the duration of a turn that began at `began_at` (ns); called at its very end."""
         self.longest_turn = max(self.longest_turn, self.loop.clock() - began_at)
 
     def _run(self) -> Coroutine:
         while True:
             yield None, 0, self.loop.now + self.options.every_ms * MILLISECOND
-            self._write_line()
+            self._write_event()
             self.longest_turn = 0
 
-    def _write_line(self) -> None:
+    def _write_event(self) -> None:
         coordinator_metrics = self.coordinator.metrics()
         metrics = coordinator_metrics.planner
         outliers = self.coordinator.outliers(self.options.backends)
@@ -70,6 +70,6 @@
 
 
 def _outlier_fields(outlier: Outlier) -> list[str | float]:
-    """[reason, attempts, failures, weight] of an outlier, as the log has it."""
+    """Return [reason, attempts, failures, weight] of an outlier, as written to the log."""
     numbers = (outlier.attempts, outlier.failures, outlier.weight)
     return [outlier.reason, *(round(number, OUTLIER_DIGITS) for number in numbers)]
--- a/granitespool/net/reconfiguration.py
+++ b/granitespool/net/reconfiguration.py
@@ -1,6 +1,6 @@
-"""A new configuration while the service runs: who takes what of it, and what waits for a restart.
+"""Apply a new configuration while the service runs, and list the settings that require a restart.
 
-It knows the parts' `new_config`. It never reads a file: the configurations it is given have been checked.
+Calls `reconfigure` of each part. It never reads a file: its configurations have been checked.
 """
 
 from typing import TYPE_CHECKING
@@ -12,51 +12,51 @@
 
 
 def may_gossip(config: Configuration) -> bool:
-    """Whether the settings permit datagrams between coordinators, and there is an address for them."""
+    """Return whether the settings permit gossip and an address for it is set."""
     return bool(config["settings"].gossip_allowed and config["peer_listen"])
 
 
 def without_management_sockets(config: Configuration) -> Configuration:
-    """The configuration with what management listeners may hold taken from the streams' descriptors."""
+    """Return the configuration with the connection limit reduced by the management listeners' sockets."""
     operator = config.get("operator")
-    listeners = [each for each in (operator.netconf, operator.gnmi) if each] if operator else []
+    listeners = [listener for listener in (operator.netconf, operator.gnmi) if listener] if operator else []
     if not listeners:
         return config
-    from granitespool.net.management_listener import sockets_max  # noqa: PLC0415 only where it is on
+    from granitespool.net.management_listener import sockets_max  # noqa: PLC0415 only if enabled
 
-    held = sum(sockets_max(each.sessions) for each in listeners)
+    management_sockets = sum(sockets_max(listener.sessions) for listener in listeners)
     replaced = config.copy()
-    replaced["connections"] = max(CONNECTIONS_MIN, config["connections"] - held)
+    replaced["connections"] = max(CONNECTIONS_MIN, config["connections"] - management_sockets)
     return replaced
 
 
 class Reconfiguration:
-    """The configuration in force, and how the parts of a service take another one."""
+    """The current configuration, and how a new one is applied to the parts of a service."""
 
     def __init__(self, service: "Service", config: Configuration) -> None:
         self.service = service
         self.config = config
         self.initial_config = config
-        self.restart_required: list[str] = []  # of the last one that was taken
+        self.restart_required: list[str] = []  # names from the last `apply`
 
     def restart_required_by(self, config: Configuration) -> list[str]:
-        """Names of what differs in this configuration and would wait for a restart."""
+        """Return the names of the settings of this configuration that would require a restart."""
         service = self.service
         names = _fixed_differences(self.initial_config, config)
         if (service.gossip is not None) != may_gossip(config):
             names.append("peers")
         operator = config.get("operator")
         if service.operator or operator:
-            from granitespool.operator_settings import restart_names  # noqa: PLC0415 only where it is on
+            from granitespool.operator_settings import restart_names  # noqa: PLC0415 only if enabled
 
             names += restart_names(service.operator, operator)
         names += service.coordinator.fixed_settings_changed(config["settings"])
         return names
 
     def apply(self, config: Configuration) -> list[str]:
-        """Has each part take what is its own; returns the names of what waits for a restart.
+        """Apply a configuration to all parts; return the names of the settings that require a restart.
 
-        Where one part fails, all have the former configuration again, and its exception is raised.
+        If a part fails, the former configuration is applied to all parts again and the exception is raised.
         """
         names = self.restart_required_by(config)
         try:
@@ -85,7 +85,7 @@
 
 
 def _fixed_differences(before: Configuration, now: Configuration) -> list[str]:
-    """Names of the keys that differ and cannot change while the service runs."""
+    """Return the names of the keys that differ and cannot change while the service runs."""
     names = []
     if before["name"] != now["name"]:
         names.append("name")
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -1,7 +1,7 @@
-"""One coordinator on sockets: makes the parts, ends each turn, and gives all back at the end.
+"""The service of one coordinator: creates the parts, runs the end of each turn, and closes all parts.
 
-Owns the loop, the log and the parts; what each may take of a new configuration is for `reconfiguration`. It
-takes no decision: it hands what the coordinator orders to the part that writes it.
+Owns the loop, the log and the parts; `reconfiguration` applies a new configuration to them. It takes no
+decision: it hands the coordinator's outgoing messages to the part that sends them.
 """
 
 import time
@@ -43,10 +43,10 @@
 
 
 class Service:
-    """One coordinator on sockets.
+    """A coordinator with its network connections.
 
-    `run` serves until `stop` is called, which a signal handler may do. So may it call `reload`: then what
-    `read_configuration` returns replaces the configuration in force, unless it raises InvalidInputError.
+    `run` serves until `stop` is called. `reload` applies the configuration that `read_configuration` returns,
+    unless that raises InvalidInputError. Signal handlers may call both.
     """
 
     def __init__(
@@ -57,33 +57,34 @@
         read_configuration: Callable[[], Configuration] | None = None,
         monotonic_clock: Clock = time.monotonic_ns,
     ) -> None:
-        """`clock` is the loop's; `monotonic_clock` is not moved by a setting of the time (state folder).
+        """Start the service; raise InvalidInputError or OSError if it cannot start.
 
-        Raises InvalidInputError or OSError where the service cannot start.
+        `clock` is the loop's clock in ns. `monotonic_clock` is for the state folder and is not affected by
+        changes of the system time.
         """
         self.read_configuration = read_configuration
         self.monotonic_clock = monotonic_clock
         self.is_reload_requested = False
-        self.stop_count = 0  # how often `stop` was called
-        self.snapshotter: Snapshotter | None = None  # of the state folder, where it is on
-        self.management: ManagementService | None = None  # where a management listener is on
-        self.metrics: Metrics | None = None  # where its section is on
-        self.gossip: Gossip | None = None  # where the settings permit it
+        self.stop_count = 0  # calls of `stop`
+        self.snapshotter: Snapshotter | None = None  # if a state folder is configured
+        self.management: ManagementService | None = None  # if a management listener is configured
+        self.metrics: Metrics | None = None  # if the section [figures] is configured
+        self.gossip: Gossip | None = None  # if the settings permit it
         self.loop = Loop(self._report_failure, clock)
         self.log = Log(log_fd, self.loop.clock, name=config["name"])
         try:
-            self._make(config)
+            self._create_parts(config)
         except Exception:
             self.close()
             raise
 
     @property
     def config(self) -> Configuration:
-        """The configuration in force."""
+        """The current configuration."""
         return self.reconfiguration.config
 
     def run(self) -> None:
-        """Serves until `stop` is called, then gives all back."""
+        """Serve until `stop` is called, then close all parts."""
         try:
             self.loop.run(self._end_of_turn)
             self._finish()
@@ -91,21 +92,21 @@
             self.close()
 
     def turn(self, wait: int) -> None:
-        """One turn, for a caller with a loop of its own; `wait` in ns."""
+        """Run one turn, for a caller with a loop of its own; `wait` in ns."""
         self.loop.turn(self._end_of_turn, wait)
 
     def reload(self) -> None:
-        """Reads the configuration anew in the next turn; may be called from a signal handler."""
+        """Reload the configuration in the next turn; may be called from a signal handler."""
         self.is_reload_requested = self.read_configuration is not None
         self.loop.wake()
 
     def stop(self) -> None:
-        """Ends `run`; may be called from a signal handler."""
+        """End `run`; may be called from a signal handler."""
         self.stop_count += 1
         self.loop.stop()
 
     def close(self) -> None:
-        """Gives back what all parts own."""
+        """Close all parts and release their resources."""
         for part in (self.management, self.snapshotter):
             if part:
                 self._run_guarded(part.close)
@@ -113,33 +114,33 @@
         self.loop.close()
         self.log.close()
 
-    # Making the parts
+    # Creation of the parts
 
-    def _make(self, config: Configuration) -> None:
+    def _create_parts(self, config: Configuration) -> None:
         operator = config.get("operator")
         self.operator = operator
-        self.file_tree: Tree | None = None  # of the files, as managers see them
+        self.file_tree: Tree | None = None  # the settings of the files, as management clients see them
         if operator and operator.state:
-            self.snapshotter = self._make_snapshotter(config, operator.state)
+            self.snapshotter = self._create_snapshotter(config, operator.state)
             config = config.copy()
             config["known"] = self.snapshotter.choose_list(config["known"])
         if operator and operator.managed:
             config = without_management_sockets(self._with_managed_settings(config))
-        self._make_network(config)
+        self._create_network(config)
         self.reconfiguration = Reconfiguration(self, config)
         if self.snapshotter:
             self.snapshotter.start(self.coordinator, self.discovery)
         if operator and operator.managed:
-            from granitespool.net.management_service import ManagementService  # noqa: PLC0415 only where it is on
+            from granitespool.net.management_service import ManagementService  # noqa: PLC0415 only if enabled
 
             self.management = ManagementService(self, self.loop, self.log)
         if operator and operator.figures:
-            from granitespool.net.metrics import Metrics  # noqa: PLC0415 only where it is on
+            from granitespool.net.metrics import Metrics  # noqa: PLC0415 only if enabled
 
             self.metrics = Metrics(self.loop, self.coordinator, self.log, operator.figures, self.discovery)
         self.log.event("serving", listen=format_address(config["listen"]))
 
-    def _make_network(self, config: Configuration) -> None:
+    def _create_network(self, config: Configuration) -> None:
         loop, log = self.loop, self.log
         uniform = Random(config["seed"]).uniform
         self.coordinator = Coordinator(config["settings"], config["seed"], loop.now)
@@ -151,19 +152,19 @@
         self.pool = BufferPool(config["buffers"])
         self.streams = Streams(loop, self.coordinator, log, self.pool, config, addresses)
 
-    def _make_snapshotter(self, config: Configuration, options: "State") -> "Snapshotter":
-        from granitespool.state.snapshotter import Snapshotter  # noqa: PLC0415 only where it is on
+    def _create_snapshotter(self, config: Configuration, options: "State") -> "Snapshotter":
+        from granitespool.state.snapshotter import Snapshotter  # noqa: PLC0415 only if enabled
 
         return Snapshotter(
             self.loop, self.log, options, config["name"], config["settings"], self.monotonic_clock
         )
 
     def _with_managed_settings(self, config: Configuration) -> Configuration:
-        """The configuration with what managers changed before the restart.
+        """Return the configuration with the changes that management clients made before the restart.
 
-        That holds as long as the files are those that they changed it from.
+        The changes are discarded if the files have changed since the clients made them.
         """
-        from granitespool.management import mapping  # noqa: PLC0415 only where it is on
+        from granitespool.management import mapping  # noqa: PLC0415 only if enabled
 
         self.file_tree = mapping.tree_of(config)
         managed = self.snapshotter.managed_settings if self.snapshotter else None
@@ -196,8 +197,8 @@
         return due
 
     def _reload(self) -> None:
-        """Reads and checks the whole file before any part hears of it; then each takes what is its own."""
-        self.is_reload_requested = False  # first: a call from here on asks for another reading
+        """Read and check the whole file, then apply the configuration to the parts."""
+        self.is_reload_requested = False  # first, so that a `reload` from here on causes another one
         assert self.read_configuration is not None
         try:
             config = without_management_sockets(self.read_configuration())
@@ -213,17 +214,17 @@
         )
 
     def _write(self, recipient: Recipient) -> None:
-        """Hands what waits for a recipient to the part that writes it."""
+        """Hand the queued messages of a recipient to the part that sends them."""
         if isinstance(recipient, int):
             self.streams.send(recipient)
         elif recipient is Queue.HEALTH_CHECKS:
-            self.health_checks.start()  # which takes as many as its limit permits
+            self.health_checks.start()  # takes messages from the queue up to its limit
         else:
             while (message := self.coordinator.pick(recipient)) is not None:
                 self._handle(message)
 
     def _handle(self, message: OutgoingMessage) -> None:
-        """Does what one message of a queue asks for."""
+        """Handle one message of a queue."""
         if isinstance(message, GossipMessage):
             if self.gossip:
                 self.gossip.send(message.peer, message.payload)
@@ -233,24 +234,28 @@
             self.log.event("internal_error", detail=message.text)
 
     def _finish(self) -> None:
-        """Ends all streams after what was ordered.
+        """Close all streams after their unsent bytes were written.
 
-        A proxy that takes nothing is waited for, `LINGER_TIMEOUT` at most and not past a second stop. No
-        decision is taken any more.
+        Waits at most `LINGER_TIMEOUT` for a proxy that does not read, and not past a second `stop`. No
+        further decision is taken.
         """
-        until = self.loop.clock() + LINGER_TIMEOUT
+        deadline = self.loop.clock() + LINGER_TIMEOUT
         self.streams.finish()
-        while self.streams.connections and self.stop_count < 2 and (left := until - self.loop.clock()) > 0:
-            self.loop.turn(self._end_of_last_turn, left)
+        while (
+            self.streams.connections
+            and self.stop_count < 2
+            and (remaining := deadline - self.loop.clock()) > 0
+        ):
+            self.loop.turn(self._end_of_last_turn, remaining)
 
     def _end_of_last_turn(self, _now: int) -> None:
         self.log.flush()
 
     def _run_guarded(self, step: Callable[..., None], *arguments: object) -> None:
-        """Runs a step; its failure is logged and must not end what is served to others."""
+        """Run a step and log its failure, which must not stop the service."""
         try:
             step(*arguments)
-        except Exception as error:  # whatever it is
+        except Exception as error:  # of any type
             self._report_failure(error)
 
     def _report_failure(self, error: Exception) -> None:
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -1,7 +1,7 @@
-"""What the managers' datastores act on: the service, its files and its state folder.
+"""The host of the management datastores: the service, its files and its state folder.
 
-It makes a configuration of a tree of settings, has it checked, applied and saved. Whether a change is allowed
-is for the datastores; which part takes what is for `reconfiguration`.
+Converts a settings tree to a configuration and has it checked, applied and saved. The datastores decide
+whether a change is allowed, and `reconfiguration` applies it to the parts.
 """
 
 from dataclasses import dataclass
@@ -23,15 +23,16 @@
 if TYPE_CHECKING:
     from granitespool.net.service import Service
 
-SAVE_TIMEOUT = 5 * SECOND  # ns that a commit's answer waits for the state folder: a worse disk has failed
-NOT_SAVED = "the state folder's disk does not take it"
-NO_FOLDER = "without a state folder nothing outlasts a restart, so startup cannot differ from running"
-NOT_APPLIED = "a part could not take its settings, and all have their former ones again"
+# ns that the answer to a commit waits for the state folder; a slower disk is treated as failed.
+SAVE_TIMEOUT = 5 * SECOND
+NOT_SAVED = "the settings could not be saved in the state folder in time"
+NO_FOLDER = "without a state folder no settings persist, so startup cannot differ from running"
+NOT_APPLIED = "a part failed to apply its settings; all parts use their former settings again"
 
 
 @dataclass(frozen=True, slots=True)
 class PendingSave:
-    """A tree on its way to the disk."""
+    """A settings tree that is not yet durable, and the answer that waits for it."""
 
     ticket: int
     deadline: int  # ns
@@ -39,10 +40,10 @@
 
 
 class SettingsHost:
-    """The datastores and what they act on: a management.changes.DatastoreHost."""
+    """The datastores and their host; implements management.changes.DatastoreHost."""
 
     def __init__(self, service: "Service", model: Model, notify: Notify) -> None:
-        """Raises InvalidInputError where the settings do not fit the model."""
+        """Create the datastores; raise InvalidInputError if the settings do not conform to the model."""
         self.service = service
         self.model = model
         self.notify = notify
@@ -50,30 +51,30 @@
         try:
             model.check(tree)
         except ManagementError as error:
-            raise InvalidInputError(f"the settings do not fit the managers' model: {error.reason}") from None
+            raise InvalidInputError(f"the settings do not match the YANG model: {error.reason}") from None
         self.datastores = Datastores(model, self, tree)
-        self.file_tree: Tree | None = service.file_tree  # of the files as they were last read
-        self.reloaded: Configuration | None = None  # the configuration that a reload brings, meanwhile
+        self.file_tree: Tree | None = service.file_tree  # the settings of the files when last read
+        self.reloaded: Configuration | None = None  # the new configuration, only during a reload
         self.pending: list[PendingSave] = []
 
     # For the datastores
 
     def check(self, tree: Tree, _running: Tree) -> None:
-        """Raises ManagementError where the service could not run on a tree, or it would do harm."""
-        config = self._config(tree)
+        """Raise ManagementError if the service could not run with a tree, or if that would do harm."""
+        config = self._configuration_of(tree)
         coordinator = self.service.coordinator
-        waiting = [] if self.reloaded else self.service.reconfiguration.restart_required_by(config)
+        restart_required = [] if self.reloaded else self.service.reconfiguration.restart_required_by(config)
         impact_check.check(
             config,
             self.service.config,
             coordinator.status().planner.joined,
             coordinator.joined_zones(),
-            waiting,
+            restart_required,
         )
 
     def apply(self, tree: Tree, by: str) -> None:
-        """Has the service run on a tree within the call, or raises ManagementError and changes nothing."""
-        config = self._config(tree)
+        """Apply a tree to the service at once; raise ManagementError, with nothing changed, if that fails."""
+        config = self._configuration_of(tree)
         try:
             restart_required = self.service.reconfiguration.apply(config)
         except Exception as error:
@@ -84,7 +85,7 @@
         self.notify("settings-changed", version=version, by=by)
 
     def keep(self, tree: Tree, version: int, answer: Kept) -> None:
-        """Has a tree outlast the process where a state folder is on, and answers once it is safe."""
+        """Save a tree if there is a state folder, and call `answer` once it is durable or has failed."""
         if self.service.snapshotter is None:
             answer(None)
             return
@@ -93,19 +94,19 @@
         self.service.loop.wake()
 
     def unkeep(self, tree: Tree, version: int) -> None:
-        """Has this tree outlast the process instead; nobody waits for it, and the newest one wins."""
+        """Save this tree instead of the last one, without waiting for it; the latest tree wins."""
         if self.service.snapshotter is not None:
             self.service.snapshotter.save_settings(tree, self.file_tree, version)
 
     def refused(self, by: str, why: str) -> None:
-        """Logs a change that was rejected, and notifies the subscribers."""
+        """Log a change that was rejected and notify the subscribers."""
         self.service.log.event("change_rejected", by=by, reason=why)
         self.notify("change-refused", by=by, why=why)
 
     # For the sessions
 
     def keep_startup(self, answer: Answer) -> None:
-        """Has startup, as it is now, outlast the process, and answers once that is safe."""
+        """Save the current startup datastore, and call `answer` once it is durable or has failed."""
         stores = self.datastores
         if self.service.snapshotter is None:
             stores.reset_startup()
@@ -116,7 +117,7 @@
             if reason is None:
                 answer(None)
                 return
-            # It may come to the disk yet: a restart begins with what runs
+            # The tree may still reach the disk; this save makes a restart begin with the running settings
             stores.reset_startup()
             self.unkeep(stores.tree(STARTUP), stores.version)
             answer(ManagementError(ErrorTag.RESOURCE_DENIED, reason))
@@ -124,34 +125,34 @@
         self.keep(stores.tree(STARTUP), stores.version, saved)
 
     def log_undone(self, error: ManagementError | None) -> None:
-        """Logs where a change that was not confirmed could not be taken back."""
+        """Log that an unconfirmed change could not be rolled back."""
         if error:
             self.service.log.event("rollback_failed", reason=error.reason)
 
     # For the service
 
     def end_of_turn(self, now: int) -> None:
-        """Answers what is safe by now or too late, and undoes a commit that was not confirmed; ns."""
+        """Answer saves that are durable or late, and roll back an unconfirmed commit; `now` in ns."""
         snapshotter = self.service.snapshotter
-        waiting, self.pending = self.pending, []
-        for save in waiting:
-            is_safe = snapshotter is not None and snapshotter.is_durable(save.ticket)
-            if is_safe or now >= save.deadline:
-                save.answer(None if is_safe else NOT_SAVED)
+        pending, self.pending = self.pending, []
+        for save in pending:
+            is_durable = snapshotter is not None and snapshotter.is_durable(save.ticket)
+            if is_durable or now >= save.deadline:
+                save.answer(None if is_durable else NOT_SAVED)
             else:
                 self.pending.append(save)
         self.datastores.tick(now, self.log_undone)
 
     def due(self) -> int | None:
-        """When `end_of_turn` is to be called at the latest, ns; None for never."""
+        """Return the latest time (ns) of the next `end_of_turn`, None if there is none."""
         deadlines = [self.datastores.due(), *(save.deadline for save in self.pending)]
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
     def reload(self, config: Configuration) -> list[str]:
-        """Takes the files that were read anew; returns the names of what waits for a restart.
+        """Apply the reloaded files; return the names of the settings that require a restart.
 
-        Raises ManagementError, and nothing changes. Where the files hold what they held before, what managers
-        have changed since stands.
+        If the files' settings are unchanged, the changes of management clients since then stay. Raise
+        ManagementError if the files cannot be applied; then nothing has changed.
         """
         reconfiguration = self.service.reconfiguration
         tree = mapping.tree_of(config)
@@ -169,8 +170,8 @@
             self.service.snapshotter.save_settings(None, None, self.datastores.version)
         return reconfiguration.restart_required
 
-    def _config(self, tree: Tree) -> Configuration:
-        """The configuration that a tree makes of the present one, or the one that a reload brings."""
+    def _configuration_of(self, tree: Tree) -> Configuration:
+        """Return the current configuration with the settings of a tree, or the one of a running reload."""
         if self.reloaded:
             return self.reloaded
         config = cast(Configuration, mapping.config_of(tree, self.service.config))
--- a/granitespool/net/shared_state.py
+++ b/granitespool/net/shared_state.py
@@ -1,4 +1,4 @@
-"""One reading of the operational state for all management clients that ask within a short time."""
+"""One snapshot of the operational state, shared by all management clients for a short time."""
 
 from collections.abc import Callable, Iterator, MutableMapping
 from typing import Any
@@ -8,20 +8,20 @@
 from granitespool.management.interfaces import StateReader
 from granitespool.net.loop import SECOND
 
-VALID_FOR = SECOND // 4  # ns for which a reading serves
+VALID_FOR = SECOND // 4  # ns after its start for which a snapshot is used
 
 
 class SharedState:
-    """A reading that is made in steps; a client that takes a step takes it for all.
+    """A snapshot of the operational state that is read in steps; each step serves all clients.
 
-    `flat` holds what protocols derived of the newest tree, `leaves` (by the text of their path) what they
-    know of a leaf for as long as any of them holds it: a hundred subscribers of the same paths cost one
-    flattening, and a value is encoded once. Few objects matter as much: the garbage collector walks them
-    all.
+    `flat` caches what protocols derived from the latest tree. `leaves` caches data of a leaf by the text of
+    its path, as long as a client refers to it. With both, a hundred subscribers of the same paths cost one
+    flattening, and a value is encoded once. It also keeps the number of objects low, which matters as much
+    because the garbage collector traverses all of them.
     """
 
     def __init__(self, make_reader: Callable[[], StateReader]) -> None:
-        """`make_reader` begins a new reading."""
+        """Create the cache; `make_reader` returns a reader for a new snapshot."""
         self.make_reader = make_reader
         self.tree: Tree | None = None
         self.started_at: int | None = None  # ns
@@ -31,7 +31,10 @@
         self.leaves: MutableMapping[str, Any] = WeakValueDictionary()
 
     def look(self, now: int) -> Tree | None:
-        """A tree whose reading began `VALID_FOR` ago at most, or None after a step towards it; ns."""
+        """Return a tree that is at most `VALID_FOR` old, or do one step of reading it and return None.
+
+        The age counts from the start of the reading; `now` in ns.
+        """
         if self.steps is None or self.reader is None:
             if self.started_at is not None and now - self.started_at < VALID_FOR:
                 return self.tree
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -1,8 +1,8 @@
-"""The coordinator's address: proxies' streams, collectors, and pending connections that have not joined.
+"""Connections at the coordinator's address: streams of proxies, collectors, and pending connections.
 
-Owns one coroutine for each connection, which reads from it, writes to it and closes it, and joins the parts
-that know more: `acceptor` takes connections, `admission` says who gives way, `dispatch` handles messages,
-`membership` knows who has joined. It never looks into a message and takes no decision on orders.
+Owns one coroutine for each connection, which reads from it, writes to it and closes it. It combines
+`acceptor`, which accepts connections, `admission`, which evicts them, `dispatch`, which handles messages, and
+`membership`, which tracks the joined peers. It never interprets a message or an update.
 """
 
 import socket
@@ -32,15 +32,17 @@
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames
 
-JOIN_TIMEOUT = 3 * SECOND // 2  # ns from accept to joining, whatever is sent meanwhile: proxies join at once
-FIRST_MESSAGE_MAX = 1024  # bytes of a pending connection's message at most: a joining takes a tenth
-SILENCE_TIMEOUT = 6 * SECOND  # ns beyond a full channel's that a stream may bring nothing after an order
-PROXIES_MAX = 65535  # proxies, where the settings name no number
-UNLIMITED_PACE = 1e9  # lines a second, where the settings name no pace
+# ns from accept to the join message, whatever else is sent meanwhile: proxies join at once.
+JOIN_TIMEOUT = 3 * SECOND // 2
+FIRST_MESSAGE_MAX = 1024  # bytes of a message on a pending connection: a join message takes a tenth of it
+# ns after a barrier, beyond the time that a full channel takes, in which a stream has to send something.
+SILENCE_TIMEOUT = 6 * SECOND
+PROXIES_MAX = 65535  # proxies if proxies_expected is unset
+UNLIMITED_RATE = 1e9  # entries per second if entries_per_s is unset
 
 
 class Streams:
-    """All connections at the coordinator's address."""
+    """The connections at the coordinator's address."""
 
     def __init__(
         self,
@@ -51,17 +53,17 @@
         config: Configuration,
         backends: Mapping[str, object],
     ) -> None:
-        """Listens at once; raises OSError where the address cannot be bound.
+        """Start to listen; raise OSError if the address cannot be bound.
 
-        `backends` has those the list has named, now and later.
+        `backends` stays up to date with the endpoint list.
         """
         self.loop, self.coordinator, self.log, self.pool = loop, coordinator, log, pool
         self.names = KnownNames(backends=backends, request_classes=coordinator.classes)
         self.admission = Admission(loop, log, config["connections"])
         self.membership = Membership(loop, coordinator, log, self.admission)
         self.dispatcher = Dispatcher(loop, coordinator, log, self.membership, self.names)
-        self.accepted_count = 0  # connections so far
-        self.finishing = False  # all connections are to end
+        self.accepted_count = 0  # connections accepted so far
+        self.finishing = False  # whether all connections have to end
         self.reconfigure(config)
         self.acceptor = Acceptor(loop, log, self.admission, config["listen"], self._open)
 
@@ -72,32 +74,32 @@
 
     @property
     def connections(self) -> Mapping[Connection, None]:
-        """All open connections, in order of age."""
+        """The open connections, oldest first."""
         return self.admission.connections
 
     @property
     def pending(self) -> Mapping[Connection, None]:
-        """Those of them that have not joined."""
+        """The open connections that have not joined, oldest first."""
         return self.admission.pending
 
     @property
     def proxies(self) -> Mapping[int, Connection]:
-        """Each joined proxy's current stream."""
+        """The current stream of each joined proxy, by its number."""
         return self.membership.proxies
 
     def reconfigure(self, config: Configuration) -> None:
-        """Who has joined stays, whatever the new figures are; they hold for who comes from now on."""
+        """Apply the limits of a configuration to new connections; joined peers stay."""
         settings = config["settings"]
         self.names.zones = set(settings.zones or ())
         self.names.proxies_expected = settings.proxies_expected or PROXIES_MAX
         self.admission.connections_limit = config["connections"]
-        # An order is answered once it has passed the channel, and reports may wait for others' as long
-        pace = settings.entries_per_s or UNLIMITED_PACE
-        full = settings.backlog_limit or 0
-        self.silence_timeout = SILENCE_TIMEOUT + int(SECOND * full / pace)
+        # A barrier is acknowledged after it has passed the channel, and reports may wait as long for others
+        rate = settings.entries_per_s or UNLIMITED_RATE
+        queue_limit = settings.backlog_limit or 0
+        self.silence_timeout = SILENCE_TIMEOUT + int(SECOND * queue_limit / rate)
 
     def send(self, proxy: int) -> None:
-        """Writes a proxy's next order, unless it has not taken the one before: then orders merge."""
+        """Write the next update to a proxy, unless the last one is not fully written: then updates merge."""
         connection = self.membership.proxies.get(proxy)
         if connection is None or connection.unsent:
             return
@@ -108,20 +110,20 @@
         try:
             connection.write(data)
         except OSError:
-            connection.unsent = data  # the coroutine meets the same end, or where it is none goes on with it
+            connection.unsent = data  # the coroutine gets the same error, or else sends the rest
         if update.barrier is not None and connection.awaiting_since is None:
             connection.awaiting_since = self.loop.now
-        self.loop.resume(connection.running_task)  # it waits anew, for the socket or for the answer
+        self.loop.resume(connection.running_task)  # it waits again with the new events and deadline
 
     def finish(self) -> None:
-        """No more are taken; each is told the end after what waits for it, and all have ended soon."""
+        """Stop accepting, and make each connection close once its unsent bytes are written."""
         self.loop.end(self.acceptor.task)
         self.finishing = True
         for connection in list(self.connections):
             self.loop.resume(connection.running_task)
 
     def _open(self, sock: socket.socket, peer: str) -> None:
-        """Serves a socket that was accepted; raises OSError where it is reset already."""
+        """Serve an accepted socket; raise OSError if the peer has already reset it."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         reader = Reader(self.pool, FIRST_MESSAGE_MAX)
@@ -150,16 +152,20 @@
             self._close(connection)
 
     def _exchange(self, connection: Connection) -> Coroutine:
-        """Reads and writes until one side ends.
+        """Read and write until one side closes the connection.
 
-        Raises InvalidInputError for what must end the connection, and OSError where it is broken.
+        Raise InvalidInputError if the connection has to be closed, and OSError if it is broken.
         """
-        while self._read(connection):  # at once: a joining that came with it must not wait
-            if connection.unsent:  # after what it sent: a reset ends the one, and not the other
+        # Read before the first wait: a join message that arrived with the connection is handled at once
+        while self._read(connection):
+            # Write after reading: if the peer has reset the connection, the write fails, but received
+            # messages have been handled
+            if connection.unsent:
                 connection.write(b"")
             events = 0
             while not events:
-                # Without events nothing is read: by then the turn is closed, and a report would miss it
+                # Without events nothing is read: the coroutine then runs at the end of the turn, which is
+                # too late for a report of this turn
                 if self.finishing:
                     connection.end_reason = CLOSED_BY_COORDINATOR
                     yield from connection.linger(self.loop)
@@ -168,16 +174,16 @@
                 mask = IN | (OUT if connection.unsent else 0)
                 events = yield connection.sock.fileno(), mask, deadline
                 if not events and deadline and self.loop.now >= deadline:
-                    self._overdue(connection)
+                    self._handle_timeout(connection)
         self.membership.leave(connection)
-        if connection.unsent:  # it has ended its side alone, and may read still
+        if connection.unsent:  # the peer may only have shut down writing, and may still read
             yield from connection.linger(self.loop)
 
     def _read(self, connection: Connection) -> bool:
-        """Reads what is there and has it handled; False once the other side has ended."""
+        """Read and handle received messages; return False once the peer has closed its side."""
         reader, total = connection.reader, 0
         while total < READ_PER_TURN:
-            view = self._buffer(connection)
+            view = self._receive_buffer(connection)
             try:
                 size = connection.sock.recv_into(view)
             except BlockingIOError:
@@ -195,8 +201,8 @@
                 self.dispatcher.handle(connection, message)
         return True
 
-    def _buffer(self, connection: Connection) -> memoryview:
-        """Where to receive into; another connection may give way for it."""
+    def _receive_buffer(self, connection: Connection) -> memoryview:
+        """Return the space to receive into; another connection may be evicted to free a buffer."""
         view = connection.reader.free_space()
         if view is None and (
             self.admission.end_pending(connection, holds_buffer=True)
@@ -209,27 +215,27 @@
         return view
 
     def _deadline(self, connection: Connection) -> int | None:
-        """When it has taken too long to join, or was silent for too long; None where nothing is awaited."""
+        """Return the time by which the peer has to join or to send something; None if there is none."""
         if connection.role is Role.PENDING:
             return connection.accepted_at + JOIN_TIMEOUT
         if connection.awaiting_since is None:
             return None
         return connection.awaiting_since + self.silence_timeout
 
-    def _overdue(self, connection: Connection) -> None:
+    def _handle_timeout(self, connection: Connection) -> None:
         if connection.role is Role.PENDING:
             raise InvalidInputError("it has not joined in time")
         self.membership.mark_unreachable(connection)
 
     def _reject(self, connection: Connection) -> Coroutine:
-        """Writes the reason as a last word, which must not be lost with the close."""
+        """Send the reason for the rejection as the last message and let the peer read it before the close."""
         reason = connection.end_reason
         connection.end_reason = REJECTED
         log_rejected(self.log, peer=connection.peer, reason=reason)
-        if connection.unsent:  # it reads nothing
+        if connection.unsent:  # the peer does not read
             return
         connection.unsent = frame({"type": "refused", "why": reason})
-        with suppress(OSError):  # it is gone already
+        with suppress(OSError):  # the peer may have closed the connection
             yield from connection.linger(self.loop)
 
     def _close(self, connection: Connection) -> None:
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -1,8 +1,8 @@
-"""TLS 1.3 without a socket: bytes of the network in, plain bytes out, and the other way round.
+"""TLS 1.3 without a socket: converts between bytes of the network and plain bytes.
 
-The standard library's ssl over memory BIOs. Both sides show a certificate; there is nothing older than 1.3,
-so no renegotiation, and no early data, which the library does not take. Tickets are off: each session is
-checked anew.
+Uses the standard library's ssl with memory BIOs. Both sides authenticate with a certificate. Versions before
+1.3 are disabled, so there is no renegotiation, and the library does not accept early data. Session tickets
+are disabled, so that the certificates are checked in each handshake.
 """
 
 import hashlib
@@ -12,25 +12,26 @@
 
 from granitespool.errors import GranitespoolError, InvalidInputError
 
-READ_SIZE = 64 * 1024  # plain bytes taken out in one read
-# Bytes of a record that is written. Some clients wait on the socket after a read of 4 KiB while the rest of a
-# larger record is in their TLS library (ncclient does). Small records cost 22 bytes more for each 4 KiB.
+READ_SIZE = 64 * 1024  # plain bytes, the largest read
+# Bytes of a written record. Some clients (ncclient) wait for the socket after a read of 4 KiB although the
+# rest of a larger record is already in their TLS library. Small records cost 22 bytes more for each 4 KiB.
 RECORD_SIZE = 4096
 
 
 class TlsError(GranitespoolError):
-    """The other side's TLS is wrong; the text says how.
+    """Raised when the TLS of the client fails; the text says how.
 
-    What `TlsConnection.outgoing` holds then may be an alert for it.
+    `TlsConnection.outgoing` may then return an alert for the client.
     """
 
 
 def server_context(
     certificate: str, key: str, authorities: str, protocol: str | None = None
 ) -> ssl.SSLContext:
-    """A server's context of three PEM files and the protocol that clients must agree to, if any.
+    """Return the context of a server, from three PEM files.
 
-    Raises InvalidInputError with one sentence.
+    `protocol` is the ALPN protocol that is offered to clients. Raise InvalidInputError with one sentence if a
+    file cannot be used.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
@@ -50,24 +51,24 @@
 
 
 def _unusable(files: str, error: OSError) -> InvalidInputError:
-    reason = (error.reason or "it is no PEM") if isinstance(error, ssl.SSLError) else error.strerror
+    reason = (error.reason or "it is not a PEM file") if isinstance(error, ssl.SSLError) else error.strerror
     return InvalidInputError(f"[tls] {files} cannot be used: {reason}")
 
 
 class TlsConnection:
-    """One connection, the server's side."""
+    """The server's side of one TLS connection."""
 
     def __init__(self, context: ssl.SSLContext) -> None:
         self.incoming = ssl.MemoryBIO()
         self.to_network = ssl.MemoryBIO()
         self.tls = context.wrap_bio(self.incoming, self.to_network, server_side=True)
-        self.is_established = False  # the handshake is done
-        self.has_ended = False  # the other side has said its end
+        self.is_established = False  # whether the handshake is complete
+        self.has_ended = False  # whether the client has closed its side
 
     def feed(self, data: bytes) -> bytes:
-        """Takes bytes of the network, b"" for its end; returns the plain bytes that are complete.
+        """Decrypt bytes of the network, b"" for its end, and return the plain bytes of complete records.
 
-        Raises TlsError.
+        Raise TlsError if the handshake or a record is invalid.
         """
         if data:
             self.incoming.write(data)
@@ -92,23 +93,23 @@
         return b"".join(plain)
 
     def write(self, plain: bytes) -> None:
-        """Takes plain bytes for the other side; they are among `outgoing` then."""
+        """Encrypt plain bytes for the client, which `outgoing` then returns."""
         view = memoryview(plain)
         while view:
             view = view[self.tls.write(view[:RECORD_SIZE]) :]
 
     def outgoing(self) -> bytes:
-        """Bytes that are to go to the network."""
+        """Return the bytes to be written to the network."""
         return self.to_network.read()
 
     def close(self) -> None:
-        """Says the end; what is to be written of it is among `outgoing`."""
-        # The other side may not have said its own end, or there was no handshake
+        """Close the server's side; `outgoing` then returns the closing alert."""
+        # The client may not have closed its side, or there was no handshake
         with suppress(ssl.SSLError, ValueError):
             self.tls.unwrap()
 
     def peer(self) -> tuple[dict[str, Any], str]:
-        """The other side's certificate, as getpeercert tells it, and its SHA-256 in hex."""
+        """Return the client's certificate, as `getpeercert` returns it, and its SHA-256 in hex."""
         certificate = self.tls.getpeercert()
         binary = self.tls.getpeercert(binary_form=True)
         assert certificate is not None
