--- a/tests/service/test_service_discovery_watch.py
+++ b/tests/service/test_service_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: what is asked for, what a line changes, and how it recovers."""
+"""The watch of the endpoint list: its requests, the effect of received lines, and recovery from errors."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -10,7 +10,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 
-def test_the_watch_continues_from_the_known_list_and_its_changes_reach_the_proxies(
+def test_the_watch_continues_from_the_configured_list_and_its_changes_reach_the_proxies(
     service: ServiceHarness, clients: ServiceClients, discovery: DiscoveryStandIn, backends: BackendStandIns
 ) -> None:
     backends.start("a", "b")
@@ -40,7 +40,7 @@
     discovery.wait_for_request("after=9")
 
 
-def test_the_first_list_that_names_a_backend_is_taken_at_full_weight(
+def test_backends_of_the_first_list_that_is_not_empty_start_at_full_weight(
     service: ServiceHarness, clients: ServiceClients, discovery: DiscoveryStandIn, backends: BackendStandIns
 ) -> None:
     service.configure(health_checks_allowed=True)
@@ -53,7 +53,7 @@
     clients.wait_for("p", '["a",1.0]')
 
 
-def test_a_backend_that_a_complete_list_does_not_name_is_gone(
+def test_a_backend_that_a_complete_list_does_not_contain_is_removed(
     clients: ServiceClients, discovery: DiscoveryStandIn, backends: BackendStandIns
 ) -> None:
     backends.start("a", "b")
@@ -66,7 +66,7 @@
     clients.wait_for("p", '["b",0.0]')
 
 
-def test_an_invalid_entry_is_left_out_and_removes_nobody(
+def test_an_invalid_entry_is_skipped_and_does_not_remove_its_backend(
     clients: ServiceClients, discovery: DiscoveryStandIn, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a", "b")
@@ -85,7 +85,7 @@
     clients.wait_for("p", '["b",0.0]')
 
 
-def test_empty_lines_keep_the_watch_and_silence_ends_it(
+def test_empty_lines_keep_the_watch_open_and_silence_ends_it(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -108,7 +108,7 @@
     assert '["a",0.0]' not in clients.received("p")
 
 
-def test_a_rejected_malformed_or_cut_watch_is_opened_again_with_backoff(
+def test_a_rejected_malformed_or_broken_watch_is_reopened_with_backoff(
     service: ServiceHarness, discovery: DiscoveryStandIn, log: ServiceLog
 ) -> None:
     discovery.wait_for_request("after=7")
@@ -132,7 +132,7 @@
     discovery.wait_for_request("after=7")
 
 
-def test_a_watch_whose_line_never_ends_is_opened_again(
+def test_a_watch_whose_line_is_never_complete_is_reopened(
     clients: ServiceClients, discovery: DiscoveryStandIn, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -149,7 +149,7 @@
     assert '["a",0.0]' not in clients.received("p")
 
 
-def test_the_log_tells_why_a_watch_ended_and_the_version_and_age_of_the_list(
+def test_the_log_has_the_reason_for_the_end_of_a_watch_the_list_version_and_the_silence(
     service: ServiceHarness, discovery: DiscoveryStandIn, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -163,7 +163,7 @@
     discovery.wait_for_request("after=9")
 
 
-def test_complete_lines_before_a_watch_broke_count_and_the_rest_is_asked_for_again(
+def test_complete_lines_before_a_watch_broke_are_used_and_a_partial_line_is_requested_again(
     service: ServiceHarness, clients: ServiceClients, discovery: DiscoveryStandIn, backends: BackendStandIns
 ) -> None:
     backends.start("a", "b")
@@ -188,7 +188,7 @@
     discovery.wait_for_request("after=9")
 
 
-def test_an_unreadable_entry_is_asked_for_again_from_the_version_before_it_with_backoff(
+def test_an_invalid_entry_is_requested_again_from_the_version_before_it_with_backoff(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -227,7 +227,7 @@
     discovery.wait_for_request("after=9")
 
 
-def test_what_is_asked_for_again_may_come_in_older_pieces_first(
+def test_changes_that_are_requested_again_may_start_with_an_older_version_than_the_current_one(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -252,7 +252,7 @@
     assert '"stale_endpoint_list"' not in log.text
 
 
-def test_an_entry_whose_zone_type_or_group_is_no_name_is_left_out(
+def test_an_entry_whose_zone_type_or_group_has_the_wrong_type_is_skipped(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -281,7 +281,7 @@
     assert '"y"' not in clients.received("p")
 
 
-def test_changes_older_than_the_held_version_are_ignored_and_a_complete_list_is_not(
+def test_changes_older_than_the_current_version_are_ignored_but_an_older_complete_list_is_used(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -311,7 +311,7 @@
     discovery.wait_for_request("after=3")
 
 
-def test_repeated_and_reordered_phases_of_a_backend_and_its_return_at_another_address(
+def test_a_backend_returns_at_another_address_after_repeated_and_reordered_phases(
     service: ServiceHarness, clients: ServiceClients, discovery: DiscoveryStandIn, backends: BackendStandIns
 ) -> None:
     backends.start("a", "b")
--- a/tests/service/test_service_gossip.py
+++ b/tests/service/test_service_gossip.py
@@ -1,10 +1,10 @@
-"""Datagrams between coordinators."""
+"""Gossip between coordinators over UDP."""
 
 from support.service_harness import ServiceHarness
 from support.service_outlets import PeerStandIns, ServiceLog
 
 
-def test_datagrams_of_unknown_peers_and_too_long_ones_are_dropped(
+def test_datagrams_of_unknown_peers_and_too_long_ones_are_dropped_and_others_are_exchanged(
     service: ServiceHarness, peers: PeerStandIns, log: ServiceLog
 ) -> None:
     service.configure(gossip_allowed=True)
--- a/tests/service/test_service_health_checks.py
+++ b/tests/service/test_service_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks over the network, and what a backend's answer leads to."""
+"""Health checks over the network, and how the result changes a backend's entry."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -10,7 +10,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 
-def test_a_backend_that_answers_its_health_check_starts_slowly_and_one_that_does_not_gets_no_traffic(
+def test_a_backend_enters_slow_start_after_a_successful_health_check_and_is_not_published_otherwise(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -42,7 +42,7 @@
     assert '"e"' not in clients.received("p")
 
 
-def test_an_answer_that_is_not_http_or_is_cut_off_is_no_success(
+def test_a_backend_is_not_published_after_an_invalid_or_error_response_to_its_health_check(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -65,7 +65,7 @@
     assert '"c"' not in clients.received("p")
 
 
-def test_an_answer_within_the_time_limit_counts_though_it_is_read_late(
+def test_a_response_that_arrived_before_the_timeout_counts_even_if_it_is_read_after_it(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
--- a/tests/service/test_service_invalid_messages.py
+++ b/tests/service/test_service_invalid_messages.py
@@ -1,4 +1,4 @@
-"""What a message that is not as the protocol says costs its sender, and nobody else."""
+"""Invalid messages: each is dropped or ends the connection of its sender, and affects no other connection."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -9,7 +9,7 @@
 from granitespool.units import SECOND
 
 
-def test_a_length_over_the_limit_ends_the_connection_and_no_other(
+def test_a_length_over_the_limit_ends_only_that_connection(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -23,7 +23,7 @@
     clients.wait_for_heartbeat("q")
 
 
-def test_what_is_no_json_object_with_a_type_ends_the_connection(
+def test_a_first_message_that_is_not_a_json_object_with_a_type_ends_the_connection(
     clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -45,7 +45,7 @@
     clients.wait_for_heartbeat("e")
 
 
-def test_a_message_before_its_sender_named_itself_ends_the_connection(
+def test_a_report_before_the_join_message_ends_the_connection(
     clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -55,7 +55,7 @@
     log.wait_for("before its sender said who it is")
 
 
-def test_a_join_with_an_unknown_zone_or_proxy_or_without_a_field_ends_the_connection(
+def test_a_join_with_an_unknown_zone_or_proxy_or_a_missing_or_invalid_field_ends_the_connection(
     service: ServiceHarness, clients: ServiceClients, log: ServiceLog
 ) -> None:
     service.configure(proxies_expected=4)
@@ -86,7 +86,7 @@
     service.state.wait_for_joined()
 
 
-def test_an_invalid_message_of_a_proxy_is_dropped_with_a_line_and_the_stream_goes_on(
+def test_an_invalid_message_of_a_joined_proxy_is_dropped_and_logged_and_the_stream_stays_open(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -114,7 +114,7 @@
     service.state.wait_for_joined(1)
 
 
-def test_an_invalid_load_report_is_dropped_whole_and_none_of_it_is_counted(
+def test_an_invalid_load_report_is_dropped_as_a_whole(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a", "b")
@@ -154,7 +154,7 @@
     assert '"task_failed"' not in log.text
 
 
-def test_an_invalid_acknowledgement_does_not_keep_the_channel_full(
+def test_an_invalid_acknowledgement_still_frees_the_channel(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.configure(entries_per_s=10, backlog_limit=20, message_header=3)
@@ -168,7 +168,7 @@
     log.wait_for("'nonce'")
 
 
-def test_http_an_impossible_length_a_long_first_message_and_an_update_are_rejected_at_once(
+def test_unexpected_first_bytes_are_rejected_at_once_and_a_long_message_after_the_join_is_read(
     clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -203,14 +203,14 @@
     log.wait_for("not JSON")
 
 
-def test_invalid_messages_without_end_are_logged_a_few_a_second_and_then_as_a_number(
+def test_log_lines_of_invalid_messages_are_limited_per_second_and_the_rest_is_counted(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
     service.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
     clients.join("p", 1)
     clients.wait_for("p", "whole")
-    clients.send_repeatedly("p", 500, messages.usage(1, "an-unknown-one"))
+    clients.send_repeatedly("p", 500, messages.usage(1, "unknown-class"))
     clients.wait_for_heartbeat("p")
     service.advance_to(SECOND)
     clients.send("p", '{"type":"odd"}')
@@ -219,7 +219,7 @@
     log.wait_for_dropped(22)
 
 
-def test_a_rejected_client_reads_the_reason_though_it_goes_on_sending(
+def test_a_rejected_client_can_read_the_reason_even_if_it_continues_to_send(
     clients: ServiceClients, backends: BackendStandIns
 ) -> None:
     backends.start("a")
--- a/tests/support/external_names.py
+++ b/tests/support/external_names.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import msgspec
-from test_log_events import written
+from test_log_events import written_events
 
 from bench.capacity import sweep
 from granitespool import cli, operator_settings
@@ -75,8 +75,8 @@
             _schema_keys, scale_schema.SECTIONS, {scale_schema.EVENT: scale_schema.Event}
         ),
         "flags and sub-commands": _command_line_words,
-        "log events": lambda: set(written()),
-        "fields of log events": lambda: {field for fields in written().values() for field in fields},
+        "log events": lambda: set(written_events()),
+        "fields of log events": lambda: {field for fields in written_events().values() for field in fields},
         "values in log events": lambda: {*ListForm, *HealthCheckOutcome, *Role},
         "files of the state folder": lambda: {disk.LOCK_NAME, store.ASIDE_SUFFIX, _generation_prefix()},
         "JSON report of the emulator": lambda: set(_report_keys(emulator_report.Report)),
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""The log's events as the code writes them, against the table of docs/on-call.md."""
+"""Compare the log events in the code with the table of docs/on-call.md."""
 
 import ast
 import pathlib
@@ -8,31 +8,31 @@
 ROOT = pathlib.Path(__file__).parents[1]
 PACKAGE = ROOT / "granitespool"
 TABLE = ROOT / "docs" / "on-call.md"
-LOG_METHODS = {"event", "rate_limited_event"}  # of the log itself
-WRITER_MODULE = "state/writer.py"  # a thread, whose reports the loop writes to the log
+LOG_METHODS = {"event", "rate_limited_event"}  # methods of the log
+WRITER_MODULE = "state/writer.py"  # runs in a thread; the loop writes its reports to the log
 WRITER_METHOD = "_report"
 LOG_MODULE = "net/log.py"
-FORWARDING = {LOG_MODULE, "state/snapshotter.py"}  # these pass on an event whose name they are given
-FIELDS_ELSEWHERE = {"metrics": ROOT / "docs" / "fleet.md"}  # events whose fields have a page of their own
+FORWARDING_MODULES = {LOG_MODULE, "state/snapshotter.py"}  # write events whose name is an argument
+FIELD_PAGES = {"metrics": ROOT / "docs" / "fleet.md"}  # events whose fields are documented on another page
 
 
-def receiver(call: ast.Call) -> str:
-    """The last name of what a method is called on, "" where it is no name."""
+def receiver_name(call: ast.Call) -> str:
+    """Return the last name of the expression that a method is called on, "" if there is none."""
     owner = call.func.value
     return owner.attr if isinstance(owner, ast.Attribute) else getattr(owner, "id", "")
 
 
 def is_log_call(module: str, call: ast.Call) -> bool:
-    """Whether this call writes a line of the log, or has one written."""
+    """Return whether a call writes a log event, directly or through the writer thread."""
     if not isinstance(call.func, ast.Attribute):
         return False
     if call.func.attr in LOG_METHODS:
-        return receiver(call) == ("self" if module == LOG_MODULE else "log")
+        return receiver_name(call) == ("self" if module == LOG_MODULE else "log")
     return (module, call.func.attr) == (WRITER_MODULE, WRITER_METHOD)
 
 
 def log_calls() -> list[tuple[str, ast.Call]]:
-    """Each call that writes a line of the log, with the module's path in the package."""
+    """Return (module path in the package, call) for each call that writes a log event."""
     calls = []
     for path in sorted(PACKAGE.rglob("*.py")):
         module = path.relative_to(PACKAGE).as_posix()
@@ -43,8 +43,8 @@
     return calls
 
 
-def written() -> dict[str, set[str]]:
-    """{event: its fields} of all calls with a literal name."""
+def written_events() -> dict[str, set[str]]:
+    """Return {event: fields} of all calls with a literal event name."""
     events: dict[str, set[str]] = defaultdict(set)
     for _, call in log_calls():
         name = call.args[0] if call.args else None
@@ -54,31 +54,31 @@
 
 
 def field_names(cell: str) -> set[str]:
-    """The fields of a table's cell; what stands in parentheses is about them."""
+    """Return the field names in a cell of the table; text in parentheses only explains them."""
     while (shorter := re.sub(r"\([^()]*\)", "", cell)) != cell:
         cell = shorter
     return set(re.findall(r"`([a-z_]+)`", cell))
 
 
 def table_rows() -> list[list[str]]:
-    """The cells of each row of the table: event, former name, fields, meaning, what to do."""
+    """Return the cells of each row of the table: event, former name, fields, meaning, what to do."""
     section = TABLE.read_text().split("## Every event of the log\n")[1]
     lines = [line for line in section.splitlines() if line.startswith("| `")]
     return [[cell.strip() for cell in line.split("|")[1:-1]] for line in lines]
 
 
-def documented() -> dict[str, set[str]]:
-    """{event: its fields} of the table."""
+def documented_events() -> dict[str, set[str]]:
+    """Return {event: fields} of the table."""
     return {row[0].strip("`"): field_names(row[2]) for row in table_rows()}
 
 
-def test_each_event_in_the_code_is_in_the_table_and_the_other_way_round():
-    assert sorted(written()) == sorted(documented())
+def test_the_code_and_the_table_have_the_same_events():
+    assert sorted(written_events()) == sorted(documented_events())
 
 
 def test_the_table_has_the_fields_that_the_code_writes():
-    fields, table = written(), documented()
-    for event, page in FIELDS_ELSEWHERE.items():
+    fields, table = written_events(), documented_events()
+    for event, page in FIELD_PAGES.items():
         section = page.read_text().split("## The line\n")[1].split("\n## ")[0]
         rows = [line.split("|")[1] for line in section.splitlines() if line.startswith("| `")]
         table[event] = {name for row in rows for name in re.findall(r"`([a-z_]+)`", row)}
@@ -87,20 +87,20 @@
     }
 
 
-def test_only_forwarding_modules_write_an_event_whose_name_is_no_literal():
-    others = {
+def test_only_forwarding_modules_write_an_event_whose_name_is_not_a_literal():
+    modules = {
         module for module, call in log_calls() if not (call.args and isinstance(call.args[0], ast.Constant))
     }
-    assert others <= FORWARDING
+    assert modules <= FORWARDING_MODULES
 
 
-def test_each_row_says_what_the_event_means_and_what_to_do():
+def test_each_row_has_a_meaning_and_an_action():
     for row in table_rows():
         assert len(row) == 5, row
         assert row[3], row
         assert row[4], row
 
 
-def test_no_former_name_is_an_event_of_today():
-    former = {name for row in table_rows() for name in re.findall(r"`([a-z_]+)`", row[1])}
-    assert not former & set(documented())
+def test_no_former_name_is_a_current_event():
+    former_names = {name for row in table_rows() for name in re.findall(r"`([a-z_]+)`", row[1])}
+    assert not former_names & set(documented_events())
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop, where no scenario reaches it."""
+"""Races between the end of the loop and calls from another thread, which no service test reaches."""
 
 import os
 import threading
@@ -6,47 +6,47 @@
 from granitespool.net.loop import Loop
 
 
-def test_an_end_that_another_thread_asks_for_does_not_fail_where_the_loop_sees_it_first():
-    loop, seen = Loop(print), threading.Event()
+def test_stop_from_another_thread_does_not_fail_if_the_loop_closes_before_its_wake():
+    loop, closed = Loop(print), threading.Event()
 
-    class Late(Loop):
-        """Whose wake comes after the loop has seen that it is to stop, and has closed."""
+    class DelayedWakeLoop(Loop):
+        """A loop whose `wake` runs after the loop has seen the stop and has been closed."""
 
         def wake(self):
-            seen.wait(5)
+            closed.wait(5)
             super().wake()
 
-    loop.__class__ = Late
+    loop.__class__ = DelayedWakeLoop
 
     def run():
         loop.run(lambda now: now + 1_000_000)
         loop.close()
-        seen.set()
+        closed.set()
 
     thread = threading.Thread(target=run)
     thread.start()
     loop.stop()
     thread.join(5)
-    assert seen.is_set()
+    assert closed.is_set()
     assert loop.wake_fd is None
 
 
-def test_a_wake_after_the_end_writes_to_nobody_elses_descriptor():
+def test_wake_after_close_does_not_write_to_a_reused_descriptor():
     loop = Loop(print)
     wake_fd = loop.wake_fd
     loop.close()
     read, write = os.pipe()
     try:
         os.set_blocking(read, False)
-        taken = [os.dup(write) for _ in range(64)]  # one of them has the closed descriptor's number now
-        assert wake_fd in (read, write, *taken)
+        duplicates = [os.dup(write) for _ in range(64)]  # one descriptor has the closed one's number now
+        assert wake_fd in (read, write, *duplicates)
         loop.wake()
         loop.close()
-        assert all(os.fstat(fd) for fd in taken)
+        assert all(os.fstat(fd) for fd in duplicates)
         try:
             assert os.read(read, 100) == b""
         except BlockingIOError:
-            pass  # nothing came
+            pass  # nothing was written
     finally:
-        for fd in (read, write, *taken):
+        for fd in (read, write, *duplicates):
             os.close(fd)
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -1,8 +1,9 @@
-"""The bytes that a coordinator writes to its sockets, compared with committed recordings.
+"""Compare the bytes that a coordinator writes to its sockets with committed recordings.
 
-Each scenario drives a whole service on loopback and notes, for each connection in order, all bytes that the
-service wrote to it. Addresses of the day are replaced by names. A recording is written anew, after a wanted
-change of the wire, by `GRANITESPOOL_RECORD=1 python -m pytest tests/test_wire_recordings.py`.
+Each scenario runs a whole service on loopback and records all bytes that the service writes to each of its
+connections, in the order in which they were opened. Addresses that the kernel chose are replaced by names.
+After an intended change of the wire format the recordings are written by
+`GRANITESPOOL_RECORD=1 python -m pytest tests/test_wire_recordings.py`.
 """
 
 import json
@@ -20,62 +21,63 @@
 from granitespool.units import MILLISECOND, SECOND
 
 FOLDER = pathlib.Path(__file__).parent / "data" / "wire"
-EMPTY_LINE = "1\r\n\n\r\n"
-STEP = 100 * MILLISECOND  # that time passes while a request is waited for
+EMPTY_LINE = "1\r\n\n\r\n"  # an HTTP chunk with one empty line
+STEP = 100 * MILLISECOND  # ns by which the time advances while a request is waited for
 
 
 class RecordingService(ServiceHarness):
-    """A service on loopback that notes what each of its connections was written."""
+    """A service on loopback that records the bytes written to each of its connections."""
 
     def __init__(self) -> None:
         super().__init__()
         self.known_index = 7
-        self.written: dict[str, list[str]] = {}  # whose connection -> a text for each, in order
-        self.streams: dict[socket.socket, tuple[str, int]] = {}  # whose it is, its place among these
+        self.written: dict[str, list[str]] = {}  # owner -> the text of each of its connections, in order
+        self.streams: dict[socket.socket, tuple[str, int]] = {}  # -> owner, index among its connections
 
     def configuration(self) -> dict[str, object]:
-        """The harness's, with the version of the known list that this one tells."""
+        """Return the harness's configuration with an endpoint list of the version `known_index`."""
         known = {"index": self.known_index, "endpoints": self.backends.known if self.known_index else []}
         return {**super().configuration(), "known": known}
 
-    def note(self, sock: socket.socket, text: str) -> str:
-        """Adds what was just read from a connection of the service to its record."""
+    def record(self, sock: socket.socket, text: str) -> str:
+        """Add text that was just read from a connection of the service to its recording."""
         if sock not in self.streams:
             owner = self.owner_of(sock)
             texts = self.written.setdefault(owner, [])
             texts.append("")
             self.streams[sock] = owner, len(texts) - 1
-        owner, place = self.streams[sock]
-        if not self.written[owner][place].endswith(END):
-            self.written[owner][place] += text
+        owner, index = self.streams[sock]
+        if not self.written[owner][index].endswith(END):
+            self.written[owner][index] += text
         return text
 
     def owner_of(self, sock: socket.socket) -> str:
-        """Who holds this end of a connection."""
+        """Return the name of the stand-in whose socket this is."""
         if sock in self.discovery.watches:
             return "discovery"
-        for checking, backend in self.backends.checks:
-            if checking is sock:
+        for check_socket, backend in self.backends.checks:
+            if check_socket is sock:
                 return backend
         return next(name for name, client in self.clients.sockets.items() if client is sock)
 
-    def stable(self) -> dict[str, list[str]]:
-        """What was written, with names in place of the addresses that the system chose."""
+    def recording(self) -> dict[str, list[str]]:
+        """Return the written texts, with names instead of the addresses that the kernel chose."""
         names = {"{}:{}".format(*self.discovery.address): "DISCOVERY"}
         names |= {address: f"ADDRESS-OF-{backend}" for backend, address in self.backends.addresses.items()}
         return {
-            owner: [self.replaced(text, names) for text in texts] for owner, texts in self.written.items()
+            owner: [self.replace_addresses(text, names) for text in texts]
+            for owner, texts in self.written.items()
         }
 
     @staticmethod
-    def replaced(text: str, names: dict[str, str]) -> str:
-        """The text with a name for each address."""
+    def replace_addresses(text: str, names: dict[str, str]) -> str:
+        """Return the text with each address replaced by its name."""
         for address, name in names.items():
             text = text.replace(address, name)
         return text
 
     def wait_for_watch(self, number: int) -> None:
-        """Lets time pass until discovery has been asked for so many watches, at most two seconds each."""
+        """Advance the time until the service has requested `number` watches, at most 2 s for each."""
         for _ in range(20 * number):
             requests = self.written.get("discovery", [])
             if len(requests) >= number and requests[number - 1].endswith("\r\n\r\n"):
@@ -84,24 +86,24 @@
         raise AssertionError(self.written)
 
     def join(self, name: str, proxy: int) -> None:
-        """A proxy joins and has its table."""
+        """Join as a proxy and wait for its table."""
         self.clients.join(name, proxy)
         self.clients.wait_for(name, "whole")
 
     def act(self, action: str, *arguments: object) -> None:
-        """The planner asks for an action, and the service runs."""
+        """Queue an action of the planner and run a turn of the service."""
         getattr(self.actions, action)(*arguments)
         self.turn()
 
 
 def watch_from_known(service: RecordingService) -> None:
-    """The first watch asks from the version that the configuration holds."""
+    """Request the first watch from the version of the configured endpoint list."""
     service.backends.start("a", "b")
     service.wait_for_watch(1)
 
 
 def watch_from_nothing(service: RecordingService) -> None:
-    """A coordinator that knows no list asks from version 0; the whole list answers."""
+    """Request the whole endpoint list from version 0 if none is configured."""
     service.known_index = 0
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -113,7 +115,7 @@
 
 
 def watch_after_gap(service: RecordingService) -> None:
-    """A watch that ends is dialled again from the newest version that was told."""
+    """Reopen an ended watch from the latest version received; older changes are ignored."""
     service.backends.start("a", "b")
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -129,7 +131,7 @@
 
 
 def watch_after_silence(service: RecordingService) -> None:
-    """A watch that brings nothing, not even its empty line, is dialled again."""
+    """Reopen a watch that sends nothing, not even an empty line."""
     service.backends.start("a")
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -138,7 +140,7 @@
 
 
 def watch_after_errors(service: RecordingService) -> None:
-    """A watch that is answered by an error or by what is no list is dialled again from the same version."""
+    """Reopen a watch from the same version after an error status or invalid data."""
     service.backends.start("a")
     service.wait_for_watch(1)
     service.discovery.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -154,7 +156,7 @@
 
 
 def watch_after_unreadable_entry(service: RecordingService) -> None:
-    """An entry that cannot be read is asked for again, from the version before it, until it is readable."""
+    """Request an invalid entry again, from the version before it, until it is valid."""
     service.backends.start("a")
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -171,7 +173,7 @@
 
 
 def watch_after_new_address(service: RecordingService) -> None:
-    """A configuration with another address of discovery has the watch dialled there."""
+    """Reopen the watch at the new address after discovery's address was changed by a reload."""
     service.backends.start("a")
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -180,11 +182,14 @@
     service.reload()
     service.wait_for_watch(2)
     former, latest = service.written["discovery"]
-    service.written["discovery"] = [former.split("Host: ")[0], latest]  # the former address has no name now
+    service.written["discovery"] = [
+        former.split("Host: ")[0],
+        latest,
+    ]  # the former address has no name
 
 
 def health_checks(service: RecordingService) -> None:
-    """A new backend is asked for its load, whatever it answers."""
+    """Request the load report of each new backend, whatever it answers."""
     service.configure(health_checks_allowed=True)
     service.backends.start("a")
     service.join("p", 1)
@@ -201,7 +206,7 @@
 
 
 def datagrams(service: RecordingService) -> None:
-    """A datagram goes to one peer by its number or to all; one over 256 bytes or to no peer is not sent."""
+    """Send datagrams to one peer or to all; one over 256 bytes or to an unknown peer is not sent."""
     service.configure(gossip_allowed=True)
     service.backends.start("a")
     service.clients.connect("k")
@@ -220,7 +225,7 @@
 
 
 def readiness(service: RecordingService) -> None:
-    """A ping is answered on any connection."""
+    """Answer a ping on each kind of connection."""
     service.backends.start("a")
     service.clients.connect("pending")
     service.clients.wait_for_heartbeat("pending")
@@ -232,7 +237,7 @@
     service.written.pop("discovery", None)
 
 
-REFUSED_FIRST_MESSAGES = {  # none whose reason holds words of a library
+REFUSED_FIRST_MESSAGES = {  # only those whose reason contains no text of a library
     "kind": messages.framed(messages.applied(1, 1, 1.0)),
     "zone": messages.framed(messages.joined(1, "x", 1.0)),
     "proxy": messages.framed(messages.joined(4, "n", 1.0)),
@@ -244,7 +249,7 @@
 
 
 def refused_streams(service: RecordingService) -> None:
-    """Who does not say who it is as the protocol has it is written the reason, and the connection ends."""
+    """Send the reason and close the connection if the first message is invalid or missing."""
     service.configure(proxies_expected=4)
     service.backends.start("a")
     for name, data in REFUSED_FIRST_MESSAGES.items():
@@ -258,7 +263,7 @@
 
 
 def finished_streams(service: RecordingService) -> None:
-    """As the service finishes each connection is written what waits for it, and ends in good order."""
+    """Write the unsent bytes of each connection and close it in order when the service ends."""
     service.backends.start("a", "b")
     service.clients.connect("silent")
     service.clients.connect("k")
@@ -272,7 +277,7 @@
 
 
 def orders(service: RecordingService) -> None:
-    """A joined proxy is written its table, then changes, levels and marks."""
+    """Send a joined proxy its table, then changed entries, admission levels and barriers."""
     service.request_class("look", "read", latency_objective=SECOND, priority_weight=2)
     service.request_class("buy", "write", latency_objective=SECOND, priority_weight=9)
     service.backends.start("a", "b")
@@ -305,13 +310,13 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
-def test_what_is_written_is_as_recorded(monkeypatch, scenario):
+def test_written_bytes_match_the_recording(monkeypatch, scenario):
     service = RecordingService()
     received = sockets.received
-    monkeypatch.setattr(sockets, "received", lambda sock: service.note(sock, received(sock)))
+    monkeypatch.setattr(sockets, "received", lambda sock: service.record(sock, received(sock)))
     try:
         scenario(service)
-        written = service.stable()
+        written = service.recording()
     finally:
         service.close()
     path = FOLDER / f"{scenario.__name__}.json"
