--- a/granitespool/net/acceptor.py
+++ b/granitespool/net/acceptor.py
@@ -51,17 +51,17 @@
         with self.listener:
             while True:
                 yield self.listener.fileno(), IN, None
-                if not self._accept_waiting():
+                if not self._accept_queued():
                     yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
 
-    def _accept_waiting(self) -> bool:
+    def _accept_queued(self) -> bool:
         """Accept queued connections, at most `ACCEPTS_PER_TURN`.
 
         Return False if no further connection can be accepted for now; the caller then waits for
         `ACCEPT_RETRY_DELAY`.
         """
         for attempt in range(ACCEPTS_PER_TURN):
-            if self.admission.is_full() and not self.admission.end_pending():
+            if self.admission.is_full() and not self.admission.evict_pending():
                 return False
             try:
                 sock, (host, port) = self.listener.accept()
@@ -72,7 +72,7 @@
                     continue  # the peer closed the connection before it was accepted
                 # `accept` reports a lack of resources even if no connection is queued. Only on the first
                 # attempt of a turn is one known to be queued, and another connection has to be evicted.
-                return attempt > 0 or self.admission.end_pending() or self.admission.end_collector()
+                return attempt > 0 or self.admission.evict_pending() or self.admission.evict_collector()
             try:
                 self.on_accepted(sock, f"{host}:{port}")
             except OSError as error:  # already reset by the peer, which must not stop the acceptor
--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -49,13 +49,13 @@
         Raise InvalidInputError if the limit is reached and no collector can be evicted.
         """
         joined = len(self.connections) - len(self.pending) - replaces
-        if joined >= self.connections_limit and not self.end_collector():
+        if joined >= self.connections_limit and not self.evict_collector():
             raise InvalidInputError("the connection limit is reached and no collector can be evicted")
         del self.pending[connection]
         connection.role = role
         connection.reader.message_max = MESSAGE_MAX
 
-    def end_pending(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
+    def evict_pending(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
         """Evict the oldest pending connection that may be evicted; return whether there was one.
 
         With `holds_buffer` only a connection that holds a receive buffer is evicted. `requester`, which needs
@@ -67,22 +67,22 @@
             if _is_evictable(connection, requester, holds_buffer):
                 if self.loop.now - connection.accepted_at < PENDING_GRACE:
                     return False  # all later connections are younger
-                self._end(connection)
+                self._evict(connection)
                 return True
         return False
 
-    def end_collector(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
+    def evict_collector(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
         """Evict the oldest collector, which reconnects; a proxy's stream is never evicted.
 
-        The arguments and the result are those of `end_pending`.
+        The arguments and the result are those of `evict_pending`.
         """
         for connection in self.connections:
             if connection.role is Role.COLLECTOR and _is_evictable(connection, requester, holds_buffer):
-                self._end(connection)
+                self._evict(connection)
                 return True
         return False
 
-    def _end(self, connection: Connection) -> None:
+    def _evict(self, connection: Connection) -> None:
         self.log.rate_limited_event("evicted", peer=connection.peer, role=connection.role)
         self.loop.end(connection.running_task)
 
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -115,12 +115,12 @@
 
 def with_quotas(config: Configuration, quota: Quotas) -> Configuration:
     """Return a copy of the configuration with other quotas."""
-    replaced = config.copy()
-    replaced["sockets"] = quota["sockets"]
-    replaced["health_checks"] = quota["health_checks"]
-    replaced["connections"] = quota["connections"]
-    replaced["buffers"] = quota["buffers"]
-    return replaced
+    updated = config.copy()
+    updated["sockets"] = quota["sockets"]
+    updated["health_checks"] = quota["health_checks"]
+    updated["connections"] = quota["connections"]
+    updated["buffers"] = quota["buffers"]
+    return updated
 
 
 def limits_with_defaults(limits: Mapping[str, Any]) -> Limits:
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -126,7 +126,7 @@
             self.loop.end(self.task)
             self.task = self.loop.spawn(self._run())
 
-    def forget(self, backend: str) -> None:
+    def remove_address(self, backend: str) -> None:
         """Remove the address of a backend that the planner has removed."""
         self.addresses.pop(backend, None)
 
@@ -225,11 +225,11 @@
                     line_deadline = self.loop.now + LINE_TIMEOUT
                 for line in filter(bytes.strip, lines):
                     self._handle_line(line)
-                self._check_position(partial_line)
+                self._check_watch(partial_line)
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 raise WatchEndedError("discovery closed the watch")
 
-    def _check_position(self, partial_line: bytes) -> None:
+    def _check_watch(self, partial_line: bytes) -> None:
         """Raise WatchEndedError if the line is too long or invalid entries have to be requested again."""
         if len(partial_line) > LINE_MAX:
             raise WatchEndedError("a line of the endpoint list is over the limit")
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -99,9 +99,9 @@
             acknowledgement = messages.parse_acknowledgement(message, self.names, connection.proxy)
         except InvalidInputError:
             # The proxy has answered some barrier, at least the oldest one. Without this report its entries
-            # would count as in flight until that barrier expires; the same applies to answers of another
-            # protocol version. A proxy that acknowledges what it did not apply only affects the count of its
-            # own entries, which then are no longer in flight too early.
+            # would count as in flight until that barrier counts as lost. The same applies to answers of
+            # another version. A proxy that acknowledges what it did not apply only shortens the time for
+            # which its own entries count as in flight.
             self.coordinator.report(
                 self.loop.now, Acknowledged(proxy=connection.proxy, sequence=None, latency=None)
             )
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -61,9 +61,9 @@
         with self.sock:
             while True:
                 yield self.sock.fileno(), IN, None
-                self._read_waiting()
+                self._read_datagrams()
 
-    def _read_waiting(self) -> None:
+    def _read_datagrams(self) -> None:
         for _ in range(DATAGRAMS_PER_TURN):
             try:
                 data, sender = self.sock.recvfrom(DATAGRAM_MAX + 1)
--- a/granitespool/net/membership.py
+++ b/granitespool/net/membership.py
@@ -56,8 +56,8 @@
         """Report that a proxy has left if the connection is its current stream."""
         if connection.proxy is not None and self.proxies.get(connection.proxy) is connection:
             del self.proxies[connection.proxy]
-            # A proxy whose connection the coordinator ended has not left by the protocol, and its unsent
-            # entries still count as in flight
+            # A proxy whose connection the coordinator ended has not left by the protocol, and its
+            # unacknowledged entries still count as in flight
             self.coordinator.report(
                 self.loop.now, ProxyLeft(proxy=connection.proxy, unreachable=connection.ended_by_coordinator)
             )
--- a/granitespool/net/reconfiguration.py
+++ b/granitespool/net/reconfiguration.py
@@ -25,9 +25,9 @@
     from granitespool.net.management_listener import sockets_max  # noqa: PLC0415 only if enabled
 
     management_sockets = sum(sockets_max(listener.sessions) for listener in listeners)
-    replaced = config.copy()
-    replaced["connections"] = max(CONNECTIONS_MIN, config["connections"] - management_sockets)
-    return replaced
+    updated = config.copy()
+    updated["connections"] = max(CONNECTIONS_MIN, config["connections"] - management_sockets)
+    return updated
 
 
 class Reconfiguration:
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -187,8 +187,8 @@
         if self.management:
             self._run_guarded(self.management.end_of_turn, now)
         due: int | None = self.coordinator.tick(now)
-        if self.management and (other := self.management.due()) is not None:
-            due = other if due is None else min(due, other)
+        if self.management and (management_due := self.management.due()) is not None:
+            due = management_due if due is None else min(due, management_due)
         for recipient in self.coordinator.recipients():
             self._run_guarded(self._write, recipient)
         if self.metrics:
@@ -229,7 +229,7 @@
             if self.gossip:
                 self.gossip.send(message.peer, message.payload)
         elif isinstance(message, ForgottenBackend):
-            self.discovery.forget(message.backend)
+            self.discovery.remove_address(message.backend)
         elif isinstance(message, InternalError):
             self.log.event("internal_error", detail=message.text)
 
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -205,8 +205,8 @@
         """Return the space to receive into; another connection may be evicted to free a buffer."""
         view = connection.reader.free_space()
         if view is None and (
-            self.admission.end_pending(connection, holds_buffer=True)
-            or self.admission.end_collector(connection, holds_buffer=True)
+            self.admission.evict_pending(connection, holds_buffer=True)
+            or self.admission.evict_collector(connection, holds_buffer=True)
         ):
             view = connection.reader.free_space()
         if view is None:
