--- a/granitespool/net/loop.py
+++ b/granitespool/net/loop.py
@@ -137,9 +137,7 @@
         """
         limit = len(self.watching) + SPARE_EVENTS
         found = self.epoll.poll(max(0, min(wait, IDLE_WAIT_MAX)) / SECOND, limit)
-        self.now = max(
-            self.clock(), self.now + 1
-        )  # no two turns have the same time: each is a separate message
+        self.now = max(self.clock(), self.now + 1)  # no two turns share a time: each is a separate message
         if not found or self._is_timer_due():
             # If the process was suspended between the wait and the reading of the clock, a deadline can have
             # passed although the awaited event occurred before it. A second poll returns all events up to
