--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -3,7 +3,7 @@
     coordinator.report(now, LoadReport(...))        # any number of events, all with the turn's one time
     due = coordinator.tick(now)                     # ends the turn; the time at which it is next due
     for recipient in coordinator.recipients():      # who has something waiting
-        message = coordinator.pick(recipient)       # None once there is nothing
+        message = coordinator.next_message(recipient)       # None once there is nothing
 
 What is reported in one turn is one batch, and what the planner orders on it is one message for each proxy.
 Messages that were not picked yet merge with later ones: the last weight counts, and the last barrier stands
@@ -142,27 +142,27 @@
         return [*self.updates.waiting, *(queue for queue, messages in self.queues.items() if messages)]
 
     @overload
-    def pick(self, recipient: int) -> ProxyUpdate | None: ...
+    def next_message(self, recipient: int) -> ProxyUpdate | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
+    def next_message(self, recipient: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
+    def next_message(self, recipient: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
+    def next_message(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
 
     @overload
-    def pick(self, recipient: Literal[Queue.FORGOTTEN]) -> ForgottenBackend | None: ...
+    def next_message(self, recipient: Literal[Queue.FORGOTTEN]) -> ForgottenBackend | None: ...
 
     @overload
-    def pick(self, recipient: Recipient) -> OutgoingMessage | None: ...
+    def next_message(self, recipient: Recipient) -> OutgoingMessage | None: ...
 
-    def pick(self, recipient: Recipient) -> OutgoingMessage | None:
+    def next_message(self, recipient: Recipient) -> OutgoingMessage | None:
         """Return what is next for a recipient: a proxy's update or the next of a queue; None without any."""
         if not isinstance(recipient, Queue):
-            return self.updates.pick(recipient)
+            return self.updates.next_update(recipient)
         messages = self.queues[recipient]
         return messages.popleft() if messages else None
 
@@ -180,18 +180,18 @@
             fields.remove("classes")  # tables and levels go by their order; their values may change
         return fields
 
-    def new_settings(self, now: int, settings: Settings) -> list[str]:
+    def apply_settings(self, now: int, settings: Settings) -> list[str]:
         """Take settings for what is decided from now on; return the names of those that wait."""
         fixed = self._fixed_fields_changed(settings)
         former = {field: getattr(self.settings, field) for field in fixed}
         self.settings = msgspec.structs.replace(settings, **former)
         self.now = max(self.now, now)
-        self._contain(lambda _: self.planner.new_settings(self.settings))
+        self._contain(lambda _: self.planner.apply_settings(self.settings))
         return [FIXED_SETTINGS[field] for field in fixed]
 
     # What may be asked
 
-    def listed(self) -> dict[str, EndpointState]:
+    def endpoint_states(self) -> dict[str, EndpointState]:
         """Return what the endpoint list says of every backend that is known, by name."""
         return {
             backend.name: EndpointState(backend.phase, backend.started_at)
@@ -249,10 +249,11 @@
         self.updates.exclude(backend, excluded)
 
     def exclusion_cost(
-        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
+        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> Mapping[int, float]:
         """Return the table entries that `exclude` would cost now, by proxy."""
-        del unassigned, known  # estimates, which are not needed where it is known what each proxy was told
+        # Both serve estimates, which are not needed here: the state of each proxy is recorded
+        del unassigned, backend_count
         return self.updates.exclusion_cost(backend, excluded)
 
     def readmission_cost(
@@ -265,10 +266,10 @@
         """Set the admitted share of some classes, and how proxies retry them (0 to 3)."""
         self.updates.set_admission(table, classes, AdmissionLevel(share, retries))
 
-    def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
+    def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
         """Have each proxy that gets a message at this time acknowledge once it has applied it."""
         self._barrier = sequence
-        if everyone:
+        if all_proxies:
             self.updates.touch_all()
 
     def check_health(self, backend: str) -> None:
@@ -277,12 +278,12 @@
         if request not in self.queues[Queue.HEALTH_CHECKS]:
             self.queues[Queue.HEALTH_CHECKS].append(request)
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Drop what is kept of a backend: nothing will name it again, unless the endpoint list does."""
         self.updates.forget(backend)
         self.queues[Queue.FORGOTTEN].append(ForgottenBackend(backend))
 
-    def subscribe(self, on: bool) -> None:
+    def subscribe(self, enabled: bool) -> None:
         """Do nothing: the watch of the endpoint list runs as long as the service does."""
 
     def fetch_endpoints(self) -> None:
--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -15,7 +15,7 @@
 from granitespool.settings import Settings, settings_from_wire
 
 if TYPE_CHECKING:
-    from granitespool.operator_settings import Operator
+    from granitespool.operator_settings import OperatorSettings
 
 DEFAULT_SOCKETS = 1024  # descriptors if no limit is configured: the platform's largest limit
 DEFAULT_MEMORY_MB = 192  # MB if no limit is configured: the platform's largest limit
@@ -78,7 +78,7 @@
     peers: list[Address]
     peers_all: Address | None  # reaches all peers
     settings: Settings
-    operator: NotRequired["Operator | None"]  # the operator's settings, if the program was started with any
+    operator: NotRequired["OperatorSettings | None"]  # unset if the program was started without them
 
 
 def parse_address(text: object) -> Address:
--- a/granitespool/net/management_connection.py
+++ b/granitespool/net/management_connection.py
@@ -36,7 +36,7 @@
         self.user: User | None = None
         self.protocol: ProtocolSession | None = None
         self.task: Task | None = None
-        self.ending: str | None = None  # the reason for its end; None while it stays open
+        self.end_reason: str | None = None  # the reason for its end; None while it stays open
         self.accepted_at = listener.loop.now  # ns
         self.last_received_at = listener.loop.now  # ns
 
@@ -53,7 +53,7 @@
     @property
     def is_busy(self) -> bool:
         """Whether the protocol has work that may be done now."""
-        return self.protocol is not None and self.is_readable and self.protocol.busy
+        return self.protocol is not None and self.is_readable and self.protocol.has_work
 
     def now(self) -> int:
         """Return the time of the turn in ns."""
@@ -68,7 +68,7 @@
 
     def end(self, reason: str) -> None:
         """End the connection after one more attempt to write the unsent bytes."""
-        self.ending = self.ending or reason
+        self.end_reason = self.end_reason or reason
 
     def wake(self) -> None:
         """Make the listener resume the connection's coroutine at the end of the turn."""
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -26,7 +26,7 @@
     ManagementConnection,
 )
 from granitespool.net.tls import TlsError
-from granitespool.operator_settings import Gnmi, Netconf
+from granitespool.operator_settings import GnmiSettings, NetconfSettings
 
 BACKLOG = 16  # connections that the kernel queues: there are few management clients
 HANDSHAKE_TIMEOUT = 5 * SECOND  # ns, for a long round trip and a slow client's signature
@@ -60,7 +60,7 @@
         log: Log,
         name: str,
         context: ssl.SSLContext,
-        settings: Netconf | Gnmi,
+        settings: NetconfSettings | GnmiSettings,
         find_user: FindUser,
         make: MakeProtocol,
     ) -> None:
@@ -139,7 +139,7 @@
         reason = CLOSED_BY_PEER
         try:
             yield from self._exchange(connection)
-            reason = connection.ending or reason
+            reason = connection.end_reason or reason
             connection.flush()
         except GeneratorExit:
             reason = CLOSED_BY_COORDINATOR
@@ -154,7 +154,7 @@
 
     def _exchange(self, connection: ManagementConnection) -> Coroutine:
         """Read, work and write until one side closes the connection; raise TlsError or OSError."""
-        while connection.ending is None:
+        while connection.end_reason is None:
             mask = (OUT if connection.unsent else 0) | (IN if connection.is_readable else 0)
             events = yield connection.sock.fileno(), mask, self._deadline(connection)
             self.woken.pop(connection, None)
@@ -171,8 +171,10 @@
             return connection.accepted_at + HANDSHAKE_TIMEOUT
         if connection.is_busy:
             return now + 1  # one step in each turn; a deadline of `now` would resume it in the same turn
-        idle_at = None if protocol.keeps else connection.last_received_at + self.idle_timeout
-        deadlines = [deadline for deadline in (idle_at, protocol.due()) if deadline is not None]
+        idle_at = (
+            None if protocol.is_exempt_from_idle_timeout else connection.last_received_at + self.idle_timeout
+        )
+        deadlines = [deadline for deadline in (idle_at, protocol.next_deadline()) if deadline is not None]
         return max(min(deadlines), now + 1) if deadlines else None
 
     def _run_timers(self, connection: ManagementConnection) -> None:
@@ -181,7 +183,10 @@
             if now >= connection.accepted_at + HANDSHAKE_TIMEOUT:
                 connection.end("the TLS handshake timed out")
             return
-        if now >= connection.last_received_at + self.idle_timeout and not connection.protocol.keeps:
+        if (
+            now >= connection.last_received_at + self.idle_timeout
+            and not connection.protocol.is_exempt_from_idle_timeout
+        ):
             connection.end("idle")
         connection.protocol.tick(now)
 
@@ -193,8 +198,8 @@
         plain, has_ended = received
         if connection.protocol is None and connection.tls.is_established:
             self._begin_session(connection)
-        if plain and connection.ending is None and connection.protocol is not None:
-            connection.protocol.received(plain)
+        if plain and connection.end_reason is None and connection.protocol is not None:
+            connection.protocol.receive(plain)
         connection.flush()
         return not has_ended
 
@@ -212,11 +217,11 @@
             return
         connection.protocol = self.make(user, connection)
         self.log.event("manager_connected", listener=self.name, peer=connection.peer, user=user.name)
-        connection.protocol.begin()
+        connection.protocol.start()
 
     def _work(self, connection: ManagementConnection) -> None:
         """Do pending work of the protocol until `WORK_PER_TURN` is used up in this turn."""
-        if connection.protocol is None or connection.ending is not None:
+        if connection.protocol is None or connection.end_reason is not None:
             return
         if self.worked_at != self.loop.now:
             self.worked_at = self.loop.now
@@ -232,7 +237,7 @@
         self.woken.pop(connection, None)
         try:
             if connection.protocol is not None:
-                connection.protocol.closed(reason)
+                connection.protocol.on_closed(reason)
                 connection.tls.close()
                 connection.flush_last()
         finally:
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -11,11 +11,11 @@
 from typing import TYPE_CHECKING, Any
 
 from granitespool.management.authorization import User, certificate_identities, find_user
-from granitespool.management.changes import Answer
+from granitespool.management.changes import CompletionCallback
 from granitespool.management.datastores import Datastores
 from granitespool.management.interfaces import ProtocolSession, Transport
 from granitespool.management.model import Model
-from granitespool.management.operational_state import FolderFigures, OperationalState, ServiceFacts
+from granitespool.management.operational_state import OperationalState, ServiceFacts, StateFolderMetrics
 from granitespool.net.config import Configuration
 from granitespool.net.fleet_notifier import FleetNotifier
 from granitespool.net.log import Log
@@ -24,7 +24,7 @@
 from granitespool.net.settings_host import SettingsHost
 from granitespool.net.shared_state import SharedState
 from granitespool.net.tls import server_context
-from granitespool.operator_settings import Operator
+from granitespool.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
     from granitespool.net.service import Service
@@ -50,7 +50,7 @@
         self.session_count = 0  # opened so far
         self.list_index = service.discovery.index  # the endpoint list's version
         self.list_changed_at = loop.now  # ns
-        self.shared = SharedState(self.picture)
+        self.shared_state = SharedState(self.new_state_reader)
         operator = _required_operator(service.config)
         self.users = _users(operator)
         self.listeners: list[ManagementListener] = []
@@ -71,7 +71,7 @@
     def close(self) -> None:
         """Notify each session that the server ends."""
         for session in list(self.sessions.values()):
-            session.leave()
+            session.announce_shutdown()
 
     # Sessions
 
@@ -82,29 +82,29 @@
         self.sessions[self.session_count] = session
         return session
 
-    def left(self, session: Any) -> None:
+    def on_session_closed(self, session: Any) -> None:
         """Remove a session that has ended for any reason."""
         self.sessions.pop(session.number, None)
-        self.datastores.closed(session, self.settings.log_undone)
+        self.datastores.close_session(session, self.settings.log_undone)
 
-    def session(self, number: str) -> ProtocolSession | None:
+    def find_session(self, number: str) -> ProtocolSession | None:
         """Return the session with this number, None if there is none."""
         return self.sessions.get(int(number)) if number.isdecimal() else None
 
     @staticmethod
-    def number_of(session: object) -> int:
+    def session_number(session: object) -> int:
         """Return a session's number, 0 for the coordinator itself."""
         return getattr(session, "number", 0)
 
-    def keep_startup(self, answer: Answer) -> None:
+    def save_startup(self, answer: CompletionCallback) -> None:
         """Save the startup datastore, and call `answer` once it is durable or has failed."""
-        self.settings.keep_startup(answer)
+        self.settings.save_startup(answer)
 
-    def failed(self, error: Exception) -> None:
+    def log_failure(self, error: Exception) -> None:
         """Log an internal error."""
         self.loop.report_failure(error)
 
-    def picture(self) -> OperationalState:
+    def new_state_reader(self) -> OperationalState:
         """Return a new reader of the operational state."""
         service, stores = self.service, self.datastores
         return OperationalState(
@@ -116,7 +116,7 @@
                 rejected=stores.rejected,
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_changed_at,
-                list_named=service.discovery.has_listed_backends,
+                has_endpoint_list=service.discovery.has_listed_backends,
                 folder=_folder_figures(service),
             ),
         )
@@ -163,7 +163,7 @@
         return lambda user, transport: self.open_session(make, user, transport)
 
     def _has_subscribers(self) -> bool:
-        return any(session.subscribed is not None for session in self.sessions.values())
+        return any(session.subscribed_events is not None for session in self.sessions.values())
 
 
 def _session_class(name: str) -> MakeSession:
@@ -177,24 +177,24 @@
     return GnmiConnection
 
 
-def _folder_figures(service: "Service") -> FolderFigures | None:
+def _folder_figures(service: "Service") -> StateFolderMetrics | None:
     if service.snapshotter is None:
         return None
     metrics = service.snapshotter.metrics()
-    return FolderFigures(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
+    return StateFolderMetrics(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
 
 
-def _users(operator: Operator) -> list[User]:
+def _users(operator: OperatorSettings) -> list[User]:
     return [User(name, user.certificate, user.read, user.write) for name, user in operator.users.items()]
 
 
-def _tls_context(operator: Operator, name: str) -> ssl.SSLContext:
+def _tls_context(operator: OperatorSettings, name: str) -> ssl.SSLContext:
     tls = operator.tls
     assert tls is not None, "the check of the operator's settings requires [tls] with a listener"
     return server_context(tls.certificate, tls.key, tls.authorities, ALPN[name])
 
 
-def _required_operator(config: Configuration) -> Operator:
+def _required_operator(config: Configuration) -> OperatorSettings:
     operator = config.get("operator")
     assert operator is not None, "management is enabled by the operator's settings"
     return operator
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -36,7 +36,7 @@
     from granitespool.management.data_tree import Tree
     from granitespool.net.management_service import ManagementService
     from granitespool.net.metrics import Metrics
-    from granitespool.operator_settings import State
+    from granitespool.operator_settings import StateSettings
     from granitespool.state.snapshotter import Snapshotter
 
 Clock = Callable[[], int]  # ns
@@ -123,14 +123,14 @@
         if operator and operator.state:
             self.snapshotter = self._create_snapshotter(config, operator.state)
             config = config.copy()
-            config["known"] = self.snapshotter.choose_list(config["known"])
-        if operator and operator.managed:
+            config["known"] = self.snapshotter.choose_endpoint_list(config["known"])
+        if operator and operator.has_management_listener:
             config = without_management_sockets(self._with_managed_settings(config))
         self._create_network(config)
         self.reconfiguration = Reconfiguration(self, config)
         if self.snapshotter:
             self.snapshotter.start(self.coordinator, self.discovery)
-        if operator and operator.managed:
+        if operator and operator.has_management_listener:
             from granitespool.net.management_service import ManagementService  # noqa: PLC0415 only if enabled
 
             self.management = ManagementService(self, self.loop, self.log)
@@ -152,7 +152,7 @@
         self.pool = BufferPool(config["buffers"])
         self.streams = Streams(loop, self.coordinator, log, self.pool, config, addresses)
 
-    def _create_snapshotter(self, config: Configuration, options: "State") -> "Snapshotter":
+    def _create_snapshotter(self, config: Configuration, options: "StateSettings") -> "Snapshotter":
         from granitespool.state.snapshotter import Snapshotter  # noqa: PLC0415 only if enabled
 
         return Snapshotter(
@@ -220,7 +220,7 @@
         elif recipient is Queue.HEALTH_CHECKS:
             self.health_checks.start()  # takes messages from the queue up to its limit
         else:
-            while (message := self.coordinator.pick(recipient)) is not None:
+            while (message := self.coordinator.next_message(recipient)) is not None:
                 self._handle(message)
 
     def _handle(self, message: OutgoingMessage) -> None:
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -9,7 +9,7 @@
 
 from granitespool.errors import InvalidInputError
 from granitespool.management import impact_check, mapping
-from granitespool.management.changes import Answer, Kept
+from granitespool.management.changes import CompletionCallback, SaveCallback
 from granitespool.management.data_tree import Tree
 from granitespool.management.datastores import Datastores
 from granitespool.management.errors import ErrorTag, ManagementError
@@ -36,7 +36,7 @@
 
     ticket: int
     deadline: int  # ns
-    answer: Kept
+    answer: SaveCallback
 
 
 class SettingsHost:
@@ -84,7 +84,7 @@
         self.service.log.event("settings_changed", by=by, version=version, restart_required=restart_required)
         self.notify("settings-changed", version=version, by=by)
 
-    def keep(self, tree: Tree, version: int, answer: Kept) -> None:
+    def save(self, tree: Tree, version: int, answer: SaveCallback) -> None:
         """Save a tree if there is a state folder, and call `answer` once it is durable or has failed."""
         if self.service.snapshotter is None:
             answer(None)
@@ -93,19 +93,19 @@
         self.pending.append(PendingSave(ticket, self.service.loop.now + SAVE_TIMEOUT, answer))
         self.service.loop.wake()
 
-    def unkeep(self, tree: Tree, version: int) -> None:
+    def replace_saved(self, tree: Tree, version: int) -> None:
         """Save this tree instead of the last one, without waiting for it; the latest tree wins."""
         if self.service.snapshotter is not None:
             self.service.snapshotter.save_settings(tree, self.file_tree, version)
 
-    def refused(self, by: str, why: str) -> None:
+    def on_rejected(self, by: str, why: str) -> None:
         """Log a change that was rejected and notify the subscribers."""
         self.service.log.event("change_rejected", by=by, reason=why)
         self.notify("change-refused", by=by, why=why)
 
     # For the sessions
 
-    def keep_startup(self, answer: Answer) -> None:
+    def save_startup(self, answer: CompletionCallback) -> None:
         """Save the current startup datastore, and call `answer` once it is durable or has failed."""
         stores = self.datastores
         if self.service.snapshotter is None:
@@ -119,10 +119,10 @@
                 return
             # The tree may still reach the disk; this save makes a restart begin with the running settings
             stores.reset_startup()
-            self.unkeep(stores.tree(STARTUP), stores.version)
+            self.replace_saved(stores.tree(STARTUP), stores.version)
             answer(ManagementError(ErrorTag.RESOURCE_DENIED, reason))
 
-        self.keep(stores.tree(STARTUP), stores.version, saved)
+        self.save(stores.tree(STARTUP), stores.version, saved)
 
     def log_undone(self, error: ManagementError | None) -> None:
         """Log that an unconfirmed change could not be rolled back."""
@@ -145,7 +145,7 @@
 
     def due(self) -> int | None:
         """Return the latest time (ns) of the next `end_of_turn`, None if there is none."""
-        deadlines = [self.datastores.due(), *(save.deadline for save in self.pending)]
+        deadlines = [self.datastores.next_deadline(), *(save.deadline for save in self.pending)]
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
     def reload(self, config: Configuration) -> list[str]:
@@ -162,7 +162,7 @@
         self.model.check(tree)
         self.reloaded = config
         try:
-            self.datastores.file(tree)
+            self.datastores.apply_file(tree)
         finally:
             self.reloaded = None
         self.file_tree = tree
--- a/granitespool/net/shared_state.py
+++ b/granitespool/net/shared_state.py
@@ -14,10 +14,10 @@
 class SharedState:
     """A snapshot of the operational state that is read in steps; each step serves all clients.
 
-    `flat` caches what protocols derived from the latest tree. `leaves` caches data of a leaf by the text of
-    its path, as long as a client refers to it. With both, a hundred subscribers of the same paths cost one
-    flattening, and a value is encoded once. It also keeps the number of objects low, which matters as much
-    because the garbage collector traverses all of them.
+    `leaf_values` caches what protocols derived from the latest tree. `leaf_cache` caches data of a leaf by
+    the text of its path, as long as a client refers to it. With both, a hundred subscribers of the same paths
+    cost one flattening, and a value is encoded once. It also keeps the number of objects low, which matters
+    as much because the garbage collector traverses all of them.
     """
 
     def __init__(self, make_reader: Callable[[], StateReader]) -> None:
@@ -27,10 +27,10 @@
         self.started_at: int | None = None  # ns
         self.reader: StateReader | None = None
         self.steps: Iterator[None] | None = None
-        self.flat: dict[tuple[str, int], Any] = {}
-        self.leaves: MutableMapping[str, Any] = WeakValueDictionary()
+        self.leaf_values: dict[tuple[str, int], Any] = {}
+        self.leaf_cache: MutableMapping[str, Any] = WeakValueDictionary()
 
-    def look(self, now: int) -> Tree | None:
+    def poll(self, now: int) -> Tree | None:
         """Return a tree that is at most `VALID_FOR` old, or do one step of reading it and return None.
 
         The age counts from the start of the reading; `now` in ns.
@@ -45,7 +45,7 @@
             return None
         self.tree = self.reader.tree
         self.steps = None
-        self.flat = {}
+        self.leaf_values = {}
         return self.tree
 
     @staticmethod
