--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -85,7 +85,7 @@
     def on_session_closed(self, session: Any) -> None:
         """Remove a session that has ended for any reason."""
         self.sessions.pop(session.number, None)
-        self.datastores.close_session(session, self.settings.log_undone)
+        self.datastores.close_session(session, self.settings.log_rollback_failure)
 
     def find_session(self, number: str) -> ProtocolSession | None:
         """Return the session with this number, None if there is none."""
@@ -138,9 +138,9 @@
         for listener in self.listeners:
             listener.end_of_turn()
 
-    def due(self) -> int | None:
+    def next_deadline(self) -> int | None:
         """Return the latest time (ns) of the next `end_of_turn`, None if there is none."""
-        return self.settings.due()
+        return self.settings.next_deadline()
 
     def reload(self, config: Configuration) -> list[str]:
         """Apply the reloaded files; return the names of the settings that require a restart.
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -187,7 +187,7 @@
         if self.management:
             self._run_guarded(self.management.end_of_turn, now)
         due: int | None = self.coordinator.tick(now)
-        if self.management and (management_due := self.management.due()) is not None:
+        if self.management and (management_due := self.management.next_deadline()) is not None:
             due = management_due if due is None else min(due, management_due)
         for recipient in self.coordinator.recipients():
             self._run_guarded(self._write, recipient)
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -124,7 +124,7 @@
 
         self.save(stores.tree(STARTUP), stores.version, saved)
 
-    def log_undone(self, error: ManagementError | None) -> None:
+    def log_rollback_failure(self, error: ManagementError | None) -> None:
         """Log that an unconfirmed change could not be rolled back."""
         if error:
             self.service.log.event("rollback_failed", reason=error.reason)
@@ -141,9 +141,9 @@
                 save.answer(None if is_durable else NOT_SAVED)
             else:
                 self.pending.append(save)
-        self.datastores.tick(now, self.log_undone)
+        self.datastores.tick(now, self.log_rollback_failure)
 
-    def due(self) -> int | None:
+    def next_deadline(self) -> int | None:
         """Return the latest time (ns) of the next `end_of_turn`, None if there is none."""
         deadlines = [self.datastores.next_deadline(), *(save.deadline for save in self.pending)]
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
