--- a/granitespool/__init__.py
+++ b/granitespool/__init__.py
@@ -1,3 +1,3 @@
-"""granitespool: a central planner behind a layer of plain proxies."""
+"""granitespool: a central load-balancing planner for a layer of proxies."""
 
 __version__ = "0.3.0"
--- a/granitespool/__main__.py
+++ b/granitespool/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m granitespool`: the command line, see granitespool/cli."""
+"""Entry point of `python -m granitespool`; the commands are in `granitespool.cli`."""
 
 import sys
 
--- a/granitespool/cli/__init__.py
+++ b/granitespool/cli/__init__.py
@@ -1,4 +1,4 @@
-"""granitespool: a central planner behind a layer of plain proxies.
+"""granitespool: a central load-balancing planner for a layer of proxies.
 
 Usage:
   granitespool [serve] [--config FILE] [--operator FILE]
@@ -15,33 +15,32 @@
   granitespool (-h | --help)
 
 Commands:
-  serve    Serve as one coordinator until SIGTERM (the default); SIGHUP reads both files anew.
-           The log goes to standard output.
-  check    Read the configuration, the operator's settings or both, say in a line each what they hold, and
-  end. state    Look after a state folder: show what is held and what would be believed now, verify that
-  nothing of
-           it is torn, or compact it to one snapshot.
-  keys     Make a private authority, a server's and clients' certificates for trying out; or say of whom
-           certificates are and when they end (exit code 1 where one has ended, or will within two weeks).
-  emulate  Run an experiment in virtual time: a file, or a name that `emulate list` lists.
-  scale    Play a scenario in real time on loopback, with real and hollow coordinators: a file, or a name that
-           `scale list` lists (exit code 1 where a rule was broken or the run itself failed); or plot what
-           coordinators cost against the size of the fleet, from reports of several runs.
+  serve    Run a coordinator until SIGTERM (the default); SIGHUP reloads both files.
+           The log is written to standard output.
+  check    Validate the configuration, the operator's settings or both, and print a summary line of each.
+  state    Inspect a state folder: show its contents and what would be restored now, verify that no file is
+           corrupt, or compact it to one snapshot.
+  keys     Make a private authority with server and client certificates for tests; or show the subject and
+           the expiry of certificates (exit code 1 if one has expired or expires within two weeks).
+  emulate  Run an experiment in virtual time: a file, or a name that `emulate list` prints.
+  scale    Run a scenario in real time on loopback, with real and hollow coordinators: a file, or a name that
+           `scale list` prints (exit code 1 if a rule was violated or the run itself failed); or plot the
+           cost of coordinators against the size of the fleet, from the reports of several runs.
   version  Print the version.
 
 Options:
-  --config FILE    The configuration; without it LB_CONFIG names the file.
-  --operator FILE  The operator's settings, an INI file (deploy/granitespool.ini shows every key); without it
-                   GRANITESPOOL_OPERATOR names the file, or all that it could set is off.
-  --name NAME      A name or address that the server is reached by [default: 127.0.0.1].
-  --user NAME      A client's common name [default: operations].
-  --days DAYS      How long certificates hold [default: 90].
-  --set KEY=VALUE  Another value for a key of the experiment or scenario.
-  --seed N         Another seed for the scenario.
-  --report FILE    The scenario's whole report as JSON, beside the table.
-  --json           The result as JSON instead of a table.
-  --plot FILE      A plot of the result as PNG, SVG or PDF; needs the extra `plot`.
-  -h --help        This text.
+  --config FILE    Configuration file [environment: LB_CONFIG].
+  --operator FILE  Operator's settings, an INI file (deploy/granitespool.ini lists every key)
+                   [environment: GRANITESPOOL_OPERATOR]; without one, all optional subsystems are off.
+  --name NAME      Host name or address of the server [default: 127.0.0.1].
+  --user NAME      Common name of a client [default: operations].
+  --days DAYS      Validity of the certificates in days [default: 90].
+  --set KEY=VALUE  Override a key of the experiment or scenario.
+  --seed N         Override the seed of the scenario.
+  --report FILE    Write the full report of the scenario as JSON, in addition to the table.
+  --json           Print the result as JSON instead of a table.
+  --plot FILE      Plot the result as PNG, SVG or PDF; needs the extra `plot`.
+  -h --help        Show this text.
 """
 
 import sys
@@ -53,8 +52,8 @@
 from granitespool import __version__
 from granitespool.errors import GranitespoolError
 
-EXIT_FAILURE = 1  # exit code where something that was read cannot be used
-EXIT_USAGE = 2  # exit code where the call itself is wrong
+EXIT_FAILURE = 1  # exit code if the command failed
+EXIT_USAGE = 2  # exit code if the command line is invalid
 
 
 KNOWN_OPTIONS = {
@@ -71,32 +70,32 @@
     "-h",
     "--help",
 }
-Arguments = Mapping[str, Any]  # docopt's
+Arguments = Mapping[str, Any]  # as parsed by docopt
 Command = Callable[[Arguments], int]  # returns the exit code
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one call and return its exit code; what a command alone needs is imported by it."""
+    """Run a command and return its exit code; modules that only one command needs are imported on demand."""
     words = sys.argv[1:] if argv is None else list(argv)
     try:
         arguments = docopt(__doc__, words)
     except DocoptExit:
-        # the library's own words about a wrong call are a warning of several lines; ours is one sentence
-        print(f"granitespool: {_misuse(words)}\n\n{_usage()}", file=sys.stderr)
+        # The message of docopt has several lines; print one sentence and the usage instead.
+        print(f"granitespool: {_usage_error(words)}\n\n{_usage()}", file=sys.stderr)
         return EXIT_USAGE
-    except SystemExit:  # --help, printed
+    except SystemExit:  # raised by docopt after it has printed the help
         return 0
     try:
-        return _command(arguments)(arguments)
+        return _select_command(arguments)(arguments)
     except (GranitespoolError, OSError) as error:
         print(f"granitespool: {error}", file=sys.stderr)
         return EXIT_FAILURE
 
 
-def _command(arguments: Arguments) -> Command:
+def _select_command(arguments: Arguments) -> Command:
     run: Command
     if arguments["version"]:
-        return _version
+        return _print_version
     if arguments["state"]:
         from granitespool.cli.state import run  # noqa: PLC0415
     elif arguments["keys"]:
@@ -112,7 +111,7 @@
     return run
 
 
-def _version(_: Arguments) -> int:
+def _print_version(_: Arguments) -> int:
     print(f"granitespool {__version__}")
     return 0
 
@@ -123,8 +122,8 @@
     )
 
 
-def _misuse(argv: Sequence[str]) -> str:
-    """One sentence about a call that fits no line of the usage."""
+def _usage_error(argv: Sequence[str]) -> str:
+    """Return one sentence on why a command line does not match the usage."""
     known = {word for line in _usage().splitlines()[1:] for word in line.split()[1:2] if word.isalpha()}
     known |= {"serve"}
     first = next((word for word in argv if not word.startswith("-")), None)
@@ -134,4 +133,4 @@
     unknown = sorted(options - KNOWN_OPTIONS)
     if unknown:
         return f"there is no option {unknown[0]!r:.60}"
-    return "the call fits no line of the usage: " + (" ".join(argv)[:100] or "nothing")
+    return "the command line does not match the usage: " + (" ".join(argv)[:100] or "no arguments")
--- a/granitespool/endpoints.py
+++ b/granitespool/endpoints.py
@@ -1,7 +1,7 @@
-"""Endpoint list entries and load reports of backends, from the names of either wire.
+"""Entries of the endpoint list and load metrics of backends, parsed from either wire format.
 
-The simulator's wire and the sockets name the fields of an entry differently; `SIMULATOR_ENTRY` and
-`SOCKET_ENTRY` hold the names of each, and no wire name is seen further in.
+The simulator's protocol and the socket protocol use different field names, which `SIMULATOR_ENTRY` and
+`SOCKET_ENTRY` define; other modules only see the parsed types.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,11 +15,11 @@
 from granitespool.fields import NUMBER_TYPES, VALUE_MAX, is_number, required_field, required_number
 from granitespool.units import MICROSECOND, MILLISECOND
 
-Label = str | int | float | None  # a zone, a machine type or a cell, as the list tells it
+Label = str | int | float | None  # zone, machine type or cell as given in the endpoint list
 
 
 class Phase(StrEnum):
-    """What the endpoint list says of a backend."""
+    """State of a backend in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -27,26 +27,26 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One entry of the endpoint list."""
+    """An entry of the endpoint list."""
 
     name: str
     zone: Label
     machine_type: Label
     cell: Label
     phase: Phase
-    weight: float  # the configured weight
-    started_at: int  # ns, Unix time; 0 where the list does not tell
+    weight: float  # configured weight
+    started_at: int  # Unix time in ns; 0 if the endpoint list has none
 
 
 class WireEntryNames(msgspec.Struct, frozen=True):
-    """What one wire calls the fields and phases of an entry."""
+    """Names of the fields and phases of an endpoint list entry in one wire format."""
 
     name: str
     machine_type: str
     cell: str
     phase: str
     started_at: str
-    time_unit: int  # ns of `started_at`
+    time_unit: int  # unit of `started_at` in ns
     phases: dict[str, Phase]
 
 
@@ -69,29 +69,29 @@
     phases={"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE},
 )
 
-# A load metric on both wires: name there -> (name here, factor to the unit here; times become ns)
+# Load metrics in both wire formats: wire name -> (internal name, factor to the internal unit; times in ns).
 LOAD_METRICS = {
-    "util": ("busy", 1),
-    "latency_ms": ("service", MILLISECOND),
+    "util": ("utilization", 1),
+    "latency_ms": ("latency", MILLISECOND),
     "queue": ("queued", 1),
-    "inflight": ("holding", 1),
-    "qps": ("answered_per_s", 1),
+    "inflight": ("in_flight", 1),
+    "qps": ("requests_per_s", 1),
     "eps": ("errors_per_s", 1),
 }
 
 
 def endpoint_from_wire(row: object, names: WireEntryNames) -> Endpoint:
-    """An entry as one of the wires has it.
+    """Parse an entry of the endpoint list; an unknown phase counts as gone.
 
-    An unknown phase counts as gone. Raises InvalidInputError where a field that decisions rest on is missing
-    or of another type; the caller leaves that entry out.
+    Raises InvalidInputError if a field that decisions depend on is missing or of another type; the caller
+    skips that entry.
     """
     if not isinstance(row, dict):
-        raise InvalidInputError("a list entry is not an object")
+        raise InvalidInputError("an endpoint list entry is not an object")
     for key in ("zone", names.machine_type, names.cell):
-        # The planner groups backends by these values, so they must be hashable scalars
+        # The planner groups backends by these values, so they must be hashable scalars.
         if not isinstance(row.get(key), (str, *NUMBER_TYPES, NoneType)):
-            raise InvalidInputError(f"the field {key!r} of a 'list entry' holds {row[key]!r:.40}")
+            raise InvalidInputError(f"the field {key!r} of a 'list entry' is invalid: {row[key]!r:.40}")
     return Endpoint(
         name=required_field(row, names.name, str),
         zone=row.get("zone"),
@@ -112,9 +112,9 @@
 def load_metrics(
     reported: Mapping[str, Any] | Iterable[tuple[str, Any]] | None,
 ) -> dict[str, int | float]:
-    """A backend's own load report, an object or a list of pairs; times in ns.
+    """Return the load metrics that a backend reported of itself, as an object or pairs; times are in ns.
 
-    What is unknown, no number or beyond `VALUE_MAX` is left out.
+    Unknown metrics, values that are not numbers and values beyond `VALUE_MAX` are dropped.
     """
     pairs = reported.items() if isinstance(reported, Mapping) else reported or ()
     return {
--- a/granitespool/errors.py
+++ b/granitespool/errors.py
@@ -1,9 +1,9 @@
-"""The base of all errors that granitespool raises on purpose."""
+"""Base classes of the errors that granitespool raises."""
 
 
 class GranitespoolError(Exception):
-    """Base class; the text is one sentence for an operator."""
+    """Base class of all errors of this program; the text is one sentence for an operator."""
 
 
 class InvalidInputError(GranitespoolError):
-    """Input of an operator or a peer that is not what the pages say; the text tells what is wrong."""
+    """Invalid input from an operator or a peer; the text says what is invalid."""
--- a/granitespool/fields.py
+++ b/granitespool/fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields that come from outside; each raises `InvalidInputError` with one sentence."""
+"""Validation of single fields of external input; each check raises `InvalidInputError`."""
 
 from collections.abc import Mapping
 from math import isfinite
@@ -7,18 +7,24 @@
 from granitespool.errors import InvalidInputError
 
 NUMBER_TYPES = (int, float)
-VALUE_MAX = 1e18  # above it a value is no time or weight: Unix time in microseconds is a thousandth of it
-REPORTED_COUNT_MAX = 1e6  # attempts or requests in one report: a thousand proxies' thousand in a second
-REPORTED_TIME_MAX_MS = 3.6e6  # ms of a span that a report tells: an hour, longer than any client waits
+# No time or weight is larger: Unix time in microseconds is a thousandth of it.
+VALUE_MAX = 1e18
+# Attempts or requests in one report: a thousand each from a thousand proxies in one second.
+REPORTED_COUNT_MAX = 1e6
+# Duration in a report, in ms: one hour, longer than any client waits.
+REPORTED_TIME_MAX_MS = 3.6e6
 
 
 def required_field(source: Mapping[str, Any], key: str, kind: type | tuple[type, ...] = object) -> Any:
-    """A field that must be there and of this type; a number must be finite, and true is no number."""
+    """Return a mandatory field of the type `kind`; booleans do not count as numbers.
+
+    Raises InvalidInputError if the field is missing, of another type or not finite.
+    """
     value = source.get(key)
     if value is None:
         raise InvalidInputError(f"a {_name_of(source)} lacks the field {key!r}")
     if _is_wrong_type(value, kind) or _is_not_finite(value):
-        raise InvalidInputError(f"the field {key!r} of a {_name_of(source)} holds {value!r:.40}")
+        raise InvalidInputError(f"the field {key!r} of a {_name_of(source)} is invalid: {value!r:.40}")
     return value
 
 
@@ -28,15 +34,18 @@
     kind: type | tuple[type, ...] = NUMBER_TYPES,
     maximum: float = VALUE_MAX,
 ) -> Any:
-    """A number that must be there, from 0 to `maximum`."""
+    """Return a mandatory number between 0 and `maximum`.
+
+    Raises InvalidInputError if the field is missing, not a number or out of range.
+    """
     value = required_field(source, key, kind)
     if not 0 <= value <= maximum:
-        raise InvalidInputError(f"the field {key!r} of a {_name_of(source)} is {value!r:.40}")
+        raise InvalidInputError(f"the field {key!r} of a {_name_of(source)} is out of range: {value!r:.40}")
     return value
 
 
 def is_number(value: object) -> bool:
-    """Whether a value is an int or a float, and not a bool."""
+    """Return whether a value is an int or a float, but not a bool."""
     return isinstance(value, NUMBER_TYPES) and not isinstance(value, bool)
 
 
--- a/granitespool/ini.py
+++ b/granitespool/ini.py
@@ -1,7 +1,8 @@
-"""INI files of sections, each checked against a schema (a msgspec Struct) to the last key.
+"""Parsing of INI files whose sections are validated against schemas (msgspec Structs).
 
-What is wrong ends in InvalidInputError with one sentence that names the file, the section, the key, what was
-found and what would do."""
+Every section and key has to be part of its schema. InvalidInputError names the file, the section, the key,
+the value that was found and what is expected.
+"""
 
 import configparser
 import difflib
@@ -17,37 +18,37 @@
 from granitespool.errors import InvalidInputError
 
 Schemas: TypeAlias = Mapping[str, type[msgspec.Struct]]
-"""The Struct of each section; a name such as "user.*" stands for any [user.NAME]."""
+"""Struct of each section by name; "user.*" matches any [user.NAME]."""
 
 PathKeys: TypeAlias = Collection[tuple[str, str]]
 """(section, key) of the values that are paths."""
 
-MAX_FILE_BYTES = 1 << 20  # an example with every key commented takes a hundredth
-MAX_SHOWN_CHARS = 60  # of a wrong name or value that a sentence repeats
+MAX_FILE_BYTES = 1 << 20  # an example with every key and its comments takes a hundredth of it
+MAX_SHOWN_CHARS = 60  # length at which invalid names and values are cut off in error messages
 
 
 def load(path: str, schemas: Schemas, path_keys: PathKeys = ()) -> dict[str, msgspec.Struct]:
-    """The sections of a file; relative paths in it stand beside it.
+    """Return the sections of a file; relative paths in it are resolved against its folder.
 
     Raises:
-        InvalidInputError: the file cannot be read, or not all of it fits the schemas.
+        InvalidInputError: the file cannot be read or does not match the schemas.
     """
     try:
         with Path(path).open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         text = data.decode() if len(data) <= MAX_FILE_BYTES else None
     except OSError as error:
-        raise _invalid(path, f"it cannot be read: {error.strerror}") from None
+        raise _invalid(path, f"the file cannot be read: {error.strerror}") from None
     except UnicodeDecodeError as error:
         raise _invalid(path, f"byte {error.start} is not UTF-8") from None
     if text is None:
-        raise _invalid(path, f"it is over {MAX_FILE_BYTES} bytes")
+        raise _invalid(path, f"the file is larger than {MAX_FILE_BYTES} bytes")
     return parse(path, text, schemas, path_keys)
 
 
 def parse(path: str, text: str, schemas: Schemas, path_keys: PathKeys = ()) -> dict[str, msgspec.Struct]:
-    """The same of a text; `path` names it in errors, and is where relative paths stand beside."""
-    parser = _parsed(path, text)
+    """Return the sections of `text`, which was read from `path`; see `load`."""
+    parser = _parse_text(path, text)
     sections = {}
     for name in parser.sections():
         schema = schemas.get(name)
@@ -55,7 +56,7 @@
             schema = schemas.get(name.partition(".")[0] + ".*")
         if schema is None:
             shown = f"{name:.{MAX_SHOWN_CHARS}}"
-            raise _invalid(path, f"the section [{shown}] is unknown{_nearest(name, schemas)}")
+            raise _invalid(path, f"the section [{shown}] is unknown{_suggestion(name, schemas)}")
         sections[name] = _Section(path, name, path_keys).parse(schema, dict(parser[name]))
     return sections
 
@@ -64,7 +65,7 @@
     return InvalidInputError(f"{path}: {reason}")
 
 
-def _parsed(path: str, text: str) -> configparser.ConfigParser:
+def _parse_text(path: str, text: str) -> configparser.ConfigParser:
     parser = configparser.ConfigParser(
         interpolation=None, default_section="", strict=True, delimiters=("=",), comment_prefixes=("#", ";")
     )
@@ -72,39 +73,39 @@
     try:
         parser.read_string(text)
     except configparser.DuplicateSectionError as error:
-        reason = f"[{error.section}] stands twice, the second time in line {error.lineno}"
+        reason = f"[{error.section}] is duplicated in line {error.lineno}"
         raise _invalid(path, reason) from None
     except configparser.DuplicateOptionError as error:
-        reason = f"[{error.section}] {error.option} stands twice, the second time in line {error.lineno}"
+        reason = f"[{error.section}] {error.option} is duplicated in line {error.lineno}"
         raise _invalid(path, reason) from None
     except configparser.MissingSectionHeaderError as error:
-        raise _invalid(path, f"line {error.lineno} stands before any [section]") from None
+        raise _invalid(path, f"line {error.lineno} precedes the first [section]") from None
     except configparser.ParsingError as error:
-        raise _invalid(path, f"line {error.errors[0][0]} is no 'key = value'") from None
+        raise _invalid(path, f"line {error.errors[0][0]} is not of the form 'key = value'") from None
     except configparser.Error as error:
         raise _invalid(path, " ".join(str(error).split())) from None
     return parser
 
 
 class _Section(NamedTuple):
-    """Where a section stands, for errors and relative paths."""
+    """A section of a file and what errors and relative paths in it refer to."""
 
     path: str
     name: str
     path_keys: PathKeys
 
     def parse(self, schema: type[msgspec.Struct], texts: Mapping[str, str]) -> msgspec.Struct:
-        """The Struct of the section's keys."""
+        """Return the Struct with the values of the section's keys."""
         fields = {field.name: field for field in msgspec.structs.fields(schema)}
         values = {}
         for key, text in texts.items():
             if key not in fields:
-                reason = f"{key:.{MAX_SHOWN_CHARS}} is unknown{_nearest(key, fields)}"
+                reason = f"{key:.{MAX_SHOWN_CHARS}} is unknown{_suggestion(key, fields)}"
                 raise self._invalid(reason)
             values[key] = self._value(fields[key], text)
         for key, field in fields.items():
             if field.required and key not in values:
-                reason = f"lacks {key}, {_wanted(field.type)}"
+                reason = f"the key {key} is missing, expected {_expected(field.type)}"
                 raise self._invalid(reason)
         try:
             return schema(**values)
@@ -118,21 +119,21 @@
         try:
             value = msgspec.convert(text, field.type, strict=False)
         except msgspec.ValidationError:
-            raise self._unfit(field, text) from None
+            raise self._invalid_value(field, text) from None
         if isinstance(value, float) and not math.isfinite(value):
-            raise self._unfit(field, text)
+            raise self._invalid_value(field, text)
         if (self.name, field.name) in self.path_keys:
-            # pathlib would rewrite what the operator wrote, and the settings show it.
+            # Unlike pathlib, os.path.join keeps the path as the operator wrote it, which the settings show.
             return os.path.join(os.path.dirname(os.path.abspath(self.path)), value)  # noqa: PTH100, PTH118, PTH120
         return value
 
-    def _unfit(self, field: msgspec.structs.FieldInfo, text: str) -> InvalidInputError:
+    def _invalid_value(self, field: msgspec.structs.FieldInfo, text: str) -> InvalidInputError:
         shown = f"{text!r:.{MAX_SHOWN_CHARS}}"
-        return self._invalid(f"{field.name} is {shown}, where {_wanted(field.type)} would do")
+        return self._invalid(f"{field.name} is {shown}, expected {_expected(field.type)}")
 
 
-def _wanted(field_type: Any) -> str:  # noqa: ANN401 a type or an annotation
-    """What a field takes, in words, from its schema alone."""
+def _expected(field_type: Any) -> str:  # noqa: ANN401 a type or an annotation
+    """Return a description of the values that a field accepts, derived from its type."""
     info = inspect.type_info(field_type)
     if isinstance(info, inspect.BoolType):
         return "true or false"
@@ -145,11 +146,12 @@
 
 
 def _digits(number: float | None) -> str:
-    """A limit without an exponent."""
+    """Return a limit in digits, without an exponent."""
     return f"{number:,}".replace(",", "")
 
 
-def _nearest(name: str, known: Iterable[str]) -> str:
+def _suggestion(name: str, known: Iterable[str]) -> str:
+    """Return the end of an error message that names the closest known name, or all of them."""
     names = list(known)
-    near = difflib.get_close_matches(name, names, 1)
-    return f"; the nearest known name is {near[0]}" if near else f"; known are {', '.join(names)}"
+    closest = difflib.get_close_matches(name, names, 1)
+    return f"; did you mean {closest[0]}?" if closest else f"; known names are {', '.join(names)}"
--- a/granitespool/operator_settings.py
+++ b/granitespool/operator_settings.py
@@ -1,7 +1,8 @@
-"""The operator's settings: one INI file, a section for each subsystem, which is off without it.
+"""Settings of the operator: an INI file with a section per optional subsystem, which is off without it.
 
-The sections' and keys' names are the operators'; each key has its unit in its name. Nothing here knows what a
-section is for."""
+Names of sections and keys are those of the file, and keys end in their unit. The subsystems interpret the
+values.
+"""
 
 from typing import Annotated
 
@@ -13,7 +14,7 @@
 
 
 class StateSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[state]: what has been learnt outlasts the process in a folder (docs/state.md)."""
+    """[state]: snapshots in a folder, restored at the next start (docs/state.md)."""
 
     folder: Annotated[str, Meta(min_length=1)]
     every_ms: Annotated[int, Meta(ge=100, le=600_000)] = 1_000
@@ -22,14 +23,14 @@
     oldest_s: Annotated[float, Meta(ge=1, le=604_800)] = 300.0
 
     def __post_init__(self) -> None:
-        """Rejects what would never act."""
+        """Raise ValueError if every snapshot would be too old to be restored."""
         if self.every_ms > self.oldest_s * 1_000:
-            reason = "every_ms is longer than oldest_s, so nothing written would ever be believed"
+            reason = "every_ms is longer than oldest_s, so no snapshot would ever be restored"
             raise ValueError(reason)
 
 
 class TlsSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[tls]: what management listeners show and trust (docs/tls.md); PEM files."""
+    """[tls]: PEM files of the management listeners' certificate and trusted authorities (docs/tls.md)."""
 
     certificate: Annotated[str, Meta(min_length=1)]
     key: Annotated[str, Meta(min_length=1)]
@@ -37,7 +38,7 @@
 
 
 class NetconfSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[netconf]: NETCONF over TLS (docs/netconf.md)."""
+    """[netconf]: management listener for NETCONF over TLS (docs/netconf.md)."""
 
     listen: Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
     sessions: Annotated[int, Meta(ge=1, le=256)] = 8
@@ -45,7 +46,7 @@
 
 
 class GnmiSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[gnmi]: gNMI over gRPC (docs/gnmi.md)."""
+    """[gnmi]: management listener for gNMI over gRPC (docs/gnmi.md)."""
 
     listen: Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
     sessions: Annotated[int, Meta(ge=1, le=256)] = 8
@@ -54,7 +55,7 @@
 
 
 class UserSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[user.NAME]: who a client's certificate stands for, and what that user may do (docs/tls.md)."""
+    """[user.NAME]: a manager, identified by its client certificate, and its permissions (docs/tls.md)."""
 
     certificate: Annotated[str, Meta(min_length=1)]
     read: bool = True
@@ -62,14 +63,14 @@
 
 
 class FiguresSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[figures]: a line of the log each so often to count across coordinators (docs/fleet.md)."""
+    """[figures]: periodic log lines with metrics that are summed over coordinators (docs/fleet.md)."""
 
     every_ms: Annotated[int, Meta(ge=100, le=600_000)] = 1_000
     backends: Annotated[int, Meta(ge=0, le=4_096)] = 64
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """All of the file; None for a section that is absent."""
+    """Contents of the file; None for an absent section."""
 
     state: StateSettings | None = None
     tls: TlsSettings | None = None
@@ -80,7 +81,7 @@
 
     @property
     def has_management_listener(self) -> bool:
-        """Whether any management protocol is on."""
+        """Whether any management protocol is configured."""
         return self.netconf is not None or self.gnmi is not None
 
 
@@ -91,20 +92,22 @@
     "gnmi": GnmiSettings,
     "figures": FiguresSettings,
 }
-CERTIFICATE_KINDS = ("cn", "dns", "email", "uri", "sha256")  # what of a certificate a user may be known by
-WRITABLE = ("*", "class", "zone", "channel", "permissions", "drain", "cold", "operator")  # of the YANG module
-FIXED_KEYS = (("state", "folder"), ("netconf", "listen"), ("gnmi", "listen"))  # that wait for a restart
-USER_PREFIX = "user."  # how the name of a user's section begins
-PATH_KEYS = frozenset(
-    [("state", "folder"), ("tls", "certificate"), ("tls", "key"), ("tls", "authorities")]
-)  # values that are paths: relative ones stand beside the file
+# Fields of a client certificate that may identify a user.
+CERTIFICATE_KINDS = ("cn", "dns", "email", "uri", "sha256")
+# Parts of the YANG module that a user may be allowed to write.
+WRITABLE = ("*", "class", "zone", "channel", "permissions", "drain", "cold", "operator")
+# (section, key) of the values that only change with a restart.
+FIXED_KEYS = (("state", "folder"), ("netconf", "listen"), ("gnmi", "listen"))
+USER_PREFIX = "user."  # of the section names of users
+# (section, key) of the values that are paths; relative ones are resolved against the file's folder.
+PATH_KEYS = frozenset([("state", "folder"), ("tls", "certificate"), ("tls", "key"), ("tls", "authorities")])
 
 
 def load(path: str) -> OperatorSettings:
-    """The settings of an INI file.
+    """Return the settings of an INI file.
 
     Raises:
-        InvalidInputError: the file cannot be read or is wrong; one sentence says where and how.
+        InvalidInputError: the file cannot be read or is invalid.
     """
     sections = ini.load(path, {**SECTIONS, USER_PREFIX + "*": UserSettings}, PATH_KEYS)
     users = {
@@ -113,7 +116,7 @@
         if isinstance(section, UserSettings)
     }
     subsystems = {name: section for name, section in sections.items() if name in SECTIONS}
-    operator = OperatorSettings(users=users, **subsystems)  # type: ignore[arg-type]  # each of its section's type
+    operator = OperatorSettings(users=users, **subsystems)  # type: ignore[arg-type]  # schemas of SECTIONS
     _check_management(path, operator)
     for name, user in users.items():
         _check_user(path, name, user)
@@ -122,30 +125,28 @@
 
 def _check_management(path: str, operator: OperatorSettings) -> None:
     if operator.has_management_listener and operator.tls is None:
-        reason = f"{path}: a door for managers needs the section [tls]"
+        reason = f"{path}: a management listener needs the section [tls]"
         raise InvalidInputError(reason)
     if operator.has_management_listener and not operator.users:
-        reason = f"{path}: a door for managers needs a section [user.NAME], or nobody could come in"
+        reason = f"{path}: a management listener needs at least one section [user.NAME]"
         raise InvalidInputError(reason)
 
 
 def _check_user(path: str, name: str, user: UserSettings) -> None:
     kind, _, value = user.certificate.partition(":")
     if kind not in CERTIFICATE_KINDS or not value:
-        wanted = ", ".join(f"{known}:..." for known in CERTIFICATE_KINDS)
-        reason = (
-            f"{path}: [{USER_PREFIX}{name}] certificate is {user.certificate!r:.60}, where {wanted} would do"
-        )
+        expected = ", ".join(f"{known}:..." for known in CERTIFICATE_KINDS)
+        reason = f"{path}: [{USER_PREFIX}{name}] certificate is {user.certificate!r:.60}, expected {expected}"
         raise InvalidInputError(reason)
     for word in filter(None, map(str.strip, user.write.split(","))):
         if word not in WRITABLE:
             known = ", ".join(WRITABLE)
-            reason = f"{path}: [{USER_PREFIX}{name}] write names {word!r:.60}; known are {known}"
+            reason = f"{path}: [{USER_PREFIX}{name}] write contains {word!r:.60}; known names are {known}"
             raise InvalidInputError(reason)
 
 
 def restart_names(before: OperatorSettings | None, now: OperatorSettings | None) -> list[str]:
-    """The names, as section.key, of what differs and cannot change while the service runs."""
+    """Return the values that differ and only change with a restart, as "section.key"."""
     names = [
         f"{section}.{key}"
         for section, key in FIXED_KEYS
@@ -165,7 +166,7 @@
 
 
 def summary(operator: OperatorSettings) -> str:
-    """One line for a person: which sections are on, and with what."""
+    """Return one line with all configured sections and their values."""
     sections = ((name, getattr(operator, name)) for name in SECTIONS)
     on = [_section_summary(name, section) for name, section in sections if section is not None]
     return "; ".join(on) or "no section, everything is off"
--- a/granitespool/simulator_adapter.py
+++ b/granitespool/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The adapter to the simulator: one JSON batch a line on standard input, one reply a line on standard output.
+"""Adapter to the simulator: reads a JSON batch per line from standard input and writes a reply per line.
 
-The wire's names, units and encodings end here. Each instance is a planner of its own with actions of its own;
-nothing is shared between them. No decision is taken in this file.
+The names, units and encodings of the simulator's protocol are used only in this module. Each instance has its
+own planner and actions and shares nothing with the others. The adapter itself takes no decisions.
 """
 
 import json
@@ -34,7 +34,7 @@
 from granitespool.settings import settings_from_wire
 from granitespool.units import MICROSECOND
 
-Message = Mapping[str, Any]  # one object of the wire
+Message = Mapping[str, Any]  # a decoded JSON object
 
 LIST_FORMS = {
     "update": ListForm.CHANGES,
@@ -53,7 +53,7 @@
 
 
 class SimulatorActions:
-    """The planner's actions: writes each call as an object of the reply that is being built."""
+    """Actions of a planner, which append an object to the current reply for each call."""
 
     def __init__(self, instance: int, reply: list[dict[str, Any]]) -> None:
         self.reply = reply
@@ -63,71 +63,71 @@
         self.reply.append({"type": name, "coordinator": self._instance, **fields})
 
     def set_entry(self, table: int, backend: str, weight: float) -> None:
-        """Write the entry."""
+        """Append the entry of a table to the reply."""
         self._write("weigh", tbl=table, backend=backend, weight=weight)
 
     def reset_table(self, table: int) -> None:
-        """Write the reset."""
+        """Append the reset of a table to the reply."""
         self._write("reset_table", tbl=table)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Write the assignment."""
+        """Append the assignment of a proxy to the reply."""
         self._write("bind", agent=proxy, tbl=table, for_classes=classes)
 
     def exclude(self, backend: str, excluded: bool) -> None:
-        """Write the exclusion."""
+        """Append the exclusion or readmission of a backend to the reply."""
         self._write("pull", backend=backend, flag=excluded)
 
     def exclusion_cost(
         self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
     ) -> dict[int, float]:
-        """As likely as a proxy holds the backend: the channel leaves out those that do not."""
-        return {proxy: min(each.known_entries, known) / known for proxy, each in unassigned.items()}
+        """Return each proxy's probability of having the backend: the channel skips proxies without it."""
+        return {proxy: min(record.known_entries, known) / known for proxy, record in unassigned.items()}
 
     def readmission_cost(
         self, proxies: Iterable[int], table: int, backend: str | None = None
     ) -> dict[int, int]:
-        """Nothing: a proxy on a table follows the table's exclusions alone."""
+        """Return no cost: a proxy that is on a table only follows the exclusions of that table."""
         return {}
 
     def set_admission(self, table: int, classes: int, share: float, retries: int) -> None:
-        """Write the level."""
+        """Append the admission level of request classes to the reply."""
         self._write("level", tbl=table, for_classes=classes, level=share, how=retries)
 
     def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
-        """Write the barrier."""
+        """Append the acknowledgement barrier to the reply."""
         self._write("fence_post", serial=sequence, flag=everyone)
 
     def check_health(self, backend: str) -> None:
-        """Write the health check."""
+        """Append the health check to the reply."""
         self._write("health_check", backend=backend)
 
     def forget(self, backend: str) -> None:
-        """Do nothing: nothing is kept here."""
+        """Do nothing: the adapter keeps no state of backends."""
 
     def subscribe(self, on: bool) -> None:
-        """Write the subscription."""
+        """Append the subscription to endpoint list changes to the reply."""
         self._write("observe", flag=on)
 
     def fetch_endpoints(self) -> None:
-        """Write the request."""
+        """Append the request for the endpoint list to the reply."""
         self._write("lookup")
 
     def set_timer(self, delay: int, cookie: str) -> None:
-        """Write the timer, rounded up to the wire's microseconds."""
+        """Append the timer to the reply, with its delay rounded up to microseconds."""
         self._write("wake_at", offset_us=-(-delay // MICROSECOND), cookie=cookie)
 
     def send_gossip(self, peer: int, payload: str) -> None:
-        """Write the datagram."""
+        """Append the gossip datagram to the reply."""
         self._write("post", neighbour_id=peer, contents=payload)
 
     def log(self, text: str) -> None:
-        """Write the entry."""
+        """Append the log entry to the reply."""
         self._write("remark", reason_text=text)
 
 
 def _time(message: Message, key: str) -> int:
-    """A time that must be there, in ns."""
+    """Return a mandatory duration in ns."""
     return int(required_field(message, key, NUMBER_TYPES) * MICROSECOND)
 
 
@@ -238,7 +238,7 @@
 
 
 class Instance:
-    """One planner, and its actions."""
+    """A coordinator of the simulation: a planner and its actions."""
 
     def __init__(self, number: int, message: Message, reply: list[dict[str, Any]]) -> None:
         seed = required_field(message, "entropy", int)
@@ -247,7 +247,7 @@
         self.planner = Planner(self.actions, seed, settings)
 
     def handle(self, now: int, kind: str, message: Message) -> None:
-        """Hand one message to the planner."""
+        """Pass a message to the planner."""
         if kind == TIMER:
             self.planner.on_timer(now, required_field(message, "cookie", str))
         else:
@@ -255,19 +255,19 @@
 
 
 class Adapter:
-    """The instances of one process, by their number."""
+    """All coordinators that this process runs, by their number."""
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
 
     def answer(self, line: str) -> dict[str, list[dict[str, Any]]]:
-        """The reply to one line; raises InvalidInputError where it is not the wire's."""
+        """Return the reply to a line; raise InvalidInputError if the line does not follow the protocol."""
         try:
             batch = json.loads(line)
         except ValueError as error:
-            raise InvalidInputError(f"a line is not JSON: {error}") from None
+            raise InvalidInputError(f"an input line is not JSON: {error}") from None
         if not isinstance(batch, dict) or not isinstance(batch.get("items"), list):
-            raise InvalidInputError("a line is not a batch: it needs an object with the array 'items'")
+            raise InvalidInputError("an input line is not a batch: expected an object with the array 'items'")
         now = required_field({"type": "batch", **batch}, "t_us", int) * MICROSECOND
         reply: list[dict[str, Any]] = []
         for message in batch["items"]:
@@ -281,7 +281,7 @@
     def _handle(
         self, now: int, kind: str, number: int, message: Message, reply: list[dict[str, Any]]
     ) -> None:
-        """Handle one message; a fault of the planner is reported as `fatal`, which ends the day."""
+        """Handle a message; report an exception of the planner as `fatal`, which ends the simulation."""
         try:
             self._dispatch(now, kind, number, message, reply)
         except InvalidInputError:
@@ -308,7 +308,7 @@
 
 
 def main() -> int:
-    """Answer standard input until it ends; the exit code is 1 where a line is not the wire's."""
+    """Answer standard input until it ends; return 1 as soon as a line is invalid, otherwise 0."""
     adapter = Adapter()
     for line in sys.stdin:
         try:
--- a/granitespool/units.py
+++ b/granitespool/units.py
@@ -1,4 +1,4 @@
-"""Units of time in whole nanoseconds."""
+"""Units of time, in integer nanoseconds."""
 
 MICROSECOND = 1_000  # ns
 MILLISECOND = 1_000_000  # ns
--- a/tests/service/test_service_configuration.py
+++ b/tests/service/test_service_configuration.py
@@ -40,7 +40,7 @@
         ({"limits": 5}, "limits"),
         ({"settings": {"family_info": {"egress_per_s": "fast"}}}, "egress_per_s"),
         ({"known": 5}, "'known'"),
-        ({"settings": {"family_info": {"egress_per_s": 0}}}, "no pace"),
+        ({"settings": {"family_info": {"egress_per_s": 0}}}, "a channel rate of 0"),
         ({"peers": 5}, "another type"),
         ({"limits": {"sockets": "many"}}, "'sockets'"),
         ({"settings": {"zones": 5}}, "'zones'"),
--- a/tests/service/test_service_endings.py
+++ b/tests/service/test_service_endings.py
@@ -498,13 +498,16 @@
 @pytest.mark.parametrize(
     "change, words",
     [
-        ({"settings": {"zones": ["n", ["m"]]}}, "name a zone"),
-        ({"settings": {"zones": [None]}}, "name a zone"),
-        ({"settings": {"zones": ["n", "n"]}}, "the zone 'n' twice"),
-        ({"settings": {"zones": ["n"], "classes": [{}]}}, "name a class None"),
-        ({"settings": {"zones": ["n"], "classes": [{"name": {}}]}}, "name a class"),
-        ({"settings": {"zones": ["n"], "classes": [{"name": "a"}, {"name": "a"}]}}, "the class 'a' twice"),
-        ({"settings": {"zones": ["n"], "family_info": {"most_waiting": 0}}}, "may hold no line"),
+        ({"settings": {"zones": ["n", ["m"]]}}, "contain the zone .* not a string"),
+        ({"settings": {"zones": [None]}}, "contain the zone None, which is not a string"),
+        ({"settings": {"zones": ["n", "n"]}}, "the zone 'n' more than once"),
+        ({"settings": {"zones": ["n"], "classes": [{}]}}, "contain the class None, which is not a string"),
+        ({"settings": {"zones": ["n"], "classes": [{"name": {}}]}}, "contain the class .* not a string"),
+        (
+            {"settings": {"zones": ["n"], "classes": [{"name": "a"}, {"name": "a"}]}},
+            "the class 'a' more than once",
+        ),
+        ({"settings": {"zones": ["n"], "family_info": {"most_waiting": 0}}}, "a channel backlog limit of 0"),
         ({"limits": {"sockets": 0}}, "no room to serve"),
         ({"limits": {"sockets": 24}}, "no room to serve"),
         ({"limits": {"memory_mb": 0}}, "no room to serve"),
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings, the experiments' files, and the command line: each refusal is one sentence."""
+"""Invalid settings, experiment files and command lines end with an error of one sentence, not a traceback."""
 
 from pathlib import Path
 
@@ -16,15 +16,15 @@
 @pytest.mark.parametrize(
     ("text", "words"),
     [
-        ("[stat]\n", "the section [stat] is unknown; the nearest known name is state"),
-        ("[zzz]\n", "the section [zzz] is unknown; known are state, tls, netconf, gnmi"),
+        ("[stat]\n", "the section [stat] is unknown; did you mean state?"),
+        ("[zzz]\n", "the section [zzz] is unknown; known names are state, tls, netconf, gnmi"),
         ("[DEFAULT]\nfolder = x\n", "[DEFAULT] is unknown"),
-        ("[state]\n", "[state] lacks folder"),
+        ("[state]\n", "[state] the key folder is missing"),
         ("[state]\nfolder =\n", "[state] folder is ''"),
-        (STATE + "every = 5\n", "[state] every is unknown; the nearest known name is every_ms"),
+        (STATE + "every = 5\n", "[state] every is unknown; did you mean every_ms?"),
         (
             STATE + "every_ms = fast\n",
-            "[state] every_ms is 'fast', where a whole number from 100 to 600000 would do",
+            "[state] every_ms is 'fast', expected a whole number from 100 to 600000",
         ),
         (STATE + "every_ms = 1.5\n", "a whole number"),
         (STATE + "every_ms = 99\n", "from 100"),
@@ -33,15 +33,17 @@
         (STATE + "half_life_s = inf\n", "half_life_s is 'inf'"),
         (STATE + "oldest_s = 1e9\n", "from 1 to 604800"),
         (STATE + "every_ms = 5000\noldest_s = 2\n", "every_ms is longer than oldest_s"),
-        (STATE + "folder = y\n", "[state] folder stands twice, the second time in line 3"),
-        (STATE + STATE, "[state] stands twice"),
-        ("folder = x\n", "line 1 stands before any [section]"),
-        ("[state]\nfolder\n", "line 2 is no 'key = value'"),
+        (STATE + "folder = y\n", "[state] folder is duplicated in line 3"),
+        (STATE + STATE, "[state] is duplicated"),
+        ("folder = x\n", "line 1 precedes the first [section]"),
+        ("[state]\nfolder\n", "line 2 is not of the form 'key = value'"),
         ("[state\nfolder = x", "line 1"),
         ("[state]\nEvery_ms = 500\nfolder = x\n", "Every_ms is unknown"),
     ],
 )
-def test_a_wrong_file_is_one_sentence_with_file_section_and_key(tmp_path, capsys, monkeypatch, text, words):
+def test_an_invalid_file_is_reported_with_its_file_section_and_key(
+    tmp_path, capsys, monkeypatch, text, words
+):
     path = tmp_path / "operator.ini"
     path.write_text(text)
     with pytest.raises(InvalidInputError) as raised:
@@ -55,9 +57,9 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"), [(b"\xff\xfe[state]", "byte 0 is not UTF-8"), (b"x" * (1 << 20) + b"y", "over")]
+    ("data", "words"), [(b"\xff\xfe[state]", "byte 0 is not UTF-8"), (b"x" * (1 << 20) + b"y", "larger than")]
 )
-def test_a_file_that_is_no_text_is_one_sentence(tmp_path, data, words):
+def test_a_file_that_is_not_text_is_reported_in_one_sentence(tmp_path, data, words):
     path = tmp_path / "operator.ini"
     path.write_bytes(data)
     with pytest.raises(InvalidInputError, match=words):
@@ -66,7 +68,7 @@
         operator_settings.load(str(tmp_path))
 
 
-def test_an_empty_file_has_everything_off_and_relative_folders_are_beside_it(tmp_path):
+def test_an_empty_file_configures_nothing_and_relative_folders_are_resolved_against_the_file(tmp_path):
     path = tmp_path / "operator.ini"
     path.write_text("; nothing\n")
     assert operator_settings.load(str(path)) == operator_settings.OperatorSettings()
@@ -76,7 +78,7 @@
     assert (state.folder, state.every_ms, state.half_life_s) == (str(tmp_path / "memory"), 250, 30.0)
 
 
-def test_the_example_names_every_key_and_is_off_as_it_comes(tmp_path):
+def test_the_example_lists_every_key_and_configures_nothing_while_commented_out(tmp_path):
     lines = EXAMPLE.read_text().splitlines()
     assert operator_settings.load(str(EXAMPLE)) == operator_settings.OperatorSettings()
     on = "\n".join(
@@ -92,19 +94,19 @@
             assert any(line.startswith(f"#{field} =") for line in lines), field
 
 
-def test_what_waits_for_a_restart_is_named():
-    one, other = (
+def test_changed_values_that_need_a_restart_are_listed():
+    first, second = (
         operator_settings.OperatorSettings(state=operator_settings.StateSettings(folder=name, every_ms=500))
         for name in "ab"
     )
     same = operator_settings.OperatorSettings(state=operator_settings.StateSettings(folder="a"))
     assert (
-        operator_settings.restart_names(one, other)
-        == operator_settings.restart_names(one, None)
+        operator_settings.restart_names(first, second)
+        == operator_settings.restart_names(first, None)
         == ["state.folder"]
     )
-    assert operator_settings.restart_names(None, one) == ["state.folder"]
-    assert operator_settings.restart_names(one, same) == []
+    assert operator_settings.restart_names(None, first) == ["state.folder"]
+    assert operator_settings.restart_names(first, same) == []
 
 
 @pytest.mark.parametrize(
@@ -112,14 +114,14 @@
     [
         (["serv"], "there is no command 'serv'"),
         (["--nope"], "there is no option '--nope'"),
-        (["check", "--config"], "fits no line of the usage"),
-        (["state", "show"], "fits no line"),
-        (["state", "shred", "x"], "fits no line"),
-        (["emulate", "run"], "fits no line"),
-        (["version", "twice"], "fits no line"),
+        (["check", "--config"], "does not match the usage"),
+        (["state", "show"], "does not match the usage"),
+        (["state", "shred", "x"], "does not match the usage"),
+        (["emulate", "run"], "does not match the usage"),
+        (["version", "twice"], "does not match the usage"),
     ],
 )
-def test_a_wrong_call_is_a_sentence_then_the_usage_and_ends_with_2(capsys, recwarn, words, sentence):
+def test_an_invalid_call_prints_a_sentence_and_the_usage_and_returns_2(capsys, recwarn, words, sentence):
     assert main(words) == 2
     out, err = capsys.readouterr()
     first, empty, usage = err.split("\n")[:3]
@@ -130,7 +132,7 @@
     assert not list(recwarn)
 
 
-def test_help_and_version_end_with_0(capsys):
+def test_help_and_version_return_0(capsys):
     assert main(["--help"]) == 0
     assert main(["version"]) == 0
     assert "GRANITESPOOL_OPERATOR" in capsys.readouterr().out
@@ -146,17 +148,17 @@
         ("sizes=30", "30x150"),
         ("variants=now", "variants names 'now'"),
         ("fleet.nope=1", "nope is unknown"),
-        ("kind=flood", "kind is 'flood', where one of restart would do"),
+        ("kind=flood", "kind is 'flood', expected one of restart"),
     ],
 )
-def test_a_wrong_key_of_an_experiment_is_one_sentence(change, words):
+def test_an_invalid_key_of_an_experiment_is_reported_in_one_sentence(change, words):
     with pytest.raises(InvalidInputError) as raised:
         schema.load("restart", [change])
     assert words in str(raised.value)
     assert "\n" not in str(raised.value)
 
 
-def test_an_experiment_is_a_name_or_a_file_with_changes(tmp_path, capsys):
+def test_an_experiment_is_loaded_by_name_or_from_a_file_with_changes(tmp_path, capsys):
     assert "restart" in schema.names()
     assert schema.load("restart", ["load=0.9"]).fleet.load == 0.9
     path = tmp_path / "mine.ini"
@@ -176,6 +178,6 @@
         schema.load(str(path))
 
 
-def test_booleans_and_words_are_named_as_such():
-    with pytest.raises(InvalidInputError, match="again is 'perhaps', where true or false would do"):
+def test_an_invalid_boolean_is_reported_with_the_expected_values():
+    with pytest.raises(InvalidInputError, match="again is 'perhaps', expected true or false"):
         ini.parse("x.ini", "[c]\nagain = perhaps\n", {"c": schema.Class})
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -92,7 +92,7 @@
         ("seed", "no KEY=VALUE"),
         ("nothing=1", "no section has this key"),
         ("event.replace.kind=burn", "one of configure, "),
-        ("coordinators.reel=3", "nearest known name is real"),
+        ("coordinators.reel=3", "did you mean real?"),
     ],
 )
 def test_a_wrong_scenario_ends_in_a_sentence(change, words):
