--- a/granitespool/cli/check.py
+++ b/granitespool/cli/check.py
@@ -1,4 +1,4 @@
-"""`check`: reads what a call names and says what it holds."""
+"""The command `check`: validates the configuration and the operator's settings."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -8,12 +8,12 @@
 
 
 def run(arguments: Mapping[str, Any]) -> int:
-    """Prints a line for each file that docopt's arguments name; the exit code."""
+    """Print a summary line of each configured file and return the exit code."""
     path, operator_path = file_paths(arguments)
     if path or not operator_path:
         print(config.summary(config.load(path)))
     if operator_path:
-        from granitespool import operator_settings  # noqa: PLC0415 imported only where a file is named
+        from granitespool import operator_settings  # noqa: PLC0415 imported only if there is a file
 
         print(operator_settings.summary(operator_settings.load(operator_path)))
     return 0
--- a/granitespool/cli/emulate.py
+++ b/granitespool/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`emulate`: experiments in virtual time."""
+"""The command `emulate`: runs experiments in virtual time."""
 
 import sys
 from collections.abc import Mapping
@@ -8,7 +8,10 @@
 
 
 def run(arguments: Mapping[str, Any]) -> int:
-    """Lists experiments or runs one; the exit code. Raises InvalidInputError where it cannot be run."""
+    """List the experiments or run one, and return the exit code.
+
+    Raises InvalidInputError if the experiment is invalid.
+    """
     if arguments["list"]:
         for name in schema.names():
             print(f"{name:12} {schema.load(name).experiment.title}")
@@ -26,4 +29,4 @@
 
 
 def _ignore(_: str) -> None:
-    """Takes progress that nobody sees."""
+    """Discard progress messages, since standard error is not a terminal."""
--- a/granitespool/cli/files.py
+++ b/granitespool/cli/files.py
@@ -1,4 +1,4 @@
-"""The two files that a call names: the configuration and the operator's settings."""
+"""Loading of the configuration and the operator's settings that a command line refers to."""
 
 import os
 from collections.abc import Mapping
@@ -12,7 +12,10 @@
 
 
 def file_paths(arguments: Mapping[str, Any]) -> tuple[str | None, str | None]:
-    """(configuration, operator's settings) of docopt's arguments, None for one that is not named."""
+    """Return the paths of the configuration and the operator's settings, None if not given.
+
+    Command line options take precedence over environment variables.
+    """
     return (
         arguments["--config"] or os.environ.get("LB_CONFIG"),
         arguments["--operator"] or os.environ.get("GRANITESPOOL_OPERATOR"),
@@ -20,7 +23,7 @@
 
 
 def load_operator_settings(path: str | None) -> "OperatorSettings | None":
-    """The operator's settings; None where no file is named, and then nothing of them is imported."""
+    """Load the operator's settings; without a path return None and import nothing."""
     if not path:
         return None
     from granitespool import operator_settings  # noqa: PLC0415
@@ -29,7 +32,7 @@
 
 
 def load_configuration(arguments: Mapping[str, Any]) -> Configuration:
-    """The whole configuration; both files are read and checked before any part hears of either."""
+    """Load and validate both files, and return the configuration with the operator's settings."""
     path, operator_path = file_paths(arguments)
     configuration = config.load(path)
     configuration["operator"] = load_operator_settings(operator_path)
--- a/granitespool/cli/keys.py
+++ b/granitespool/cli/keys.py
@@ -1,7 +1,8 @@
-"""`keys`: a private authority with server and client certificates for trying out, and what expires when.
+"""The command `keys`: makes a private authority with server and client certificates, or shows certificates.
 
-The keys are made on this machine and stay in the folder. For service, take certificates from your own
-authority."""
+The keys are generated on this machine and stay in the folder; they are meant for tests. In production, use
+certificates of your own authority.
+"""
 
 import datetime
 import ipaddress
@@ -18,54 +19,54 @@
 from granitespool.errors import InvalidInputError
 
 AUTHORITY_NAME = "granitespool trial authority"
-MAX_DAYS = 3650  # that certificates may hold
-EXPIRES_SOON_DAYS = 14  # before the end a certificate is called so
-CLOCK_SKEW = datetime.timedelta(minutes=5)  # that certificates hold already: clocks differ
+MAX_DAYS = 3650  # maximum validity of certificates
+EXPIRES_SOON_DAYS = 14  # remaining validity below which a certificate is reported to expire soon
+CLOCK_SKEW = datetime.timedelta(minutes=5)  # validity begins earlier, since clocks of clients differ
 SECONDS_PER_DAY = 86_400
 
 
 class Subject(NamedTuple):
-    """Whom a certificate is issued to, and for what use."""
+    """Subject of a certificate and its permitted use."""
 
     name: str
-    usage: x509.ObjectIdentifier | None = None  # None: an authority
+    usage: x509.ObjectIdentifier | None = None  # None: authority
     alternative_names: Sequence[str] = ()
 
 
 class Validity(NamedTuple):
-    """From when, and for how many days, a certificate holds."""
+    """Beginning and duration of the validity of a certificate."""
 
     begins: datetime.datetime
     days: int
 
 
 class Issuer(NamedTuple):
-    """An authority's certificate and key."""
+    """Certificate and private key of an authority."""
 
     certificate: x509.Certificate
     key: ec.EllipticCurvePrivateKey
 
 
 def run(arguments: Mapping[str, Any]) -> int:
-    """Does what docopt's arguments ask for; the exit code."""
+    """Make or show certificates and return the exit code."""
     if arguments["show"]:
         return show(arguments["FILE"])
     return make(arguments["DIR"], arguments["--name"], arguments["--user"], arguments["--days"])
 
 
 def make(folder: str, names: Sequence[str], users: Sequence[str], days: str) -> int:
-    """Makes ca, server and one client certificate a user in a folder that must be new or empty.
+    """Make certificates for an authority, a server and each user in a folder that is new or empty.
 
     Raises:
-        InvalidInputError: the folder holds anything, or `days` is no number of days.
+        InvalidInputError: the folder is not empty, or `days` is not a valid number of days.
     """
     if not days.isdecimal() or not 1 <= int(days) <= MAX_DAYS:
-        reason = f"--days is {days!r:.20}, where a whole number from 1 to {MAX_DAYS} would do"
+        reason = f"--days is {days!r:.20}, expected a whole number from 1 to {MAX_DAYS}"
         raise InvalidInputError(reason)
     path = Path(folder)
     path.mkdir(mode=0o700, parents=True, exist_ok=True)
     if any(path.iterdir()):
-        reason = f"the folder {folder} is not empty, and keys are never overwritten"
+        reason = f"the folder {folder} is not empty, existing keys are never overwritten"
         raise InvalidInputError(reason)
     validity = Validity(datetime.datetime.now(datetime.UTC), int(days))
     authority_key = new_key()
@@ -77,21 +78,20 @@
         key = new_key()
         _write_pair(path, file_name, issue(subject, validity, key, authority), key)
     print(
-        f"{folder}: ca, server ({', '.join(names)}), clients {', '.join(users)}; "
-        f"they hold for {int(days)} days"
+        f"{folder}: ca, server ({', '.join(names)}), clients {', '.join(users)}; valid for {int(days)} days"
     )
     return 0
 
 
 def new_key() -> ec.EllipticCurvePrivateKey:
-    """A new private key."""
+    """Generate a private key."""
     return ec.generate_private_key(ec.SECP256R1())
 
 
 def issue(
     subject: Subject, validity: Validity, key: ec.EllipticCurvePrivateKey, issuer: Issuer | None
 ) -> x509.Certificate:
-    """A certificate for a key, by an issuer; by itself where there is none."""
+    """Issue a certificate for a key; without an issuer it is self-signed."""
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, subject.name)])
     issuer_key = issuer.key if issuer else key
     builder = (
@@ -111,7 +111,7 @@
 def _extensions(
     subject: Subject, key: ec.EllipticCurvePrivateKey, issuer_key: ec.EllipticCurvePrivateKey
 ) -> Iterable[tuple[x509.ExtensionType, bool]]:
-    """(extension, whether it is critical) of a certificate."""
+    """Yield (extension, whether it is critical) for a certificate."""
     is_authority = subject.usage is None
     yield x509.BasicConstraints(ca=is_authority, path_length=None), True
     yield x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False
@@ -146,7 +146,7 @@
 
 
 def key_bytes(key: ec.EllipticCurvePrivateKey) -> bytes:
-    """A private key in PEM."""
+    """Return a private key in PEM."""
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
@@ -160,14 +160,14 @@
 
 
 def _write(path: Path, data: bytes) -> None:
-    """Writes a file that only its owner may read, and that is not there yet."""
+    """Write a new file that only its owner may read."""
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
     with os.fdopen(descriptor, "wb") as file:
         file.write(data)
 
 
 def show(files: Iterable[str]) -> int:
-    """Prints who each certificate is of and when it ends; 1 where one has ended or ends soon."""
+    """Print the subject and expiry of each certificate; return 1 if one has expired or expires soon."""
     code = 0
     now = datetime.datetime.now(datetime.UTC)
     for path in files:
@@ -183,16 +183,16 @@
     try:
         return x509.load_pem_x509_certificates(Path(path).read_bytes())
     except ValueError:
-        reason = f"{path} holds no certificate in PEM"
+        reason = f"{path} contains no PEM certificate"
         raise InvalidInputError(reason) from None
 
 
 def _line(path: str, certificate: x509.Certificate, days_left: float) -> str:
-    state = "holds"
+    state = "valid"
     if days_left < 0:
-        state = "has ended"
+        state = "expired"
     elif days_left < EXPIRES_SOON_DAYS:
-        state = "ends soon"
+        state = "expires soon"
     return (
         f"{path}: {certificate.subject.rfc4514_string()}, "
         f"sha256:{certificate.fingerprint(hashes.SHA256()).hex()}, "
--- a/granitespool/cli/scale.py
+++ b/granitespool/cli/scale.py
@@ -1,4 +1,4 @@
-"""`scale`: scenarios in real time, with real and hollow coordinators before stand-ins."""
+"""The command `scale`: runs scenarios in real time with real and hollow coordinators and stand-ins."""
 
 import sys
 from collections.abc import Mapping
@@ -14,9 +14,10 @@
 
 
 def run(arguments: Mapping[str, Any]) -> int:
-    """Lists scenarios, plays one or plots reports; the exit code.
+    """List the scenarios, run one or plot reports, and return the exit code.
 
-    Raises InvalidInputError where the scenario cannot be played."""
+    Raises InvalidInputError if the scenario or a report is invalid.
+    """
     if arguments["list"]:
         for name in schema.names():
             print(f"{name:12} {schema.load(name).scale.title}")
@@ -24,16 +25,16 @@
     if arguments["plot"]:
         plot.plot([_read_report(path) for path in arguments["REPORT"]], arguments["PLOT"])
         return 0
-    return _play(arguments)
+    return _run_scenario(arguments)
 
 
-def _play(arguments: Mapping[str, Any]) -> int:
+def _run_scenario(arguments: Mapping[str, Any]) -> int:
     if arguments["--plot"]:
-        require_matplotlib()  # before a run of minutes
-    changes = list(arguments["--set"])
+        require_matplotlib()  # fail before a run of minutes
+    overrides = list(arguments["--set"])
     if arguments["--seed"] is not None:
-        changes.append(f"scale.seed={arguments['--seed']}")
-    scenario = schema.load(arguments["SCENARIO"], changes)
+        overrides.append(f"scale.seed={arguments['--seed']}")
+    scenario = schema.load(arguments["SCENARIO"], overrides)
     result = runner.play(scenario, _print_progress)
     if arguments["--report"]:
         Path(arguments["--report"]).write_text(report.as_json(result), encoding="utf-8")
@@ -54,4 +55,4 @@
     try:
         return report.of_json(Path(path).read_bytes())
     except msgspec.DecodeError as error:
-        raise InvalidInputError(f"{path} is no report of a scale run: {error}") from None
+        raise InvalidInputError(f"{path} is not a report of a scale run: {error}") from None
--- a/granitespool/cli/serve.py
+++ b/granitespool/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`: one coordinator until SIGTERM."""
+"""The command `serve`: runs a coordinator until SIGTERM."""
 
 import signal
 import sys
@@ -13,13 +13,13 @@
 
 
 def run(arguments: Mapping[str, Any]) -> int:
-    """Serve until a termination signal; the exit code is 0."""
-    early_reloads: list[bool] = []  # a SIGHUP each, before there is something that could be replaced
-    former = {number: signal.getsignal(number) for number in SIGNALS}
+    """Serve until a termination signal and return the exit code 0."""
+    early_reloads: list[bool] = []  # one item for each SIGHUP that arrives before the service exists
+    previous_handlers = {number: signal.getsignal(number) for number in SIGNALS}
     try:
-        service = _started(arguments, early_reloads)
-    except Exception:  # the caller goes on, and answers signals as before
-        for number, handler in former.items():
+        service = _create_service(arguments, early_reloads)
+    except Exception:  # restore the signal handlers of the caller
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
         raise
     for number in TERMINATION_SIGNALS:
@@ -31,13 +31,13 @@
     return 0
 
 
-def _started(arguments: Mapping[str, Any], early_reloads: list[bool]) -> "Service":
-    """The service, made with signals heard: SIGHUP is noted, a termination signal ends the process."""
+def _create_service(arguments: Mapping[str, Any], early_reloads: list[bool]) -> "Service":
+    """Create the service; meanwhile SIGHUP is recorded and a termination signal ends the process."""
     signal.signal(signal.SIGHUP, lambda *_: early_reloads.append(True))
     for number in TERMINATION_SIGNALS:
-        signal.signal(number, lambda *_: sys.exit(0))  # nobody is owed anything yet
-    # The files are read once SIGHUP is heard: one that is written anew and then told of is read now or then.
-    # What takes long to import comes after, for the same reason.
+        signal.signal(number, lambda *_: sys.exit(0))  # nothing has to be finished yet
+    # The files are read after the SIGHUP handler is installed: a change that is followed by SIGHUP is read
+    # now or by the reload. Modules that take long to import are imported afterwards for the same reason.
     from granitespool.cli.files import load_configuration  # noqa: PLC0415
     from granitespool.net.service import Service  # noqa: PLC0415
 
--- a/granitespool/cli/state.py
+++ b/granitespool/cli/state.py
@@ -1,4 +1,4 @@
-"""`state`: look after a state folder, also beside the process that owns it (but for `compact`)."""
+"""The command `state`: inspects a state folder, which may be in use except for `compact`."""
 
 import time
 from collections.abc import Mapping, Sequence
@@ -22,36 +22,35 @@
 from granitespool.state.store import Store, StoredState, classify_names, read_file, read_newest
 from granitespool.units import MILLISECOND, SECOND
 
-MAX_FILE_SIZE = 4 << 30  # bytes of a file that are read: the largest most_mb
+MAX_FILE_SIZE = 4 << 30  # bytes; the largest most_mb
 OK = 0
 FAILED = 1
 
 
 def run(arguments: Mapping[str, Any]) -> int:
-    """Play one call and return its exit code.
+    """Show, verify or compact a state folder and return the exit code.
 
-    Raises InvalidInputError where the folder is locked or of a newer format, and OSError where it cannot be
-    read.
+    Raises InvalidInputError if the folder is locked or has a newer format, and OSError if it cannot be read.
     """
     folder = StateFolder(arguments["DIR"])
     commands = {"show": show, "verify": verify, "compact": compact}
-    [command] = [each for name, each in commands.items() if arguments[name]]
+    [command] = [function for name, function in commands.items() if arguments[name]]
     try:
         return command(folder)
     except FolderLockedError as error:
         raise InvalidInputError(str(error)) from None
     except UnsupportedFormatError as error:
-        reason = f"{error}; it was left untouched"
+        reason = f"{error}; the folder was left untouched"
         raise InvalidInputError(reason) from None
     finally:
         folder.close()
 
 
 def verify(folder: StateFolder) -> int:
-    """Print a sentence for each file that is not whole, and return FAILED where there is one."""
+    """Print the result for each file, and return FAILED if any of them is corrupt."""
     files = classify_names(folder.names())
     problems = []
-    counts = []
+    valid = []
     for _, name in sorted(files.complete.items()):
         state, problem = read_file(name, folder.read(name, MAX_FILE_SIZE))
         if state and not problem:
@@ -59,13 +58,13 @@
         if problem or not state:
             problems.append(problem)
         else:
-            counts.append(f"{name}: whole, {state.frame_count} frames, {len(state.values)} values")
-    for line in [*problems, *counts]:
+            valid.append(f"{name}: valid, {state.frame_count} frames, {len(state.values)} values")
+    for line in [*problems, *valid]:
         print(line)
     for name in files.incomplete:
-        print(f"{name}: written aside and never finished; the next start removes it")
+        print(f"{name}: incomplete; the next start removes it")
     if not files.complete:
-        print(f"{folder.path}: holds no state file")
+        print(f"{folder.path}: contains no state file")
     return FAILED if problems else OK
 
 
@@ -78,12 +77,12 @@
 
 
 def _read_newest(folder: StateFolder) -> tuple[StoredState, Record] | None:
-    """Return the newest complete state and its record, or None after a line that says there is none."""
+    """Return the newest complete state and its record; print a line and return None if there is none."""
     state, problems = read_newest(folder, MAX_FILE_SIZE)
     for problem in problems:
         print(problem)
     if state is None:
-        print(f"{folder.path}: holds no state that can be read")
+        print(f"{folder.path}: contains no readable state")
         return None
     try:
         return state, records.decode_record(state.header.format_version, state.values)
@@ -93,7 +92,7 @@
 
 
 def show(folder: StateFolder) -> int:
-    """Print what is held, how old it is, and what a start with the usual settings would restore now."""
+    """Print the contents, their age and what a start with default settings would restore now."""
     newest = _read_newest(folder)
     if newest is None:
         return FAILED
@@ -101,12 +100,12 @@
     now = Clocks(time.time_ns(), time.monotonic_ns())
     _print_summary(state, record, now)
     header = state.header
-    usual = StateSettings(folder=folder.path)
-    policy = Policy(int(usual.half_life_s * SECOND), max_age=int(usual.oldest_s * SECOND))
+    defaults = StateSettings(folder=folder.path)
+    policy = Policy(int(defaults.half_life_s * SECOND), max_age=int(defaults.oldest_s * SECOND))
     identity = Identity(header.name, header.class_names, header.zones)
     reason = restore_policy.rejection_reason(header, state.clocks, now, identity, policy.max_age)
     if reason:
-        print(f"nothing of it would be believed now: {reason}")
+        print(f"nothing would be restored now: {reason}")
     else:
         _print_restored(state, record, now, policy)
     return OK
@@ -115,9 +114,9 @@
 def _print_summary(state: StoredState, record: Record, now: Clocks) -> None:
     header = state.header
     print(
-        f"{state.name}: format {header.format_version}, of {header.name!r}, start {header.start_number}, "
-        f"program {header.program_version}, classes {_joined(header.class_names)}, "
-        f"zones {_joined(header.zones)}"
+        f"{state.name}: format {header.format_version}, coordinator {header.name!r}, "
+        f"start {header.start_number}, program {header.program_version}, "
+        f"classes {_joined(header.class_names)}, zones {_joined(header.zones)}"
     )
     age = restore_policy.record_age(state.clocks, now)
     when = "at an unknown time" if age is None else f"{age / SECOND:.1f} s ago"
@@ -133,13 +132,13 @@
 
 def _print_fleet(fleet: FleetRecord) -> None:
     print(
-        f"fleet: list {fleet.list_index}, {'strained' if fleet.is_overloaded else 'calm'}, "
-        f"{fleet.admitted_share:.0%} let in, {fleet.success_ratio:.1%} of tries answered"
+        f"fleet: endpoint list {fleet.list_index}, {'overloaded' if fleet.is_overloaded else 'no overload'}, "
+        f"admitted share {fleet.admitted_share:.0%}, success ratio {fleet.success_ratio:.1%}"
     )
 
 
 def _print_restored(state: StoredState, record: Record, now: Clocks, policy: Policy) -> None:
-    situation = RestoreContext(
+    context = RestoreContext(
         written_at=state.clocks,
         now=now,
         endpoints={
@@ -149,12 +148,12 @@
         zones=frozenset(state.header.zones),
         uses_stored_list=True,
     )
-    restored = restore_policy.restore(record, situation, policy)
-    left_out = "".join(f"; {count} left out: {reason}" for reason, count in restored.skipped.items())
+    restored = restore_policy.restore(record, context, policy)
+    skipped = "".join(f"; {count} skipped: {reason}" for reason, count in restored.skipped.items())
     print(
-        f"believed now, with a half-life of {policy.half_life / SECOND:g} s: "
-        f"{len(restored.backends)} backends, {restored.link_count} links, {restored.ejected_count} cuts"
-        + left_out
+        f"would be restored now, with a half-life of {policy.half_life / SECOND:g} s: "
+        f"{len(restored.backends)} backends, {restored.link_count} links, {restored.ejected_count} ejected"
+        + skipped
     )
     for name, backend in sorted(record.backends.items()):
         restored_backend = restored.backends.get(name)
@@ -166,21 +165,17 @@
 def _link_line(
     name: str, facts: BackendRecord, zone: str, link: LinkRecord, restored: LinkSnapshot | None
 ) -> str:
-    mean = (
-        f"{link.response_time / link.successes / MILLISECOND:.1f} ms"
-        if link.successes
-        else "nothing answered"
-    )
+    mean = f"{link.response_time / link.successes / MILLISECOND:.1f} ms" if link.successes else "no successes"
     failed = f", {link.failures / link.attempts:.1%} failed" if link.attempts else ""
-    ejected = ", cut" if link.ejected_at is not None else ""
-    part = restored.attempts / link.attempts if restored and link.attempts else 0.0
-    return f"{name} {facts.phase} from {zone}: {mean}{failed}{ejected}; believed by {part:.0%}"
+    ejected = ", ejected" if link.ejected_at is not None else ""
+    confidence = restored.attempts / link.attempts if restored and link.attempts else 0.0
+    return f"{name} {facts.phase} from {zone}: {mean}{failed}{ejected}; confidence {confidence:.0%}"
 
 
 def compact(folder: StateFolder) -> int:
-    """Replace what is there by one snapshot in the newest format; the folder must not be in use."""
+    """Replace all files by one snapshot in the newest format; the folder must not be in use."""
     if not Path(folder.path).is_dir():
-        reason = f"there is no folder {folder.path}"
+        reason = f"the folder {folder.path} does not exist"
         raise InvalidInputError(reason)
     folder.acquire_lock()
     newest = _read_newest(folder)
@@ -192,7 +187,7 @@
     )
     store = Store(folder, MAX_FILE_SIZE, lambda: header)
     store.stage(dict(records.encode_values(records.record_values(record))))
-    before = sum(folder.size(name) for name in classify_names(folder.names()).complete.values())
+    size_before = sum(folder.size(name) for name in classify_names(folder.names()).complete.values())
     store.write_snapshot(state.clocks)
-    print(f"{folder.path}: {before} bytes before, {store.size} now, {len(store.values)} values")
+    print(f"{folder.path}: {size_before} bytes before, {store.size} now, {len(store.values)} values")
     return OK
--- a/granitespool/state/change_filter.py
+++ b/granitespool/state/change_filter.py
@@ -1,19 +1,20 @@
-"""Which changes are worth a write now; no I/O.
+"""Selection of the changes that have to be written to the state folder; no I/O.
 
-Every link moves with every report. Written each time, the folder of a thousand backends would take most of a
-megabyte a second. Worth a write is what would change a start: a fact that is not a sum, a mean that moved by
-a tenth, an amount that moved by half, or a value so old that its age alone would cost it confidence.
+Every load report changes its link. If each change were written, a thousand backends would cost most of a
+megabyte per second. A change is written if it would change what a start restores: a fact that is not a sum, a
+mean that moved by a tenth, an amount that moved by half, or a value so old that its age alone would lower its
+confidence.
 """
 
 from collections.abc import Container
 
 from granitespool.state.record import BackendRecord, FleetRecord, LinkRecord, Value, Values
 
-MEAN_STEP = 0.1  # part that a mean must move by: the resend threshold of the weights
-AMOUNT_STEP = 0.5  # part that an amount must move by: it only tells how sure a mean is
-SHARE_STEP = 0.02  # step of a share that counts: failures among attempts, the admitted share
+MEAN_STEP = 0.1  # relative change of a mean that is written; equals the resend threshold of weights
+AMOUNT_STEP = 0.5  # relative change of an amount that is written; amounts only weigh the means
+SHARE_STEP = 0.02  # absolute change of a share that is written: failures per attempt, the admitted share
 REFRESH_SHARE = 0.5  # of the half-life, after which a value is written again: a third of its confidence
-OVERLOADED_REPORTS_MAX = 2  # reports in a row that eject a backend; how many more there are tells nothing
+OVERLOADED_REPORTS_MAX = 2  # consecutive reports that eject a backend; further ones make no difference
 BACKEND_FACTS = (
     "phase",
     "zone",
@@ -29,20 +30,20 @@
 
 
 class ChangeFilter:
-    """Compares values with what was last handed on to be written, by backend (None: the fleet) and key."""
+    """Compares values with those last selected for writing, by backend (None: the fleet) and key."""
 
     def __init__(self, half_life: int) -> None:
         self.written: Values = {}
         self.set_half_life(half_life)
 
     def set_half_life(self, half_life: int) -> None:
-        """Set the half-life in ns, also for what was handed on before."""
+        """Set the half-life in ns, also for values that were selected before."""
         self.refresh_after = int(half_life * REFRESH_SHARE)
 
     def select(self, values: Values) -> dict[bytes, Value | None]:
-        """Return what is worth a write, None for a key that is removed; all of it counts as written then.
+        """Return the changes to write, None for a removed key, and record them as written.
 
-        `values` has all keys of each backend that it names.
+        For each backend in it, `values` contains all keys.
         """
         selected: dict[bytes, Value | None] = {}
         for name, group in values.items():
@@ -60,13 +61,13 @@
         return old is None or new.taken_at - old.taken_at >= self.refresh_after or has_changed(old, new)
 
     def remove_absent(self, names: Container[str]) -> list[bytes]:
-        """Return the keys of backends that were written and are none of `names`; they count as removed."""
+        """Return the written keys of backends that are not in `names`, and record them as removed."""
         absent = [name for name in self.written if name is not None and name not in names]
         return [key for name in absent for key in self.written.pop(name)]
 
 
 def has_changed(old: Value, new: Value) -> bool:
-    """Whether the newer of two values of one key would change a start."""
+    """Return whether the newer of two values of a key would change what a start restores."""
     if isinstance(old, FleetRecord) and isinstance(new, FleetRecord):
         return _fleet_changed(old, new)
     if isinstance(old, LinkRecord) and isinstance(new, LinkRecord):
@@ -80,8 +81,8 @@
     return any(getattr(old, fact) != getattr(new, fact) for fact in BACKEND_FACTS)
 
 
-def _moved_by(old: float, new: float, part: float) -> bool:
-    return abs(new - old) > part * max(abs(old), abs(new))
+def _moved_by(old: float, new: float, share: float) -> bool:
+    return abs(new - old) > share * max(abs(old), abs(new))
 
 
 def _fleet_changed(old: FleetRecord, new: FleetRecord) -> bool:
@@ -93,7 +94,7 @@
         return True
     if abs(old.success_ratio - new.success_ratio) > SHARE_STEP:
         return True
-    if new.admitted_share >= 1:  # how much was demanded decides only while load is shed
+    if new.admitted_share >= 1:  # demand only matters while load is shed
         return False
     return any(_moved_by(old.demand[name], amount, AMOUNT_STEP) for name, amount in new.demand.items())
 
@@ -125,7 +126,7 @@
         return True
     if _capped(old.overloaded_reports) != _capped(new.overloaded_reports):
         return True
-    # That attempts fail in a row counts; how many of them is soon out of date
+    # Only whether attempts fail consecutively matters; their number is soon out of date.
     return bool(old.consecutive_failures) != bool(new.consecutive_failures)
 
 
--- a/granitespool/state/disk.py
+++ b/granitespool/state/disk.py
@@ -1,7 +1,7 @@
-"""The folder on the disk: the only module of the package that touches it.
+"""The state folder on disk; no other module of the package accesses the file system.
 
-`StateFolder` has just the calls that a store needs, so that tests can put another one in its place that fails
-or loses what was not synced. Every call may raise OSError.
+`Folder` has only the operations that a store needs, so that tests can replace it by a fake that fails or
+loses data that was not synced. Every operation may raise OSError.
 """
 
 import contextlib
@@ -13,25 +13,25 @@
 
 from granitespool.state.errors import FolderLockedError
 
-LOCK_NAME = "lock"  # the file whose lock says which process owns the folder
+LOCK_NAME = "lock"  # file that is locked by the process that owns the folder
 FOLDER_MODE = 0o700
 FILE_MODE = 0o600
 
 
 class Folder(Protocol):
-    """A folder of plain files as the store and the writer use it; names are without a path."""
+    """Folder of plain files as the store and the writer use it; names have no path."""
 
     def create(self) -> None:
-        """Make sure that the folder is there; its parents must be."""
+        """Create the folder unless it exists; its parents must exist."""
 
     def acquire_lock(self) -> None:
-        """Own the folder until `close`, or raise FolderLockedError."""
+        """Lock the folder until `close`; raise FolderLockedError if another process has locked it."""
 
     def ensure_lock(self) -> None:
-        """Own the folder still, also where another came in its place; or raise FolderLockedError."""
+        """Lock the folder again if it was replaced; raise FolderLockedError if another process locked it."""
 
     def names(self) -> list[str]:
-        """Return the names of its files in order."""
+        """Return the names of the files, sorted."""
 
     def read(self, name: str, max_size: int) -> bytes:
         """Return at most the first `max_size` bytes of a file."""
@@ -40,29 +40,29 @@
         """Return the size of a file in bytes."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to a file, created where it is not there; not durable before `sync`."""
+        """Append to a file, which is created if missing; not durable before `sync`."""
 
     def sync(self, name: str) -> None:
-        """Make durable what was appended to a file, also under its former name."""
+        """Make durable what was appended to a file, also before it was renamed."""
 
     def rename(self, name: str, new_name: str) -> None:
         """Rename a file; not durable before `sync_names`."""
 
     def unlink(self, name: str) -> None:
-        """Remove a file; a reader must not mind one that comes back after a crash."""
+        """Remove a file; it may reappear after a crash, which readers have to tolerate."""
 
     def sync_names(self) -> None:
-        """Make durable which names were created, renamed and removed."""
+        """Make created, renamed and removed names durable."""
 
     def close_file(self, name: str) -> None:
-        """Release the descriptor of a file."""
+        """Close the descriptor of a file."""
 
     def close(self) -> None:
-        """Release all descriptors, and the lock with them."""
+        """Close all descriptors, which also releases the lock."""
 
 
 class StateFolder:
-    """A folder on a real disk; `append` keeps a file's descriptor open until `close_file`."""
+    """A folder on a real disk; `append` keeps the descriptor of a file open until `close_file`."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -73,12 +73,15 @@
         return Path(self.path) / name
 
     def create(self) -> None:
-        """Make sure that the folder is there; its parents must be."""
-        with contextlib.suppress(FileExistsError):  # a file in its place is reported by `acquire_lock`
+        """Create the folder unless it exists; its parents must exist."""
+        with contextlib.suppress(FileExistsError):  # `acquire_lock` reports a plain file of that name
             Path(self.path).mkdir(mode=FOLDER_MODE)
 
     def acquire_lock(self) -> None:
-        """Own the folder until `close` or the process's end, or raise FolderLockedError."""
+        """Lock the folder until `close` or the end of the process.
+
+        Raises FolderLockedError if another process has locked it.
+        """
         fd = os.open(self._path_of(LOCK_NAME), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -90,9 +93,9 @@
         self.lock_fd = fd
 
     def ensure_lock(self) -> None:
-        """Own the folder still, also where it was removed and another came in its place.
+        """Lock the folder again if it was removed and created anew.
 
-        Raises FolderLockedError where another process owns the one that is there now.
+        Raises FolderLockedError if another process has locked the new one.
         """
         if not self._holds_lock_file():
             self.close()
@@ -107,7 +110,7 @@
             return False
 
     def names(self) -> list[str]:
-        """Return the names of its files in order."""
+        """Return the names of the files, sorted."""
         return sorted(entry.name for entry in Path(self.path).iterdir())
 
     def read(self, name: str, max_size: int) -> bytes:
@@ -120,21 +123,21 @@
         return self._path_of(name).stat().st_size
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to a file, created where it is not there; not durable before `sync`."""
+        """Append to a file, which is created if missing; not durable before `sync`."""
         fd = self._descriptors.get(name)
         if fd is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
             fd = os.open(self._path_of(name), flags, FILE_MODE)
             self._descriptors[name] = fd
         elif os.fstat(fd).st_nlink == 0:
-            # The folder was removed: what is written to a file without a name is lost with the process.
+            # The folder was removed: data written to a file without a name is lost with the process.
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(fd, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(fd, remaining) :]
 
     def sync(self, name: str) -> None:
-        """Make durable what was appended to a file, also under its former name."""
+        """Make durable what was appended to a file, also before it was renamed."""
         os.fsync(self._descriptors[name])
 
     def rename(self, name: str, new_name: str) -> None:
@@ -144,12 +147,12 @@
             self._descriptors[new_name] = self._descriptors.pop(name)
 
     def unlink(self, name: str) -> None:
-        """Remove a file; a reader must not mind one that comes back after a crash."""
+        """Remove a file; it may reappear after a crash, which readers have to tolerate."""
         self.close_file(name)
         self._path_of(name).unlink()
 
     def sync_names(self) -> None:
-        """Make durable which names were created, renamed and removed."""
+        """Make created, renamed and removed names durable."""
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -157,13 +160,13 @@
             os.close(fd)
 
     def close_file(self, name: str) -> None:
-        """Release the descriptor of a file."""
+        """Close the descriptor of a file."""
         fd = self._descriptors.pop(name, None)
         if fd is not None:
             os.close(fd)
 
     def close(self) -> None:
-        """Release all descriptors, and the lock with them."""
+        """Close all descriptors, which also releases the lock."""
         for name in list(self._descriptors):
             self.close_file(name)
         if self.lock_fd is not None:
--- a/granitespool/state/errors.py
+++ b/granitespool/state/errors.py
@@ -1,18 +1,18 @@
-"""The errors of the state package."""
+"""Errors of the state package."""
 
 from granitespool.errors import GranitespoolError
 
 
 class StateError(GranitespoolError):
-    """Base of the errors of the state package."""
+    """Base class of the errors of the state package."""
 
 
 class CorruptRecordError(StateError):
-    """A value passed its checksum and still cannot be what was written."""
+    """A value that passed its checksum cannot be decoded."""
 
 
 class TornWriteError(StateError):
-    """A file's bytes are no valid frame from `offset` on; `reason` says in a few words why."""
+    """The bytes of a file are not a valid frame from `offset` on; `reason` says why in a few words."""
 
     def __init__(self, offset: int, reason: str) -> None:
         super().__init__(f"{reason} at byte {offset}")
@@ -21,14 +21,14 @@
 
 
 class FolderLockedError(StateError):
-    """Another process owns the folder."""
+    """Another process has locked the folder."""
 
     def __init__(self, path: str) -> None:
         super().__init__(f"the state folder {path} is in use by another process")
 
 
 class UnsupportedFormatError(StateError):
-    """A file has a newer format than this program knows; nothing may be written beside it."""
+    """A file has a newer format than this program supports, so the folder must not be written."""
 
-    def __init__(self, name: str, version: int, known_version: int) -> None:
-        super().__init__(f"{name} is of format {version}, this program knows up to {known_version}")
+    def __init__(self, name: str, version: int, supported_version: int) -> None:
+        super().__init__(f"{name} has format {version}, this program supports up to {supported_version}")
--- a/granitespool/state/framing.py
+++ b/granitespool/state/framing.py
@@ -1,8 +1,8 @@
-"""Framing of a state file: bytes in, checked frames out; no I/O.
+"""Framing of state files: encodes frames and decodes them with their checksums; no I/O.
 
-docs/state-format.md specifies the same in words. A file begins with MAGIC and the generation it was written
-for. A frame is a length, a checksum and a body whose first byte is its kind. The checksum also covers the
-frame's offset and generation, so that a block of another file, a moved block or a block of zeros is no frame.
+docs/state-format.md specifies the format. A file begins with MAGIC and its generation. A frame is a length, a
+checksum and a body whose first byte is its kind. The checksum also covers the frame's offset and generation,
+so that a block of another file, a moved block or a block of zeros is not a valid frame.
 """
 
 import struct
@@ -14,28 +14,29 @@
 
 from granitespool.state.errors import TornWriteError
 
-MAGIC = b"granites\x00\x01\r\n"  # no text file begins so; the line end reveals a transfer as text
-MAX_BODY_SIZE = 16 << 20  # bytes; a part of a snapshot takes a sixteenth of it at most
+# No text file begins with these bytes; the line end reveals a file that was transferred as text.
+MAGIC = b"granites\x00\x01\r\n"
+MAX_BODY_SIZE = 16 << 20  # bytes; a part of a snapshot takes at most a sixteenth of it
 
 _GENERATION = struct.Struct("<QI")  # after MAGIC: generation, checksum of MAGIC and generation
 _HEAD = struct.Struct("<II")  # length of the body, checksum
-_POSITION = struct.Struct("<QQI")  # what a checksum covers before the body: generation, offset, length
+_POSITION = struct.Struct("<QQI")  # covered by the checksum before the body: generation, offset, length
 
 FIRST_FRAME_OFFSET = len(MAGIC) + _GENERATION.size
 HEAD_SIZE = _HEAD.size
 
 
 class FrameKind(Enum):
-    """What a frame holds, by the first byte of its body."""
+    """Kind of a frame's contents, stored as the first byte of its body."""
 
-    HEADER = b"h"  # who wrote the file, and when
-    SNAPSHOT = b"s"  # a part of the snapshot
+    HEADER = b"h"  # coordinator that wrote the file, and when
+    SNAPSHOT = b"s"  # part of the snapshot
     SNAPSHOT_END = b"w"  # the snapshot is complete
     CHANGES = b"c"  # a batch of changes after the snapshot
 
 
 class Frame(NamedTuple):
-    """A frame that passed its checksum; `body` is without the byte of its kind."""
+    """A frame with a valid checksum; `body` excludes the byte of the kind."""
 
     offset: int
     kind: FrameKind
@@ -43,44 +44,44 @@
 
     @property
     def end(self) -> int:
-        """Offset of the first byte after this frame."""
+        """Offset of the first byte after the frame."""
         return self.offset + HEAD_SIZE + 1 + len(self.body)
 
 
 def encode_file_start(generation: int) -> bytes:
-    """Return the first bytes of a file of this generation."""
+    """Return the first bytes of a file of the given generation."""
     checksum = google_crc32c.value(MAGIC + generation.to_bytes(8, "little"))
     return MAGIC + _GENERATION.pack(generation, checksum)
 
 
 def encode_frame(generation: int, offset: int, kind: FrameKind, body: bytes) -> bytes:
-    """Return the bytes of a frame that is to stand at `offset`."""
+    """Return the bytes of a frame that will be written at `offset`."""
     return encode_payload(generation, offset, kind.value + body)
 
 
 def encode_payload(generation: int, offset: int, payload: bytes) -> bytes:
-    """Return a frame at `offset` of a payload that already begins with the byte of its kind."""
+    """Return the bytes of a frame at `offset`; `payload` begins with the byte of the kind."""
     position = _POSITION.pack(generation, offset, len(payload))
     return _HEAD.pack(len(payload), google_crc32c.value(position + payload)) + payload
 
 
 def decode_generation(data: bytes) -> int:
-    """Return the generation that a file's first bytes give; raise TornWriteError where they are no start."""
+    """Return the generation in the first bytes of a file; raise TornWriteError if they are invalid."""
     if data[: len(MAGIC)] != MAGIC:
-        raise TornWriteError(0, "it is no state file")
+        raise TornWriteError(0, "not a state file")
     if len(data) < FIRST_FRAME_OFFSET:
-        raise TornWriteError(len(MAGIC), "it ends before its first frame")
+        raise TornWriteError(len(MAGIC), "the file ends before its first frame")
     generation: int
     generation, checksum = _GENERATION.unpack_from(data, len(MAGIC))
     if google_crc32c.value(data[: len(MAGIC) + 8]) != checksum:
-        raise TornWriteError(len(MAGIC), "its generation is spoilt")
+        raise TornWriteError(len(MAGIC), "the checksum of the generation is wrong")
     return generation
 
 
 def decode_frames(data: bytes) -> Iterator[Frame]:
-    """Yield each frame of a file's bytes.
+    """Yield the frames of a file.
 
-    Raises TornWriteError at the first bytes that are no frame, also where the file ends within one.
+    Raises TornWriteError at the first bytes that are not a valid frame, also if the file ends within a frame.
     """
     generation = decode_generation(data)
     offset = FIRST_FRAME_OFFSET
@@ -92,15 +93,15 @@
 
 def _decode_frame(data: bytes, generation: int, offset: int) -> Frame:
     if len(data) - offset < HEAD_SIZE:
-        raise TornWriteError(offset, "a frame ends within its head")
+        raise TornWriteError(offset, "the file ends within the head of a frame")
     length, checksum = _HEAD.unpack_from(data, offset)
     if not 1 <= length <= MAX_BODY_SIZE:
-        raise TornWriteError(offset, f"a frame tells the length {length}")
+        raise TornWriteError(offset, f"a frame has the invalid length {length}")
     payload = bytes(data[offset + HEAD_SIZE : offset + HEAD_SIZE + length])
     if len(payload) < length:
-        raise TornWriteError(offset, "a frame ends within its body")
+        raise TornWriteError(offset, "the file ends within the body of a frame")
     if google_crc32c.value(_POSITION.pack(generation, offset, length) + payload) != checksum:
-        raise TornWriteError(offset, "a frame's checksum is wrong")
+        raise TornWriteError(offset, "the checksum of a frame is wrong")
     kind = payload[:1]
     try:
         return Frame(offset, FrameKind(kind), payload[1:])
--- a/granitespool/state/record.py
+++ b/granitespool/state/record.py
@@ -1,9 +1,9 @@
-"""What is stored: records by key, their encoding, and the versions of the format with the step between them.
+"""Stored values by key: their types, their encoding and the upgrade from older versions of the format.
 
-The structs are stored as arrays, so that the order of their fields is the stored form (docs/state-format.md)
-and their names are not. Version 1 kept a backend with all its zones in one value, so that news of one zone
-wrote all of them again; version 2 has a value for each backend and zone, with a time of its own. What cannot
-be decoded raises CorruptRecordError.
+Structs are stored as arrays: the order of their fields is part of the format (docs/state-format.md), their
+names are not. Version 1 stored a backend with all its links in one value, so that a change of one link wrote
+all of them again; version 2 stores a value for each link, with its own time. Values that cannot be decoded
+raise CorruptRecordError.
 """
 
 from collections.abc import Iterator, Mapping
@@ -15,61 +15,61 @@
 from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
 from granitespool.state.errors import CorruptRecordError
 
-FORMAT_VERSION = 2  # the version that is written
+FORMAT_VERSION = 2  # version in which files are written
 FLEET_KEY = b"f"
 MANAGED_SETTINGS_KEY = b"m"
-BACKEND_PREFIX = b"b"  # first byte of a backend's key, its name follows
-LINK_PREFIX = b"l"  # first byte of a link's key, (backend, zone) as msgpack follows
+BACKEND_PREFIX = b"b"  # first byte of the key of a backend, followed by its name
+LINK_PREFIX = b"l"  # first byte of the key of a link, followed by (backend, zone) as msgpack
 
-Tree = dict[str, Any]  # of the YANG module, as JSON has it
-Changes = dict[bytes, bytes | None]  # key -> new value, None where the key is removed
+Tree = dict[str, Any]  # tree of the YANG module in its JSON encoding
+Changes = dict[bytes, bytes | None]  # key -> new value, None for a removed key
 
 
 class Clocks(NamedTuple):
-    """Both clocks of a machine at one moment."""
+    """Times of both clocks of a machine at one moment."""
 
     wall: int  # ns, Unix time
-    monotonic: int  # ns, starts anew with the machine only
+    monotonic: int  # ns since the machine was booted
 
 
 class Header(msgspec.Struct, array_like=True, frozen=True):
-    """The first frame; `format_version` stays its first field in every version, for any reader to tell it."""
+    """Body of the first frame; `format_version` is its first field in every version of the format."""
 
     format_version: int
     name: str  # of the coordinator
-    class_names: list[str | None]  # in their order
+    class_names: list[str | None]  # in their configured order
     zones: list[str]
-    wall: int  # ns, Unix time when the file was begun
-    monotonic: int  # ns, the monotonic clock then
-    start_number: int  # of the start that wrote it, from 1
+    wall: int  # Unix time in ns when the file was created
+    monotonic: int  # monotonic clock in ns at that time
+    start_number: int  # counts the starts of the coordinator, from 1
     program_version: str
 
 
 class LinkRecordV1(msgspec.Struct, array_like=True, frozen=True):
-    """What one zone observed at a backend, as version 1 had it within its backend.
+    """Record of a link in version 1, which stored it as part of its backend.
 
-    Times are in ns of Unix time; sums and means are those of the planner.
+    Times are Unix time in ns; sums and means are those of the planner.
     """
 
     attempts: float
     failures: float
     successes: float
-    response_time: float  # ns of all successes
+    response_time: float  # ns, sum over all successes
     minimum_rtt: MinimumRtt | None
-    overloaded_reports: int  # reports
+    overloaded_reports: int
     consecutive_failures: float  # attempts
     ejected_at: int | None
     slow_start_since: int | None
 
 
 class LinkRecord(LinkRecordV1, array_like=True, frozen=True):
-    """The same as a value of its own."""
+    """Record of a link: what the proxies of a zone observed at a backend."""
 
-    taken_at: int  # ns, when it was taken from the planner
+    taken_at: int  # ns, when it was read from the planner
 
 
 class BackendRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of a backend but for its links; times in ns of Unix time."""
+    """Record of a backend without its links; times are Unix time in ns."""
 
     taken_at: int
     phase: str
@@ -85,13 +85,13 @@
 
 
 class BackendRecordV1(BackendRecord, array_like=True, frozen=True):
-    """The same with its links, as version 1 had it."""
+    """Record of a backend with its links in version 1."""
 
     links: dict[str, LinkRecordV1]  # by zone
 
 
 class FleetRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of the fleet as a whole."""
+    """Record of the fleet as a whole."""
 
     taken_at: int
     is_overloaded: bool
@@ -102,7 +102,7 @@
 
 
 class ManagedSettings(msgspec.Struct, array_like=True, frozen=True):
-    """Settings that managers have changed: trees of the YANG module, of the files and of what runs."""
+    """Settings changed by managers: `base` is the tree of the files, `tree` that of the running settings."""
 
     taken_at: int
     version: int
@@ -111,7 +111,7 @@
 
 
 class Batch(msgspec.Struct, array_like=True, frozen=True):
-    """The body of a frame of the snapshot, or of changes after it."""
+    """Body of a frame of the snapshot or of later changes."""
 
     wall: int  # ns
     monotonic: int  # ns
@@ -119,11 +119,11 @@
 
 
 class SnapshotEnd(msgspec.Struct, array_like=True, frozen=True):
-    """The body of the frame that ends a snapshot."""
+    """Body of the frame that ends a snapshot."""
 
     wall: int  # ns
     monotonic: int  # ns
-    count: int  # of the snapshot's values
+    count: int  # values in the snapshot
 
 
 Value = FleetRecord | BackendRecord | LinkRecord
@@ -131,14 +131,14 @@
 
 
 class StoredBackend(NamedTuple):
-    """A backend's record and those of its links by zone."""
+    """Record of a backend and of its links by zone."""
 
     facts: BackendRecord
     links: dict[str, LinkRecord]
 
 
 class Record(msgspec.Struct):
-    """All that a folder holds, in the form of the newest version."""
+    """Decoded contents of a folder, upgraded to the newest version."""
 
     fleet: FleetRecord | None
     backends: dict[str, StoredBackend]  # by name
@@ -165,41 +165,41 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        reason = f"a value cannot be read: {error}"
+        reason = f"a value cannot be decoded: {error}"
         raise CorruptRecordError(reason) from None
 
 
 def decode_format_version(data: bytes) -> int:
-    """Return the format version of a header's bytes, whatever else that version put into them."""
+    """Return the format version in the bytes of a header; its other fields may differ by version."""
     first = _decode(_ANY_HEADER, data)
     if not first or type(first[0]) is not int:
-        reason = "a header tells no format version"
+        reason = "a header has no format version"
         raise CorruptRecordError(reason)
     return first[0]
 
 
 def decode_header(data: bytes) -> Header:
-    """Return the header of a frame's body."""
+    """Decode the body of a header frame."""
     return _decode(_HEADER, data)
 
 
 def decode_batch(data: bytes) -> Batch:
-    """Return the batch of a frame's body."""
+    """Decode the body of a frame of the snapshot or of changes."""
     return _decode(_BATCH, data)
 
 
 def decode_snapshot_end(data: bytes) -> SnapshotEnd:
-    """Return the end of a snapshot of a frame's body."""
+    """Decode the body of the frame that ends a snapshot."""
     return _decode(_SNAPSHOT_END, data)
 
 
 def backend_key(backend: str) -> bytes:
-    """Return the key of a backend's value."""
+    """Return the key of a backend."""
     return BACKEND_PREFIX + backend.encode()
 
 
 def link_key(backend: str, zone: str) -> bytes:
-    """Return the key of the value of what a zone observed at a backend."""
+    """Return the key of the link between a zone and a backend."""
     return LINK_PREFIX + encode_value((backend, zone))
 
 
@@ -210,7 +210,7 @@
         is_overloaded=fleet.is_overloaded,
         admitted_share=fleet.admitted_share,
         success_ratio=fleet.success_ratio,
-        demand=cast(dict[str, float], fleet.demand),  # usage reports name their class
+        demand=cast(dict[str, float], fleet.demand),  # usage reports contain their class
         list_index=list_index,
     )
 
@@ -220,7 +220,7 @@
     return BackendRecord(
         taken_at=now,
         phase=backend.phase,
-        zone=cast(str | None, backend.zone),  # a list may tell numbers, which the format has no place for
+        zone=cast(str | None, backend.zone),  # the endpoint list may contain numbers, the format none
         machine_type=cast(str | None, backend.machine_type),
         configured_weight=backend.configured_weight,
         started_at=backend.started_at,
@@ -259,7 +259,7 @@
 
 
 def record_values(record: Record) -> Values:
-    """Return the values of a record that the planner learns anew, by backend (None: the fleet) and key."""
+    """Return the values of a record that the planner updates, by backend (None: the fleet) and key."""
     values: Values = {}
     for name, backend in record.backends.items():
         values[name] = {backend_key(name): backend.facts}
@@ -271,14 +271,14 @@
 
 
 def encode_values(values: Values) -> dict[bytes, bytes]:
-    """Return the encoded values by key, in their order."""
+    """Return the encoded values by key, in the same order."""
     return {key: encode_value(value) for group in values.values() for key, value in group.items()}
 
 
 def decode_record(version: int, encoded: Mapping[bytes, bytes]) -> Record:
-    """Return the record of {key: bytes} as any known format version wrote it.
+    """Decode the values of a file of any supported format version.
 
-    Raises CorruptRecordError where a key or value is none of that version.
+    Raises CorruptRecordError if a key or value is invalid in that version.
     """
     if version <= 1:
         return _decode_v1(encoded)
@@ -296,8 +296,8 @@
             name, zone = _decode(_LINK_KEY, key[1:])
             links.setdefault(name, {})[zone] = _decode(_LINK, data)
         else:
-            raise CorruptRecordError(_unknown_kind(key))
-    record.backends = {name: StoredBackend(each, links.get(name, {})) for name, each in facts.items()}
+            raise CorruptRecordError(_unknown_kind_reason(key))
+    record.backends = {name: StoredBackend(backend, links.get(name, {})) for name, backend in facts.items()}
     return record
 
 
@@ -310,12 +310,12 @@
             name = _backend_name(key)
             record.backends[name] = _upgrade_backend(_decode(_BACKEND_V1, data))
         else:
-            raise CorruptRecordError(_unknown_kind(key))
+            raise CorruptRecordError(_unknown_kind_reason(key))
     return record
 
 
 def _upgrade_backend(backend: BackendRecordV1) -> StoredBackend:
-    """Take the step from version 1 to 2: a link gets the time of its backend."""
+    """Upgrade a backend from version 1 to 2: its links get the time of the backend."""
     facts = BackendRecord(**dict(_fields(backend, BackendRecord)))
     links = {
         zone: LinkRecord(**dict(_fields(link, LinkRecordV1)), taken_at=backend.taken_at)
@@ -324,8 +324,8 @@
     return StoredBackend(facts, links)
 
 
-def _fields(struct: msgspec.Struct, of: type[msgspec.Struct]) -> Iterator[tuple[str, Any]]:
-    for name in of.__struct_fields__:
+def _fields(struct: msgspec.Struct, kind: type[msgspec.Struct]) -> Iterator[tuple[str, Any]]:
+    for name in kind.__struct_fields__:
         yield name, getattr(struct, name)
 
 
@@ -333,9 +333,9 @@
     try:
         return key[1:].decode()
     except UnicodeDecodeError:
-        reason = "a backend's name is not UTF-8"
+        reason = "the name of a backend is not UTF-8"
         raise CorruptRecordError(reason) from None
 
 
-def _unknown_kind(key: bytes) -> str:
-    return f"there is a value of the unknown kind {key[:1]!r}"
+def _unknown_kind_reason(key: bytes) -> str:
+    return f"a key has the unknown kind {key[:1]!r}"
--- a/granitespool/state/recovery.py
+++ b/granitespool/state/recovery.py
@@ -1,12 +1,12 @@
-"""A coordinator's record from its start on, without a disk, a thread or a loop; no I/O.
+"""Restoring of a coordinator from its record, and collecting of later changes; no I/O, threads or event loop.
 
-The calls, in order:
+Methods are called in this order:
 
 1. `Recovery(options, identity)`.
-2. `load(stored, record, reason, clocks)`, once: what the folder held, as far as it could be read.
-3. `choose_list(known)`: the endpoint list to start from.
-4. `restore(coordinator, now, clocks)`, after that list was reported.
-5. `collect_changes(coordinator, addresses, list_index, now, names, is_last)`, again and again.
+2. `load(stored, record, reason, clocks)`, once: the contents of the folder, as far as they could be read.
+3. `choose_endpoint_list(configured)`: the endpoint list to start from.
+4. `restore(coordinator, now, clocks)`, after that list was reported to the coordinator.
+5. `collect_changes(coordinator, addresses, list_index, now, names, is_last)`, repeatedly.
 """
 
 from collections.abc import Mapping
@@ -22,38 +22,38 @@
 from granitespool.state.store import StoredState
 from granitespool.units import SECOND
 
-NO_RECORD_REASON = "the folder holds no record"  # a first start: no log line is worth it
+NO_RECORD_REASON = "the folder contains no record"  # first start, which is not logged
 
 
 class AgeOptions(Protocol):
-    """How long what was learnt counts, as the operator's settings name it."""
+    """Limits on the age of restored values, named as in the operator's settings."""
 
     @property
     def half_life_s(self) -> float:
-        """Age in s at which a sum counts for half."""
+        """Age in s at which the weight of a sum is halved."""
 
     @property
     def oldest_s(self) -> float:
-        """Age in s past which nothing counts."""
+        """Maximum age in s of restored values."""
 
 
 class Recovery:
-    """Restores a record at a start, and finds afterwards which changes are worth a write.
+    """Restores a record at the start of a coordinator and collects the changes to write afterwards.
 
-    `rejection` says why nothing is restored, or is None.
+    `rejection` is the reason why nothing is restored, or None.
     """
 
     def __init__(self, options: AgeOptions, identity: Identity) -> None:
         self.identity = identity
         self.rejection: str | None = NO_RECORD_REASON
         self.written_at: Clocks | None = None  # when the record was last written
-        self.uses_stored_list = False  # whether the coordinator started from the record's list
+        self.uses_stored_list = False  # whether the coordinator started from the endpoint list of the record
         self.change_filter = ChangeFilter(0)
         self._record: Record | None = None
         self.set_options(options)
 
     def set_options(self, options: AgeOptions) -> None:
-        """Take new ages for what is restored, and written, from now on."""
+        """Set the age limits of values that are restored or written from now on."""
         half_life = int(options.half_life_s * SECOND)
         self.policy = Policy(half_life, max_age=int(options.oldest_s * SECOND))
         self.change_filter.set_half_life(half_life)
@@ -61,10 +61,10 @@
     def load(
         self, stored: StoredState | None, record: Record | None, reason: str | None, clocks: Clocks
     ) -> dict[bytes, bytes]:
-        """Take what a folder held, `reason` where it could not be read; return what is to be written again.
+        """Load the contents of a folder, or the `reason` why it could not be read.
 
-        That is nothing where the record is rejected. Otherwise it stays, with its age, until something newer
-        takes its place.
+        Returns the values to write again: those of the record, which keep their age until newer values
+        replace them, or none if the record is rejected.
         """
         self.rejection = reason
         if reason is None and (stored is None or record is None):
@@ -81,32 +81,32 @@
         self.change_filter.written = records.record_values(record)
         return records.encode_values(self.change_filter.written)
 
-    def choose_endpoint_list(self, known: dict[str, Any]) -> dict[str, Any]:
-        """Return the record's endpoint list where it is newer than the one that is known, else that one."""
+    def choose_endpoint_list(self, configured: dict[str, Any]) -> dict[str, Any]:
+        """Return the endpoint list of the record if it is newer than the configured one, else the latter."""
         newer = None
         if self._record is not None:
-            index = known.get("index")
+            index = configured.get("index")
             newer = restore_policy.newer_list(self._record, index if isinstance(index, int) else 0)
         self.uses_stored_list = newer is not None
-        return newer or known
+        return newer or configured
 
     def restore(self, coordinator: Coordinator, now: int, clocks: Clocks) -> restore_policy.Restored | None:
-        """Have the coordinator restore what the policy keeps.
+        """Restore in the coordinator what the policy selects, and return it.
 
-        Returns None where there is nothing to restore, see `rejection`.
+        Returns None if there is nothing to restore, see `rejection`.
         """
         record = self._record
-        self._record = None  # it is not needed any more
+        self._record = None  # release its memory
         if record is None or self.written_at is None:
             return None
-        situation = RestoreContext(
+        context = RestoreContext(
             written_at=self.written_at,
             now=clocks,
             endpoints=coordinator.listed(),
             zones=frozenset(self.identity.zones),
             uses_stored_list=self.uses_stored_list,
         )
-        restored = restore_policy.restore(record, situation, self.policy)
+        restored = restore_policy.restore(record, context, self.policy)
         coordinator.report(now, Restored(restored.fleet, restored.backends))
         return restored
 
@@ -119,9 +119,10 @@
         names: list[str],
         is_last: bool,
     ) -> Changes:
-        """Return what is worth a write about these backends, encoded by key.
+        """Return the encoded changes of the given backends by key.
 
-        With the last of them it is also about the fleet, and about backends that are known no more.
+        `is_last` marks the last group of backends and adds the changes of the fleet and the removal of
+        backends that are not listed any more.
         """
         snapshot = coordinator.snapshot(names)
         values: Values = {}
--- a/granitespool/state/restore_policy.py
+++ b/granitespool/state/restore_policy.py
@@ -1,13 +1,13 @@
-"""What of a record is restored at a start; no I/O.
+"""Selection of the values of a record that are restored at a start; no I/O.
 
-    a record of another name, other classes or zones    nothing, and one sentence that says so
-    a clock that went backward                          its age is unknown: nothing
-    older than the maximum age                          nothing
-    younger                                             sums count by 0.5 ** (age / half_life)
-    a backend that the newest list calls anything but ready, or started again since   nothing of it
-    ejections, failures in a row, an overload           while the confidence in them is MIN_CONFIDENCE
+    record of another name, other classes or zones      nothing is restored, and the reason is logged
+    a clock went backward                               age unknown, nothing is restored
+    older than the maximum age                          nothing is restored
+    younger                                             sums are weighted by 0.5 ** (age / half_life)
+    backend not ready in the newest endpoint list, or restarted since         it is skipped
+    ejections, consecutive failures, overload           restored if the confidence is at least MIN_CONFIDENCE
 
-What is observed after the start takes precedence over all of it; the planner sees to that, and to its rules.
+Observations after the start take precedence over restored values; the planner ensures that.
 """
 
 from collections import Counter
@@ -30,14 +30,14 @@
 )
 from granitespool.units import MILLISECOND, SECOND
 
-MIN_CONFIDENCE = 0.5  # under which a yes or no (an ejection, an overload) is a guess and left out
-CLOCK_SLACK = 1 * SECOND  # ns by which two clocks may differ: one is slewed, the other not
-MAX_SUM = 1e18  # no sum is larger: the bound of a number on the wire
-FAILURES_SLACK = 1.001  # factor by which rounding may let a part exceed its whole
+MIN_CONFIDENCE = 0.5  # below it, a flag (ejection, overload) is a guess and not restored
+CLOCK_SLACK = 1 * SECOND  # ns by which the clocks may differ: only one of them is slewed
+MAX_SUM = 1e18  # the limit of numbers on the wire
+FAILURES_SLACK = 1.001  # factor by which rounding may make failures exceed attempts
 
 
 class Identity(NamedTuple):
-    """Whose record it is; one of another identity is not restored."""
+    """Identity of the coordinator that wrote a record; a record of another identity is not restored."""
 
     name: str
     class_names: list[str | None]
@@ -45,37 +45,37 @@
 
 
 class Policy(NamedTuple):
-    """How long what was learnt counts."""
+    """Limits on the age of restored values."""
 
     half_life: int  # ns
     max_age: int  # ns
 
 
 class RestoreContext(NamedTuple):
-    """What a start knows when it restores a record."""
+    """State of the coordinator at the time when it restores a record."""
 
     written_at: Clocks  # when the record was last written
     now: Clocks
-    endpoints: Mapping[str, EndpointState]  # of the newest list, by backend
+    endpoints: Mapping[str, EndpointState]  # newest endpoint list, by backend
     zones: Set[str]
-    uses_stored_list: bool  # whether that list is the record's own
+    uses_stored_list: bool  # whether that endpoint list comes from the record
 
 
 class Restored(NamedTuple):
-    """What is to be restored, and what was left out."""
+    """Values to restore, and counts of what was skipped."""
 
     fleet: FleetSnapshot
     backends: dict[str, BackendSnapshot]
-    skipped: dict[str, int]  # reason -> backends
+    skipped: dict[str, int]  # reason -> number of backends
     link_count: int
     ejected_count: int
 
 
 def record_age(written: Clocks, now: Clocks) -> int | None:
-    """Return the ns that have passed, or None where a clock went backward in between.
+    """Return the age of a record in ns, or None if a clock went backward since it was written.
 
-    A machine that was started anew has a monotonic clock that tells nothing; it then always tells less than
-    the wall clock does, which is the age.
+    After a reboot the monotonic clock has started again, so that its difference is always less than that of
+    the wall clock, which is the age.
     """
     wall = now.wall - written.wall
     monotonic = now.monotonic - written.monotonic
@@ -87,7 +87,7 @@
 def rejection_reason(
     header: Header, written: Clocks, now: Clocks, identity: Identity, max_age: int
 ) -> str | None:
-    """Return one sentence why nothing of a record is restored, or None."""
+    """Return the reason why nothing of a record is restored, in one sentence, or None."""
     reason = _mismatch(header, identity)
     if reason:
         return reason
@@ -95,13 +95,13 @@
     if age is None:
         return "the clock went backward since it was written, so its age is unknown"
     if age > max_age:
-        return f"it is {age / SECOND:.0f} s old, and past {max_age / SECOND:.0f} s it counts for nothing"
+        return f"it is {age / SECOND:.0f} s old, more than the maximum age of {max_age / SECOND:.0f} s"
     return None
 
 
 def _mismatch(header: Header, identity: Identity) -> str | None:
     if header.name != identity.name:
-        return f"it was written by {header.name!r:.60}, and this is {identity.name!r:.60}"
+        return f"it was written by {header.name!r:.60}, but this coordinator is {identity.name!r:.60}"
     if header.class_names != identity.class_names:
         return _difference("classes", header.class_names, identity.class_names)
     if header.zones != identity.zones:
@@ -109,14 +109,14 @@
     return None
 
 
-def _difference(what: str, written: Sequence[str | None], here: Sequence[str | None]) -> str:
-    then = ", ".join(map(str, written))[:100]
-    now = ", ".join(map(str, here))[:100]
-    return f"it was written for the {what} {then}, and now they are {now}"
+def _difference(what: str, written: Sequence[str | None], configured: Sequence[str | None]) -> str:
+    written_names = ", ".join(map(str, written))[:100]
+    configured_names = ", ".join(map(str, configured))[:100]
+    return f"it was written for the {what} {written_names}, but the settings contain {configured_names}"
 
 
 def newer_list(record: Record, index: int) -> dict[str, Any] | None:
-    """Return the record's list in discovery's form where it is newer than version `index`, or None."""
+    """Return the endpoint list of a record in discovery's format if it is newer than version `index`."""
     if record.fleet is None or record.fleet.list_index <= index:
         return None
     return {
@@ -138,40 +138,40 @@
     }
 
 
-def restore(record: Record, situation: RestoreContext, policy: Policy) -> Restored:
-    """Return what of a record is restored that no `rejection_reason` stands against."""
-    return _Restoration(situation, policy).run(record)
+def restore(record: Record, context: RestoreContext, policy: Policy) -> Restored:
+    """Return the values to restore from a record that has no `rejection_reason`."""
+    return _Restoration(context, policy).run(record)
 
 
 class _Restoration:
     """One application of a policy to a record."""
 
-    def __init__(self, situation: RestoreContext, policy: Policy) -> None:
-        self.situation = situation
+    def __init__(self, context: RestoreContext, policy: Policy) -> None:
+        self.context = context
         self.policy = policy
-        self.now = situation.now.wall
+        self.now = context.now.wall
 
     def run(self, record: Record) -> Restored:
         backends: dict[str, BackendSnapshot] = {}
-        left_out: Counter[str] = Counter()
+        skipped: Counter[str] = Counter()
         for name, stored in record.backends.items():
-            reason = self._reason_to_leave_out(name, stored.facts)
+            reason = self._reason_to_skip(name, stored.facts)
             if reason:
-                left_out[reason] += 1
+                skipped[reason] += 1
             else:
-                backends[name] = self._backend(stored)
+                backends[name] = self._restored_backend(stored)
         links = [link for backend in backends.values() for link in backend.links.values()]
         ejected = sum(link.ejected_at is not None for link in links)
-        return Restored(self._fleet(record.fleet), backends, dict(left_out), len(links), ejected)
+        return Restored(self._restored_fleet(record.fleet), backends, dict(skipped), len(links), ejected)
 
     def _confidence(self, taken_at: int) -> float:
-        age = self.now - min(taken_at, self.situation.written_at.wall)
+        age = self.now - min(taken_at, self.context.written_at.wall)
         if age > self.policy.max_age:
             return 0.0
         return float(0.5 ** (age / self.policy.half_life))
 
-    def _reason_to_leave_out(self, name: str, facts: BackendRecord) -> str | None:
-        listed = self.situation.endpoints.get(name)
+    def _reason_to_skip(self, name: str, facts: BackendRecord) -> str | None:
+        listed = self.context.endpoints.get(name)
         if listed is None or listed.phase != Phase.READY:
             return "not ready now"
         if facts.phase != Phase.READY:
@@ -182,13 +182,13 @@
             return "too old"
         return None
 
-    def _backend(self, stored: StoredBackend) -> BackendSnapshot:
+    def _restored_backend(self, stored: StoredBackend) -> BackendSnapshot:
         links = {}
         for zone, link in stored.links.items():
-            if zone in self.situation.zones and is_plausible(link):
+            if zone in self.context.zones and is_plausible(link):
                 confidence = self._confidence(link.taken_at)
                 if confidence:
-                    links[zone] = self._link(link, confidence)
+                    links[zone] = self._restored_link(link, confidence)
         facts = stored.facts
         return BackendSnapshot(
             phase=Phase(facts.phase),
@@ -199,15 +199,15 @@
             left_ready_at=facts.left_ready_at or 0,
             slow_start_since=self._not_after_now(facts.slow_start_since),
             verified=facts.verified,
-            removal_unconfirmed=facts.removal_unconfirmed and self.situation.uses_stored_list,
+            removal_unconfirmed=facts.removal_unconfirmed and self.context.uses_stored_list,
             links=links,
         )
 
     def _not_after_now(self, time: int | None) -> int | None:
         return None if time is None else min(time, self.now)
 
-    def _link(self, link: LinkRecord, confidence: float) -> LinkSnapshot:
-        is_likely = confidence >= MIN_CONFIDENCE
+    def _restored_link(self, link: LinkRecord, confidence: float) -> LinkSnapshot:
+        is_confident = confidence >= MIN_CONFIDENCE
         minimum_rtt = None
         if link.minimum_rtt is not None:
             minimum_rtt = MinimumRtt(min(link.minimum_rtt.at, self.now), link.minimum_rtt.mean)
@@ -217,23 +217,23 @@
             successes=link.successes * confidence,
             response_time=link.response_time * confidence,
             minimum_rtt=minimum_rtt,
-            overloaded_reports=link.overloaded_reports if is_likely else 0,
-            consecutive_failures=link.consecutive_failures if is_likely else 0,
-            ejected_at=self._not_after_now(link.ejected_at) if is_likely else None,
+            overloaded_reports=link.overloaded_reports if is_confident else 0,
+            consecutive_failures=link.consecutive_failures if is_confident else 0,
+            ejected_at=self._not_after_now(link.ejected_at) if is_confident else None,
             slow_start_since=self._not_after_now(link.slow_start_since),
         )
 
-    def _fleet(self, fleet: FleetRecord | None) -> FleetSnapshot:
-        nothing = FleetSnapshot(is_overloaded=False, admitted_share=1.0, success_ratio=1.0, demand={})
+    def _restored_fleet(self, fleet: FleetRecord | None) -> FleetSnapshot:
+        unknown = FleetSnapshot(is_overloaded=False, admitted_share=1.0, success_ratio=1.0, demand={})
         if fleet is None or not (_is_share(fleet.admitted_share) and _is_share(fleet.success_ratio)):
-            return nothing
+            return unknown
         confidence = self._confidence(fleet.taken_at)
         if not confidence:
-            return nothing
-        is_likely = confidence >= MIN_CONFIDENCE
+            return unknown
+        is_confident = confidence >= MIN_CONFIDENCE
         return FleetSnapshot(
-            is_overloaded=fleet.is_overloaded and is_likely,
-            admitted_share=1 - (1 - fleet.admitted_share) * confidence if is_likely else 1.0,
+            is_overloaded=fleet.is_overloaded and is_confident,
+            admitted_share=1 - (1 - fleet.admitted_share) * confidence if is_confident else 1.0,
             success_ratio=1 - (1 - fleet.success_ratio) * confidence,
             demand={name: amount for name, amount in fleet.demand.items() if 0 <= amount <= MAX_SUM},
         )
@@ -248,7 +248,7 @@
 
 
 def is_plausible(link: LinkRecord) -> bool:
-    """Whether these can be sums of what was observed."""
+    """Return whether the sums of a link are consistent with each other."""
     sums = (link.attempts, link.failures, link.successes, link.response_time)
     if not all(map(_is_sum, sums)):
         return False
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -1,8 +1,8 @@
-"""The snapshotter: a coroutine of the loop that brings a coordinator's snapshots to the writer.
+"""Snapshotter: a coroutine of the event loop that passes snapshots of a coordinator to the writer.
 
-It sweeps all backends each half of `every_ms`, a few at a time, so that no turn is long and what was learnt
-is on the disk within `every_ms` where the disk takes no longer than the other half. At a start it has the
-coordinator restore the record of the former life.
+It visits all backends within half of `every_ms`, a few at a time to keep each turn of the loop short. Changes
+are durable within `every_ms` unless the disk takes longer than the other half. At a start it restores the
+record of the previous process.
 """
 
 from collections.abc import Callable, Mapping
@@ -22,26 +22,26 @@
 from granitespool.state.writer import FolderContent, Writer
 from granitespool.units import MILLISECOND, SECOND
 
-OPEN_TIMEOUT = 0.4  # s that a start waits for the folder: a service without its record still serves
-CLOSE_TIMEOUT = 0.25  # s for the last snapshot after SIGTERM: 0.7 s pass at least until SIGKILL
-LINKS_PER_STEP = 200  # links taken out in one step: a millisecond
-FIRST_LIST_POLL = SECOND // 20  # ns between looks whether any list has come
+OPEN_TIMEOUT = 0.4  # s that a start waits for the folder; the service can also start without its record
+CLOSE_TIMEOUT = 0.25  # s for the last snapshot after SIGTERM; SIGKILL follows after at least 0.7 s
+LINKS_PER_STEP = 200  # links in one step, which takes a millisecond
+FIRST_LIST_POLL = SECOND // 20  # ns between checks whether an endpoint list has arrived
 FOLDER_READ_TIMED_OUT = "the folder could not be read in time"
 
 
 class EventLog(Protocol):
-    """The log, as far as it is written here."""
+    """Log to which the snapshotter writes."""
 
     def event(self, event: str, **fields: Any) -> None:
-        """Write one line."""
+        """Write an event."""
 
 
 class EndpointSource(Protocol):
-    """What discovery has told."""
+    """Source of the current endpoint list."""
 
     @property
     def named(self) -> bool:
-        """Whether any list has named a backend."""
+        """Whether any endpoint list has contained a backend."""
 
     @property
     def index(self) -> int:
@@ -49,18 +49,18 @@
 
     @property
     def addresses(self) -> Mapping[str, tuple[str, int] | None]:
-        """The address of each backend, None where none was told."""
+        """Address of each backend, None if unknown."""
 
 
 class ManagedSettingsTrees(NamedTuple):
-    """Trees of settings as managers left them in a former life."""
+    """Trees of settings that managers changed before the restart."""
 
-    base: Tree  # of the files
+    base: Tree  # settings of the files
     running: Tree
 
 
 class StateMetrics(NamedTuple):
-    """What the folder took since the start."""
+    """Counters of the state folder since the start."""
 
     bytes_written: int
     batches_written: int
@@ -68,9 +68,10 @@
 
 
 class Snapshotter:
-    """Owns the writer, and gives it up in `close`.
+    """Takes snapshots of a coordinator; owns the writer until `close`.
 
-    It is made before the coordinator, since the list to start from may be the record's; `start` follows that.
+    It is created before the coordinator, since the endpoint list to start from may come from the record;
+    `start` is called afterwards.
     """
 
     def __init__(
@@ -83,7 +84,7 @@
         monotonic: Callable[[], int],
         folder: Folder | None = None,
     ) -> None:
-        """Open the folder; raise InvalidInputError where another process owns it."""
+        """Open the folder; raise InvalidInputError if another process has locked it."""
         self.loop = loop
         self.log = log
         self.options = options
@@ -100,9 +101,9 @@
             loop.wake,
             self._clocks,
         )
-        self._take_content(self.writer.wait_until_open(OPEN_TIMEOUT))
+        self._load_content(self.writer.wait_until_open(OPEN_TIMEOUT))
 
-    def _take_content(self, content: FolderContent | None) -> None:
+    def _load_content(self, content: FolderContent | None) -> None:
         if content is None:
             self.recovery.rejection = FOLDER_READ_TIMED_OUT
             return
@@ -110,17 +111,17 @@
             raise InvalidInputError(content.lock_error)
         for problem in content.problems:
             self.log.event("state_corrupt", reason=problem)
-        carried = self.recovery.load(content.state, content.record, content.reason, self._clocks())
+        values = self.recovery.load(content.state, content.record, content.reason, self._clocks())
         managed = content.record.managed if content.record else None
         if managed is not None and content.state and content.state.header.name == self.identity.name:
-            # Unlike what was learnt these do not age, but they are this coordinator's alone.
+            # Settings do not age, but only apply to the coordinator of that name.
             self.managed_settings = ManagedSettingsTrees(managed.base, managed.tree)
-            carried[records.MANAGED_SETTINGS_KEY] = records.encode_value(managed)
-        if carried:
-            self.writer.submit(dict(carried))
+            values[records.MANAGED_SETTINGS_KEY] = records.encode_value(managed)
+        if values:
+            self.writer.submit(dict(values))
 
     def save_settings(self, tree: Tree | None, base: Tree | None, version: int) -> int:
-        """Have settings outlast the process (None: those of the files hold).
+        """Store settings for the next start; None removes them, so that those of the files apply.
 
         Returns a ticket for `is_durable`.
         """
@@ -130,37 +131,37 @@
         return self.writer.submit({records.MANAGED_SETTINGS_KEY: value})
 
     def is_durable(self, ticket: int) -> bool:
-        """Whether what was saved with this ticket is on the disk."""
+        """Return whether the changes of a ticket are durable."""
         return self.writer.durable_ticket >= ticket
 
     def metrics(self) -> StateMetrics:
-        """Return what the folder took since the start."""
+        """Return the counters of the state folder."""
         writer = self.writer
         return StateMetrics(writer.bytes_written, writer.batches_written, writer.is_failing)
 
-    def choose_endpoint_list(self, known: dict[str, Any]) -> dict[str, Any]:
-        """Return the endpoint list to start from, in discovery's form."""
-        return self.recovery.choose_endpoint_list(known)
+    def choose_endpoint_list(self, configured: dict[str, Any]) -> dict[str, Any]:
+        """Return the endpoint list to start from, in discovery's format."""
+        return self.recovery.choose_endpoint_list(configured)
 
     def start(self, coordinator: Coordinator, discovery: EndpointSource) -> None:
-        """Begin to take snapshots of a coordinator that was told the first list, or will be."""
+        """Start to take snapshots of a coordinator, which may still wait for its first endpoint list."""
         self.coordinator = coordinator
         self.discovery = discovery
         self.loop.spawn(self._run(coordinator, discovery))
 
     def set_options(self, options: StateSettings) -> None:
-        """Take what may change while the service runs: how often, how much, how long it counts."""
+        """Set the options that may change at run time: interval, size of the folder and age limits."""
         self.options = options
         self.recovery.set_options(options)
         self.writer.set_max_mb(options.most_mb)
 
     def close(self) -> None:
-        """Write a last snapshot, as far as the disk takes it in time."""
+        """Write a last snapshot and wait for it up to CLOSE_TIMEOUT."""
         if self.coordinator and self.discovery and self.discovery.named:
             names = list(self.coordinator.listed())
             self._submit_changes(self.coordinator, self.discovery, names, is_last=True)
         if not self.writer.close(CLOSE_TIMEOUT):
-            self.log.event("snapshot_not_saved", reason="the last snapshot was not safe in time")
+            self.log.event("snapshot_not_saved", reason="the last snapshot was not written in time")
         self._log_reports()
 
     def _make_header(self, start_number: int) -> Header:
@@ -170,22 +171,22 @@
         return Clocks(self.loop.clock(), self.monotonic())
 
     def _run(self, coordinator: Coordinator, discovery: EndpointSource) -> Waits:
-        while not discovery.named:  # the first list that names anyone is the one to start from
+        while not discovery.named:  # start from the first list that contains a backend
             yield None, 0, self.loop.now + FIRST_LIST_POLL
             self._log_reports()
         self._restore(coordinator)
         while True:
-            steps = self._steps(list(coordinator.listed()))
-            pause = self.options.every_ms * MILLISECOND // 2 // len(steps)
-            for number, names in enumerate(steps, 1):
-                self._submit_changes(coordinator, discovery, names, is_last=number == len(steps))
+            groups = self._groups(list(coordinator.listed()))
+            pause = self.options.every_ms * MILLISECOND // 2 // len(groups)
+            for number, names in enumerate(groups, 1):
+                self._submit_changes(coordinator, discovery, names, is_last=number == len(groups))
                 yield None, 0, self.loop.now + pause
                 self._log_reports()
 
-    def _steps(self, names: list[str]) -> list[list[str]]:
-        """Return the names in groups that take a short time each; one empty group without any."""
+    def _groups(self, names: list[str]) -> list[list[str]]:
+        """Split names into groups that take a short time each; there is always at least one group."""
         size = max(1, LINKS_PER_STEP // max(1, len(self.identity.zones)))
-        return [names[at : at + size] for at in range(0, len(names), size)] or [[]]
+        return [names[start : start + size] for start in range(0, len(names), size)] or [[]]
 
     def _restore(self, coordinator: Coordinator) -> None:
         restored = self.recovery.restore(coordinator, self.loop.now, self._clocks())
--- a/granitespool/state/store.py
+++ b/granitespool/state/store.py
@@ -1,10 +1,10 @@
-"""The store: a map of keys to bytes, kept in one file a generation through a folder.
+"""Store of keys and values in a folder, with one file per generation.
 
-A file holds a header, a snapshot, the snapshot's end, then one frame for each batch of changes. A new
-generation is written aside, synced, renamed, its folder synced; only then are the older ones removed. What is
-read back is always a complete state: the newest file whose snapshot is complete, with the changes up to the
-first torn frame. Whatever fails, the next write begins a new generation: nothing is ever built on what a
-failed write or sync left.
+A file contains a header, a snapshot, the end of the snapshot and a frame for each later batch of changes. A
+new generation is written to a temporary file, synced and renamed, and the folder is synced; only then are
+older generations removed. Reading always returns a complete state: the newest file whose snapshot is
+complete, with the changes up to the first torn frame. After any failure the next write begins a new
+generation, so that nothing depends on what a failed write or sync left behind.
 """
 
 import errno
@@ -19,31 +19,32 @@
 from granitespool.state.framing import Frame, FrameKind
 from granitespool.state.record import Changes, Clocks, Header
 
-FILE_NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")  # a generation's file; `.new` until it is complete
-ASIDE_SUFFIX = ".new"
-SNAPSHOT_PART_SIZE = (
-    256 * 1024
-)  # bytes of a snapshot's frame, about: small pieces for the disk and the reader
-COMPACT_MIN_SIZE = 256 * 1024  # bytes of changes under which no new generation is worth its syncs
-COMPACT_GROWTH = 4  # times the snapshot that the changes after it may take: what a start has to read
-VALUE_OVERHEAD = 16  # bytes that a key and value take in a frame beside their own, at most
-FILE_OVERHEAD = 4096  # bytes of a file beside its values, at most: start, header, heads of frames
+FILE_NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")  # `.new` until the file is complete
+INCOMPLETE_SUFFIX = ".new"
+# Approximate size in bytes of a frame of the snapshot: small pieces for the disk and the reader.
+SNAPSHOT_PART_SIZE = 256 * 1024
+# Size in bytes of the changes below which a new generation is not worth its syncs.
+COMPACT_MIN_SIZE = 256 * 1024
+# Maximum size of the changes relative to the snapshot; limits what a start has to read.
+COMPACT_GROWTH = 4
+VALUE_OVERHEAD = 16  # bytes that a frame takes at most for a key and value beside their contents
+FILE_OVERHEAD = 4096  # bytes that a file takes at most beside its values: start, header, heads of frames
 
 
 class FolderFiles(NamedTuple):
-    """The files of a folder that are a store's."""
+    """Files of a folder that belong to the store."""
 
     complete: dict[int, str]  # generation -> name
-    incomplete: list[str]  # written aside and never finished
+    incomplete: list[str]  # names of temporary files that were never completed
 
     @property
     def highest_generation(self) -> int:
-        """The highest generation that any name tells, 0 without any."""
+        """Highest generation in any name, 0 if there is no file."""
         return max([0, *self.complete, *map(_generation_in, self.incomplete)])
 
 
 def file_name(generation: int) -> str:
-    """Return the name of a generation's file."""
+    """Return the file name of a generation."""
     return f"state-{generation:016x}"
 
 
@@ -54,7 +55,7 @@
 
 
 def classify_names(names: Iterable[str]) -> FolderFiles:
-    """Sort out a store's files; other names are not ours."""
+    """Return the files of the store among `names`; other names are ignored."""
     files = FolderFiles({}, [])
     for name in names:
         match = FILE_NAME.fullmatch(name)
@@ -66,7 +67,7 @@
 
 
 class StoredState:
-    """The state that a file holds, and who wrote it."""
+    """State that was read from a file, with the header of the file."""
 
     def __init__(self, name: str, generation: int, header: Header) -> None:
         self.name = name
@@ -77,7 +78,7 @@
         self.frame_count = 0
 
     def apply(self, changes: Changes) -> None:
-        """Set and remove values."""
+        """Apply changes to the values."""
         for key, value in changes.items():
             if value is None:
                 self.values.pop(key, None)
@@ -86,38 +87,38 @@
 
 
 class FileReadResult(NamedTuple):
-    """What was read of one file: its state, None where no snapshot is complete; what is wrong, or None."""
+    """Result of reading a file: its state, None without a complete snapshot, and a problem or None."""
 
     state: StoredState | None
     problem: str | None
 
 
 class FolderReadResult(NamedTuple):
-    """The newest complete state of a folder, or None; and what was wrong on the way."""
+    """Newest complete state of a folder, or None, and the problems of newer files."""
 
     state: StoredState | None
     problems: list[str]
 
 
 class _FileReader:
-    """Applies the frames of one file in their order; raises TornWriteError at the first that does not fit."""
+    """Applies the frames of a file in order; raises TornWriteError at the first that is out of place."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.state: StoredState | None = None
-        self.is_complete = False  # whether the snapshot is
+        self.is_complete = False  # whether the snapshot is complete
 
     def read(self, data: bytes) -> None:
         generation = framing.decode_generation(data)
         if file_name(generation) != self.name:
-            raise TornWriteError(0, f"it is of the generation {generation}, which its name is not")
+            raise TornWriteError(0, f"the file has the generation {generation}, its name another one")
         for frame in framing.decode_frames(data):
             try:
                 self._apply(generation, frame)
             except CorruptRecordError as error:
                 raise TornWriteError(frame.offset, str(error)) from None
         if not self.is_complete:
-            raise TornWriteError(len(data), "it ends before its snapshot is whole")
+            raise TornWriteError(len(data), "the file ends before its snapshot is complete")
 
     def _apply(self, generation: int, frame: Frame) -> None:
         if self.state is None:
@@ -138,7 +139,7 @@
 
     def _begin(self, generation: int, frame: Frame) -> StoredState:
         if frame.kind is not FrameKind.HEADER:
-            raise TornWriteError(frame.offset, "its first frame is no header")
+            raise TornWriteError(frame.offset, "the first frame is not a header")
         version = record.decode_format_version(frame.body)
         if version > record.FORMAT_VERSION:
             raise UnsupportedFormatError(self.name, version, record.FORMAT_VERSION)
@@ -148,14 +149,14 @@
         end = record.decode_snapshot_end(frame.body)
         if end.count != len(state.values):
             raise TornWriteError(
-                frame.offset, f"its snapshot holds {len(state.values)} of {end.count} values"
+                frame.offset, f"the snapshot contains {len(state.values)} of {end.count} values"
             )
         state.clocks = Clocks(end.wall, end.monotonic)
         self.is_complete = True
 
 
 def read_file(name: str, data: bytes) -> FileReadResult:
-    """Return what one file's bytes hold; raise UnsupportedFormatError for a newer format's."""
+    """Decode the bytes of a file; raise UnsupportedFormatError if its format is newer."""
     reader = _FileReader(name)
     try:
         reader.read(data)
@@ -167,8 +168,8 @@
 def read_newest(folder: Folder, max_size: int) -> FolderReadResult:
     """Return the newest complete state of a folder.
 
-    Files of more than `max_size` bytes are not ours and not read. Raises UnsupportedFormatError where any
-    file that is read has a newer format.
+    Files of more than `max_size` bytes cannot be those of the store and are skipped. Raises
+    UnsupportedFormatError if a file has a newer format.
     """
     problems: list[str] = []
     files = classify_names(folder.names()).complete
@@ -176,7 +177,7 @@
         name = files[generation]
         data = folder.read(name, max_size + 1)
         if len(data) > max_size:
-            problems.append(f"{name}: it is over {max_size} bytes")
+            problems.append(f"{name}: the file is larger than {max_size} bytes")
             continue
         state, problem = read_file(name, data)
         if problem:
@@ -187,27 +188,28 @@
 
 
 class Store:
-    """Writes what is handed to it; `values` is the complete state, also what no write has stored yet."""
+    """Writes changes to a folder; `values` is the complete state, including changes not written yet."""
 
     def __init__(self, folder: Folder, max_size: int, make_header: Callable[[], Header]) -> None:
-        """Write through `folder`, which may hold `max_size` bytes; a new file begins with a new header."""
+        """Create a store in `folder`, which is limited to `max_size` bytes.
+
+        `make_header` is called for each new file.
+        """
         self.folder = folder
         self.max_size = max_size
         self.make_header = make_header
         self.values: dict[bytes, bytes] = {}
         self.generation = 0
-        self.size = 0  # bytes of the file that is appended to
+        self.size = 0  # bytes of the current file
         self.bytes_written = 0  # since the start
-        self._name: str | None = (
-            None  # of the file that is appended to; None: the next write begins a new one
-        )
-        self._base_size = 0  # bytes of that file when its snapshot was complete
-        self._snapshot_size = FILE_OVERHEAD  # bytes that a snapshot of `values` takes, at most
+        self._name: str | None = None  # of the current file; None: the next write begins a new one
+        self._base_size = 0  # bytes of the current file up to the end of its snapshot
+        self._snapshot_size = FILE_OVERHEAD  # bytes that a snapshot of `values` takes at most
 
     def append(self, clocks: Clocks, changes: Changes) -> None:
-        """Store changes: they are synced afterwards.
+        """Write changes and sync them.
 
-        Raises OSError where that failed; then they wait in `values` for the next call.
+        Raises OSError if that failed; the changes then stay in `values` for the next call.
         """
         self.stage(changes)
         if self._name is not None:
@@ -219,16 +221,16 @@
         self.write_snapshot(clocks)
 
     def _fits(self, body: bytes, data: bytes) -> bool:
-        """Whether a frame may be appended to the present file."""
+        """Return whether a frame may be appended to the current file."""
         new_size = self.size + len(data)
         if len(body) >= framing.MAX_BODY_SIZE:
             return False
-        if new_size + self._snapshot_size > self.max_size:  # the next snapshot must fit beside it
+        if new_size + self._snapshot_size > self.max_size:  # the next snapshot has to fit beside it
             return False
         return new_size - self._base_size <= max(COMPACT_MIN_SIZE, COMPACT_GROWTH * self._base_size)
 
     def stage(self, changes: Changes) -> None:
-        """Hold changes for the next write."""
+        """Add changes to the state that the next write stores."""
         for key, value in changes.items():
             old = self.values.pop(key, None)
             if old is not None:
@@ -238,7 +240,7 @@
                 self._snapshot_size += len(key) + len(value) + VALUE_OVERHEAD
 
     def _append_frame(self, name: str, data: bytes) -> None:
-        self._name = None  # unless all of it goes well, nothing is built on this file
+        self._name = None  # after a failure, the next write begins a new file
         self.folder.append(name, data)
         self.folder.sync(name)
         self._name = name
@@ -246,17 +248,17 @@
         self.bytes_written += len(data)
 
     def write_snapshot(self, clocks: Clocks) -> None:
-        """Begin a new generation with all that is held; the older ones are removed once it is durable.
+        """Write all values as a new generation, and remove the older ones once it is durable.
 
-        Raises OSError where that failed; then the next write tries again.
+        Raises OSError if that failed; the next write then tries again.
         """
         if self._name is not None:
             self.folder.close_file(self._name)
         self._name = None
         files = classify_names(self.folder.names())
-        for name in files.incomplete:  # a former write that was never finished
+        for name in files.incomplete:  # left by a write that was interrupted
             self.folder.unlink(name)
-        self._make_room(files)
+        self._free_space(files)
         generation = max(self.generation, files.highest_generation) + 1
         name = file_name(generation)
         size = self._write_durably(name, generation, clocks)
@@ -265,30 +267,30 @@
         self.size = size
         self._base_size = size
         self.bytes_written += size
-        self._drop(files.complete.values())
+        self._remove_replaced(files.complete.values())
 
-    def _make_room(self, files: FolderFiles) -> None:
-        """Remove the older files where a snapshot would not fit; raise OSError where it still does not."""
-        taken = sum(self.folder.size(name) for name in files.complete.values())
-        if taken + self._snapshot_size > self.max_size and len(files.complete) > 1:
+    def _free_space(self, files: FolderFiles) -> None:
+        """Remove older files if a snapshot would not fit; raise OSError if it still does not."""
+        used = sum(self.folder.size(name) for name in files.complete.values())
+        if used + self._snapshot_size > self.max_size and len(files.complete) > 1:
             older = sorted(files.complete)[:-1]
-            taken -= self._drop([files.complete[generation] for generation in older])
-        if taken + self._snapshot_size > self.max_size:
-            raise OSError(errno.EFBIG, "what is kept needs more than most_mb")
+            used -= self._remove_replaced([files.complete[generation] for generation in older])
+        if used + self._snapshot_size > self.max_size:
+            raise OSError(errno.EFBIG, "the snapshot needs more than most_mb")
 
     def _write_durably(self, name: str, generation: int, clocks: Clocks) -> int:
-        """Write a generation aside, sync and rename it; return its size."""
-        aside = name + ASIDE_SUFFIX
+        """Write a generation to a temporary file, sync and rename it; return its size."""
+        temporary_name = name + INCOMPLETE_SUFFIX
         try:
             size = 0
             for piece in self._snapshot_pieces(generation, clocks):
-                self.folder.append(aside, piece)
+                self.folder.append(temporary_name, piece)
                 size += len(piece)
-            self.folder.sync(aside)
-            self.folder.rename(aside, name)
+            self.folder.sync(temporary_name)
+            self.folder.rename(temporary_name, name)
             self.folder.sync_names()
         except OSError:
-            self.folder.close_file(aside)
+            self.folder.close_file(temporary_name)
             self.folder.close_file(name)
             raise
         return size
@@ -323,14 +325,13 @@
         if part:
             yield part
 
-    def _drop(self, names: Iterable[str]) -> int:
-        """Remove files that a newer one replaces, as far as that works now; return the bytes of those."""
-        dropped = 0
+    def _remove_replaced(self, names: Iterable[str]) -> int:
+        """Remove files that a newer one replaces, ignoring failures; return the bytes that were freed."""
+        freed = 0
         for name in names:
-            with suppress(
-                OSError
-            ):  # it is older: a reader takes the newest, and the next generation tries again
+            # Failures are harmless: readers use the newest file, and the next generation tries again.
+            with suppress(OSError):
                 size = self.folder.size(name)
                 self.folder.unlink(name)
-                dropped += size
-        return dropped
+                freed += size
+        return freed
--- a/granitespool/state/writer.py
+++ b/granitespool/state/writer.py
@@ -1,8 +1,8 @@
-"""The writer: one thread that owns the folder and its store, since a sync takes as long as the disk likes.
+"""Writer: the thread that owns the folder and its store, since the duration of a sync is unbounded.
 
-The loop hands over changes and never waits; what waits for the disk is one value a key, the newest. A disk
-that fails is reported once, tried again with growing pauses, and reported once more when it works again. No
-decision is taken here: what is worth a write and what is restored stand in change_filter and restore_policy.
+The event loop submits changes and never waits; only the newest value of each key waits for the disk. A
+failure of the disk is logged once, writes are retried with backoff, and the recovery is logged once.
+change_filter and restore_policy decide which changes are written and restored.
 """
 
 import threading
@@ -18,13 +18,13 @@
 from granitespool.state.store import Store, StoredState, read_newest
 
 MB = 1 << 20
-RETRY_DELAY_MIN = 0.5  # s before a failed write is tried again
-RETRY_DELAY_MAX = 30.0  # s between attempts at most: a repaired disk is used again soon
-MAX_REPORTS = 64  # reports for the loop that wait at most: each is made once a change of state
+RETRY_DELAY_MIN = 0.5  # s before the first retry of a failed write
+RETRY_DELAY_MAX = 30.0  # s; short enough that a repaired disk is soon used again
+MAX_REPORTS = 64  # limit of log reports that wait for the loop; there is one per change of state
 
 
 class LogReport(NamedTuple):
-    """A line for the log, which the loop writes."""
+    """Log event of the thread, which the event loop writes to the log."""
 
     event: str
     fields: dict[str, Any]
@@ -32,18 +32,18 @@
 
 @dataclass
 class FolderContent:
-    """What the folder held when it was opened, and what was wrong with it."""
+    """Contents of the folder when it was opened, and the problems that were found."""
 
     state: StoredState | None = None
     record: Record | None = None
     problems: list[str] = field(default_factory=list)
-    reason: str | None = None  # one sentence where nothing was read
-    lock_error: str | None = None  # one sentence where another process owns the folder
-    is_writable: bool = True  # False: it is of a newer format and left untouched
+    reason: str | None = None  # why nothing was read, in one sentence
+    lock_error: str | None = None  # set if another process has locked the folder
+    is_writable: bool = True  # False: the format is newer, the folder is left untouched
 
 
 def read_folder(folder: Folder, max_size: int) -> FolderContent:
-    """Return what a folder holds, and change nothing in it; files over `max_size` bytes are not ours."""
+    """Read a folder without changing it; files of more than `max_size` bytes are skipped."""
     try:
         state, problems = read_newest(folder, max_size)
     except UnsupportedFormatError as error:
@@ -58,20 +58,20 @@
 
 
 class Backoff:
-    """The pauses between attempts at a disk that fails; times in s."""
+    """Exponential backoff between attempts to use a failing disk; times in s."""
 
     def __init__(self) -> None:
         self.delay = RETRY_DELAY_MIN
 
     def next_delay(self) -> float:
-        """Return the pause before the next attempt, which doubles each time up to the longest."""
+        """Return the delay before the next attempt, which doubles each time up to RETRY_DELAY_MAX."""
         delay = self.delay
         self.delay = min(RETRY_DELAY_MAX, delay * 2)
         return delay
 
 
 class Writer:
-    """`submit`, `drain` and `close` are the loop's side; all else runs in the thread."""
+    """Thread that writes changes to a folder; its public methods are called by the event loop."""
 
     def __init__(
         self,
@@ -81,44 +81,47 @@
         wake: Callable[[], None],
         clocks: Callable[[], Clocks],
     ) -> None:
-        """Start the thread; `make_header` gets the number of the start, `wake` has the loop call `drain`."""
+        """Start the thread.
+
+        `make_header` is called with the number of the start; `wake` makes the event loop call `drain`.
+        """
         self.folder = folder
         self.max_size = max_mb * MB
         self.make_header = make_header
         self.wake = wake
         self.clocks = clocks
-        self.synced_at = 0  # ns, wall clock of the newest batch that is durable
+        self.synced_at = 0  # wall clock in ns of the newest durable batch
         self.bytes_written = 0
         self.batches_written = 0
-        self.is_failing = False  # whether the last report about the disk was a bad one
-        self.durable_ticket = 0  # the last ticket whose changes are durable
-        self._condition = threading.Condition()  # guards the next five
+        self.is_failing = False  # whether the last report was a failure
+        self.durable_ticket = 0  # last ticket whose changes are durable
+        self._condition = threading.Condition()  # guards the next five attributes
         self._pending: Changes = {}
         self._is_closing = False
         self._reports: deque[LogReport] = deque(maxlen=MAX_REPORTS)
-        self._tickets = 0  # of what was submitted
-        self._is_awaited = False  # whether the loop is to look as soon as it is durable
+        self._tickets = 0  # submitted batches; the number of a batch is its ticket
+        self._is_awaited = False  # whether to wake the loop once pending changes are durable
         self._content: FolderContent | None = None
-        self._is_opened = threading.Event()
+        self._is_open = threading.Event()
         self._thread = threading.Thread(target=self._run, name="granitespool-state", daemon=True)
         self._thread.start()
 
-    # The loop's side
+    # Called by the event loop
 
     def wait_until_open(self, timeout: float) -> FolderContent | None:
-        """Return what the folder held, or None where it could not be read within `timeout` s.
+        """Return the contents of the folder, or None if reading takes longer than `timeout` s.
 
-        What it held is not restored then.
+        In that case nothing is restored.
         """
-        in_time = self._is_opened.wait(timeout)
+        is_open = self._is_open.wait(timeout)
         content = self._content
         self._content = None
-        return content if in_time else None
+        return content if is_open else None
 
     def submit(self, changes: Changes) -> int:
-        """Have changes written; a newer value takes the place of one that still waits.
+        """Queue changes for writing; a newer value replaces one that is still pending.
 
-        Returns a ticket: the changes are on the disk once `durable_ticket` has reached it.
+        Returns a ticket: the changes are durable once `durable_ticket` has reached it.
         """
         with self._condition:
             self._pending.update(changes)
@@ -128,25 +131,25 @@
             return self._tickets
 
     def set_max_mb(self, max_mb: int) -> None:
-        """Set how much the folder may hold."""
+        """Set the maximum size of the folder in MiB."""
         self.max_size = max_mb * MB
 
     def pending_count(self) -> int:
-        """Return how many values wait for the disk."""
+        """Return the number of values that wait for the disk."""
         with self._condition:
             return len(self._pending)
 
     def drain(self) -> list[LogReport]:
-        """Return what the thread has reported since the last call."""
+        """Return the log reports of the thread since the last call."""
         with self._condition:
             reports = list(self._reports)
             self._reports.clear()
         return reports
 
     def close(self, timeout: float) -> bool:
-        """Have a last snapshot written; True when it is durable within `timeout` s.
+        """Request a last snapshot and return whether it is durable within `timeout` s.
 
-        The folder is released by the thread when it ends, at the latest with the process.
+        The thread releases the folder when it ends, at the latest with the process.
         """
         with self._condition:
             self._is_closing = True
@@ -154,36 +157,36 @@
         return self.join(timeout)
 
     def join(self, timeout: float) -> bool:
-        """Wait for the thread's end; True where it has ended within `timeout` s."""
+        """Wait for the end of the thread and return whether it has ended within `timeout` s."""
         self._thread.join(timeout)
         return not self._thread.is_alive()
 
-    # The thread
+    # Runs in the thread
 
     def _report(self, event: str, **fields: Any) -> None:
         self.is_failing = event != "state_write_recovered"
         with self._condition:
             self._reports.append(LogReport(event, fields))
-            if not self._is_closing:  # the loop may be gone by then, and its descriptor another's
+            if not self._is_closing:  # the loop may have ended and its descriptor may have been reused
                 self.wake()
 
     def _run(self) -> None:
         try:
             store = self._open()
             if store:
-                self._serve(store)
+                self._write_until_closed(store)
         except Exception as error:
             self._report("state_write_failed", reason=f"{type(error).__name__}: {error}", retry=False)
         finally:
-            self._is_opened.set()
+            self._is_open.set()
             self.folder.close()
 
     def _open(self) -> Store | None:
-        """Return the store, or None where this folder is not to be written."""
+        """Return the store, or None if the folder must not be written."""
         content = self._open_with_retries()
         if content is None:
             return None
-        if not self._is_opened.is_set():
+        if not self._is_open.is_set():
             self._content = content
         if not content.is_writable:
             return None
@@ -191,11 +194,11 @@
         store = Store(self.folder, self.max_size, lambda: self.make_header(start_number))
         if content.state:
             store.generation = content.state.generation
-        self._is_opened.set()
+        self._is_open.set()
         return store
 
     def _open_with_retries(self) -> FolderContent | None:
-        """Return what the folder holds, or None where it is locked or the end came first."""
+        """Return the contents of the folder, or None if it is locked or the writer is closing."""
         backoff = Backoff()
         has_failed = False
         while True:
@@ -205,7 +208,7 @@
                 content = read_folder(self.folder, self.max_size)
             except FolderLockedError as error:
                 self._content = FolderContent(reason=str(error), lock_error=str(error))
-                if self._is_opened.is_set():
+                if self._is_open.is_set():
                     self._report("state_write_failed", reason=str(error), retry=False)
                 return None
             except OSError as error:
@@ -214,7 +217,7 @@
                 has_failed = True
                 if self._content is None:
                     self._content = FolderContent(reason=f"the folder cannot be used: {error.strerror}")
-                self._is_opened.set()  # a start does not wait for a broken disk
+                self._is_open.set()  # a start does not wait for a failing disk
                 if self._pause(backoff.next_delay()):
                     return None
             else:
@@ -227,17 +230,17 @@
             self._report("state_write_failed", reason=error.strerror or str(error), retry=True)
 
     def _pause(self, seconds: float) -> bool:
-        """Wait; True where the end came meanwhile."""
+        """Wait for `seconds` or until the writer is closing; return whether it is closing."""
         with self._condition:
             return self._condition.wait_for(lambda: self._is_closing, seconds)
 
-    def _serve(self, store: Store) -> None:
-        """Write what is submitted until the end."""
+    def _write_until_closed(self, store: Store) -> None:
+        """Write submitted changes until the writer is closed."""
         while not self._write_next(store):
             pass
 
     def _write_next(self, store: Store) -> bool:
-        """Write the next batch, however often that takes; True where nothing is to follow."""
+        """Write the next batch, with retries; return whether it was the last one."""
         backoff = Backoff()
         has_failed = False
         while True:
@@ -248,7 +251,7 @@
                 if has_failed:
                     self.folder.ensure_lock()
                 self._write(store, clocks, changes, is_last=is_closing)
-            except OSError as error:  # the store holds what it was handed, and writes it next time
+            except OSError as error:  # the store keeps the changes for the next attempt
                 self._report_failure(error, has_failed)
                 has_failed = True
                 if is_closing or self._pause(backoff.next_delay()):
@@ -259,11 +262,11 @@
             else:
                 if has_failed:
                     self._report("state_write_recovered")
-                self._note_written(store, clocks, ticket)
+                self._record_written(store, clocks, ticket)
                 return is_closing
 
     def _take_pending(self, at_once: bool) -> tuple[Changes, int, bool]:
-        """Return the changes that wait, the last ticket among them and whether they are the last."""
+        """Wait for changes; return them, their last ticket and whether the writer is closing."""
         with self._condition:
             self._condition.wait_for(lambda: self._pending or self._is_closing or at_once)
             changes = self._pending
@@ -272,18 +275,18 @@
 
     @staticmethod
     def _write(store: Store, clocks: Clocks, changes: Changes, is_last: bool) -> None:
-        if is_last:  # one snapshot with all that is held, so that the next start reads no changes after it
+        if is_last:  # a snapshot of all values, so that the next start has to read no changes
             store.stage(changes)
             store.write_snapshot(clocks)
         else:
             store.append(clocks, changes)
 
-    def _note_written(self, store: Store, clocks: Clocks, ticket: int) -> None:
+    def _record_written(self, store: Store, clocks: Clocks, ticket: int) -> None:
         self.synced_at = clocks.wall
         self.bytes_written = store.bytes_written
         self.batches_written += 1
         with self._condition:
             self.durable_ticket = ticket
             if self._is_awaited and not self._is_closing:
-                self.wake()  # a manager waits for it
+                self.wake()  # a manager waits for its settings to be durable
             self._is_awaited = False
--- a/tests/support/external_names.py
+++ b/tests/support/external_names.py
@@ -78,7 +78,7 @@
         "log events": lambda: set(written()),
         "fields of log events": lambda: {field for fields in written().values() for field in fields},
         "values in log events": lambda: {*ListForm, *HealthCheckOutcome, *Role},
-        "files of the state folder": lambda: {disk.LOCK_NAME, store.ASIDE_SUFFIX, _generation_prefix()},
+        "files of the state folder": lambda: {disk.LOCK_NAME, store.INCOMPLETE_SUFFIX, _generation_prefix()},
         "JSON report of the emulator": lambda: set(_report_keys(emulator_report.Report)),
         "JSON report of the scale run": lambda: {
             "passed",
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -449,7 +449,7 @@
         assert path.stat().st_size > 1000
     where.write_text("{}")
     assert main(["scale", "plot", str(path), str(where)]) == 1
-    assert "is no report of a scale run" in capsys.readouterr().err
+    assert "is not a report of a scale run" in capsys.readouterr().err
 
 
 def test_a_channel_that_is_too_late_for_a_drain_is_found_and_fails_the_command(capsys, tmp_path):
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -115,9 +115,14 @@
     "header, who, age, words",
     [
         (HEADER, WHO, 5 * S, None),
-        (HEADER, WHO._replace(name="n1"), 5 * S, "written by 'n0', and this is 'n1'"),
-        (HEADER, WHO._replace(class_names=["pay", "look"]), 5 * S, "classes pay, and now they are pay, look"),
-        (HEADER, WHO._replace(zones=["s", "n"]), 5 * S, "zones n, s, and now they are s, n"),
+        (HEADER, WHO._replace(name="n1"), 5 * S, "written by 'n0', but this coordinator is 'n1'"),
+        (
+            HEADER,
+            WHO._replace(class_names=["pay", "look"]),
+            5 * S,
+            "classes pay, but the settings contain pay, look",
+        ),
+        (HEADER, WHO._replace(zones=["s", "n"]), 5 * S, "zones n, s, but the settings contain s, n"),
         (HEADER, WHO, 301 * S, "301 s old"),
         (HEADER, WHO, 9 * 24 * 3600 * S, "777600 s old"),
         (HEADER, WHO, -3600 * S, "clock went backward"),
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -288,8 +288,13 @@
         (24 * 3600 * S, 24 * 3600 * S, {}, "86400 s old"),
         (-3600 * S, S, {}, "clock went backward"),
         (5 * S, 3605 * S, {}, "clock went backward"),
-        (S, S, {"classes": [{"name": "pay"}, {"name": "look"}]}, "classes pay, and now they are pay, look"),
-        (S, S, {"zones": ["n", "s"]}, "zones n, and now they are n, s"),
+        (
+            S,
+            S,
+            {"classes": [{"name": "pay"}, {"name": "look"}]},
+            "classes pay, but the settings contain pay, look",
+        ),
+        (S, S, {"zones": ["n", "s"]}, "zones n, but the settings contain n, s"),
     ],
 )
 def test_a_record_that_is_not_believed_is_ignored_with_one_line(tmp_path, wall, mono, settings, words):
@@ -617,8 +622,8 @@
     assert not problems and found.clocks[0] > time.time_ns() - 5 * S
     assert main(["state", "show", world.folder]) == 0
     shown = capsys.readouterr().out
-    assert "s-3 ready from n: 2" in shown and "9 backends, 9 links" in shown and "believed by 9" in shown
-    assert main(["state", "verify", world.folder]) == 0 and "whole" in capsys.readouterr().out
+    assert "s-3 ready from n: 2" in shown and "9 backends, 9 links" in shown and "confidence 9" in shown
+    assert main(["state", "verify", world.folder]) == 0 and ": valid, " in capsys.readouterr().out
     before = record.decode_record(record.FORMAT_VERSION, found.values)
     assert main(["state", "compact", world.folder]) == 0 and "bytes before" in capsys.readouterr().out
     assert (
@@ -627,7 +632,10 @@
     )
     [name] = [name for name in os.listdir(world.folder) if name != "lock"]
     data = open(os.path.join(world.folder, name), "rb").read()
-    for cut, words in ((len(data) - 3, f"{name}: a frame ends within its body at byte"), (40, "at byte")):
+    for cut, words in (
+        (len(data) - 3, f"{name}: the file ends within the body of a frame at byte"),
+        (40, "at byte"),
+    ):
         open(os.path.join(world.folder, name), "wb").write(data[:cut])
         assert main(["state", "verify", world.folder]) == 1 and words in capsys.readouterr().out
 
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -152,21 +152,21 @@
 @pytest.mark.parametrize(
     "data, words",
     [
-        (b"", "no state file"),
-        (b"SQLite format 3\x00" + bytes(90), "no state file"),
-        (framing.MAGIC, "ends before"),
-        (framing.encode_file_start(9), "its name is not"),
-        (framing.encode_file_start(7) + bytes(64), "tells the length 0"),
-        (framing.encode_file_start(7), "before its snapshot"),
+        (b"", "not a state file"),
+        (b"SQLite format 3\x00" + bytes(90), "not a state file"),
+        (framing.MAGIC, "ends before its first frame"),
+        (framing.encode_file_start(9), "the generation 9, its name another one"),
+        (framing.encode_file_start(7) + bytes(64), "has the invalid length 0"),
+        (framing.encode_file_start(7), "ends before its snapshot is complete"),
         (
             framing.encode_file_start(7)
             + framing.encode_frame(7, framing.FIRST_FRAME_OFFSET, FrameKind.SNAPSHOT_END, b""),
-            "no header",
+            "the first frame is not a header",
         ),
         (
             framing.encode_file_start(7)
             + framing.encode_frame(8, framing.FIRST_FRAME_OFFSET, FrameKind.HEADER, b""),
-            "checksum",
+            "the checksum of a frame is wrong",
         ),
         (
             framing.encode_file_start(7) + framing.encode_payload(7, framing.FIRST_FRAME_OFFSET, b"?"),
@@ -174,11 +174,11 @@
         ),
         (
             begun(FrameKind.SNAPSHOT_END, record.encode_value(SnapshotEnd(1, 1, 5))),
-            "its snapshot holds 0 of 5 values",
+            "the snapshot contains 0 of 5 values",
         ),
         (begun(FrameKind.CHANGES, record.encode_value(Batch(1, 1, {}))), "out of place"),
         (begun(FrameKind.HEADER, b"\x90"), "out of place"),
-        (begun(FrameKind.SNAPSHOT, b"\xc1"), "cannot be read"),
+        (begun(FrameKind.SNAPSHOT, b"\xc1"), "cannot be decoded"),
     ],
 )
 def test_what_is_wrong_with_a_file_is_said_in_one_sentence(data, words):
