--- a/tests/planner/test_simulator_adapter.py
+++ b/tests/planner/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: names, units and what is said of invalid input."""
+"""The adapter to the simulator: names and units of the protocol, and errors about invalid input."""
 
 import io
 import json
@@ -19,13 +19,13 @@
 }
 JOIN = {"type": "connected", "coordinator": 0, "agent": 3, "zone": "n", "flag": True, "weight": None}
 LEFT = {"type": "left", "coordinator": 0, "agent": 3}
-BROKEN = {"type": "tick_due", "coordinator": 0, "cookie": 5}
+INVALID_TIMER = {"type": "tick_due", "coordinator": 0, "cookie": 5}
 
 
 def run(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], *lines: str
 ) -> tuple[int, str, str]:
-    """The exit code, output and errors of the adapter for these lines."""
+    """Run the adapter on input lines and return its exit code, output and errors."""
     monkeypatch.setattr(sys, "stdin", io.StringIO("".join(line + "\n" for line in lines)))
     code = simulator_adapter.main()
     out, err = capsys.readouterr()
@@ -33,7 +33,7 @@
 
 
 def batch(*items: object) -> str:
-    """A line of these items, 5 us after the start."""
+    """Return an input line with these items, 5 us after the start of the simulation."""
     return json.dumps({"t_us": 5, "items": items})
 
 
@@ -46,13 +46,13 @@
         ('{"items":[]}', "'t_us'"),
         (batch({"type": "left"}), "'coordinator'"),
         (batch(START, {"type": "left", "coordinator": 0}), "'agent'"),
-        (batch(START, BROKEN), "'cookie'"),
+        (batch(START, INVALID_TIMER), "'cookie'"),
         (batch({"type": "odd", "coordinator": 0}), "unknown type"),
         (batch(START, {**LIST, "rows_in": [{"zone": "n"}]}), "'backend'"),
         (batch(3), "not an object"),
     ],
 )
-def test_invalid_input_is_reported_in_one_sentence(
+def test_invalid_input_ends_the_adapter_with_one_sentence(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], line: str, words: str
 ) -> None:
     code, out, err = run(monkeypatch, capsys, line)
@@ -63,7 +63,7 @@
     assert "Traceback" not in err
 
 
-def test_names_and_units_of_the_wire(
+def test_actions_have_the_names_and_units_of_the_protocol(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code, out, err = run(
@@ -79,16 +79,16 @@
     assert replies[0] == replies[2] == []
     assert {"type": "bind", "coordinator": 0, "agent": 3, "tbl": 0, "for_classes": 0} in replies[1]
     assert {"type": "weigh", "coordinator": 0, "tbl": 0, "backend": "a:1", "weight": 1.0} in replies[1]
-    assert any(a["type"] == "wake_at" and a["offset_us"] == 1_000_000 for a in replies[1])
+    assert any(action["type"] == "wake_at" and action["offset_us"] == 1_000_000 for action in replies[1])
 
 
-def test_a_failure_is_reported_for_its_coordinator_alone(
+def test_an_exception_of_a_planner_is_reported_only_for_its_coordinator(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(simulator_adapter.Planner, "_remove_proxy", lambda *_: 1 / 0)
     other = {**START, "coordinator": 1}
     code, out, err = run(monkeypatch, capsys, batch(START, other, LIST, LEFT))
-    faults = [a for a in json.loads(out)["do"] if a["type"] == "fatal"]
-    assert [a["coordinator"] for a in faults] == [0]
+    errors = [action for action in json.loads(out)["do"] if action["type"] == "fatal"]
+    assert [action["coordinator"] for action in errors] == [0]
     assert "ZeroDivisionError" in err
     assert code == 0
--- a/tests/test_operator_files.py
+++ b/tests/test_operator_files.py
@@ -1,4 +1,7 @@
-"""The operators' and the platform's files: their keys, what they become, and what `check` says of them."""
+"""Keys and values of the operator's and the platform's files, and the output of `check`, against records.
+
+A renamed key, another default or another limit would change files that operators already have.
+"""
 
 import json
 import tomllib
@@ -48,8 +51,8 @@
 """
 
 
-def type_of(kind):
-    """A field's type and its bounds in one line."""
+def type_text(kind):
+    """Return the type of a field and its limits in one line."""
     info = inspect.type_info(kind)
     bounds = {
         name: getattr(info, name)
@@ -59,35 +62,35 @@
     return " ".join([type(info).__name__, *(f"{name}={value!r}" for name, value in bounds.items())])
 
 
-def keys_of(struct):
+def schema_keys(struct):
     return {
-        field.name: {"type": type_of(field.type), **({} if field.required else {"default": field.default})}
+        field.name: {"type": type_text(field.type), **({} if field.required else {"default": field.default})}
         for field in msgspec.structs.fields(struct)
     }
 
 
-def json_of(value):
+def json_text(value):
     return json.dumps(value, indent=1) + "\n"
 
 
-def test_each_key_of_the_operators_file(tmp_path):
-    sections = {name: keys_of(struct) for name, struct in operator_settings.SECTIONS.items()}
+def test_keys_types_and_defaults_of_the_operators_file_are_as_recorded(tmp_path):
+    sections = {name: schema_keys(struct) for name, struct in operator_settings.SECTIONS.items()}
     compare_with_record(
         "management/operator_keys.json",
-        json_of({**sections, "user.NAME": keys_of(operator_settings.UserSettings)}),
+        json_text({**sections, "user.NAME": schema_keys(operator_settings.UserSettings)}),
         tmp_path,
     )
 
 
-def test_what_each_key_becomes(tmp_path):
+def test_values_and_summary_of_a_file_with_every_key_are_as_recorded(tmp_path):
     path = tmp_path / "operator_settings.ini"
     path.write_text(EVERY_KEY)
-    read = operator_settings.load(str(path))
-    text = json_of({"read": msgspec.to_builtins(read), "summary": operator_settings.summary(read)})
+    settings = operator_settings.load(str(path))
+    text = json_text({"read": msgspec.to_builtins(settings), "summary": operator_settings.summary(settings)})
     compare_with_record("management/operator_values.json", text.replace(str(tmp_path), "FOLDER"), tmp_path)
 
 
-def test_check_of_the_examples(tmp_path, capsys, monkeypatch):
+def test_output_of_check_for_the_examples_is_as_recorded(tmp_path, capsys, monkeypatch):
     monkeypatch.delenv("LB_CONFIG", raising=False)
     path = tmp_path / "operator_settings.ini"
     path.write_text(EVERY_KEY)
@@ -99,21 +102,21 @@
         main(["check", "--config", example, "--operator", str(path)]),
     ]
     out, err = capsys.readouterr()
-    text = json_of({"codes": codes, "out": out.splitlines(), "err": err})
+    text = json_text({"codes": codes, "out": out.splitlines(), "err": err})
     compare_with_record("management/check.json", text.replace(str(tmp_path), "FOLDER"), tmp_path)
 
 
-def test_the_tree_of_the_example_configuration(tmp_path):
-    read = config.load(str(ROOT / "examples" / "config.json"))
-    compare_with_record("management/example_tree.json", json_of(mapping.tree_of(read)), tmp_path)
+def test_settings_tree_of_the_example_configuration_is_as_recorded(tmp_path):
+    configuration = config.load(str(ROOT / "examples" / "config.json"))
+    compare_with_record("management/example_tree.json", json_text(mapping.tree_of(configuration)), tmp_path)
 
 
-def test_the_form_of_the_deploy_file():
-    form = {}
+def test_keys_and_value_types_of_the_deploy_file():
+    value_types = {}
     for key, value in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text()).items():
-        inner = sorted({type(each).__name__ for each in value}) if isinstance(value, list) else []
-        form[key] = [type(value).__name__, *inner]
-    assert form == {
+        item_types = sorted({type(item).__name__ for item in value}) if isinstance(value, list) else []
+        value_types[key] = [type(value).__name__, *item_types]
+    assert value_types == {
         "build": ["str"],
         "run": ["str"],
         "sim": ["str"],
--- a/tests/test_state_format.py
+++ b/tests/test_state_format.py
@@ -1,9 +1,10 @@
-"""A state folder of format 2, written by the version that introduced it, is read and written as it was then.
+"""Compatibility with a state folder of format 2, written by the version that introduced the format.
 
-`data/state-v2/` holds a snapshot, changes after it, settings that managers have changed, a cut link, backends
-that drain, wait for their first answer or are gone, and an end that a crash has torn. `data/state-v2.json`
-holds what was read from it: the values of its file as the format's page names them, what the commands print,
-what a start takes over and what the first life on it leaves behind. Only plain values are compared."""
+Guards against changes that read or write such folders differently. `data/state-v2/` contains a snapshot,
+later changes, settings changed by managers, an ejected link, backends that drain, are not verified yet or are
+gone, and an end that was torn by a crash. `data/state-v2.json` contains the values of its file, the output of
+the commands, what a start restores and what that start leaves in the folder.
+"""
 
 import json
 import pathlib
@@ -14,21 +15,21 @@
 import msgspec
 import pytest
 from test_recorded_decisions import plain, status
-from test_state_service import Bench, Party, free_port
+from test_state_service import ServiceOnClock, StreamClient, free_port
 
 from granitespool.cli import main
+from granitespool.units import SECOND
 
 DATA = pathlib.Path(__file__).parent / "data"
 FOLDER = DATA / "state-v2"
 NAME = "state-0000000000000006"
-READ = json.loads((DATA / "state-v2.json").read_text())
-S = 10**9
-WROTE = 10**18, 540 * S  # wall and monotonic clock, ns: half a second after the last batch
-KINDS = [{"name": "pay", "latency_objective": S // 10}, {"name": "look", "latency_objective": S}]
+RECORDED = json.loads((DATA / "state-v2.json").read_text())
+WRITTEN = 10**18, 540 * SECOND  # wall and monotonic clock in ns, half a second after the last batch
+CLASSES = [{"name": "pay", "latency_objective": SECOND // 10}, {"name": "look", "latency_objective": SECOND}]
 
 
 def read_file(path):
-    """(header, values by key) of a state file, read by the words of docs/state-format.md alone."""
+    """Return (header, values by key) of a state file, decoded as docs/state-format.md specifies."""
     data = path.read_bytes()
     assert data[:12] == b"granites\x00\x01\r\n"
     generation, check = struct.unpack_from("<QI", data, 12)
@@ -76,66 +77,66 @@
 
 
 @pytest.mark.parametrize("age_s", [0, 25, 100, 400, -10])
-def test_show_prints_what_it_printed(folder, capsys, monkeypatch, age_s):
-    monkeypatch.setattr("time.time_ns", lambda: WROTE[0] + age_s * S)
-    monkeypatch.setattr("time.monotonic_ns", lambda: WROTE[1] + abs(age_s) * S)
+def test_output_of_show_is_as_recorded(folder, capsys, monkeypatch, age_s):
+    monkeypatch.setattr("time.time_ns", lambda: WRITTEN[0] + age_s * SECOND)
+    monkeypatch.setattr("time.monotonic_ns", lambda: WRITTEN[1] + abs(age_s) * SECOND)
     assert main(["state", "show", str(folder)]) == 0
-    assert shown(capsys, folder) == READ["show"][str(age_s)]
+    assert shown(capsys, folder) == RECORDED["show"][str(age_s)]
 
 
-def test_verify_prints_what_it_printed(folder, capsys):
+def test_output_of_verify_is_as_recorded(folder, capsys):
     assert main(["state", "verify", str(folder)]) == 1
-    assert shown(capsys, folder) == READ["verify"]
+    assert shown(capsys, folder) == RECORDED["verify"]
 
 
-def test_file_holds_what_the_format_page_says():
-    assert list(read_file(FOLDER / NAME)) == READ["file"]
+def test_the_file_decodes_to_the_recorded_values():
+    assert list(read_file(FOLDER / NAME)) == RECORDED["file"]
 
 
-def test_compact_keeps_every_value_of_the_fleet(folder, capsys):
+def test_compact_keeps_every_value_of_the_fleet_backends_and_links(folder, capsys):
     assert main(["state", "compact", str(folder)]) == 0
-    assert shown(capsys, folder) == READ["compact"]
+    assert shown(capsys, folder) == RECORDED["compact"]
     [path] = folder.glob("state-*")
     header, values = read_file(path)
-    assert header[:7] == READ["file"][0][:7]
-    learnt = {key: value for key, value in READ["file"][1].items() if key != "m"}
-    assert {key: value for key, value in values.items() if key != "m"} == learnt
+    assert header[:7] == RECORDED["file"][0][:7]
+    stored = {key: value for key, value in RECORDED["file"][1].items() if key != "m"}
+    assert {key: value for key, value in values.items() if key != "m"} == stored
 
 
-class Life(Bench):
-    """The first start on a copy of the folder, one second after its last batch."""
+class FirstStart(ServiceOnClock):
+    """The first start on a copy of the folder, one second after the last batch."""
 
     known = []
 
     def __init__(self, folder):
         zones = ["n", "s"]
-        settings = {"zones": zones, "classes": KINDS, "admission": "fraction", "warm_up_time": 10 * S}
-        wall, mono = WROTE[0] + S, WROTE[1] + S
-        super().__init__(folder, wall, mono, health_checks_allowed=False, proxies_expected=4, **settings)
+        settings = {"zones": zones, "classes": CLASSES, "admission": "fraction", "warm_up_time": 10 * SECOND}
+        wall, monotonic = WRITTEN[0] + SECOND, WRITTEN[1] + SECOND
+        super().__init__(folder, wall, monotonic, health_checks_allowed=False, proxies_expected=4, **settings)
         self.port = free_port()
 
     def config(self, **state):
         return {**super().config(**state), "name": "n0", "listen": ("127.0.0.1", self.port)}
 
     def joined(self, proxy, zone):
-        """What a proxy that joins is written first, up to its ticket."""
+        """Return the first messages to a joining proxy, up to its ticket."""
         joining = {"type": "joined", "node": proxy, "locality": zone, "w": 5.0, "cold": True}
-        party = Party(("127.0.0.1", self.port), joining)
-        party.sock.settimeout(0.01)
+        client = StreamClient(("127.0.0.1", self.port), joining)
+        client.sock.settimeout(0.01)
         data = b""
         for _ in range(200):
             self.turn(0)
             try:
-                data += party.sock.recv(1 << 16)
+                data += client.sock.recv(1 << 16)
             except TimeoutError:
                 continue
             if b'"ticket"' in data:
                 break
-        party.close()
+        client.close()
         return data.decode("latin-1")
 
 
-LOG_FIELDS = {  # the recording's names of the log's fields -> today's
+LOG_FIELDS = {  # names of log fields in the recording -> current names
     "cuts": "ejected",
     "strained": "overloaded",
     "room": "admitted_share",
@@ -145,33 +146,33 @@
 
 
 def recorded_log_line():
-    """The recorded line of the log under today's names of the event and its fields."""
-    line = {LOG_FIELDS.get(key, key): value for key, value in READ["start"]["log"].items()}
+    """Return the recorded log event under the current names of the event and its fields."""
+    line = {LOG_FIELDS.get(key, key): value for key, value in RECORDED["start"]["log"].items()}
     assert line["event"] == "recalled"
     return {**line, "event": "snapshot_restored"}
 
 
-def lived(folder):
-    """(what a start takes over, what that life leaves in its file)."""
-    with Life(folder) as life:
-        life.turn()
-        taken = {"status": plain(status(life.service.coordinator))}
-        [line] = life.logged("snapshot_restored")
-        taken["log"] = {key: value for key, value in line.items() if key not in ("at", "ts", "time")}
-        taken["written"] = {zone: life.joined(number, zone) for number, zone in enumerate("ns", 1)}
+def restart_on(folder):
+    """Run the first start on a folder; return (restored state, header and values of its final file)."""
+    with FirstStart(folder) as host:
+        host.turn()
+        observed = {"status": plain(status(host.service.coordinator))}
+        [line] = host.logged("snapshot_restored")
+        observed["log"] = {key: value for key, value in line.items() if key not in ("at", "ts", "time")}
+        observed["written"] = {zone: host.joined(number, zone) for number, zone in enumerate("ns", 1)}
         for means in ({"a": 45, "b": 150, "f": 40}, {"a": 46, "b": 90, "f": 41}, {"a": 45, "c": 40}):
-            life.hear(**means)
+            host.report_means(**means)
             for _ in range(30):
-                life.turn()
+                host.turn()
     [path] = folder.glob("state-*")
     header, values = read_file(path)
-    return taken, [header[:7], values]
+    return observed, [header[:7], values]
 
 
-def test_start_takes_over_and_leaves_what_it_did(folder):
-    taken, left = lived(folder)
-    assert taken["written"] == READ["start"]["written"]
-    assert taken["log"] == recorded_log_line()
-    assert taken["status"] == READ["start"]["status"]
-    assert json.dumps(taken["status"]) == json.dumps(READ["start"]["status"])  # in the same order, too
-    assert left == READ["left"]
+def test_restored_state_and_final_file_of_a_start_are_as_recorded(folder):
+    observed, final_file = restart_on(folder)
+    assert observed["written"] == RECORDED["start"]["written"]
+    assert observed["log"] == recorded_log_line()
+    assert observed["status"] == RECORDED["start"]["status"]
+    assert json.dumps(observed["status"]) == json.dumps(RECORDED["start"]["status"])  # in the same order, too
+    assert final_file == RECORDED["left"]
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -1,4 +1,7 @@
-"""The store against a disk that forgets: crashes at every call, flipped bytes, faults, and a plain model."""
+"""The store on a faulty disk: crashes at every call, corrupt bytes, failing calls, comparison with a dict.
+
+Guards against reading a state that was never stored, or one older than the last that was synced.
+"""
 
 import copy
 import errno
@@ -17,24 +20,24 @@
 from granitespool.state.record import Batch, Clocks, SnapshotEnd
 from granitespool.state.store import Store, classify_names, file_name, read_file, read_newest
 
-MOST = 1 << 20
-V1 = pathlib.Path(__file__).parent / "data" / "state-v1"
+MOST = 1 << 20  # maximum size of the folder in bytes
+VERSION_1_FOLDER = pathlib.Path(__file__).parent / "data" / "state-v1"
 
 
 def header(version=record.FORMAT_VERSION):
     return lambda: record.Header(version, "n0", ["pay"], ["n", "s"], 1, 1, 1, "test")
 
 
-def store_on(disk, most=MOST, version=record.FORMAT_VERSION):
-    store, (found, _) = Store(disk, most, header(version)), read_newest(disk, most)
+def store_on(disk, max_size=MOST, version=record.FORMAT_VERSION):
+    store, (found, _) = Store(disk, max_size, header(version)), read_newest(disk, max_size)
     if found:
         store.generation = found.generation
         store.stage(found.values)
     return store
 
 
-def steps(count, seed=3):
-    """Batches of changes as a long run has them: most small, some large, keys that come and go."""
+def batches(count, seed=3):
+    """Yield batches of changes: most of them small, some large, with keys that are added and removed."""
     rng = random.Random(seed)
     for number in range(count):
         changes = {
@@ -43,12 +46,15 @@
         yield {**changes, b"f": b"%d" % number}
 
 
-def run(disk, count, most, crash_at=None):
-    """Plays the long run; returns (states in order, number of the last that was reported as synced)."""
-    states, synced, store = [{}], 0, store_on(disk, most)
+def run(disk, count, max_size, crash_at=None):
+    """Write batches of changes.
+
+    Returns the states in order, the index of the last synced state and whether the machine has crashed.
+    """
+    states, synced, store = [{}], 0, store_on(disk, max_size)
     disk.crash_at = crash_at
     try:
-        for number, changes in enumerate(steps(count), 1):
+        for number, changes in enumerate(batches(count), 1):
             state = dict(states[-1])
             for key, value in changes.items():
                 state.pop(key, None) if value is None else state.__setitem__(key, value)
@@ -62,16 +68,16 @@
     return states, synced, False
 
 
-@pytest.mark.parametrize("most", [MOST, 9_000], ids=["roomy", "tight"])
-def test_a_crash_at_every_call_leaves_one_whole_state_not_older_than_the_last_synced(most):
+@pytest.mark.parametrize("max_size", [MOST, 9_000], ids=["large folder", "small folder"])
+def test_a_crash_at_any_call_leaves_a_complete_state_not_older_than_the_last_synced(max_size):
     disk = FaultyFolder()
-    run(disk, 36, most)
+    run(disk, 36, max_size)
     kinds = {call for _, call, _ in disk.log}
     assert kinds == {"append", "sync", "rename", "unlink", "sync_names"}
-    looked, before = 0, disk.calls
-    for crash_at in range(1, before + 1):
+    checked, call_count = 0, disk.calls
+    for crash_at in range(1, call_count + 1):
         disk = FaultyFolder()
-        states, synced, crashed = run(disk, 36, most, crash_at)
+        states, synced, crashed = run(disk, 36, max_size, crash_at)
         assert crashed
         unsafe = max([len(i.data) - len(i.safe) for i in disk.present.values()], default=0)
         changes = len(disk.pending)
@@ -83,35 +89,35 @@
         for keep in keeps:
             for tear in tears(unsafe):
                 found, _ = read_newest(FaultyFolder(disk.after_crash(keep, tear)), MOST)
-                held = found.values if found else {}
-                assert held in states[synced:], (crash_at, disk.log[-3:], synced)
-                looked += 1
-    assert looked > 1_000
+                values = found.values if found else {}
+                assert values in states[synced:], (crash_at, disk.log[-3:], synced)
+                checked += 1
+    assert checked > 1_000
 
 
 def small_file():
     disk = FaultyFolder()
     store = store_on(disk)
     states = [{}]
-    for number, changes in enumerate(steps(3), 1):
+    for number, changes in enumerate(batches(3), 1):
         store.append(Clocks(number, number), changes)
         states.append(dict(store.values))
     [name] = disk.names()
     return name, disk.present[name].data, states
 
 
-def test_any_flipped_byte_is_found_and_what_follows_it_is_not_trusted():
+def test_any_flipped_bit_is_detected_and_later_frames_are_not_read():
     name, data, states = small_file()
     for at in range(len(data)):
         for bit in (1, 0x80):
-            spoilt = bytearray(data)
-            spoilt[at] ^= bit
-            found, problem = read_file(name, bytes(spoilt))
+            corrupt = bytearray(data)
+            corrupt[at] ^= bit
+            found, problem = read_file(name, bytes(corrupt))
             assert problem and name in problem, at
             assert found is None or found.values in states[1:-1], at
 
 
-def test_any_truncation_reads_as_a_state_that_was_and_is_told_unless_it_falls_between_two_frames():
+def test_a_truncated_file_reads_as_a_former_state_and_is_reported_unless_cut_between_frames():
     name, data, states = small_file()
     ends = [offset for offset, _, _ in framing.decode_frames(data)]
     for size in range(len(data)):
@@ -123,26 +129,26 @@
 
 @given(st.binary(max_size=300), st.booleans())
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_random_bytes_are_no_state_and_no_exception(data, has_start):
-    begun = framing.encode_file_start(7) if has_start else b""
-    found, problem = read_file(file_name(7), begun + data)
+def test_random_bytes_are_reported_and_raise_no_exception(data, has_start):
+    start = framing.encode_file_start(7) if has_start else b""
+    found, problem = read_file(file_name(7), start + data)
     assert found is None and problem
 
 
 @given(st.sampled_from(list(FrameKind)), st.binary(max_size=80))
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_a_whole_frame_with_a_wrong_body_is_told_and_no_exception(kind, body):
+def test_a_frame_with_an_invalid_body_is_reported_and_raises_no_exception(kind, body):
     name, data, _ = small_file()
-    spoilt = data + framing.encode_frame(1, len(data), kind, body)
+    corrupt = data + framing.encode_frame(1, len(data), kind, body)
     try:
-        found, problem = read_file(name, spoilt)
+        found, problem = read_file(name, corrupt)
     except UnsupportedFormatError:
-        pytest.fail("a frame after the header is no header")
+        pytest.fail("a frame after the header was read as a header")
     assert found and (problem or kind == FrameKind.CHANGES)
 
 
-def begun(kind, body):
-    """A file of a header and one more frame."""
+def file_with_frame(kind, body):
+    """Return a file with a header and one more frame."""
     data = framing.encode_file_start(7) + framing.encode_frame(
         7, framing.FIRST_FRAME_OFFSET, FrameKind.HEADER, record.encode_value(header()())
     )
@@ -173,27 +179,27 @@
             "unknown kind",
         ),
         (
-            begun(FrameKind.SNAPSHOT_END, record.encode_value(SnapshotEnd(1, 1, 5))),
+            file_with_frame(FrameKind.SNAPSHOT_END, record.encode_value(SnapshotEnd(1, 1, 5))),
             "the snapshot contains 0 of 5 values",
         ),
-        (begun(FrameKind.CHANGES, record.encode_value(Batch(1, 1, {}))), "out of place"),
-        (begun(FrameKind.HEADER, b"\x90"), "out of place"),
-        (begun(FrameKind.SNAPSHOT, b"\xc1"), "cannot be decoded"),
+        (file_with_frame(FrameKind.CHANGES, record.encode_value(Batch(1, 1, {}))), "out of place"),
+        (file_with_frame(FrameKind.HEADER, b"\x90"), "out of place"),
+        (file_with_frame(FrameKind.SNAPSHOT, b"\xc1"), "cannot be decoded"),
     ],
 )
-def test_what_is_wrong_with_a_file_is_said_in_one_sentence(data, words):
+def test_an_invalid_file_is_reported_in_one_sentence(data, words):
     found, problem = read_file(file_name(7), data)
     assert found is None and words in problem and "\n" not in problem
 
 
-def test_a_newer_format_is_left_untouched_and_an_older_one_is_read():
+def test_a_newer_format_is_left_untouched_and_an_older_one_is_upgraded():
     disk = FaultyFolder()
     store_on(disk, version=record.FORMAT_VERSION + 1).append(Clocks(1, 1), {b"f": b"x"})
     before = {name: inode.data for name, inode in disk.present.items()}
     with pytest.raises(UnsupportedFormatError, match="format 3"):
         read_newest(disk, MOST)
     assert {name: inode.data for name, inode in disk.present.items()} == before
-    old = FaultyFolder({path.name: path.read_bytes() for path in V1.iterdir()})
+    old = FaultyFolder({path.name: path.read_bytes() for path in VERSION_1_FOLDER.iterdir()})
     found, problems = read_newest(old, MOST)
     stored = record.decode_record(found.header.format_version, found.values)
     assert (
@@ -219,20 +225,20 @@
     assert again == stored
 
 
-def test_the_folder_never_passes_its_limit_and_says_when_it_is_too_small():
-    disk, most = FaultyFolder(), 60_000
-    store, rng = store_on(disk, most), random.Random(1)
+def test_the_folder_never_exceeds_its_limit_and_an_error_says_if_it_is_too_small():
+    disk, max_size = FaultyFolder(), 60_000
+    store, rng = store_on(disk, max_size), random.Random(1)
     for number in range(400):
         store.append(Clocks(number, number), {b"k%d" % rng.randrange(30): b"v" * rng.randrange(400)})
-        assert sum(disk.size(name) for name in disk.names()) <= most
+        assert sum(disk.size(name) for name in disk.names()) <= max_size
     with pytest.raises(OSError, match="more than most_mb"):
-        store.append(Clocks(1, 1), {b"large": b"v" * most})
-    assert sum(disk.size(name) for name in disk.names()) <= most
+        store.append(Clocks(1, 1), {b"large": b"v" * max_size})
+    assert sum(disk.size(name) for name in disk.names()) <= max_size
     store.append(Clocks(2, 2), {b"large": None})
     assert read_newest(disk, MOST).state.values == store.values
 
 
-def test_a_file_that_could_not_be_removed_is_removed_later_and_a_torn_one_aside_too():
+def test_a_file_that_could_not_be_removed_and_an_incomplete_one_are_removed_later():
     disk = FaultyFolder({file_name(3) + ".new": b"half"})
     store = store_on(disk)
     store.append(Clocks(1, 1), {b"a": b"1"})
@@ -248,7 +254,7 @@
 
 
 @pytest.mark.parametrize("call", ["append", "sync"])
-def test_nothing_is_built_on_a_file_whose_last_write_or_sync_failed(call):
+def test_a_new_file_is_begun_after_a_failed_write_or_sync(call):
     disk = FaultyFolder()
     store = store_on(disk)
     store.append(Clocks(1, 1), {b"a": b"1"})
