--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -27,19 +27,19 @@
     def status(self) -> CoordinatorStatus:
         """Figures of the fleet and of each zone's tables."""
 
-    def listed(self) -> Mapping[str, object]:
+    def endpoint_states(self) -> Mapping[str, object]:
         """The names of all backends that are known."""
 
     def backend_status(self, name: str) -> CoordinatorBackendStatus | None:
         """What is known of a backend, and how the zones see it; None where it is not known."""
 
 
-class FolderFigures(NamedTuple):
+class StateFolderMetrics(NamedTuple):
     """Of the state folder: bytes and batches written since the start, whether the disk rejects writes."""
 
-    written: int
-    batches: int
-    failing: bool
+    bytes_written: int
+    batches_written: int
+    is_failing: bool
 
 
 class ServiceFacts(NamedTuple):
@@ -51,8 +51,8 @@
     rejected: int
     list_index: int
     list_age: int
-    list_named: bool
-    folder: FolderFigures | None
+    has_endpoint_list: bool
+    folder: StateFolderMetrics | None
 
 
 class OperationalState:
@@ -75,7 +75,7 @@
             self.tree["table"] = [_table_tree(zone) for zone in status.zones]
         backends = []
         backends_per_step = max(1, LINKS_PER_STEP // max(1, len(status.zones)))
-        for number, name in enumerate(list(self.coordinator.listed())):
+        for number, name in enumerate(list(self.coordinator.endpoint_states())):
             if number % backends_per_step == 0:
                 yield
             known = self.coordinator.backend_status(name)
@@ -92,7 +92,7 @@
         "version": facts.version,
         "discovery": {
             "index": str(facts.list_index),
-            "named": facts.list_named,
+            "named": facts.has_endpoint_list,
             "age": str(max(0, facts.list_age) // MICROSECOND),
         },
     }
@@ -113,7 +113,7 @@
     }
 
 
-def _folder_tree(figures: FolderFigures) -> Tree:
+def _folder_tree(figures: StateFolderMetrics) -> Tree:
     written, batches, failing = figures
     return {"written": str(written), "batches": batches, "failing": failing}
 
--- a/granitespool/simulator_adapter.py
+++ b/granitespool/simulator_adapter.py
@@ -79,10 +79,13 @@
         self._write("pull", backend=backend, flag=excluded)
 
     def exclusion_cost(
-        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
+        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> dict[int, float]:
         """Return each proxy's probability of having the backend: the channel skips proxies without it."""
-        return {proxy: min(record.known_entries, known) / known for proxy, record in unassigned.items()}
+        return {
+            proxy: min(record.foreign_entries_max, backend_count) / backend_count
+            for proxy, record in unassigned.items()
+        }
 
     def readmission_cost(
         self, proxies: Iterable[int], table: int, backend: str | None = None
@@ -94,20 +97,20 @@
         """Append the admission level of request classes to the reply."""
         self._write("level", tbl=table, for_classes=classes, level=share, how=retries)
 
-    def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
+    def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
         """Append the acknowledgement barrier to the reply."""
-        self._write("fence_post", serial=sequence, flag=everyone)
+        self._write("fence_post", serial=sequence, flag=all_proxies)
 
     def check_health(self, backend: str) -> None:
         """Append the health check to the reply."""
         self._write("health_check", backend=backend)
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Do nothing: the adapter keeps no state of backends."""
 
-    def subscribe(self, on: bool) -> None:
+    def subscribe(self, enabled: bool) -> None:
         """Append the subscription to endpoint list changes to the reply."""
-        self._write("observe", flag=on)
+        self._write("observe", flag=enabled)
 
     def fetch_endpoints(self) -> None:
         """Append the request for the endpoint list to the reply."""
--- a/granitespool/state/recovery.py
+++ b/granitespool/state/recovery.py
@@ -102,7 +102,7 @@
         context = RestoreContext(
             written_at=self.written_at,
             now=clocks,
-            endpoints=coordinator.listed(),
+            endpoints=coordinator.endpoint_states(),
             zones=frozenset(self.identity.zones),
             uses_stored_list=self.uses_stored_list,
         )
@@ -135,5 +135,5 @@
             for key, value in self.change_filter.select(values).items()
         }
         if is_last:
-            changes.update(dict.fromkeys(self.change_filter.remove_absent(coordinator.listed())))
+            changes.update(dict.fromkeys(self.change_filter.remove_absent(coordinator.endpoint_states())))
         return changes
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -11,7 +11,7 @@
 from granitespool import __version__
 from granitespool.coordinator import Coordinator
 from granitespool.errors import InvalidInputError
-from granitespool.net.loop import Loop, Waits
+from granitespool.net.loop import Coroutine, Loop
 from granitespool.operator_settings import StateSettings
 from granitespool.settings import Settings
 from granitespool.state import record as records
@@ -40,7 +40,7 @@
     """Source of the current endpoint list."""
 
     @property
-    def named(self) -> bool:
+    def has_listed_backends(self) -> bool:
         """Whether any endpoint list has contained a backend."""
 
     @property
@@ -157,8 +157,8 @@
 
     def close(self) -> None:
         """Write a last snapshot and wait for it up to CLOSE_TIMEOUT."""
-        if self.coordinator and self.discovery and self.discovery.named:
-            names = list(self.coordinator.listed())
+        if self.coordinator and self.discovery and self.discovery.has_listed_backends:
+            names = list(self.coordinator.endpoint_states())
             self._submit_changes(self.coordinator, self.discovery, names, is_last=True)
         if not self.writer.close(CLOSE_TIMEOUT):
             self.log.event("snapshot_not_saved", reason="the last snapshot was not written in time")
@@ -170,13 +170,13 @@
     def _clocks(self) -> Clocks:
         return Clocks(self.loop.clock(), self.monotonic())
 
-    def _run(self, coordinator: Coordinator, discovery: EndpointSource) -> Waits:
-        while not discovery.named:  # start from the first list that contains a backend
+    def _run(self, coordinator: Coordinator, discovery: EndpointSource) -> Coroutine:
+        while not discovery.has_listed_backends:  # start from the first list that contains a backend
             yield None, 0, self.loop.now + FIRST_LIST_POLL
             self._log_reports()
         self._restore(coordinator)
         while True:
-            groups = self._groups(list(coordinator.listed()))
+            groups = self._groups(list(coordinator.endpoint_states()))
             pause = self.options.every_ms * MILLISECOND // 2 // len(groups)
             for number, names in enumerate(groups, 1):
                 self._submit_changes(coordinator, discovery, names, is_last=number == len(groups))
--- a/tests/reference/adapter.py
+++ b/tests/reference/adapter.py
@@ -90,6 +90,7 @@
         "probe": "check_health",
         "observe": "subscribe",
         "lookup": "fetch_endpoints",
+        "forget": "remove_backend",
         "wake": "set_timer",
         "post": "send_gossip",
         "remark": "log",
@@ -131,7 +132,7 @@
         self.former = Planner(FormerHost(actions), actions.now, seed, former_settings(settings))
         self.inspection = FormerInspection(self.former)
 
-    def new_settings(self, settings):
+    def apply_settings(self, settings):
         self.former.new_settings(self.actions.now, former_settings(settings))
 
     def on_timer(self, now, cookie):
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -371,7 +371,7 @@
             )
         first.tick(WRITTEN_AT + second * SECOND)
     now = WRITTEN_AT + 20 * SECOND
-    snapshot = first.snapshot(list(first.listed()))
+    snapshot = first.snapshot(list(first.endpoint_states()))
     groups = {None: {record.FLEET_KEY: record.fleet_record(snapshot.fleet, 7, now)}}
     for name, backend_snapshot in snapshot.backends.items():
         groups[name] = record.backend_values(name, backend_snapshot, None, now)
