--- a/granitespool/cli/state.py
+++ b/granitespool/cli/state.py
@@ -23,8 +23,8 @@
 from granitespool.units import MILLISECOND, SECOND
 
 MAX_FILE_SIZE = 4 << 30  # bytes; the largest most_mb
-OK = 0
-FAILED = 1
+EXIT_OK = 0
+EXIT_FAILURE = 1
 
 
 def run(arguments: Mapping[str, Any]) -> int:
@@ -47,7 +47,7 @@
 
 
 def verify(folder: StateFolder) -> int:
-    """Print the result for each file, and return FAILED if any of them is corrupt."""
+    """Print the result for each file, and return EXIT_FAILURE if any of them is corrupt."""
     files = classify_names(folder.names())
     problems = []
     valid = []
@@ -65,7 +65,7 @@
         print(f"{name}: incomplete; the next start removes it")
     if not files.complete:
         print(f"{folder.path}: contains no state file")
-    return FAILED if problems else OK
+    return EXIT_FAILURE if problems else EXIT_OK
 
 
 def _record_problem(state: StoredState) -> str | None:
@@ -95,7 +95,7 @@
     """Print the contents, their age and what a start with default settings would restore now."""
     newest = _read_newest(folder)
     if newest is None:
-        return FAILED
+        return EXIT_FAILURE
     state, record = newest
     now = Clocks(time.time_ns(), time.monotonic_ns())
     _print_summary(state, record, now)
@@ -108,7 +108,7 @@
         print(f"nothing would be restored now: {reason}")
     else:
         _print_restored(state, record, now, policy)
-    return OK
+    return EXIT_OK
 
 
 def _print_summary(state: StoredState, record: Record, now: Clocks) -> None:
@@ -180,7 +180,7 @@
     folder.acquire_lock()
     newest = _read_newest(folder)
     if newest is None:
-        return FAILED
+        return EXIT_FAILURE
     state, record = newest
     header = msgspec.structs.replace(
         state.header, format_version=records.FORMAT_VERSION, program_version=__version__
@@ -190,4 +190,4 @@
     size_before = sum(folder.size(name) for name in classify_names(folder.names()).complete.values())
     store.write_snapshot(state.clocks)
     print(f"{folder.path}: {size_before} bytes before, {store.size} now, {len(store.values)} values")
-    return OK
+    return EXIT_OK
--- a/granitespool/operator_settings.py
+++ b/granitespool/operator_settings.py
@@ -150,14 +150,14 @@
     names = [
         f"{section}.{key}"
         for section, key in FIXED_KEYS
-        if _value(before, section, key) != _value(now, section, key)
+        if _setting_value(before, section, key) != _setting_value(now, section, key)
     ]
     if _has_figures(before) != _has_figures(now):
         names.append("figures")
     return names
 
 
-def _value(operator: OperatorSettings | None, section: str, key: str) -> object:
+def _setting_value(operator: OperatorSettings | None, section: str, key: str) -> object:
     return getattr(getattr(operator, section, None), key, None)
 
 
@@ -168,8 +168,8 @@
 def summary(operator: OperatorSettings) -> str:
     """Return one line with all configured sections and their values."""
     sections = ((name, getattr(operator, name)) for name in SECTIONS)
-    on = [_section_summary(name, section) for name, section in sections if section is not None]
-    return "; ".join(on) or "no section, everything is off"
+    configured = [_section_summary(name, section) for name, section in sections if section is not None]
+    return "; ".join(configured) or "no section, everything is off"
 
 
 def _section_summary(name: str, section: msgspec.Struct) -> str:
--- a/granitespool/settings.py
+++ b/granitespool/settings.py
@@ -62,7 +62,7 @@
     coordinators: int | None = None
     health_checks_allowed: bool | None = None
     gossip_allowed: bool = False
-    subscribe: bool = False  # endpoint list changes are pushed; False: they have to be fetched
+    subscribe: bool = False  # endpoint list changes are pushed without a request
     connect_timeout: int | None = None  # ns
     admission: str | None = None  # an `Admission`
     entries_per_s: float | None = None  # rate limit of the channel to all proxies
--- a/granitespool/state/change_filter.py
+++ b/granitespool/state/change_filter.py
@@ -13,7 +13,9 @@
 MEAN_STEP = 0.1  # relative change of a mean that is written; equals the resend threshold of weights
 AMOUNT_STEP = 0.5  # relative change of an amount that is written; amounts only weigh the means
 SHARE_STEP = 0.02  # absolute change of a share that is written: failures per attempt, the admitted share
-REFRESH_SHARE = 0.5  # of the half-life, after which a value is written again: a third of its confidence
+REFRESH_SHARE = (
+    0.5  # of the half-life; at that age a value, having lost a third of its confidence, is rewritten
+)
 OVERLOADED_REPORTS_MAX = 2  # consecutive reports that eject a backend; further ones make no difference
 BACKEND_FACTS = (
     "phase",
--- a/granitespool/state/restore_policy.py
+++ b/granitespool/state/restore_policy.py
@@ -1,11 +1,12 @@
 """Selection of the values of a record that are restored at a start; no I/O.
 
-    record of another name, other classes or zones      nothing is restored, and the reason is logged
-    a clock went backward                               age unknown, nothing is restored
-    older than the maximum age                          nothing is restored
-    younger                                             sums are weighted by 0.5 ** (age / half_life)
-    backend not ready in the newest endpoint list, or restarted since         it is skipped
-    ejections, consecutive failures, overload           restored if the confidence is at least MIN_CONFIDENCE
+    record of another name, other classes or zones    nothing is restored, and the reason is logged
+    a clock went backward                             the age is unknown, nothing is restored
+    older than the maximum age                        nothing is restored
+    younger                                           sums are weighted by 0.5 ** (age / half_life)
+    backend not ready in the newest endpoint list     the backend is skipped
+    backend restarted since                           the backend is skipped
+    ejections, consecutive failures, overload         restored if the confidence is at least MIN_CONFIDENCE
 
 Observations after the start take precedence over restored values; the planner ensures that.
 """
@@ -33,7 +34,7 @@
 MIN_CONFIDENCE = 0.5  # below it, a flag (ejection, overload) is a guess and not restored
 CLOCK_SLACK = 1 * SECOND  # ns by which the clocks may differ: only one of them is slewed
 MAX_SUM = 1e18  # the limit of numbers on the wire
-FAILURES_SLACK = 1.001  # factor by which rounding may make failures exceed attempts
+ROUNDING_SLACK = 1.001  # factor by which rounding may let failures or successes exceed attempts
 
 
 class Identity(NamedTuple):
@@ -109,10 +110,10 @@
     return None
 
 
-def _difference(what: str, written: Sequence[str | None], configured: Sequence[str | None]) -> str:
+def _difference(kind: str, written: Sequence[str | None], configured: Sequence[str | None]) -> str:
     written_names = ", ".join(map(str, written))[:100]
     configured_names = ", ".join(map(str, configured))[:100]
-    return f"it was written for the {what} {written_names}, but the settings contain {configured_names}"
+    return f"it was written for the {kind} {written_names}, but the settings contain {configured_names}"
 
 
 def newer_list(record: Record, index: int) -> dict[str, Any] | None:
@@ -254,7 +255,7 @@
         return False
     if not (_is_sum(link.consecutive_failures) and _is_sum(link.overloaded_reports)):
         return False
-    if max(link.failures, link.successes) > link.attempts * FAILURES_SLACK:
+    if max(link.failures, link.successes) > link.attempts * ROUNDING_SLACK:
         return False
     if link.successes and not link.response_time:  # the planner divides by the mean
         return False
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -24,7 +24,7 @@
 
 OPEN_TIMEOUT = 0.4  # s that a start waits for the folder; the service can also start without its record
 CLOSE_TIMEOUT = 0.25  # s for the last snapshot after SIGTERM; SIGKILL follows after at least 0.7 s
-LINKS_PER_STEP = 200  # links in one step, which takes a millisecond
+LINKS_PER_GROUP = 200  # links in a group, which takes a millisecond
 FIRST_LIST_POLL = SECOND // 20  # ns between checks whether an endpoint list has arrived
 FOLDER_READ_TIMED_OUT = "the folder could not be read in time"
 
@@ -60,7 +60,7 @@
 
 
 class StateMetrics(NamedTuple):
-    """Counters of the state folder since the start."""
+    """Amounts written to the state folder since the start, and whether writes currently fail."""
 
     bytes_written: int
     batches_written: int
@@ -135,7 +135,7 @@
         return self.writer.durable_ticket >= ticket
 
     def metrics(self) -> StateMetrics:
-        """Return the counters of the state folder."""
+        """Return the metrics of the state folder."""
         writer = self.writer
         return StateMetrics(writer.bytes_written, writer.batches_written, writer.is_failing)
 
@@ -185,7 +185,7 @@
 
     def _groups(self, names: list[str]) -> list[list[str]]:
         """Split names into groups that take a short time each; there is always at least one group."""
-        size = max(1, LINKS_PER_STEP // max(1, len(self.identity.zones)))
+        size = max(1, LINKS_PER_GROUP // max(1, len(self.identity.zones)))
         return [names[start : start + size] for start in range(0, len(names), size)] or [[]]
 
     def _restore(self, coordinator: Coordinator) -> None:
--- a/granitespool/state/store.py
+++ b/granitespool/state/store.py
@@ -19,8 +19,8 @@
 from granitespool.state.framing import Frame, FrameKind
 from granitespool.state.record import Changes, Clocks, Header
 
-FILE_NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")  # `.new` until the file is complete
-INCOMPLETE_SUFFIX = ".new"
+FILE_NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")
+INCOMPLETE_SUFFIX = ".new"  # of a file until it is complete
 # Approximate size in bytes of a frame of the snapshot: small pieces for the disk and the reader.
 SNAPSHOT_PART_SIZE = 256 * 1024
 # Size in bytes of the changes below which a new generation is not worth its syncs.
@@ -94,7 +94,7 @@
 
 
 class FolderReadResult(NamedTuple):
-    """Newest complete state of a folder, or None, and the problems of newer files."""
+    """Newest complete state of a folder, or None, and the problems of the files that were read."""
 
     state: StoredState | None
     problems: list[str]
@@ -168,8 +168,8 @@
 def read_newest(folder: Folder, max_size: int) -> FolderReadResult:
     """Return the newest complete state of a folder.
 
-    Files of more than `max_size` bytes cannot be those of the store and are skipped. Raises
-    UnsupportedFormatError if a file has a newer format.
+    Files of more than `max_size` bytes are reported as problems and skipped. Raises UnsupportedFormatError if
+    a file has a newer format.
     """
     problems: list[str] = []
     files = classify_names(folder.names()).complete
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -89,35 +89,32 @@
     )
 
 
-def restore_record(stored, age=2 * SECOND, listed=None, own_list=False):
+def restore_record(stored, age=2 * SECOND, listed=None, uses_stored_list=False):
     now = Clocks(WRITTEN_AT + age, 5 * SECOND + age)
     listed = listed or {name: (facts.phase, facts.started_at) for name, (facts, _) in stored.backends.items()}
     endpoints = {name: EndpointState(Phase(phase), started) for name, (phase, started) in listed.items()}
     context = RestoreContext(
-        Clocks(WRITTEN_AT, 5 * SECOND), now, endpoints, frozenset(IDENTITY.zones), own_list
+        Clocks(WRITTEN_AT, 5 * SECOND), now, endpoints, frozenset(IDENTITY.zones), uses_stored_list
     )
     return restore_policy.restore(stored, context, Policy(HALF_LIFE, MAX_AGE))
 
 
 @pytest.mark.parametrize(
-    "wall, mono, age",
+    "wall, monotonic, age",
     [
         (3 * SECOND, 3 * SECOND, 3 * SECOND),
         (0, 0, 0),
         (3 * SECOND, -100 * SECOND, 3 * SECOND),  # reboot: the monotonic clock has started again
         (-1, 3 * SECOND, None),  # wall clock set back to before the record
         (100 * SECOND, 3700 * SECOND, None),  # wall clock set back by an hour, but still after the record
-        (
-            3700 * SECOND,
-            100 * SECOND,
-            3700 * SECOND,
-        ),  # wall clock set forward: only lowers the confidence
-        (3 * SECOND, 3 * SECOND + SECOND // 2, 3 * SECOND),
+        # wall clock set forward: the age is too high, which only lowers the confidence
+        (3700 * SECOND, 100 * SECOND, 3700 * SECOND),
+        (3 * SECOND, 3 * SECOND + SECOND // 2, 3 * SECOND),  # one of the clocks is slewed
     ],
-)  # slewed
-def test_the_age_of_a_record_is_unknown_once_a_clock_went_backward(wall, mono, age):
+)
+def test_the_age_of_a_record_is_unknown_once_a_clock_went_backward(wall, monotonic, age):
     then = Clocks(WRITTEN_AT, 200 * SECOND)
-    assert restore_policy.record_age(then, Clocks(WRITTEN_AT + wall, 200 * SECOND + mono)) == age
+    assert restore_policy.record_age(then, Clocks(WRITTEN_AT + wall, 200 * SECOND + monotonic)) == age
 
 
 @pytest.mark.parametrize(
@@ -192,20 +189,15 @@
         record_with(a=(stored, {"n": link()}), b=link()),
         listed={"b": ("ready", 0), **({"a": listed} if listed else {})},
     )
-    assert restored.skipped == ({reason: 1} if reason else {}) and ("a" in restored.backends) == (
-        reason is None
-    )
+    assert restored.skipped == ({reason: 1} if reason else {})
+    assert ("a" in restored.backends) == (reason is None)
     assert "b" in restored.backends
 
 
 @pytest.mark.parametrize("age, is_restored", [(2 * SECOND, True), (30 * SECOND, True), (31 * SECOND, False)])
 def test_ejections_consecutive_failures_and_overload_are_restored_for_a_half_life(age, is_restored):
-    restored = restore_record(
-        record_with(
-            fleet(), a=link(ejected_at=WRITTEN_AT - SECOND, overloaded_reports=2, consecutive_failures=9.0)
-        ),
-        age,
-    )
+    outlier = link(ejected_at=WRITTEN_AT - SECOND, overloaded_reports=2, consecutive_failures=9.0)
+    restored = restore_record(record_with(fleet(), a=outlier), age)
     found = restored.backends["a"].links["n"]
     assert (
         found.ejected_at is not None,
@@ -220,8 +212,8 @@
 
 def test_an_unconfirmed_removal_is_only_restored_with_the_list_of_the_record():
     stored = record_with(a=(backend(removal_unconfirmed=True), {}))
-    assert restore_record(stored, own_list=True).backends["a"].removal_unconfirmed is True
-    assert restore_record(stored, own_list=False).backends["a"].removal_unconfirmed is False
+    assert restore_record(stored, uses_stored_list=True).backends["a"].removal_unconfirmed is True
+    assert restore_record(stored, uses_stored_list=False).backends["a"].removal_unconfirmed is False
 
 
 @pytest.mark.parametrize("index, newer", [(40, True), (41, False), (42, False)])
