--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -179,7 +179,7 @@
     def event(self, name, **fields):
         self.log.append(name)
 
-    often = event
+    rate_limited_event = event
 
     def run(self, seconds, until=lambda: False):
         """Turns the loop for so long, or until something holds."""
