--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""Drive one real coordinator in virtual time by a synthetic fleet, through its three calls alone.
+"""Drive one real coordinator in virtual time by a synthetic fleet, through its public calls alone.
 
 The fleet is a stand-in of discovery, collectors, proxies and their channel. Processor time is measured around
 the calls of the coordinator and of the codec; the time of the stand-ins is excluded.
