--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -27,7 +27,6 @@
 )
 from granitespool.endpoints import Endpoint, Phase
 from granitespool.outgoing import (
-    ForgottenBackend,
     GossipMessage,
     HealthCheckRequest,
     InternalError,
@@ -35,6 +34,7 @@
     ProxyUpdate,
     Queue,
     Recipient,
+    RemovedBackend,
 )
 from granitespool.planner.admission_levels import AdmissionLevel
 from granitespool.planner.events import EndpointListUpdate, Event, LoadReport, ProxyJoined, ProxyLeft
@@ -158,7 +158,7 @@
     def next_message(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
 
     @overload
-    def next_message(self, recipient: Literal[Queue.FORGOTTEN]) -> ForgottenBackend | None: ...
+    def next_message(self, recipient: Literal[Queue.REMOVED_BACKENDS]) -> RemovedBackend | None: ...
 
     @overload
     def next_message(self, recipient: Recipient) -> OutgoingMessage | None: ...
@@ -253,10 +253,11 @@
         self.updates.exclude(backend, excluded)
 
     def exclusion_cost(
-        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
+        self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> Mapping[int, float]:
         """Return the table entries that `exclude` would cost now, by proxy."""
-        del unassigned, known  # inputs of an estimate, not needed: the exclusions of each proxy are recorded
+        # Inputs of an estimate, which is not needed here: the exclusions of each proxy are recorded
+        del unassigned, backend_count
         return self.updates.exclusion_cost(backend, excluded)
 
     def readmission_cost(
@@ -269,10 +270,10 @@
         """Set the admitted share of some classes, and how proxies retry them (0 to 3)."""
         self.updates.set_admission(table, classes, AdmissionLevel(share, retries))
 
-    def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
+    def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
         """Request an acknowledgement from each proxy that gets a message in this turn."""
         self._barrier = sequence
-        if everyone:
+        if all_proxies:
             self.updates.touch_all()
 
     def check_health(self, backend: str) -> None:
@@ -281,12 +282,12 @@
         if request not in self.queues[Queue.HEALTH_CHECKS]:
             self.queues[Queue.HEALTH_CHECKS].append(request)
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Remove the records of a backend, which is unused unless the endpoint list contains it again."""
-        self.updates.forget(backend)
-        self.queues[Queue.FORGOTTEN].append(ForgottenBackend(backend))
+        self.updates.remove_backend(backend)
+        self.queues[Queue.REMOVED_BACKENDS].append(RemovedBackend(backend))
 
-    def subscribe(self, on: bool) -> None:
+    def subscribe(self, enabled: bool) -> None:
         """Do nothing: the service watches the endpoint list all the time."""
 
     def fetch_endpoints(self) -> None:
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -20,13 +20,13 @@
 from granitespool.net.connection import CLOSED_BY_COORDINATOR, CLOSED_BY_PEER
 from granitespool.net.listen_address import bind
 from granitespool.net.log import Log
-from granitespool.net.loop import IN, OUT, SECOND, Loop, Waits
+from granitespool.net.loop import IN, OUT, SECOND, Coroutine, Loop
 from granitespool.net.management_connection import (
     UNSENT_READ_LIMIT,
     ManagementConnection,
 )
 from granitespool.net.tls import TlsError
-from granitespool.operator_settings import Gnmi, Netconf
+from granitespool.operator_settings import GnmiSettings, NetconfSettings
 
 BACKLOG = 16  # connections the system holds for us: management clients are few
 HANDSHAKE_TIMEOUT = 5 * SECOND  # ns: a long way and a slow client's signature
@@ -58,7 +58,7 @@
         log: Log,
         name: str,
         context: ssl.SSLContext,
-        settings: Netconf | Gnmi,
+        settings: NetconfSettings | GnmiSettings,
         find_user: FindUser,
         make: MakeProtocol,
     ) -> None:
@@ -98,7 +98,7 @@
         listening.listen(BACKLOG)
         return listening
 
-    def _accept(self) -> Waits:
+    def _accept(self) -> Coroutine:
         with self.socket:
             while True:
                 yield self.socket.fileno(), IN, None
@@ -132,11 +132,11 @@
             self.loop.end(in_handshake[0].task)
         return len(self.connections) < self.sessions_max + limit
 
-    def _serve(self, connection: ManagementConnection) -> Waits:
+    def _serve(self, connection: ManagementConnection) -> Coroutine:
         reason = CLOSED_BY_PEER
         try:
             yield from self._exchange(connection)
-            reason = connection.ending or reason
+            reason = connection.end_reason or reason
             connection.flush()
         except GeneratorExit:
             reason = CLOSED_BY_COORDINATOR
@@ -149,9 +149,9 @@
         finally:
             self._close(connection, reason)
 
-    def _exchange(self, connection: ManagementConnection) -> Waits:
+    def _exchange(self, connection: ManagementConnection) -> Coroutine:
         """Reads, works and writes until one side ends; raises TlsError or OSError."""
-        while connection.ending is None:
+        while connection.end_reason is None:
             mask = (OUT if connection.unsent else 0) | (IN if connection.is_readable else 0)
             events = yield connection.sock.fileno(), mask, self._deadline(connection)
             self.woken.pop(connection, None)
@@ -168,8 +168,10 @@
             return connection.accepted_at + HANDSHAKE_TIMEOUT
         if connection.is_busy:
             return now + 1  # a step in each turn; with a deadline of now it would be resumed in this one
-        idle_at = None if protocol.keeps else connection.heard_at + self.idle_timeout
-        deadlines = [deadline for deadline in (idle_at, protocol.due()) if deadline is not None]
+        idle_at = (
+            None if protocol.is_exempt_from_idle_timeout else connection.last_received_at + self.idle_timeout
+        )
+        deadlines = [deadline for deadline in (idle_at, protocol.next_deadline()) if deadline is not None]
         return max(min(deadlines), now + 1) if deadlines else None
 
     def _run_timers(self, connection: ManagementConnection) -> None:
@@ -178,7 +180,10 @@
             if now >= connection.accepted_at + HANDSHAKE_TIMEOUT:
                 connection.end("no handshake in time")
             return
-        if now >= connection.heard_at + self.idle_timeout and not connection.protocol.keeps:
+        if (
+            now >= connection.last_received_at + self.idle_timeout
+            and not connection.protocol.is_exempt_from_idle_timeout
+        ):
             connection.end("idle")
         connection.protocol.tick(now)
 
@@ -188,10 +193,10 @@
         if received is None:
             return True
         plain, has_ended = received
-        if connection.protocol is None and connection.tls.is_up:
+        if connection.protocol is None and connection.tls.is_established:
             self._begin_session(connection)
-        if plain and connection.ending is None and connection.protocol is not None:
-            connection.protocol.received(plain)
+        if plain and connection.end_reason is None and connection.protocol is not None:
+            connection.protocol.receive(plain)
         connection.flush()
         return not has_ended
 
@@ -209,11 +214,11 @@
             return
         connection.protocol = self.make(user, connection)
         self.log.event("manager_connected", listener=self.name, peer=connection.peer, user=user.name)
-        connection.protocol.begin()
+        connection.protocol.start()
 
     def _work(self, connection: ManagementConnection) -> None:
         """Some of what takes long, within this turn's share."""
-        if connection.protocol is None or connection.ending is not None:
+        if connection.protocol is None or connection.end_reason is not None:
             return
         if self.worked_at != self.loop.now:
             self.worked_at = self.loop.now
@@ -229,7 +234,7 @@
         self.woken.pop(connection, None)
         try:
             if connection.protocol is not None:
-                connection.protocol.closed(reason)
+                connection.protocol.on_closed(reason)
                 connection.tls.close()
                 connection.flush_last()
         finally:
@@ -246,4 +251,6 @@
                 reason=reason,
             )
         elif reason not in (CLOSED_BY_PEER, CLOSED_BY_COORDINATOR):
-            self.log.often("manager_rejected", listener=self.name, peer=connection.peer, reason=reason)
+            self.log.rate_limited_event(
+                "manager_rejected", listener=self.name, peer=connection.peer, reason=reason
+            )
--- a/granitespool/outgoing.py
+++ b/granitespool/outgoing.py
@@ -13,7 +13,7 @@
     HEALTH_CHECKS = "health_checks"  # to be sent
     GOSSIP = "gossip"  # to be sent to peers
     INTERNAL_ERRORS = "internal_errors"  # to be logged
-    FORGOTTEN = "forgotten"  # backends that are not used any more
+    REMOVED_BACKENDS = "removed_backends"  # backends that are not used any more
 
 
 class TableUpdate(NamedTuple):
@@ -61,11 +61,11 @@
     text: str
 
 
-class ForgottenBackend(NamedTuple):
+class RemovedBackend(NamedTuple):
     """A backend that is not used any more, unless the endpoint list contains it again."""
 
     backend: str
 
 
-OutgoingMessage = ProxyUpdate | HealthCheckRequest | GossipMessage | InternalError | ForgottenBackend
+OutgoingMessage = ProxyUpdate | HealthCheckRequest | GossipMessage | InternalError | RemovedBackend
 Recipient = int | Queue  # a proxy by its number, or a queue
--- a/granitespool/planner/budget.py
+++ b/granitespool/planner/budget.py
@@ -4,7 +4,7 @@
 Ordinary changes are also limited by a token bucket, since each order has a price.
 """
 
-from granitespool.planner.fleet import PERIOD
+from granitespool.planner.fleet import RECOMPUTATION_PERIOD
 from granitespool.planner.in_flight import UNLIMITED, InFlightAccount
 from granitespool.settings import Settings
 from granitespool.units import SECOND
@@ -32,4 +32,6 @@
     def refill(self) -> None:
         """Add the tokens of one period."""
         rate = self.account.observed_rate
-        self.tokens = min(self.tokens + ORDINARY_RATE_SHARE * rate * PERIOD / SECOND, BURST_TIME * rate)
+        self.tokens = min(
+            self.tokens + ORDINARY_RATE_SHARE * rate * RECOMPUTATION_PERIOD / SECOND, BURST_TIME * rate
+        )
--- a/granitespool/planner/exclusion.py
+++ b/granitespool/planner/exclusion.py
@@ -110,11 +110,11 @@
             key=lambda backend: (max(backend.left_ready_at, self.exclusions_sent_at), -backend.left_ready_at),
         )
         for backend in by_urgency:
-            if backend.phase == READY and not backend.exclusion.is_in_force:
+            if backend.phase == READY and not backend.exclusion.is_active:
                 del self._dirty.absent[backend]
                 continue
             is_recent = now - backend.left_ready_at < RECENT_DRAIN_GRACES * self._drain_grace
-            was_excluded = backend.exclusion.is_in_force
+            was_excluded = backend.exclusion.is_active
             if was_excluded and is_recent and waiting_time >= COLLECT_GRACE_SHARE * self._drain_grace:
                 backend.exclusion = Exclusion.PARTIAL
             excluded = self._should_exclude(backend, is_recent, is_late)
--- a/granitespool/planner/publication.py
+++ b/granitespool/planner/publication.py
@@ -19,7 +19,7 @@
 from granitespool.planner.cost import CostTable
 from granitespool.planner.dirty_set import DirtySet
 from granitespool.planner.exclusion import ExclusionControl
-from granitespool.planner.fleet import PERIOD
+from granitespool.planner.fleet import RECOMPUTATION_PERIOD
 from granitespool.planner.outbox import Outbox
 from granitespool.planner.records import Backend
 from granitespool.planner.slow_start import SlowStart
@@ -32,7 +32,7 @@
 # A message to the subscribers of a table is cheap if they are at most this fraction (one in 8) of all proxies
 FEW_SUBSCRIBERS_DIVISOR = 8
 DEFERRED_GAP_DIVISOR = 4  # shortens the gap after a pass in which an update had tokens but no capacity
-RESCHEDULE_DELAY_MIN = PERIOD // 4  # ns
+RESCHEDULE_DELAY_MIN = RECOMPUTATION_PERIOD // 4  # ns
 
 
 class PublicationPass:
@@ -133,7 +133,7 @@
     def _set_limits(self, current: PublicationPass, candidates: list[Candidate]) -> None:
         """Set the limits of a pass from the capacity of the channel and the mandatory updates."""
         account = self._budget.account
-        if account.capacity_left(1, PERIOD // 4) > 0:
+        if account.capacity_left(1, RECOMPUTATION_PERIOD // 4) > 0:
             current.few_subscribers = len(self._assignment.proxies) // FEW_SUBSCRIBERS_DIVISOR
         if self._budget.is_mandatory_waiting:
             current.queue_share = 0  # other updates would use the freed capacity and prolong the congestion
@@ -212,10 +212,10 @@
         self._dirty.record_published(backend, table, weight)
 
     def _mark_clean(self, now: int) -> None:
-        is_any_cost_known = self._costs.is_any_known
+        is_any_cost_known = self._costs.has_zone_mean
         self._dirty.mark_clean(
             lambda backend: (
-                (backend.costed or not is_any_cost_known) and self._slow_start.is_warm(now, backend)
+                (backend.costs_evaluated or not is_any_cost_known) and self._slow_start.is_warm(now, backend)
             ),
             lambda since: self._slow_start.is_over(now, since),
         )
--- a/granitespool/proxy_updates.py
+++ b/granitespool/proxy_updates.py
@@ -233,7 +233,7 @@
         """Record backends that some coordinator may exclude, and so may proxies that join from now on."""
         self.possibly_excluded |= frozenset(backends)
 
-    def forget(self, backend: str) -> None:
+    def remove_backend(self, backend: str) -> None:
         """Remove all records of a backend's exclusion.
 
         A proxy that excludes it since a former stream keeps excluding it if the name returns, until the proxy
--- a/tests/coordinator/test_drawn_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -136,13 +136,13 @@
 
 
 def test_a_coordinator_that_overloads_a_cold_backend_is_found(monkeypatch):
-    wanted = EntryWeights.wanted
+    wanted = EntryWeights.target_weight
 
     def excessive_weight(self, now, backend, zone):
         weight = wanted(self, now, backend, zone)
         return 1000.0 if weight and backend.started_at else weight
 
-    monkeypatch.setattr(EntryWeights, "wanted", excessive_weight)
+    monkeypatch.setattr(EntryWeights, "target_weight", excessive_weight)
     assert violated_rules(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
 
 
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_slices_are_published_as_by_the_reference(seed):
-    comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, one_owner=bool(seed))
+    comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, single_owner=bool(seed))
     for table in range(3):
         comparison.report(SliceAssigned(table=table, owned=True))
         comparison.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
@@ -129,14 +129,14 @@
 
 def evaluations(comparison, monkeypatch, act):
     """Return the number of weights that the planner computes during a call of `act`."""
-    counts, wanted = Counter(), EntryWeights.wanted
+    counts, wanted = Counter(), EntryWeights.target_weight
 
     def counting(weights, *arguments):
         counts[weights] += 1
         return wanted(weights, *arguments)
 
     with monkeypatch.context() as patched:
-        patched.setattr(EntryWeights, "wanted", counting)
+        patched.setattr(EntryWeights, "target_weight", counting)
         act()
     return counts[comparison.changed.planner.weights]
 
@@ -229,8 +229,8 @@
         checked.append(backend)
         return 1.0
 
-    def differs(wanted, published):
-        return wanted != published
+    def differs(target, published):
+        return target != published
 
     for backend in backends:
         settled.settle(backend, "z0", (1.0,))
@@ -251,19 +251,19 @@
 def test_the_cost_of_a_new_backend_is_unknown_until_the_next_evaluation():
     costs, observed_backend, other = CostTable(), backend_record(1), backend_record(2)
     for backend in (observed_backend, other):
-        costs.restart(backend)
+        costs.reset_backend(backend)
     costs.begin_evaluation()
     observed = [ObservedCost(observed_backend, observed_backend.link("z0", 0), 50.0)]
-    assert costs.evaluate_zone("z0", observed) and costs.of(other, "z0") == 50.0
+    assert costs.evaluate_zone("z0", observed) and costs.attempt_cost(other, "z0") == 50.0
     later = backend_record(3)
-    costs.restart(later)
-    assert costs.of(later, "z0") is None
+    costs.reset_backend(later)
+    assert costs.attempt_cost(later, "z0") is None
     costs.freeze(other, ["z0"], 0)
     other.machine_type = "else"
-    assert costs.of(other, "z0") == 50.0  # as of the last evaluation, whatever its type is now
+    assert costs.attempt_cost(other, "z0") == 50.0  # as of the last evaluation, whatever its type is now
     costs.begin_evaluation()
     assert not costs.evaluate_zone("z0", observed)
-    assert costs.of(later, "z0") == 50.0 and costs.of(other, "z0") is None
+    assert costs.attempt_cost(later, "z0") == 50.0 and costs.attempt_cost(other, "z0") is None
 
 
 SLOW = Settings(entries_per_s=800.0, drain_grace=36 * SECOND, proxies_expected=1500, coordinators=5)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -23,7 +23,7 @@
 
 from granitespool.coordinator import Coordinator
 from granitespool.endpoints import Phase
-from granitespool.net.frames import updates
+from granitespool.net.frames import encode_update
 from granitespool.outgoing import ProxyUpdate, Queue
 from granitespool.planner import events
 from granitespool.planner.records import MinimumRtt
@@ -112,7 +112,7 @@
     Queue.HEALTH_CHECKS: "probes",
     Queue.GOSSIP: "peers",
     Queue.INTERNAL_ERRORS: "remarks",
-    Queue.FORGOTTEN: "gone",
+    Queue.REMOVED_BACKENDS: "gone",
 }
 REASONS = {  # reason of an outlier -> name in the recordings, where they differ
     "removal_unconfirmed": "missing",
@@ -190,7 +190,7 @@
 def picked(coordinator, recorded_recipient):
     message = coordinator.next_message(recipient_of(recorded_recipient))
     if isinstance(message, ProxyUpdate):
-        return updates(message).decode("latin-1")
+        return encode_update(message).decode("latin-1")
     if message is None or len(message) > 1:
         return plain(message)
     return message[0]  # a message with one field
