--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -24,12 +24,12 @@
 from granitespool.net.reconfiguration import Reconfiguration, may_gossip, without_management_sockets
 from granitespool.net.streams import Streams
 from granitespool.outgoing import (
-    ForgottenBackend,
     GossipMessage,
     InternalError,
     OutgoingMessage,
     Queue,
     Recipient,
+    RemovedBackend,
 )
 
 if TYPE_CHECKING:
@@ -228,7 +228,7 @@
         if isinstance(message, GossipMessage):
             if self.gossip:
                 self.gossip.send(message.peer, message.payload)
-        elif isinstance(message, ForgottenBackend):
+        elif isinstance(message, RemovedBackend):
             self.discovery.remove_address(message.backend)
         elif isinstance(message, InternalError):
             self.log.event("internal_error", detail=message.text)
--- a/tests/service/test_service_invalid_messages.py
+++ b/tests/service/test_service_invalid_messages.py
@@ -100,7 +100,7 @@
     clients.send("p", messages.usage(1, "pay", total="1"))
     log.wait_for("is invalid: '1'")
     clients.send("p", '{"type":"usage","node":1,"route":"pay","total":1e300,"errors":0,"interval":1.0}')
-    log.wait_for("is 1e+300")
+    log.wait_for("is out of range: 1e+300")
     clients.send("p", messages.load_report("z", total=1))
     log.wait_for("the unknown 'z'")
     clients.send("p", messages.load_report("a", locality="x", total=1))
