--- a/tests/coordinator/test_drawn_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -5,7 +5,7 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from support.interleavings import BUSY, fitting, played
+from support.interleavings import BUSY_DAY, make_fleet, run_steps
 from support.traced_coordinator import TracedCoordinator
 from support.traced_fleet import SETTINGS, ChannelSettings, TracedFleet
 
@@ -31,13 +31,17 @@
         st.tuples(st.just("release"), st.integers(1, 8)),  # so many backends are replaced by cold ones
         st.tuples(st.just("restart"), st.integers(1, 6)),  # so many drain, end, and come back cold
         st.tuples(st.just("crash"), st.integers(1, 3)),  # so many end at once, and come back cold
-        st.tuples(st.just("dies"), COORDINATOR),  # its proxies go to the others; it is back after 6 s
-        st.tuples(st.just("replaced"), COORDINATOR),  # the same, back after one second
-        st.tuples(st.just("loses"), st.integers(1, 10)),  # so many proxies lose their streams
-        st.tuples(st.just("go_home"), st.just(0)),  # who is elsewhere goes back
-        st.tuples(st.just("complete"), COORDINATOR),  # a complete list, which skips what was not told
-        st.tuples(st.just("again"), COORDINATOR),  # the last change is told twice
-        st.tuples(st.just("late"), st.tuples(COORDINATOR, st.integers(0, 5))),  # its list is so many s old
+        st.tuples(
+            st.just("stop_coordinator"), COORDINATOR
+        ),  # its proxies go to the others; it is back after 6 s
+        st.tuples(st.just("replace_coordinator"), COORDINATOR),  # the same, back after one second
+        st.tuples(st.just("lose_streams"), st.integers(1, 10)),  # so many proxies lose their streams
+        st.tuples(st.just("return_home"), st.just(0)),  # who is elsewhere goes back
+        st.tuples(st.just("complete_list"), COORDINATOR),  # a complete list, which skips what was not told
+        st.tuples(st.just("repeat_change"), COORDINATOR),  # the last change is told twice
+        st.tuples(
+            st.just("delay_list"), st.tuples(COORDINATOR, st.integers(0, 5))
+        ),  # its list is so many s old
         st.tuples(st.just("wait"), st.integers(1, 8)),
     ),
     min_size=1,
@@ -64,21 +68,21 @@
     table_takes=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for one whole table
 )
 def test_the_five_rules_hold_over_all_coordinators_in_any_order(steps, **drawn):
-    assert not broken(played(steps, fitting(**drawn)))
+    assert not broken(run_steps(steps, make_fleet(**drawn)))
 
 
 def test_a_drain_has_its_time_where_a_full_queue_takes_longer_than_the_grace():
     # Found by drawing channels whose queue takes 10 s, three times the drains' grace: twenty joiners' tables
     # fill a third of it, all of the grace, before a drain that needs half of the grace for a line to each.
     channel = ChannelSettings(pace=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
-    assert not broken(played([("release", 1)], TracedFleet(channel, 1, 20, 12)))
+    assert not broken(run_steps([("release", 1)], TracedFleet(channel, 1, 20, 12)))
 
 
 # What the interleavings are made of is there, and a program that breaks a rule is found
 
 
 def test_a_busy_day_holds_all_that_the_rules_are_about():
-    fleet = played(BUSY, fitting(3, 6, 18))
+    fleet = run_steps(BUSY_DAY, make_fleet(3, 6, 18))
     trace = fleet.events()
     assert not broken(fleet)
 
@@ -111,12 +115,12 @@
 
     monkeypatch.setattr(CandidateSelection, "select", keeps)
     monkeypatch.setattr(ExclusionControl, "publish", lambda *_: None)
-    assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
+    assert rules_broken(run_steps([("release", 4)], make_fleet(2, 4, 12))) == {"drain"}
 
 
 def test_one_whose_messages_come_too_late_is_found(monkeypatch):
     monkeypatch.setattr(TracedCoordinator, "deliver", lambda _: None)
-    assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
+    assert rules_broken(run_steps([("release", 4)], make_fleet(2, 4, 12))) == {"drain"}
 
 
 def test_one_that_has_uncertain_attempts_retried_is_found(monkeypatch):
@@ -126,7 +130,7 @@
         level(self, table, classes, share, 2)
 
     monkeypatch.setattr(Coordinator, "set_admission", repeats)
-    assert rules_broken(played([("wait", 8)], fitting(2, 4, 12))) == {"double_effect"}
+    assert rules_broken(run_steps([("wait", 8)], make_fleet(2, 4, 12))) == {"double_effect"}
 
 
 def test_one_that_gives_a_cold_backend_the_work_of_many_is_found(monkeypatch):
@@ -137,11 +141,11 @@
         return 1000.0 if weight and rec.started_at else weight
 
     monkeypatch.setattr(EntryWeights, "target_weight", pushes)
-    assert rules_broken(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
+    assert rules_broken(run_steps([("release", 1)], make_fleet(2, 4, 24))) == {"cold_overload"}
 
 
 def test_one_that_excludes_every_backend_is_found():
-    fleet = fitting(2, 4, 12)
+    fleet = make_fleet(2, 4, 12)
     fleet.run(3)
     coordinator = fleet.coordinators[1].coordinator
     for proxy in fleet.coordinators[1].joined:
@@ -155,7 +159,7 @@
 
 
 def test_one_that_writes_more_messages_than_may_be_is_found():
-    fleet = fitting(2, 2, 8)
+    fleet = make_fleet(2, 2, 8)
     fleet.run(3)
     traced = fleet.coordinators[0]
     for _ in range(SETTINGS["messages_limit"] + 1):
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -24,7 +24,7 @@
 
 def played(comparison, events):
     for _ in range(events):
-        comparison.event()
+        comparison.random_event()
         comparison.run(comparison.random.choice((1, 3, 12)))
     return comparison
 
@@ -32,13 +32,13 @@
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(3, 40), st.integers(1, 6), st.integers(1, 20), st.sampled_from(PACES))
 def test_small_drawn_fleets_are_decided_on_as_by_the_reference(seed, backends, zones, proxies, pace):
-    assert played(PlannerComparison(seed, backends, zones, proxies, pace), 25).ordered
+    assert played(PlannerComparison(seed, backends, zones, proxies, pace), 25).action_count
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(100, 200), st.integers(8, 50), st.sampled_from(PACES))
 def test_large_drawn_fleets_are_decided_on_as_by_the_reference(seed, backends, zones, pace):
-    assert played(PlannerComparison(seed, backends, zones, 20, pace), 8).ordered
+    assert played(PlannerComparison(seed, backends, zones, 20, pace), 8).action_count
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -46,16 +46,16 @@
 def test_drawn_fleets_in_subsets_are_decided_on_as_by_the_reference(seed, backends, pace):
     comparison = PlannerComparison(seed, backends, 3, 40, pace, drain_grace=SECOND)
     comparison.run(40)
-    assert comparison.changed.planner.subsets.count > 1
+    assert comparison.coordinator.planner.subsets.count > 1
     for _ in range(8):
-        comparison.event()
-        subset = comparison.random.randrange(comparison.changed.planner.subsets.count)
-        fleet = comparison.changed.planner.fleet.backends.values()
+        comparison.random_event()
+        subset = comparison.random.randrange(comparison.coordinator.planner.subsets.count)
+        fleet = comparison.coordinator.planner.fleet.backends.values()
         held = [rec.name for rec in fleet if rec.subset == subset and rec.name in comparison.entries]
         if len(held) < len(comparison.entries) - 10:  # a subset is lost, and the others make it up
-            comparison.lose(held[: comparison.random.randrange(len(held) + 1)])
+            comparison.remove_backends(held[: comparison.random.randrange(len(held) + 1)])
         comparison.run(60)
-    assert comparison.ordered
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -65,21 +65,21 @@
     comparison.restart("s3")
     for _ in range(30):
         comparison.run(10)
-        comparison.hear(0.8, failed=0.3 * (seed % 2), but="s3", zones=comparison.zones[:1])
-    assert comparison.ordered
+        comparison.report_loads(0.8, failed=0.3 * (seed % 2), but="s3", zones=comparison.zones[:1])
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_backend_without_a_ramp_that_starts_anew_is_decided_on_as_by_the_reference(seed):
     comparison = PlannerComparison(seed, 10, 2, 6, 1e6, warm_up_time=0)
     for _ in range(6):
-        comparison.hear(1.0)
+        comparison.report_loads(1.0)
         comparison.run(5)
     for name in list(comparison.entries)[:4]:
         comparison.restart(name)
         comparison.run(1 + seed * 2)
     comparison.run(40)
-    assert comparison.ordered
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -88,21 +88,21 @@
     comparison = played(PlannerComparison(seed, 12, 3, 6, 2000.0), 10)
     for quiet in (EXACT_PERIODS_MAX - 5, EXACT_PERIODS_MAX + 30, 5):
         comparison.run(10 * quiet)
-        comparison.hear(0.7)
+        comparison.report_loads(0.7)
         comparison.run(15)
-    assert comparison.ordered
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_recalled_life_is_decided_on_as_by_the_reference(seed):
     former = played(PlannerComparison(seed, 20, 3, 8, 2000.0), 15)
-    former.hear(1.0)
-    snapshot = former.changed.snapshot(list(former.entries))
+    former.report_loads(1.0)
+    snapshot = former.coordinator.snapshot(list(former.entries))
     later = PlannerComparison(seed + 1, 20, 3, 8, 2000.0)
     backends = {name: each for name, each in snapshot.backends.items() if name in later.entries}
     later.report(Restored(snapshot.fleet, backends))
     later.run(5)
-    assert played(later, 10).ordered
+    assert played(later, 10).action_count
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -111,7 +111,7 @@
     for table in range(3):
         comparison.report(SliceAssigned(table=table, owned=True))
         comparison.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
-    assert played(comparison, 12).ordered
+    assert played(comparison, 12).action_count
 
 
 def quiet_fleet(backends, zones, proxies=5):
@@ -134,7 +134,7 @@
     with monkeypatch.context() as patched:
         patched.setattr(EntryWeights, "target_weight", counting)
         act()
-    return counted[comparison.changed.planner.weights]
+    return counted[comparison.coordinator.planner.weights]
 
 
 @pytest.mark.parametrize("backends, zones", [(50, 4), (300, 4), (300, 16)])
@@ -151,7 +151,7 @@
 
         def change(comparison=comparison, name=name):
             entry = {**comparison.entries[name], "weight": 5.0}
-            comparison.list("changes", [entry])
+            comparison.send_list("changes", [entry])
             comparison.run(3)
 
         work.append(looked_at(comparison, monkeypatch, change))
@@ -181,7 +181,7 @@
     }
     comparison = PlannerComparison(4, 60, 12, 3, 2000.0, **told)
     comparison.run(60)
-    assert comparison.changed.planner.subsets.count > 1
+    assert comparison.coordinator.planner.subsets.count > 1
     unused = next(zone for zone in comparison.zones if zone not in comparison.proxies.values())
 
     def join():
@@ -193,8 +193,8 @@
 
 def test_links_are_made_where_something_is_met():
     comparison = quiet_fleet(100, 8)
-    comparison.hear(0.02)
-    links = sum(len(rec.links) for rec in comparison.changed.planner.fleet.backends.values())
+    comparison.report_loads(0.02)
+    links = sum(len(rec.links) for rec in comparison.coordinator.planner.fleet.backends.values())
     assert 1 <= links <= 50
 
 
--- a/tests/service/test_service_connection_limits.py
+++ b/tests/service/test_service_connection_limits.py
@@ -141,14 +141,14 @@
     clients.send_all_but_last_byte("q", 1_048_576)
     clients.send_all_but_last_byte("r", 1_048_576)
     log.wait_for("no buffer is free")
-    assert service.state.buffers_out <= 130
+    assert service.state.buffers_in_use <= 130
     service.state.wait_for_joined(1, 2)
     clients.send_bytes("p", b" ")
     clients.wait_for_end("p")
     clients.connect("s")
     clients.wait_for_heartbeat("s")
     service.state.wait_for_joined(2)
-    assert service.state.buffers_out <= 65
+    assert service.state.buffers_in_use <= 65
 
 
 def test_a_log_that_nobody_reads_is_cut_and_delays_nothing(
--- a/tests/service/test_service_gossip.py
+++ b/tests/service/test_service_gossip.py
@@ -14,7 +14,7 @@
     peers.send(peers.unknown, b"hi")
     log.wait_for("a datagram of no configured peer")
     peers.send(peers.peer, b"b" * 257)
-    log.wait_for_dropped(2)
+    log.wait_for_dropped_messages(2)
     assert '"task_failed"' not in log.text
     assert '"internal_error"' not in log.text
     service.actions.send_gossip(-1, "6a6b")
--- a/tests/service/test_service_invalid_messages.py
+++ b/tests/service/test_service_invalid_messages.py
@@ -144,10 +144,10 @@
     clients.send("p", messages.usage(1, "pay", total=38_654_705_664))
     clients.send("p", messages.usage(2, "pay"))
     clients.send("c", messages.applied(node=1, nonce=1, latency=1.0))
-    log.wait_for_dropped(17)
+    log.wait_for_dropped_messages(17)
     assert service.state.attempts("a") == (0, [])
     clients.send("c", messages.load_report("a", total=9, errors=1, metrics={"util": "s"}))
-    log.wait_for_dropped(17)
+    log.wait_for_dropped_messages(17)
     clients.wait_for_heartbeat("c")
     clients.wait_for_heartbeat("p")
     service.state.wait_for_joined(1)
@@ -216,7 +216,7 @@
     clients.send("p", '{"type":"odd"}')
     log.wait_for('"suppressed"')
     log.wait_for('{"message_dropped":480}')
-    log.wait_for_dropped(22)
+    log.wait_for_dropped_messages(22)
 
 
 def test_a_rejected_client_can_read_the_reason_even_if_it_continues_to_send(
@@ -228,4 +228,4 @@
     clients.wait_for("x", '"type":"refused"')
     clients.send_bytes("x", b"GET / HTTP/1.1\r\n\r\n")
     clients.wait_for_end("x")
-    assert clients.ended_in_order("x")
+    assert clients.closed_without_reset("x")
--- a/tests/service/test_service_memory.py
+++ b/tests/service/test_service_memory.py
@@ -35,7 +35,7 @@
         service.advance(SECOND)
         clients.close("churner")
         clients.wait_for_heartbeat("p")
-    assert service.state.larger_than(40) == {}
+    assert service.state.sizes_above(40) == {}
     clients.send("c", messages.load_report("churned-3", total=9, errors=9, rtt=0.0, interval=1000.0))
     log.wait_for("the unknown 'churned-3'")
     discovery.send_line(
--- a/tests/service/test_service_proxy_streams.py
+++ b/tests/service/test_service_proxy_streams.py
@@ -42,7 +42,7 @@
     backends.start("a", "b", "c")
     clients.join("p", 1)
     clients.wait_for("p", "whole")
-    clients.forget_received("p")
+    clients.clear_received("p")
     clients.connect("c")
     clients.send("c", messages.collector("n"))
     clients.send("c", messages.load_report("a", total=9, errors=9, rtt=0.0, interval=1000.0))
@@ -60,7 +60,7 @@
     clients.send_bytes("p", b" ")
     log.wait_for("a message is not JSON")
     clients.wait_for_end("p")
-    assert service.state.buffers_out <= 0
+    assert service.state.buffers_in_use <= 0
     service.state.wait_for_joined()
 
 
@@ -75,7 +75,7 @@
     clients.wait_for_end("p")
     service.state.wait_for_joined(1)
     log.wait_for('"reason":"replaced"')
-    clients.forget_received("q")
+    clients.clear_received("q")
     service.advance_to(2 * SECOND)
     clients.wait_for_heartbeat("q")
     service.state.wait_for_joined(1)
@@ -100,7 +100,7 @@
     backends.start("a")
     clients.join("p", 1)
     clients.wait_for("p", "whole")
-    clients.forget_received("p")
+    clients.clear_received("p")
     service.advance_to(5 * SECOND)
     service.state.wait_for_joined(1)
     service.advance_to(7 * SECOND)
@@ -131,7 +131,7 @@
     clients.join("p", 1)
     clients.wait_for("p", "whole")
     clients.join("q", 2)
-    clients.forget_received("p")
+    clients.clear_received("p")
     clients.stop_reading("p")
     for turn in range(300):
         for backend in range(200):
@@ -151,7 +151,7 @@
     backends.start("a")
     clients.join("p", 1)
     clients.wait_for("p", "whole")
-    service.faults.send_as_an_update_is_written("p", '{"type":"odd"}')
+    service.faults.send_during_update_write("p", '{"type":"odd"}')
     clients.wait_for("p", '["a",2.5]')
     log.wait_for("a 'odd'")
 
@@ -174,7 +174,7 @@
     backends.start("a", "b")
     clients.join("p", 1)
     clients.wait_for("p", "whole")
-    clients.forget_received("p")
+    clients.clear_received("p")
     clients.stop_reading("p")
     clients.fail_writes("p", OSError)
     service.actions.set_entry(0, "a", 2.5)
--- a/tests/service/test_service_races.py
+++ b/tests/service/test_service_races.py
@@ -20,7 +20,7 @@
     backends.start("a", "b")
     clients.join("p", 1)
     clients.wait_for("p", "whole")
-    clients.forget_received("p")
+    clients.clear_received("p")
     clients.send("p", messages.applied(node=1, nonce=1, latency=100.0))
     discovery.wait_for_request("after=7")
     discovery.accept_watch()
--- a/tests/support/backend_stand_ins.py
+++ b/tests/support/backend_stand_ins.py
@@ -14,7 +14,7 @@
     """Backends that listen, by name; `known` is the list that a service starts with."""
 
     def __init__(self) -> None:
-        self.known: list[dict[str, Any]] = []
+        self.initial_endpoints: list[dict[str, Any]] = []
         self.addresses: dict[str, str] = {}
         self._listeners: dict[str, socket.socket] = {}
         self._answers: dict[str, str] = {}
@@ -27,7 +27,7 @@
             listener.setblocking(False)
             self._listeners[name], self._answers[name] = listener, HEALTHY
             self.addresses[name] = "{}:{}".format(*listener.getsockname())
-            self.known.append(
+            self.initial_endpoints.append(
                 {
                     "name": name,
                     "address": self.addresses[name],
@@ -61,7 +61,7 @@
                 sock.close()
                 self.checks.remove((sock, name))
 
-    def has_been_asked(self, name: str) -> bool:
+    def has_pending_check(self, name: str) -> bool:
         """Whether a health check of it has asked and waits for an answer."""
         return any(
             checked == name and bool(select.select([sock], [], [], 0)[0]) for sock, checked in self.checks
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -50,7 +50,7 @@
 }
 
 
-class Recorder(Coordinator):
+class RecordingCoordinator(Coordinator):
     """A coordinator that writes down what its planner orders."""
 
     def __init__(self, settings, seed, now):
@@ -67,7 +67,7 @@
 
 
 for _name in ACTIONS:
-    setattr(Recorder, _name, _recorded(_name))
+    setattr(RecordingCoordinator, _name, _recorded(_name))
 
 
 class PlannerComparison:
@@ -100,32 +100,32 @@
             ],
             **more,
         }
-        self.changed = Recorder(settings_of(self.settings), seed, self.now)
+        self.coordinator = RecordingCoordinator(settings_of(self.settings), seed, self.now)
         with patch("granitespool.coordinator.Planner", ReferencePlanner):
-            self.reference = Recorder(settings_of(self.settings), seed, self.now)
-        self.both = self.changed, self.reference
-        self.names, self.proxies, self.answers, self.ordered = 0, {}, [], 0
+            self.reference = RecordingCoordinator(settings_of(self.settings), seed, self.now)
+        self.coordinators = self.coordinator, self.reference
+        self.backends_created, self.proxies, self.pending_acknowledgements, self.action_count = 0, {}, [], 0
         self.entries, self.mean, self.failing = {}, 40_000_000, {}
         for _ in range(backends):
             self.new_backend()
-        self.list("restored", list(self.entries.values()))
+        self.send_list("restored", list(self.entries.values()))
         for proxy in range(proxies):
             self.join(proxy)
 
     def report(self, event):
-        for each in self.both:
+        for each in self.coordinators:
             each.report(self.now, event)
 
-    def list(self, form, entries):
+    def send_list(self, form, entries):
         self.report(EndpointListUpdate(form=ListForm(form), entries=[endpoint(**each) for each in entries]))
 
     def new_backend(self, started=0):
-        self.names += 1
-        name = f"s{self.names}"
+        self.backends_created += 1
+        name = f"s{self.backends_created}"
         self.entries[name] = {
             "name": name,
             "zone": self.random.choice(self.zones),
-            "machine_type": f"m{self.names % 3}",
+            "machine_type": f"m{self.backends_created % 3}",
             "phase": "ready",
             "weight": self.random.choice((1.0, 1.0, 2.0)),
             "started_at": started,
@@ -145,32 +145,32 @@
 
     def leave(self, proxy):
         del self.proxies[proxy]
-        self.answers = [each for each in self.answers if each[1] != proxy]
+        self.pending_acknowledgements = [each for each in self.pending_acknowledgements if each[1] != proxy]
         self.report(ProxyLeft(proxy=proxy))
 
     def turn(self):
         """One turn of both, compared; then marks are answered, and probes, after a while."""
         self.now += TURN
-        due, self.answers = (
-            [each for each in self.answers if each[0] <= self.now],
-            [each for each in self.answers if each[0] > self.now],
+        due, self.pending_acknowledgements = (
+            [each for each in self.pending_acknowledgements if each[0] <= self.now],
+            [each for each in self.pending_acknowledgements if each[0] > self.now],
         )
         for _, proxy, mark, took in due:
             self.report(Acknowledged(proxy=proxy, sequence=mark, latency=took))
-        for each in self.both:
+        for each in self.coordinators:
             each.tick(self.now)
         self.check()
-        for party in self.changed.recipients():
-            orders = [each.next_message(party) for each in self.both]
+        for party in self.coordinator.recipients():
+            orders = [each.next_message(party) for each in self.coordinators]
             while isinstance(party, Queue) and orders[0] is not None:
                 if isinstance(orders[0], HealthCheckRequest):
-                    self._probed(orders[0].backend)
-                orders = [each.next_message(party) for each in self.both]
+                    self._report_health_check(orders[0].backend)
+                orders = [each.next_message(party) for each in self.coordinators]
             if party in self.proxies and isinstance(orders[0], ProxyUpdate):
                 took = self.random.randint(TURN, 12 * TURN)
-                self.answers.append((self.now + took, party, orders[0].barrier, took))
+                self.pending_acknowledgements.append((self.now + took, party, orders[0].barrier, took))
 
-    def _probed(self, backend):
+    def _report_health_check(self, backend):
         dead = self.failing.get(backend, 0.0) >= 1.0 and self.random.random() < 0.5
         status = "timeout" if dead else self.random.choice(("ok", "ok", "ok", "full", "error"))
         self.report(
@@ -180,35 +180,37 @@
         )
 
     def check(self):
-        changed, reference = self.both
+        changed, reference = self.coordinators
         assert not changed.queues[Queue.INTERNAL_ERRORS], changed.queues[Queue.INTERNAL_ERRORS][0]
         assert not reference.queues[Queue.INTERNAL_ERRORS], reference.queues[Queue.INTERNAL_ERRORS][0]
         assert changed.calls == reference.calls, first_difference(changed.calls, reference.calls)
-        self.ordered += len(changed.calls)
+        self.action_count += len(changed.calls)
         for name, (part, attribute) in COMPARED.items():
             value = getattr(getattr(changed.planner, part), attribute)
             assert value == getattr(reference.planner.former, name), name
         assert changed.planner.in_flight.in_flight == reference.planner.former.channel.waiting
         assert list(changed.planner.fleet.backends) == list(reference.planner.former.backends)
-        for each in self.both:
+        for each in self.coordinators:
             each.calls.clear()
 
-    def hear(self, share, scale=1.0, failed=0.0, but=None, zones=None):
-        """Reports of some links, of these zones and of none of one backend; a failing backend's tries fail,
-        the others' by chance."""
+    def report_loads(self, share, scale=1.0, failed=0.0, but=None, zones=None):
+        """Report load of a random `share` of the links in `zones`, without the backend `but`.
+
+        At least the share `failed` of the attempts fails, and more at a failing backend.
+        """
         for name in self.entries:
             for zone in zones or self.zones:
                 if self.random.random() >= share or name == but:
                     continue
-                tries = self.random.randint(1, 12)
+                attempts = self.random.randint(1, 12)
                 part = max(failed, self.failing.get(name, 0.0))
-                lost = sum(self.random.random() < part for _ in range(tries))
-                mean = int(self.mean * scale * self.random.uniform(0.6, 1.6)) if lost < tries else 0
+                lost = sum(self.random.random() < part for _ in range(attempts))
+                mean = int(self.mean * scale * self.random.uniform(0.6, 1.6)) if lost < attempts else 0
                 self.report(
                     LoadReport(
                         zone=zone,
                         backend=name,
-                        attempts=tries,
+                        attempts=attempts,
                         failures=lost,
                         mean=mean,
                         window=SECOND,
@@ -245,49 +247,49 @@
             entries.append(entry)
             if entry["phase"] == "gone" and len(self.entries) > 3 and self.random.random() < 0.7:
                 del self.entries[entry["name"]]
-        self.list("changes", entries)
+        self.send_list("changes", entries)
 
-    def lose(self, names):
+    def remove_backends(self, names):
         """These are gone by the list."""
         gone = [{**self.entries.pop(name), "phase": "gone"} for name in names]
-        self.list("changes", gone)
+        self.send_list("changes", gone)
 
     def restart(self, name):
         """A backend starts anew, cold."""
         entry = self.entries[name] = {**self.entries[name], "phase": "ready", "started_at": self.now}
-        self.list("changes", [entry])
+        self.send_list("changes", [entry])
 
-    def whole_list(self):
+    def send_complete_list(self):
         """A whole list, which may leave some out."""
         left_out = self.random.random() < 0.3 and self.random.choice(list(self.entries))
         if left_out and len(self.entries) > 3:
             del self.entries[left_out]
-        self.list("complete", list(self.entries.values()))
+        self.send_list("complete", list(self.entries.values()))
 
     def apply_settings(self, **changes):
         self.settings = {**self.settings, **changes}
-        for each in self.both:
+        for each in self.coordinators:
             each.apply_settings(self.now, settings_of(self.settings))
 
-    def event(self):
+    def random_event(self):
         """Something drawn happens."""
         what = self.random.randrange(13)
         some = self.random.choice(list(self.entries))
         if what <= 2:
-            self.hear(self.random.choice((0.02, 0.3, 1.0)))
+            self.report_loads(self.random.choice((0.02, 0.3, 1.0)))
         elif what == 3:
-            self.hear(0.5, scale=self.random.choice((1.0, 12.0)))
+            self.report_loads(0.5, scale=self.random.choice((1.0, 12.0)))
         elif what == 4:
-            self.hear(0.3, failed=0.6)
+            self.report_loads(0.3, failed=0.6)
         elif what == 5:
             self.failing[some] = self.random.choice((0.0, 0.5, 1.0))
-            self.hear(0.4)
+            self.report_loads(0.4)
         elif what == 6:
             self.failing.clear()
         elif what in (7, 8):
             self.list_changes(self.random.choice((1, 1, 2, 8)))
         elif what == 9:
-            self.whole_list()
+            self.send_complete_list()
         elif what == 10:
             self.join(self.random.randrange(len(self.proxies) + 5))
         elif what == 11 and len(self.proxies) > 1:
--- a/tests/support/process_faults.py
+++ b/tests/support/process_faults.py
@@ -76,7 +76,7 @@
         pool = self._harness.instance.streams.pool
         pool.limit = pool.in_use + more
 
-    def send_as_an_update_is_written(self, name: str, message: str) -> None:
+    def send_during_update_write(self, name: str, message: str) -> None:
         """A message arrives just as an update is written, and is not read in that turn."""
         streams: Any = self._harness.instance.streams
         real, dropped_before = streams.send, self._harness.log.text.count('"message_dropped"')
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -28,7 +28,7 @@
 START = 100 * SECOND  # ns: the clock begins here
 TURN = SECOND // 20  # ns
 SEED = 7
-PARTS_LIMIT = 64  # of one message
+MAX_MESSAGE_PARTS = 64  # of one message
 PROXY_RATE = 5.0  # requests a second
 ROUNDING = 1e-6  # entries
 SETTINGS = {
@@ -58,7 +58,7 @@
     parts: int
 
 
-class InChannel(NamedTuple):
+class QueuedMessage(NamedTuple):
     """A message that the channel still carries."""
 
     leaves_at: float  # ns
@@ -68,7 +68,7 @@
     written_at: int  # ns
 
 
-class HeldTable(NamedTuple):
+class ProxyTable(NamedTuple):
     """What a proxy holds once it has applied what is on its way."""
 
     weights: dict[str, float]
@@ -107,22 +107,22 @@
             }
         )
         self.coordinator = Coordinator(self.settings, SEED, self.now)
-        self.channel: deque[InChannel] = deque()
+        self.channel: deque[QueuedMessage] = deque()
         self.free_at = 0.0  # ns: when the channel has carried all that waits
         self.backlog = 0.0  # entries that wait in the channel
         self.largest_backlog_share = 0.0  # of the limit
         self.joined: dict[int, str] = {}  # proxy -> zone
-        self.tables: dict[int, HeldTable] = {}
+        self.tables: dict[int, ProxyTable] = {}
         self.acknowledges = True
         self.zones = zones
         self.response_times: dict[int, int] = {}  # place in `ready` -> ns, for `report_load`
-        self.backends_made = 0
-        self.ready = [self._new_name() for _ in range(backends)]
+        self.backends_created = 0
+        self.ready = [self._next_backend_name() for _ in range(backends)]
         self.send_list("restored", [(name, "ready", 0) for name in self.ready])
 
-    def _new_name(self) -> str:
-        self.backends_made += 1
-        return f"s{self.backends_made}"
+    def _next_backend_name(self) -> str:
+        self.backends_created += 1
+        return f"s{self.backends_created}"
 
     def zone_of(self, backend: str) -> str:
         """The zone of a backend, by the number in its name."""
@@ -142,7 +142,7 @@
         """The first of those ready drain, and as many cold ones come: new ones, or the same again."""
         old = self.ready[:count]
         self.ready = self.ready[count:]
-        new = [self._new_name() for _ in old] if renamed else old
+        new = [self._next_backend_name() for _ in old] if renamed else old
         self.send_list("changes", [(name, "draining", 0) for name in old])
         if not renamed:
             self.turn()
@@ -215,13 +215,13 @@
 
     def _write(self, proxy: int, message: ProxyUpdate) -> None:
         size = size_of(encode_update(message))
-        assert size.parts <= PARTS_LIMIT
+        assert size.parts <= MAX_MESSAGE_PARTS
         entries = size.entries + self.settings.message_header
         pace = self.settings.entries_per_s / self.slowdown / SECOND
         self.free_at = max(self.free_at, self.now) + entries / pace
-        self.channel.append(InChannel(self.free_at, entries, proxy, message.barrier, self.now))
+        self.channel.append(QueuedMessage(self.free_at, entries, proxy, message.barrier, self.now))
         self.backlog += entries
-        self._hold(proxy, message)
+        self._update_table(proxy, message)
         self.on_written(proxy, message, size)
 
     def on_written(self, proxy: int, message: ProxyUpdate, size: MessageSize) -> None:
@@ -236,15 +236,15 @@
         share = self.backlog / self.settings.backlog_limit
         self.largest_backlog_share = max(self.largest_backlog_share, share)
 
-    def _arrive(self, message: InChannel) -> None:
+    def _arrive(self, message: QueuedMessage) -> None:
         self.backlog -= message.entries
         if self.acknowledges and message.barrier is not None:
             latency = self.now - message.written_at
             acknowledged = Acknowledged(proxy=message.proxy, sequence=message.barrier, latency=latency)
             self.coordinator.report(self.now, acknowledged)
 
-    def _hold(self, proxy: int, message: ProxyUpdate) -> None:
-        table = self.tables.setdefault(proxy, HeldTable({}, set()))
+    def _update_table(self, proxy: int, message: ProxyUpdate) -> None:
+        table = self.tables.setdefault(proxy, ProxyTable({}, set()))
         for _, complete, weights in message.tables:
             if complete:
                 table.weights.clear()
--- a/tests/support/records.py
+++ b/tests/support/records.py
@@ -37,14 +37,14 @@
     )
 
 
-def told_settings(settings: Settings) -> dict[str, Any]:
+def configured_settings(settings: Settings) -> dict[str, Any]:
     """The settings that a deployment tells, as a map of their fields; classes are maps too."""
     result = {name: value for name, value in msgspec.structs.asdict(settings).items() if value is not None}
-    result["classes"] = [told_settings_of_class(each) for each in settings.classes]
+    result["classes"] = [configured_class_fields(each) for each in settings.classes]
     return result
 
 
-def told_settings_of_class(request_class: RequestClass) -> dict[str, Any]:
+def configured_class_fields(request_class: RequestClass) -> dict[str, Any]:
     """The fields that a deployment tells of a class."""
     values = msgspec.structs.asdict(request_class)
     return {name: value for name, value in values.items() if value is not None}
--- a/tests/support/service_clients.py
+++ b/tests/support/service_clients.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from support.service_harness import ServiceHarness
 
-MOST_TURNS = 20_000  # that a message is written for
-PIECE = 60_000  # bytes of a large message that are written in one turn
+MAX_TURNS = 20_000  # that a message is written for
+CHUNK_SIZE = 60_000  # bytes of a large message that are written in one turn
 
 
 class ServiceClients:
@@ -34,7 +34,7 @@
 
     def connect(self, name: str) -> None:
         """Open a connection."""
-        self.sockets[name] = self._dial()
+        self.sockets[name] = self._open_socket()
         self._harness.turn()
 
     def connect_many(self, prefix: str, number: int) -> None:
@@ -49,7 +49,7 @@
 
     def join_before_accept(self, name: str, proxy: int, zone: str = "n") -> None:
         """As `join`, but the message is sent before the service accepts the connection."""
-        sock = self._dial(framed(wire_messages.joined(proxy, zone)))
+        sock = self._open_socket(framed(wire_messages.joined(proxy, zone)))
         self.sockets[name] = sock
         self._harness.turn()
 
@@ -59,7 +59,7 @@
             for proxy in range(number):
                 self.join_before_accept(f"{prefix}{proxy}", proxy, zone)
 
-    def _dial(self, first: bytes = b"") -> socket.socket:
+    def _open_socket(self, first: bytes = b"") -> socket.socket:
         sock = socket.create_connection(self._harness.instance.streams.listener.getsockname())
         sock.sendall(first)
         sock.setblocking(False)
@@ -85,7 +85,7 @@
     def write(self, name: str, data: bytes) -> None:
         """Write all bytes, with turns of the service in between where it must read first."""
         view = memoryview(data)
-        for _ in range(MOST_TURNS):
+        for _ in range(MAX_TURNS):
             try:
                 view = view[self.sockets[name].send(view) :]
             except BlockingIOError:
@@ -119,8 +119,8 @@
     def send_all_but_last_byte(self, name: str, size: int) -> None:
         """Send the length of a message and all of it but its last byte."""
         self.write(name, size.to_bytes(4, "little"))
-        for start in range(0, size - 1, PIECE):
-            self.send_bytes(name, b" " * min(PIECE, size - 1 - start))
+        for start in range(0, size - 1, CHUNK_SIZE):
+            self.send_bytes(name, b" " * min(CHUNK_SIZE, size - 1 - start))
 
     def send_at_once(self, name: str, message: str) -> None:
         """Send a message without a turn of the service."""
@@ -154,11 +154,11 @@
         self.wait_for_heartbeat(name)
         return self.sent_to[name]
 
-    def forget_received(self, name: str) -> None:
+    def clear_received(self, name: str) -> None:
         """Forget what it was sent so far."""
         self.sent_to[name] = ""
 
-    def ended_in_order(self, name: str) -> bool:
+    def closed_without_reset(self, name: str) -> bool:
         """Whether the connection ended without a reset."""
         return self.sockets[name].recv(1) == b""
 
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -19,9 +19,9 @@
 
 START = 10**18  # ns: where the clock begins
 TURN_LENGTH = 100 * MILLISECOND  # that time passes between two turns while it advances
-MOST_TURNS = 400  # that an expectation is waited for
-MOST_WAIT = 5 * MILLISECOND  # that one of them takes
-KNOWN_INDEX = 7  # version of the list that the service starts with
+MAX_TURNS = 400  # that an expectation is waited for
+TURN_WAIT = 5 * MILLISECOND  # that one of them takes
+INITIAL_LIST_VERSION = 7  # version of the list that the service starts with
 
 
 class ServiceHarness:
@@ -41,7 +41,7 @@
         self.peers = PeerStandIns(self)
         self._service: Service | None = None
         self._is_suspended = False
-        self._unreadable: str | None = None  # why the configuration cannot be read
+        self._configuration_error: str | None = None  # why the configuration cannot be read
         self.faults, self.state = ProcessFaults(self), ServiceState(self)
 
     # Configuration
@@ -73,26 +73,26 @@
             "peer_listen": ("127.0.0.1", 0),
             "peers": [self.peers.peer.getsockname()],
             "peers_all": self.peers.peer.getsockname(),
-            "known": {"index": KNOWN_INDEX, "endpoints": self.backends.known},
+            "known": {"index": INITIAL_LIST_VERSION, "endpoints": self.backends.initial_endpoints},
             "settings": settings_of(copy.deepcopy(self.settings)),
         }
         return cast("Configuration", told)  # without limits: no manager asks for them
 
-    def _read_again(self) -> Configuration:
-        if self._unreadable:
-            raise InvalidInputError(self._unreadable)
+    def _read_configuration(self) -> Configuration:
+        if self._configuration_error:
+            raise InvalidInputError(self._configuration_error)
         return self.configuration()
 
     def reload(self, **settings: Any) -> None:
         """Have the configuration read again, with these settings changed."""
-        self._unreadable = None
+        self._configuration_error = None
         self.configure(**settings)
         self.instance.reload()
         self.turn()
 
-    def reload_unreadable(self, why: str) -> None:
+    def reload_invalid(self, why: str) -> None:
         """Have a configuration read again that is wrong."""
-        self._unreadable = why
+        self._configuration_error = why
         self.instance.reload()
         self.turn()
 
@@ -102,7 +102,9 @@
     def instance(self) -> Service:
         """The service under test."""
         if self._service is None:
-            self._service = Service(self.configuration(), self.log.writer, lambda: self.now, self._read_again)
+            self._service = Service(
+                self.configuration(), self.log.writer, lambda: self.now, self._read_configuration
+            )
         return self._service
 
     @property
@@ -122,11 +124,11 @@
 
     def wait(self) -> None:
         """Let the service run once; where it has nothing to do, wait a little."""
-        self.turn(MOST_WAIT)
+        self.turn(TURN_WAIT)
 
     def wait_until(self, check: Callable[[], object], what: object) -> None:
         """Let the service run until the check holds; its clock stands."""
-        for _ in range(MOST_TURNS):
+        for _ in range(MAX_TURNS):
             if check():
                 return
             self.wait()
--- a/tests/support/service_outlets.py
+++ b/tests/support/service_outlets.py
@@ -29,7 +29,7 @@
         """Wait until the log holds this text."""
         self._harness.wait_until(lambda: text in self.text, text)
 
-    def wait_for_dropped(self, number: int) -> None:
+    def wait_for_dropped_messages(self, number: int) -> None:
         """Wait until so many lines tell of something dropped."""
         self._harness.wait_until(lambda: self.text.count('"message_dropped"') == number, number)
 
--- a/tests/support/service_state.py
+++ b/tests/support/service_state.py
@@ -31,7 +31,7 @@
 
     def wait_for_health_check(self, backend: str) -> None:
         """Wait until a health check of the backend has asked."""
-        self._harness.wait_until(lambda: self._harness.backends.has_been_asked(backend), backend)
+        self._harness.wait_until(lambda: self._harness.backends.has_pending_check(backend), backend)
 
     def attempts(self, backend: str) -> tuple[float, list[float]]:
         """Attempts that were counted of a backend lately, and those of each zone that has any."""
@@ -43,11 +43,11 @@
         return self._harness.instance.discovery.addresses[backend]
 
     @property
-    def buffers_out(self) -> int:
+    def buffers_in_use(self) -> int:
         """Message buffers that connections hold."""
         return int(self._harness.instance.streams.pool.in_use)
 
-    def larger_than(self, limit: int) -> dict[str, int]:
+    def sizes_above(self, limit: int) -> dict[str, int]:
         """The size of each thing kept by name, stream or time that exceeds a limit."""
         sizes = {name: len(kept) for name, kept in self._kept().items()}
         return {name: size for name, size in sizes.items() if size > limit}
--- a/tests/support/service_thread.py
+++ b/tests/support/service_thread.py
@@ -21,7 +21,7 @@
     UserSettings,
 )
 from granitespool.simulation.netconf_client import NetconfClient
-from support.records import told_settings
+from support.records import configured_settings
 
 LOOPBACK = "127.0.0.1"
 PORTS = range(20_000, 32_000)  # under the range that the system gives to whoever dials
@@ -40,7 +40,7 @@
     "family_info": {"proxy_count": 16, "egress_per_s": 1000.0, "most_waiting": 2000.0, "envelope": 2},
     "rules": {"stop_sending_within_us": 3_000_000},
 }
-KNOWN = [
+INITIAL_ENDPOINTS = [
     {
         "name": f"s-{number}",
         "address": "127.0.0.1:9",
@@ -62,7 +62,7 @@
             return port
 
 
-def keys(folder: Path) -> str:
+def make_keys(folder: Path) -> str:
     """Makes a set of keys; `operations` may write all, `reader` nothing, `pacer` the channel."""
     make(str(folder), [LOOPBACK], ["operations", "reader", "pacer", "stranger"], "5")
     return str(folder)
@@ -76,7 +76,7 @@
         path: Path,
         keys_folder: str,
         state: bool = False,
-        known: list[dict[str, Any]] = KNOWN,
+        endpoints: list[dict[str, Any]] = INITIAL_ENDPOINTS,
         limits: dict[str, int] | None = None,
         **netconf: Any,
     ) -> None:
@@ -84,16 +84,16 @@
         self.path = path
         self.keys = keys_folder
         self.lines: list[dict[str, Any]] = []
-        self.known = known
+        self.endpoints = endpoints
         self.limits = limits or {}
         self.file = path / "config.json"
-        self.reading: dict[str, Any] = dict(SETTINGS)  # the settings in the file
-        self.where = LOOPBACK, free_port()
+        self.file_settings: dict[str, Any] = dict(SETTINGS)  # the settings in the file
+        self.netconf_address = LOOPBACK, free_port()
         self.operator = self._operator(state, netconf)
         self.write()
 
     def _operator(self, state: bool, netconf: dict[str, Any]) -> OperatorSettings:
-        _, port = self.where
+        _, port = self.netconf_address
         tls = TlsSettings(
             certificate=f"{self.keys}/server.pem",
             key=f"{self.keys}/server.key",
@@ -114,15 +114,15 @@
 
     def write(self, **changes: Any) -> None:
         """Writes the configuration's file, with other settings."""
-        self.reading.update(changes)
+        self.file_settings.update(changes)
         configuration = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "discovery": "127.0.0.1:9",
             "seed": "1f",
             "limits": self.limits,
-            "known": {"index": 1, "endpoints": self.known},
-            "settings": self.reading,
+            "known": {"index": 1, "endpoints": self.endpoints},
+            "settings": self.file_settings,
         }
         self.file.write_text(json.dumps(configuration))
 
@@ -151,7 +151,7 @@
         self.log_reader.join(JOIN_TIMEOUT)
         assert not [line for line in self.lines if line["event"] in INTERNAL_ERRORS], self.lines
 
-    def logged(self, event: str, seconds: float = 5.0, **fields: Any) -> dict[str, Any]:
+    def wait_for_log(self, event: str, seconds: float = 5.0, **fields: Any) -> dict[str, Any]:
         """Waits for a line of the log whose fields contain these texts."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -178,11 +178,11 @@
 
     def manager(self, user: str = "operations", **more: Any) -> NetconfClient:
         """A NETCONF session of a user."""
-        return NetconfClient(self.where, self.keys, user, **more)
+        return NetconfClient(self.netconf_address, self.keys, user, **more)
 
     def settings(self) -> dict[str, Any]:
         """The planner's settings, as they act."""
-        return told_settings(self.service.coordinator.planner.settings)
+        return configured_settings(self.service.coordinator.planner.settings)
 
     def proxy(self, number: int = 1, zone: str = "n") -> socket.socket:
         """A joined proxy's plain socket, after its first table."""
@@ -194,7 +194,7 @@
         return sock
 
 
-def alive(sock: socket.socket) -> bool:
+def answers_ping(sock: socket.socket) -> bool:
     """Whether a proxy's ping is answered on its stream."""
     sock.sendall(b'\x0f\0\0\0{"type":"ping"}')
     data = b""
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -4,7 +4,7 @@
 from contextlib import suppress
 
 END = "<end>"  # stands in what was received for the end of a connection
-MOST_AT_ONCE = 1 << 20  # bytes
+READ_SIZE = 1 << 20  # bytes
 
 
 def accepted(listener: socket.socket) -> socket.socket | None:
@@ -19,7 +19,7 @@
 def received(sock: socket.socket) -> str:
     """What stands there to be read as text, `END` for the end of the connection."""
     try:
-        return sock.recv(MOST_AT_ONCE).decode("latin1") or END
+        return sock.recv(READ_SIZE).decode("latin1") or END
     except BlockingIOError:
         return ""
     except OSError:
--- a/tests/support/traced_backends.py
+++ b/tests/support/traced_backends.py
@@ -7,12 +7,12 @@
 
 WARM_UP_TIME = 17 * SECOND  # ns
 WARM_UP_START_SHARE = 0.2
-SPARED_SHARE = (
+MIN_WARM_SHARE = (
     2 / 3
 )  # of the first backends that stay ready and warm at least: with less no capacity is planned
-STOPS_AFTER = 8 * SECOND  # ns from a backend's drain to its end
+DRAIN_TIME = 8 * SECOND  # ns from a backend's drain to its end
 RESTART_DRAIN = 2 * SECOND  # ns from the drain of a backend that is restarted to its end
-BACK_AFTER = 4 * SECOND  # ns from a backend's end to its return
+RETURN_DELAY = 4 * SECOND  # ns from a backend's end to its return
 
 
 class Clock:
@@ -51,7 +51,7 @@
     entries: list[Entry]
 
 
-class _Planned(NamedTuple):
+class _ScheduledChange(NamedTuple):
     """What will happen to a backend."""
 
     at: int  # ns
@@ -70,7 +70,7 @@
         self.made = count
         self.first_list = self.current_list()
         self.changes: list[ListChange] = []
-        self._planned: list[_Planned] = []
+        self._scheduled: list[_ScheduledChange] = []
 
     def current_list(self) -> list[Entry]:
         """The entries of those who are listed now."""
@@ -87,39 +87,39 @@
         """Those that take requests."""
         return [backend for backend in self.by_name.values() if backend.phase == "ready"]
 
-    def can_spare(self, number: int) -> list[TracedBackend]:
+    def replaceable(self, number: int) -> list[TracedBackend]:
         """So many of the ready backends, longest there first, where enough warm ones stay."""
         warm = [backend for backend in self.ready() if not backend.warms_up(self.clock.now)]
-        number = min(number, len(warm) - int(SPARED_SHARE * self.first_count) - 1)
+        number = min(number, len(warm) - int(MIN_WARM_SHARE * self.first_count) - 1)
         return warm[: max(0, number)]
 
     def release(self, number: int) -> None:
         """New backends come, and the old ones that they replace drain and end."""
-        old = self.can_spare(number)
+        old = self.replaceable(number)
         new = [self._make() for _ in old]
         self._drain(old, new)
-        self._plan(STOPS_AFTER, "gone", old)
+        self._schedule(DRAIN_TIME, "gone", old)
 
     def restart(self, number: int) -> None:
         """Backends drain, end, and come back cold under their names."""
-        old = self.can_spare(number)
+        old = self.replaceable(number)
         self._drain(old, [])
-        self._plan(RESTART_DRAIN, "gone", old)
-        self._plan(RESTART_DRAIN + BACK_AFTER, "ready", old)
+        self._schedule(RESTART_DRAIN, "gone", old)
+        self._schedule(RESTART_DRAIN + RETURN_DELAY, "ready", old)
 
     def crash(self, number: int) -> None:
         """Backends end at once, and come back cold."""
-        lost = self.can_spare(number)
+        lost = self.replaceable(number)
         for backend in lost:
             backend.phase = "gone"
         if lost:
             self._change(lost)
-        self._plan(BACK_AFTER, "ready", lost)
+        self._schedule(RETURN_DELAY, "ready", lost)
 
     def advance(self) -> None:
         """Does what is due."""
-        due = [planned for planned in self._planned if planned.at <= self.clock.now]
-        self._planned = [planned for planned in self._planned if planned.at > self.clock.now]
+        due = [planned for planned in self._scheduled if planned.at <= self.clock.now]
+        self._scheduled = [planned for planned in self._scheduled if planned.at > self.clock.now]
         for planned in due:
             backend = self.by_name[planned.backend]
             backend.phase = planned.phase
@@ -143,6 +143,6 @@
     def _change(self, backends: list[TracedBackend]) -> None:
         self.changes.append(ListChange(self.clock.now, [backend.entry() for backend in backends]))
 
-    def _plan(self, delay: int, phase: str, backends: list[TracedBackend]) -> None:
+    def _schedule(self, delay: int, phase: str, backends: list[TracedBackend]) -> None:
         at = self.clock.now + delay
-        self._planned += [_Planned(at, phase, backend.name) for backend in backends]
+        self._scheduled += [_ScheduledChange(at, phase, backend.name) for backend in backends]
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -29,11 +29,11 @@
 HEALTH_CHECK_TIME = MILLISECOND  # ns
 
 
-class StartTold(NamedTuple):
+class ReportedStart(NamedTuple):
     """When a backend started, as a coordinator was told of it."""
 
     started: int  # ns
-    told_at: int  # ns
+    received_at: int  # ns
 
 
 class TracedProxy:
@@ -49,10 +49,10 @@
         self.weights: dict[str, float] = {}
         self.excluded: set[str] = set()
         self.retries: dict[str, int] = {}  # class -> manner of retrying
-        self.starts_told: dict[str, StartTold] = {}  # to its last message's coordinator
+        self.reported_starts: dict[str, ReportedStart] = {}  # to its last message's coordinator
         self.written_at = 0  # ns, of its last message
 
-    def open_weights(self) -> dict[str, float]:
+    def usable_weights(self) -> dict[str, float]:
         """The backends that it may pick."""
         return {name: weight for name, weight in self.weights.items() if name not in self.excluded}
 
@@ -71,7 +71,7 @@
         self.has_table = True
 
 
-class _OnTheWay(NamedTuple):
+class _InTransit(NamedTuple):
     """A message that has not arrived at its proxy."""
 
     arrives_at: float  # ns
@@ -80,7 +80,7 @@
     written_at: int  # ns
 
 
-class _Waiting(msgspec.Struct):
+class _QueuedReports(msgspec.Struct):
     """Load reports of one link that wait for the intake, summed up."""
 
     attempts: float = 0.0
@@ -97,10 +97,10 @@
         self.name = name
         self.incarnation = 0
         self.phases: dict[str, str] = {}  # backend -> phase that it was told last
-        self.starts_told: dict[str, StartTold] = {}
-        self.on_the_way: list[_OnTheWay] = []
-        self.intake: dict[tuple[str, str], _Waiting] = {}  # (zone, backend)
-        self.backlog_seen = 0.0
+        self.reported_starts: dict[str, ReportedStart] = {}
+        self.in_transit: list[_InTransit] = []
+        self.intake: dict[tuple[str, str], _QueuedReports] = {}  # (zone, backend)
+        self.recorded_backlog = 0.0
         self.list_delay = 0  # ns
         self.list_position = 0  # changes of the list that it was told
         self.up_at: int | None = None  # ns; None: it runs
@@ -118,8 +118,8 @@
         entries = list(entries)
         for name, phase, started in [*entries, *self._absent(form, entries)]:
             self.phases[name] = phase
-            if started and self.starts_told.get(name, StartTold(0, 0)).started != started:
-                self.starts_told[name] = StartTold(started, self.now)
+            if started and self.reported_starts.get(name, ReportedStart(0, 0)).started != started:
+                self.reported_starts[name] = ReportedStart(started, self.now)
             listed = BackendListed(
                 at=self.now, coordinator=self.name, backend=name, phase=phase, started=started
             )
@@ -157,16 +157,16 @@
 
     # Streams
 
-    def take(self, proxy: TracedProxy) -> None:
+    def add_proxy(self, proxy: TracedProxy) -> None:
         """A proxy joins."""
         self.join(proxy.number, bootstrap=not proxy.has_table)
         proxy.coordinator = self
         self.fleet.record(ProxyJoined(at=self.now, proxy=proxy.number, coordinator=self.name))
 
-    def lose(self, proxy: TracedProxy) -> None:
+    def drop_proxy(self, proxy: TracedProxy) -> None:
         """A proxy's stream breaks; what is on its way to it is lost."""
         self.leave(proxy.number)
-        self.on_the_way = [each for each in self.on_the_way if each.proxy is not proxy]
+        self.in_transit = [each for each in self.in_transit if each.proxy is not proxy]
         proxy.coordinator = None
         self.fleet.record(ProxyLeft(at=self.now, proxy=proxy.number, coordinator=self.name))
 
@@ -174,7 +174,7 @@
         """The process ends for so long (ns): what waits in its channel is lost, its proxies go elsewhere."""
         self.fleet.record(CoordinatorEnded(at=self.now, coordinator=self.name))
         for number in list(self.joined):
-            self.lose(self.fleet.proxies[number])
+            self.drop_proxy(self.fleet.proxies[number])
         self.up_at = self.now + downtime
         self.incarnation += 1
 
@@ -182,7 +182,7 @@
         """A new incarnation, which knows the list as it was told it last and nothing else."""
         self.up_at = None
         self.phases = {}
-        self.starts_told = {}
+        self.reported_starts = {}
         self.intake = {}
         self.channel = deque()
         self.backlog = 0.0
@@ -229,34 +229,34 @@
         )
         self.fleet.record(written)
         self._record_backlog()
-        self.on_the_way.append(_OnTheWay(self.free_at, self.fleet.proxies[proxy], message, self.now))
+        self.in_transit.append(_InTransit(self.free_at, self.fleet.proxies[proxy], message, self.now))
 
     def _record_backlog(self) -> None:
-        if self.backlog != self.backlog_seen:
-            self.backlog_seen = self.backlog
+        if self.backlog != self.recorded_backlog:
+            self.recorded_backlog = self.backlog
             self.fleet.record(ChannelBacklog(at=self.now, coordinator=self.name, entries=self.backlog))
 
     def deliver(self) -> None:
         """Proxies apply what has arrived."""
-        arrived = [each for each in self.on_the_way if each.arrives_at <= self.now]
-        self.on_the_way = [each for each in self.on_the_way if each.arrives_at > self.now]
+        arrived = [each for each in self.in_transit if each.arrives_at <= self.now]
+        self.in_transit = [each for each in self.in_transit if each.arrives_at > self.now]
         for each in arrived:
             each.proxy.apply(each.message)
-            each.proxy.starts_told = self.starts_told
+            each.proxy.reported_starts = self.reported_starts
             each.proxy.written_at = each.written_at
             self.fleet.record_table(each.proxy, self.now)
 
     # Load reports
 
-    def report_later(self, zone: str, name: str, attempts: float, failures: float, mean: float) -> None:
+    def queue_load_report(self, zone: str, name: str, attempts: float, failures: float, mean: float) -> None:
         """A load report of a second, which waits for the intake; what waits adds up."""
-        waiting = self.intake.setdefault((zone, name), _Waiting())
+        waiting = self.intake.setdefault((zone, name), _QueuedReports())
         waiting.attempts += attempts
         waiting.failures += failures
         waiting.answered_time += (attempts - failures) * mean
         waiting.window += SECOND
 
-    def take_in(self, most: int) -> None:
+    def process_load_reports(self, most: int) -> None:
         """Takes as many load reports as the intake does in a second."""
         for zone, name in list(self.intake)[:most]:
             waiting = self.intake.pop((zone, name))
--- a/tests/support/traced_fleet.py
+++ b/tests/support/traced_fleet.py
@@ -15,7 +15,7 @@
 from granitespool.units import SECOND
 from support.proxy_fleet import TURN
 from support.traced_backends import (
-    SPARED_SHARE,
+    MIN_WARM_SHARE,
     WARM_UP_START_SHARE,
     WARM_UP_TIME,
     Clock,
@@ -37,13 +37,13 @@
     "default_retries": 0,
     "health_checks_allowed": True,
 }
-FIRST_TABLE = 5  # backends that a proxy knows at the start
+BOOTSTRAP_BACKENDS = 5  # backends that a proxy knows at the start
 TABLE_OVERHEAD = 7  # entries of a message beside those of backends: its head, ticket, `whole` and levels
 DRAIN_OVERHEAD = 4  # the same of a message that takes backends out: its head and ticket
-GRACE_LEAST = 3_300_000_000  # ns
+MIN_DRAIN_GRACE = 3_300_000_000  # ns
 BACKLOG_TIME = 2  # s at the told pace that a full channel holds at least
-DIAL_TIME = SECOND // 2  # ns until a proxy that lost its stream has joined elsewhere, or twice as long
-LOADS_EVERY = 5  # turns
+RECONNECT_TIME = SECOND // 2  # ns until a proxy that lost its stream has joined elsewhere, or twice as long
+TURNS_PER_LOAD_RECORD = 5  # turns
 
 
 class ChannelSettings(msgspec.Struct, frozen=True):
@@ -54,18 +54,20 @@
     drain_grace: int  # ns
 
     @classmethod
-    def fitting(cls, coordinators: int, proxies: int, backends: int, table_takes: float) -> "ChannelSettings":
+    def for_fleet(
+        cls, coordinators: int, proxies: int, backends: int, table_takes: float
+    ) -> "ChannelSettings":
         """As the platform sets it: what cannot be put off fits twice, with all proxies on one coordinator.
 
         Here that is the drains of all that may drain at a time. `table_takes`: seconds that a channel takes
         for one complete table."""
         pace = (backends + TABLE_OVERHEAD) / table_takes
-        drains = coordinators * proxies * (int((1 - SPARED_SHARE) * backends) + DRAIN_OVERHEAD)
-        grace = max(GRACE_LEAST, round(2 * drains / pace * SECOND))
+        drains = coordinators * proxies * (int((1 - MIN_WARM_SHARE) * backends) + DRAIN_OVERHEAD)
+        grace = max(MIN_DRAIN_GRACE, round(2 * drains / pace * SECOND))
         return cls(pace, max(2 * drains, BACKLOG_TIME * pace), grace)
 
 
-class _Dialling(NamedTuple):
+class _Reconnection(NamedTuple):
     """A proxy that is about to join a coordinator."""
 
     at: int  # ns
@@ -99,7 +101,7 @@
         self.turns = 0
         self.backends = TracedBackends(self.clock, backends)
         self.traffic = TracedTraffic(self, self.random, SETTINGS["default_retries"])
-        self.dialling: list[_Dialling] = []
+        self.reconnections: list[_Reconnection] = []
         self.proxies = {
             number: TracedProxy(number, number % coordinators) for number in range(coordinators * proxies)
         }
@@ -107,7 +109,7 @@
         for coordinator in self.coordinators:
             self.record(CoordinatorStarted(at=self.now, coordinator=coordinator.name))
         for proxy in self.proxies.values():
-            self._join_first(proxy, min(FIRST_TABLE, backends))
+            self._join_first(proxy, min(BOOTSTRAP_BACKENDS, backends))
 
     def _make_coordinator(self, number: int, coordinators: int) -> TracedCoordinator:
         settings = {
@@ -124,7 +126,7 @@
         names = self.random.sample(sorted(self.backends.by_name), known)
         proxy.weights = dict.fromkeys(names, 1.0)
         self.record_table(proxy, self.now)
-        self.coordinators[proxy.home].take(proxy)
+        self.coordinators[proxy.home].add_proxy(proxy)
 
     @property
     def now(self) -> int:
@@ -175,36 +177,36 @@
             leaving = [self.proxies[each] for each in coordinator.joined]
             coordinator.end(downtime)
             for proxy in leaving:
-                self._dial(proxy)
+                self._reconnect(proxy)
 
     def lose_streams(self, number: int) -> None:
         """So many proxies lose their streams, and join anew where they may."""
         joined = [proxy for proxy in self.proxies.values() if proxy.coordinator]
         for proxy in self.random.sample(joined, min(number, len(joined))):
-            proxy.coordinator.lose(proxy)
-            self._dial(proxy)
+            proxy.coordinator.drop_proxy(proxy)
+            self._reconnect(proxy)
 
-    def go_home(self) -> None:
+    def return_home(self) -> None:
         """Who is elsewhere goes back to its own coordinator, where that runs."""
         for proxy in self.proxies.values():
             home = self.coordinators[proxy.home]
             if home.up and proxy.coordinator not in (None, home):
-                proxy.coordinator.lose(proxy)
-                self.dialling.append(_Dialling(self.now + DIAL_TIME, proxy, home))
+                proxy.coordinator.drop_proxy(proxy)
+                self.reconnections.append(_Reconnection(self.now + RECONNECT_TIME, proxy, home))
 
-    def _dial(self, proxy: TracedProxy) -> None:
+    def _reconnect(self, proxy: TracedProxy) -> None:
         coordinator = self.random.choice(self.running())
-        at = self.now + DIAL_TIME + self.random.randrange(DIAL_TIME)
-        self.dialling.append(_Dialling(at, proxy, coordinator))
+        at = self.now + RECONNECT_TIME + self.random.randrange(RECONNECT_TIME)
+        self.reconnections.append(_Reconnection(at, proxy, coordinator))
 
     def _join(self) -> None:
-        due = [each for each in self.dialling if each.at <= self.now]
-        self.dialling = [each for each in self.dialling if each.at > self.now]
+        due = [each for each in self.reconnections if each.at <= self.now]
+        self.reconnections = [each for each in self.reconnections if each.at > self.now]
         for each in due:
             if each.coordinator.up:
-                each.coordinator.take(each.proxy)
+                each.coordinator.add_proxy(each.proxy)
             else:
-                self._dial(each.proxy)
+                self._reconnect(each.proxy)
 
     # Time
 
@@ -215,7 +217,7 @@
             if coordinator.up_at is not None and coordinator.up_at <= self.now:
                 coordinator.start()
         self._join()
-        if self.turns % LOADS_EVERY == 0:
+        if self.turns % TURNS_PER_LOAD_RECORD == 0:
             self.traffic.record_loads()
         if self.now % SECOND == 0:
             self.traffic.report()
--- a/tests/support/traced_traffic.py
+++ b/tests/support/traced_traffic.py
@@ -9,7 +9,7 @@
 from granitespool.planner.events import UsageReport
 from granitespool.scale.trace import BackendLoad, RequestExecuted
 from granitespool.units import SECOND
-from support.traced_coordinator import StartTold, TracedProxy
+from support.traced_coordinator import ReportedStart, TracedProxy
 
 if TYPE_CHECKING:
     from support.traced_backends import TracedBackend
@@ -19,10 +19,12 @@
 ANSWER_TIME = SECOND // 10  # ns that a backend takes which is not overloaded
 ATTEMPTS = 20.0  # a second and proxy
 REQUESTS = 2  # with an effect that must happen once, a second and proxy
-LOST_SHARE = 0.05  # of those, whose answer is lost after the effect
-LONGEST_QUEUE = 4.0  # times the work that it can do by which a backend gets slower at most
+LOST_ANSWER_SHARE = 0.05  # of those, whose answer is lost after the effect
+MAX_QUEUE_FACTOR = 4.0  # times the work that it can do by which a backend gets slower at most
 ATTEMPTS_BY_RETRIES = {0: 1, 1: 2, 2: 2, 3: 3}  # manner of retrying -> attempts in all
-AFTER_ANY_FAILURE = 2  # the first manner of retrying that does not need proof that the attempt never ran
+RETRIES_AFTER_ANY_FAILURE = (
+    2  # the first manner of retrying that does not need proof that the attempt never ran
+)
 CLASS = "b"  # of the requests
 
 
@@ -46,7 +48,7 @@
         """Backend -> share of a proxy's attempts, retries counted.
 
         What a backend rejects that takes nothing new is tried once elsewhere, where it may be retried."""
-        weights = proxy.open_weights()
+        weights = proxy.usable_weights()
         total = sum(weights.values())
         if not total:
             return {}
@@ -61,15 +63,15 @@
 
     def _is_informed(self, proxy: TracedProxy, backend: "TracedBackend") -> bool:
         """Whether the work that a proxy sends to a backend counts as sent with knowledge of its start."""
-        told = proxy.starts_told.get(backend.name, StartTold(0, 0))
-        if told.started == backend.started and proxy.written_at >= told.told_at:
+        told = proxy.reported_starts.get(backend.name, ReportedStart(0, 0))
+        if told.started == backend.started and proxy.written_at >= told.received_at:
             return True
         if proxy.coordinator is None:
-            known = StartTold(0, 0)
+            known = ReportedStart(0, 0)
         else:
-            known = proxy.coordinator.starts_told.get(backend.name, StartTold(0, 0))
+            known = proxy.coordinator.reported_starts.get(backend.name, ReportedStart(0, 0))
         grace = self.fleet.channel.drain_grace
-        return known.started == backend.started and self.fleet.now - known.told_at >= grace
+        return known.started == backend.started and self.fleet.now - known.received_at >= grace
 
     def work(self) -> dict[str, Work]:
         """The work that reaches each backend."""
@@ -117,15 +119,15 @@
                 coordinator.coordinator.report(self.fleet.now, usage)
             for (zone, name), attempts in by_link.items():
                 failed_share, mean = self._answers(name, work)
-                coordinator.report_later(zone, name, attempts, attempts * failed_share, mean)
-            coordinator.take_in(self.fleet.intake)
+                coordinator.queue_load_report(zone, name, attempts, attempts * failed_share, mean)
+            coordinator.process_load_reports(self.fleet.intake)
 
     def _answers(self, name: str, work: dict[str, Work]) -> tuple[float, float]:
         """The share of attempts that fail at a backend, and the mean time (ns) of the others."""
         backend = self.fleet.backends.by_name[name]
         pressure = work[name].total / backend.capacity_share(self.fleet.now)
         failed_share = 1.0 if backend.phase != "ready" else max(0.0, 1 - 1 / max(1.0, pressure))
-        return failed_share, ANSWER_TIME * (1 + min(LONGEST_QUEUE, pressure))
+        return failed_share, ANSWER_TIME * (1 + min(MAX_QUEUE_FACTOR, pressure))
 
     def execute_requests(self) -> None:
         """Requests whose effect must happen once, retried as their proxy was told."""
@@ -133,7 +135,7 @@
             for _ in range(REQUESTS if proxy.coordinator else 0):
                 self.requests += 1
                 retries = proxy.retries.get(CLASS, self.default_retries)
-                self._execute(self.requests, proxy.open_weights(), retries)
+                self._execute(self.requests, proxy.usable_weights(), retries)
 
     def _execute(self, request: int, weights: dict[str, float], retries: int) -> None:
         for _ in range(min(ATTEMPTS_BY_RETRIES[retries], len(weights))):
@@ -143,6 +145,6 @@
                 continue  # rejected: it provably never ran
             executed = RequestExecuted(at=self.fleet.now, request=request, backend=name, effect="single_shot")
             self.fleet.record(executed)
-            lost = self.random.random() < LOST_SHARE
-            if not lost or retries < AFTER_ANY_FAILURE:
+            lost = self.random.random() < LOST_ANSWER_SHARE
+            if not lost or retries < RETRIES_AFTER_ANY_FAILURE:
                 return
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -12,7 +12,7 @@
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.events import ConnectionTerminated, DataReceived, ResponseReceived, StreamReset
-from support.service_thread import ServiceThread, alive, free_port, keys
+from support.service_thread import ServiceThread, answers_ping, free_port, make_keys
 
 from granitespool.gnmi import gnmi_pb2 as pb
 from granitespool.gnmi import paths
@@ -37,7 +37,7 @@
 
 @pytest.fixture(scope="module")
 def keys_folder(tmp_path_factory):
-    return keys(tmp_path_factory.mktemp("keys"))
+    return make_keys(tmp_path_factory.mktemp("keys"))
 
 
 class GnmiServiceThread(ServiceThread):
@@ -244,7 +244,7 @@
     assert server.settings()["warm_up_time"] == 5000
     assert client.set(replace={"/coordinator/settings/zone": ["n", "s", "t"]}) == "ok"
     assert server.settings()["zones"] == ["n", "s", "t"]
-    server.logged("settings_changed", by="operations", version=2)
+    server.wait_for_log("settings_changed", by="operations", version=2)
 
 
 @pytest.mark.parametrize(
@@ -282,7 +282,7 @@
     assert reply_tag(netconf.lock("running")) == "ok"
     assert client.set(update={LINES_PER_SECOND: "600"}) == "ABORTED"
     netconf.reset()
-    server.logged("manager_disconnected")
+    server.wait_for_log("manager_disconnected")
     assert client.set(update={LINES_PER_SECOND: "600"}) == "ok" and server.settings()["entries_per_s"] == 600
     with pytest.raises(grpc.RpcError):
         server.client("stranger").capabilities(pb.CapabilityRequest(), timeout=2)
@@ -531,7 +531,7 @@
         send_flood(raw, behaviour)
         event = raw.wait_for_event(ConnectionTerminated)
         raise ConnectionError(str(event))
-    assert client.value(LINES_PER_SECOND) == "1000.0" and alive(proxy)
+    assert client.value(LINES_PER_SECOND) == "1000.0" and answers_ping(proxy)
     proxy.close()
 
 
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -13,8 +13,8 @@
 from lxml import etree
 from ncclient import manager as ncclient_manager
 from ncclient.operations import RPCError
-from support.records import told_settings
-from support.service_thread import ServiceThread, alive, keys
+from support.records import configured_settings
+from support.service_thread import ServiceThread, answers_ping, make_keys
 
 from granitespool.netconf.errors import FramingError, MalformedMessageError
 from granitespool.netconf.framing import END_OF_MESSAGE, MessageReader, frame
@@ -28,7 +28,7 @@
 
 @pytest.fixture(scope="module")
 def keys_folder(tmp_path_factory):
-    return keys(tmp_path_factory.mktemp("keys"))
+    return make_keys(tmp_path_factory.mktemp("keys"))
 
 
 @pytest.fixture
@@ -124,7 +124,7 @@
         time.sleep(0.25)
         ages.append(int(re.search(r"<age>(\d+)<", client.ask("<get/>"))[1]))
     assert 200_000 < ages[0] < ages[1] - 200_000 and ages[2] < ages[1]
-    server.logged("settings_changed", by="operations", version=2)
+    server.wait_for_log("settings_changed", by="operations", version=2)
     connections_limit = server.service.streams.admission.connections_limit
     assert (
         reply_tag(client.edit("<limits><descriptors>512</descriptors></limits>"))
@@ -221,7 +221,9 @@
     assert reply_tag(client.edit(settings)) == "ok"
     reply = client.commit()
     assert reply_tag(reply) == "operation-failed" and expected_text in reply
-    assert server.settings() == before and "<version>1</version>" in client.ask("<get/>") and alive(proxy)
+    assert (
+        server.settings() == before and "<version>1</version>" in client.ask("<get/>") and answers_ping(proxy)
+    )
     assert "<refused>1</refused>" in client.ask("<get/>")
     proxy.close()
 
@@ -350,7 +352,7 @@
         and reply_tag(other_client.commit()) == "in-use"
     )
     assert reply_tag(client.edit(LINES_PER_SECOND.format("500"))) == "ok"
-    info = {**server.reading["family_info"], "egress_per_s": 700.0}
+    info = {**server.file_settings["family_info"], "egress_per_s": 700.0}
     assert (
         server.reload(family_info=info)["event"] == "reloaded" and server.settings()["entries_per_s"] == 700.0
     )
@@ -367,7 +369,7 @@
     rejected = server.reload(family_info={**info, "egress_per_s": 800.0})
     assert rejected["event"] == "reload_rejected" and "locked by a manager" in rejected["reason"]
     client.reset()
-    server.logged("manager_disconnected")
+    server.wait_for_log("manager_disconnected")
     assert server.reload()["event"] == "reloaded" and server.settings()["entries_per_s"] == 800.0
     assert reply_tag(other_client.lock("running")) == "ok" and reply_tag(other_client.lock()) == "ok"
 
@@ -403,7 +405,7 @@
             if step != "confirmed":
                 client.edit(LINES_PER_SECOND.format("600"))
     getattr(client, disconnect)()
-    server.logged("manager_disconnected")
+    server.wait_for_log("manager_disconnected")
     assert {name: watcher.config(name) for name in stores} == stores and server.settings() == before
     assert reply_tag(watcher.lock()) == "ok" and reply_tag(watcher.lock("running")) == "ok"
 
@@ -413,12 +415,12 @@
     client.edit(LINES_PER_SECOND.format("500"))
     assert reply_tag(client.commit("<confirmed/><confirm-timeout>1</confirm-timeout>")) == "ok"
     assert server.settings()["entries_per_s"] == 500
-    server.logged("settings_changed", by="timeout")
+    server.wait_for_log("settings_changed", by="timeout")
     assert server.settings()["entries_per_s"] == 1000
     client.edit(LINES_PER_SECOND.format("600"))
     assert reply_tag(client.commit("<confirmed/><persist>q7</persist>")) == "ok"
     client.close()
-    server.logged("manager_disconnected")
+    server.wait_for_log("manager_disconnected")
     assert server.settings()["entries_per_s"] == 600 and reply_tag(other_client.commit()) == "in-use"
     assert reply_tag(other_client.commit("<persist-id>q8</persist-id>")) == "invalid-value"
     assert reply_tag(other_client.commit("<persist-id>q7</persist-id>")) == "ok"
@@ -438,10 +440,10 @@
     client.edit(LINES_PER_SECOND.format("500"))
     reply = client.commit()
     assert reply_tag(reply) == "operation-failed" and "former" in reply and server.settings() == before
-    assert len(calls) == 2 and told_settings(calls[1]["settings"]) == before
+    assert len(calls) == 2 and configured_settings(calls[1]["settings"]) == before
     probes.reconfigure = real
     assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
-    server.logged("task_failed")  # the log is read in another thread
+    server.wait_for_log("task_failed")  # the log is read in another thread
     server.lines[:] = [line for line in server.lines if line["event"] != "task_failed"]
 
 
@@ -468,13 +470,13 @@
     )
     client.ask("<discard-changes/>")
     server.service.coordinator.set_admission(0, 1, 0.5, 0)
-    assert "<share>0.5</share>" in other_client.note("levels-changed") and alive(proxy)
+    assert "<share>0.5</share>" in other_client.note("levels-changed") and answers_ping(proxy)
     proxy.close()
     number = re.search(r"<session-id>(\d+)<", other_client.hello)[1]
     assert reply_tag(client.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
     with pytest.raises(ConnectionEndedError):
         other_client.receive()
-    server.logged("manager_disconnected", reason="killed by operations")
+    server.wait_for_log("manager_disconnected", reason="killed by operations")
 
 
 # Persistence across restarts
@@ -487,7 +489,7 @@
         f"[state]\nfolder = state\nevery_ms = 100\n[tls]\ncertificate = {keys_folder}/server.pem\n"
         f"key = {keys_folder}/server.key\nauthorities = {keys_folder}/ca.pem\n"
         "[netconf]\nlisten = 127.0.0.1:"
-        f"{server.where[1]}\n[user.operations]\ncertificate = cn:operations\nwrite = *\n"
+        f"{server.netconf_address[1]}\n[user.operations]\ncertificate = cn:operations\nwrite = *\n"
     )
     for lines_per_second in ("1000.0", "500.0", "400.0"):
         process = subprocess.Popen(
@@ -508,7 +510,7 @@
             for line in iter(process.stdout.readline, ""):
                 if '"serving"' in line:
                     break
-            client = NetconfClient(server.where, keys_folder)
+            client = NetconfClient(server.netconf_address, keys_folder)
             assert f"<lines-per-second>{lines_per_second}<" in client.config()
             next_value = {"1000.0": "500.0", "500.0": "400.0"}.get(lines_per_second, "300.0")
             assert (
@@ -518,10 +520,10 @@
         finally:
             process.send_signal(signal.SIGKILL)  # immediately after the reply
             process.communicate()
-    server.write(family_info={**server.reading["family_info"], "egress_per_s": 900.0})
+    server.write(family_info={**server.file_settings["family_info"], "egress_per_s": 900.0})
     with server:  # the file has changed since the commit, so its settings apply
         assert server.settings()["entries_per_s"] == 900.0
-        server.logged("settings_discarded")
+        server.wait_for_log("settings_discarded")
 
 
 def test_a_setting_that_needs_a_restart_is_put_into_startup_and_takes_effect_after_the_restart(
@@ -638,15 +640,15 @@
     server, keys_folder, behaviour, tmp_path
 ):
     proxy, client = server.proxy(), server.manager()
-    others = keys(tmp_path / "others") if behaviour == "foreign" else keys_folder
+    others = make_keys(tmp_path / "others") if behaviour == "foreign" else keys_folder
     if behaviour == "foreign":  # a certificate of an unknown authority with the name of an existing user
         import shutil  # noqa: PLC0415
 
         shutil.copy(f"{keys_folder}/ca.pem", f"{others}/ca.pem")
         for ending in ("pem", "key"):
             shutil.copy(f"{others}/operations.{ending}", f"{others}/foreign.{ending}")
-    connect_misbehaving_peer(server.where, others, behaviour)
-    assert reply_tag(client.ask("<get/>")) == "ok" and alive(proxy)
+    connect_misbehaving_peer(server.netconf_address, others, behaviour)
+    assert reply_tag(client.ask("<get/>")) == "ok" and answers_ping(proxy)
     proxy.close()
 
 
@@ -670,17 +672,17 @@
     (tmp_path / "old.pem").write_bytes(old.public_bytes(keys_module.serialization.Encoding.PEM))
     (tmp_path / "old.key").write_bytes(keys_module.key_bytes(key))
     with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
-        NetconfClient(server.where, str(tmp_path), "old").ask("<get/>")
-    server.logged("manager_rejected", reason="expired")
+        NetconfClient(server.netconf_address, str(tmp_path), "old").ask("<get/>")
+    server.wait_for_log("manager_rejected", reason="expired")
 
 
 def test_hundreds_of_half_open_handshakes_block_neither_proxies_nor_managers(tmp_path, keys_folder):
     with ServiceThread(tmp_path, keys_folder, sessions=6, limits={"sockets": 256, "memory_mb": 64}) as server:
         assert server.service.streams.admission.connections_limit == 256 - 16 - 32 - (6 + 3 + 1)
         proxy = server.proxy()
-        sockets = [socket.create_connection(server.where, timeout=5) for _ in range(200)]
+        sockets = [socket.create_connection(server.netconf_address, timeout=5) for _ in range(200)]
         client = server.manager()
-        assert reply_tag(client.ask("<get/>")) == "ok" and alive(proxy)
+        assert reply_tag(client.ask("<get/>")) == "ok" and answers_ping(proxy)
         assert len(server.service.management.listeners[0].connections) <= 9
         for sock in sockets:
             sock.close()
@@ -696,7 +698,7 @@
             server.manager().ask("<get/>")
         create_subscription = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
         assert reply_tag(other_client.ask(create_subscription)) == "ok"
-        server.logged("manager_disconnected", reason="idle")
+        server.wait_for_log("manager_disconnected", reason="idle")
         with pytest.raises(ConnectionEndedError):
             client.receive()
         time.sleep(0.5)
@@ -716,7 +718,7 @@
         }
         for k in range(800)
     ]
-    with ServiceThread(tmp_path, keys_folder, known=known) as server:
+    with ServiceThread(tmp_path, keys_folder, endpoints=known) as server:
         proxy, client, other_client = server.proxy(), server.manager(), server.manager()
         for _ in range(14):
             client.send("<get/>")
@@ -726,17 +728,17 @@
         assert stuck.unsent < 2_000_000 and len(stuck.protocol.pending) > 5
         begun = time.monotonic()
         assert reply_tag(other_client.ask("<get-config><source><running/></source></get-config>")) == "ok"
-        assert alive(proxy)
+        assert answers_ping(proxy)
         assert time.monotonic() - begun < 1.0
         assert all(client.receive().count("<backend>") == 800 for _ in range(14))
         proxy.close()
 
 
 def test_keys_are_reloaded_without_ending_sessions_and_an_invalid_file_changes_nothing(tmp_path, keys_folder):
-    own = keys(tmp_path / "keys")
+    own = make_keys(tmp_path / "keys")
     with ServiceThread(tmp_path, own) as server:
         client = server.manager()
-        fresh = keys(tmp_path / "fresh")
+        fresh = make_keys(tmp_path / "fresh")
         for name in os.listdir(own):
             os.replace(f"{fresh}/{name}", f"{own}/{name}")
         assert server.reload()["event"] == "reloaded" and reply_tag(client.ask("<get/>")) == "ok"
@@ -752,8 +754,8 @@
 
 def test_ncclient_reads_commits_is_rejected_and_finds_nothing_half_applied(server, keys_folder):
     with ncclient_manager.connect_tls(
-        host=server.where[0],
-        port=server.where[1],
+        host=server.netconf_address[0],
+        port=server.netconf_address[1],
         keyfile=f"{keys_folder}/operations.key",
         certfile=f"{keys_folder}/operations.pem",
         ca_certs=f"{keys_folder}/ca.pem",
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from support import recordings
-from support.interleavings import BUSY, fitting, played
+from support.interleavings import BUSY_DAY, make_fleet, run_steps
 
 from granitespool.net.loop import SECOND
 from granitespool.scale import fleet, report, schema
@@ -174,7 +174,7 @@
 
     Further traces are the same day with some requests executed twice, with some tables empty, and with the
     work of cold backends coming from proxies that know little of their starts."""
-    day = played(BUSY, fitting(3, 6, 18))
+    day = run_steps(BUSY_DAY, make_fleet(3, 6, 18))
     trace = day.events()
     doubled = sorted([*trace, *(each for each in trace[::97] if hasattr(each, "effect"))], key=lambda e: e.at)
     emptied = [
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -36,7 +36,10 @@
 
     def configuration(self) -> dict[str, object]:
         """Return the harness's configuration with an endpoint list of the version `known_index`."""
-        known = {"index": self.known_index, "endpoints": self.backends.known if self.known_index else []}
+        known = {
+            "index": self.known_index,
+            "endpoints": self.backends.initial_endpoints if self.known_index else [],
+        }
         return {**super().configuration(), "known": known}
 
     def record(self, sock: socket.socket, text: str) -> str:
