--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a planner, a coordinator or a whole service, each with stand-ins for what surrounds it."""
+"""Fixtures: a planner, a coordinator or a whole service, each with stand-ins for its neighbours."""
 
 from collections.abc import Iterator
 
@@ -14,19 +14,19 @@
 
 @pytest.fixture
 def fleet() -> PlannerHarness:
-    """A planner that is told of a fleet."""
+    """Return a harness that reports events of a fleet to a planner."""
     return PlannerHarness()
 
 
 @pytest.fixture
 def actions(fleet: PlannerHarness) -> RecordedActions:
-    """The actions that the planner asked for."""
+    """Return the actions that the planner has requested."""
     return fleet.actions
 
 
 @pytest.fixture
 def coordinator() -> Iterator[CoordinatorHarness]:
-    """A coordinator; at the end nothing may have been logged."""
+    """Yield a coordinator; fail if it has logged an error by the end of the test."""
     harness = CoordinatorHarness()
     yield harness
     assert harness.logged_errors() == []
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def service() -> Iterator[ServiceHarness]:
-    """A service on loopback; at the end it must have given everything back."""
+    """Yield a service on loopback; fail if it has not released its resources after the test."""
     harness = ServiceHarness()
     yield harness
     harness.close()
@@ -42,29 +42,29 @@
 
 @pytest.fixture
 def clients(service: ServiceHarness) -> ServiceClients:
-    """Connections of proxies, collectors and clients that have not joined to the service."""
+    """Return the connections of proxies, collectors and unauthenticated clients to the service."""
     return service.clients
 
 
 @pytest.fixture
 def discovery(service: ServiceHarness) -> DiscoveryStandIn:
-    """The discovery service that the service watches."""
+    """Return the stand-in for the discovery service that the service watches."""
     return service.discovery
 
 
 @pytest.fixture
 def backends(service: ServiceHarness) -> BackendStandIns:
-    """The backends that the service checks."""
+    """Return the stand-ins for the backends that the service health-checks."""
     return service.backends
 
 
 @pytest.fixture
 def peers(service: ServiceHarness) -> PeerStandIns:
-    """A coordinator that the service knows, and one that it does not."""
+    """Return the stand-ins for a configured peer coordinator and for an unknown one."""
     return service.peers
 
 
 @pytest.fixture
 def log(service: ServiceHarness) -> ServiceLog:
-    """The service's log."""
+    """Return the service's log."""
     return service.log
--- a/tests/service/test_service_configuration.py
+++ b/tests/service/test_service_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file, as a process of its own reads it."""
+"""The configuration file, as a separate process reads it."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 from granitespool.cli import main
 
-MISSING = "/nowhere/at/all"  # a file that is not there
+MISSING = "/nowhere/at/all"  # a file that does not exist
 CONFIG = {
     "name": "n0",
     "listen": "127.0.0.1:0",
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "words"),
+    ("configuration", "expected_text"),
     [
         (None, "LB_CONFIG is not set"),
         (MISSING, "cannot be read"),
@@ -52,25 +52,27 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
     tmp_path: Path,
-    told: str | dict[str, Any] | None,
-    words: str,
+    configuration: str | dict[str, Any] | None,
+    expected_text: str,
 ) -> None:
     taken = socket.create_server(("127.0.0.1", 0))
-    if told == "taken":
-        told = {"listen": "{}:{}".format(*taken.getsockname())}
-    file = MISSING if told == MISSING else ""
-    if told and told != MISSING:
+    if configuration == "taken":
+        configuration = {"listen": "{}:{}".format(*taken.getsockname())}
+    file = MISSING if configuration == MISSING else ""
+    if configuration and configuration != MISSING:
         path = tmp_path / "config.json"
-        path.write_text(told if isinstance(told, str) else json.dumps({**CONFIG, **told}))
+        path.write_text(
+            configuration if isinstance(configuration, str) else json.dumps({**CONFIG, **configuration})
+        )
         file = str(path)
     monkeypatch.setenv("LB_CONFIG", file)
-    with Path(os.devnull).open("w") as nowhere:
-        monkeypatch.setattr(sys, "stdout", nowhere)
+    with Path(os.devnull).open("w") as null_file:
+        monkeypatch.setattr(sys, "stdout", null_file)
         code = main([])
     err = capsys.readouterr().err
     taken.close()
     assert code == 1
-    assert words in err
+    assert expected_text in err
     assert err.count("\n") == 1
 
 
@@ -85,10 +87,14 @@
     ) as process:
         assert process.stdout is not None
         assert any('"serving"' in line for line in iter(process.stdout.readline, ""))
-        for text, words in (("{", "reload_rejected"), (json.dumps(CONFIG), "reloaded"), ("", "not JSON")):
+        for text, expected_text in (
+            ("{", "reload_rejected"),
+            (json.dumps(CONFIG), "reloaded"),
+            ("", "not JSON"),
+        ):
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
-            assert any(words in line for line in iter(process.stdout.readline, ""))
+            assert any(expected_text in line for line in iter(process.stdout.readline, ""))
         for number in (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM):
             process.send_signal(number)
         out, err = process.communicate(timeout=30)
--- a/tests/service/test_service_connection_limits.py
+++ b/tests/service/test_service_connection_limits.py
@@ -1,4 +1,4 @@
-"""Who keeps a connection or a buffer when there are too few, and how long a client may take to join."""
+"""Eviction and rejection of connections under limits on sockets and buffers, and the time limit to join."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -66,7 +66,7 @@
     assert '"role":"collector","reason":"closed by coordinator"' not in log.text
 
 
-def test_unjoined_clients_have_a_moment_to_join_before_they_are_evicted(
+def test_unjoined_clients_have_a_short_time_to_join_before_they_are_evicted(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.limits.update(sockets=64, memory_mb=32)
@@ -115,7 +115,7 @@
     service.state.wait_for_joined(1)
 
 
-def test_a_client_that_asks_and_does_not_read_is_disconnected(
+def test_a_client_that_sends_pings_and_does_not_read_the_answers_is_disconnected(
     clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -128,7 +128,7 @@
     clients.wait_for_heartbeat("q")
 
 
-def test_a_client_that_needs_a_buffer_when_all_are_out_is_disconnected_and_the_others_stay(
+def test_a_proxy_that_needs_a_buffer_when_none_is_free_is_disconnected_and_the_others_stay(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.limits.update(memory_mb=9)
@@ -151,7 +151,7 @@
     assert service.state.buffers_in_use <= 65
 
 
-def test_a_log_that_nobody_reads_is_cut_and_delays_nothing(
+def test_a_log_that_is_not_read_drops_lines_and_does_not_delay_the_service(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -168,7 +168,7 @@
     assert '"task_failed"' not in log.text
 
 
-def test_a_flood_of_unjoined_clients_evicts_no_collector_and_a_joining_proxy_does(
+def test_many_unjoined_clients_do_not_evict_a_collector_and_a_joining_proxy_does(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.limits.update(sockets=25)
@@ -196,7 +196,7 @@
     clients.wait_for_end("c")
 
 
-def test_a_proxy_that_joins_when_proxies_hold_all_places_is_rejected_at_once(
+def test_a_proxy_that_joins_when_proxies_use_all_connections_is_rejected_at_once(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns
 ) -> None:
     service.limits.update(sockets=25)
@@ -216,7 +216,7 @@
     service.state.wait_for_joined(0, 1, 2, 3, 4, 5, 6, 7)
 
 
-def test_a_client_without_a_buffer_is_not_evicted_for_one(
+def test_a_client_without_a_buffer_is_not_evicted_when_buffers_run_out(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.limits.update(memory_mb=9)
@@ -240,7 +240,7 @@
     assert "no buffer" not in log.text
 
 
-def test_an_unjoined_client_that_needs_a_buffer_when_all_are_out_is_rejected(
+def test_an_unjoined_client_that_needs_a_buffer_when_none_is_free_is_rejected(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.limits.update(memory_mb=9)
--- a/tests/service/test_service_large_fleets.py
+++ b/tests/service/test_service_large_fleets.py
@@ -1,4 +1,4 @@
-"""The program at its full size: thousands of streams at once, thousands of names, a start and an end."""
+"""The service at full size: thousands of streams at once, thousands of configured peers and backends."""
 
 import json
 import os
@@ -23,10 +23,10 @@
 STREAMS = 4096
 
 
-def test_four_thousand_streams_in_one_instant_are_all_taken_and_bound():
+def test_four_thousand_streams_that_connect_at_once_are_all_accepted_and_assigned():
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    streams = min(STREAMS, (hard - 200) // 2)  # fewer where descriptors do not allow
+    streams = min(STREAMS, (hard - 200) // 2)  # fewer if the limit on descriptors requires it
     now = [10**18]
     read, write = os.pipe()
     os.set_blocking(read, False)
@@ -36,14 +36,14 @@
         stack.callback(os.close, write)
         service = Service(config.parse_configuration(large_configuration(5, 200)), write, lambda: now[0])
         stack.callback(service.close)
-        where, proxies = service.streams.listener.getsockname(), []
+        address, proxies = service.streams.listener.getsockname(), []
         for number in range(streams):
             sock = stack.enter_context(socket.socket())
             sock.setblocking(False)
             with suppress(BlockingIOError):
-                sock.connect(where)
+                sock.connect(address)
             proxies.append(sock)
-            if number % 512 == 511:  # the system's own queue may be short
+            if number % 512 == 511:  # the system's accept queue may be short
                 service.turn(0)
         for number, sock in enumerate(proxies):
             sock.send(
@@ -65,25 +65,27 @@
             service.turn(0)
             with suppress(BlockingIOError):
                 os.read(read, 1 << 20)
-            for number, sock in enumerate(proxies):  # applies whatever it got; its answers name the last mark
+            for number, sock in enumerate(proxies):  # acknowledge the last barrier received
                 with suppress(BlockingIOError):
                     data = sock.recv(1 << 16)
                     assert data, f"{number} was closed"
-                    mark = int(data.rpartition(b'"ticket":')[2].partition(b"}")[0])
+                    sequence = int(data.rpartition(b'"ticket":')[2].partition(b"}")[0])
                     sock.send(
-                        framed(json.dumps({"type": "applied", "node": number, "nonce": mark, "latency": 1.0}))
+                        framed(
+                            json.dumps({"type": "applied", "node": number, "nonce": sequence, "latency": 1.0})
+                        )
                     )
             if len(planner.assignment.proxies) == streams and not planner.assignment.unassigned:
                 break
         assert (len(planner.assignment.proxies), len(planner.assignment.unassigned)) == (streams, 0)
-        assert now[0] - 10**18 < 30 * SECOND  # the settings' grace
+        assert now[0] - 10**18 < 30 * SECOND  # the drain grace of the settings
 
 
 @pytest.mark.parametrize("number", [1024, 2000])
-def test_a_configuration_of_thousands_starts_reloads_and_ends(number, tmp_path):
-    path, agent = tmp_path / "config.json", socket.create_server(("127.0.0.1", 0))
-    written = large_configuration(number, number, discovery=f"127.0.0.1:{agent.getsockname()[1]}")
-    path.write_text(json.dumps(written))
+def test_a_service_with_thousands_of_peers_and_backends_starts_reloads_and_stops(number, tmp_path):
+    path, discovery = tmp_path / "config.json", socket.create_server(("127.0.0.1", 0))
+    configuration = large_configuration(number, number, discovery=f"127.0.0.1:{discovery.getsockname()[1]}")
+    path.write_text(json.dumps(configuration))
     process = subprocess.Popen(
         [sys.executable, "-m", "granitespool", "serve", "--config", str(path)],
         stdout=subprocess.PIPE,
@@ -93,36 +95,36 @@
     try:
         lines = iter(process.stdout.readline, b"")
         assert any(b'"serving"' in line for line in lines)
-        path.write_text(json.dumps({**written, "peers": written["peers"][:-1]}))
+        path.write_text(json.dumps({**configuration, "peers": configuration["peers"][:-1]}))
         process.send_signal(signal.SIGHUP)
         assert any(b'"reloaded"' in line for line in lines)
-        asked = time.monotonic()
+        stop_requested_at = time.monotonic()
         process.send_signal(signal.SIGTERM)
-        assert process.wait(5) == 0 and time.monotonic() - asked < 0.7
+        assert process.wait(5) == 0 and time.monotonic() - stop_requested_at < 0.7
     finally:
         process.kill()
         process.wait()
-        agent.close()
+        discovery.close()
 
 
-def steps(call):
-    """How many Python calls this makes: work that a noisy machine counts alike."""
-    made = [0]
+def count_calls(function):
+    """Return the number of Python calls that a function makes: a cost that does not depend on the machine."""
+    calls = [0]
 
     def count(frame, event, _):
-        made[0] += event == "call"
+        calls[0] += event == "call"
 
     sys.setprofile(count)
     try:
-        call()
+        function()
     finally:
         sys.setprofile(None)
-    return made[0]
+    return calls[0]
 
 
-def work_for_a_mark(proxies):
-    """Steps for one answer among so many who wait to be bound, with no room to bind one."""
-    storm = ProxyFleet(
+def calls_for_an_acknowledgement(proxies):
+    """Return the calls for one acknowledgement among unassigned proxies while the channel is full."""
+    fleet = ProxyFleet(
         200,
         3,
         entries_per_s=800.0,
@@ -132,19 +134,20 @@
         coordinators=5,
     )
     for proxy in range(proxies):
-        storm.join(proxy)
-    storm.turn(0)
-    channel = storm.coordinator.planner.in_flight
+        fleet.join(proxy)
+    fleet.turn(0)
+    channel = fleet.coordinator.planner.in_flight
     channel.limit = channel.in_flight
     batch = next(iter(channel._batches.values()))
     proxy = next(iter(batch.entries))
-    return steps(
-        lambda: storm.coordinator.report(
-            storm.now, Acknowledged(proxy=proxy, sequence=batch.sequence, latency=SECOND)
+    return count_calls(
+        lambda: fleet.coordinator.report(
+            fleet.now, Acknowledged(proxy=proxy, sequence=batch.sequence, latency=SECOND)
         )
     )
 
 
-def test_work_for_a_mark_follows_the_proxy_and_not_the_fleet():
-    # Before, an answer walked all turns that waited, and sorted and tried all who were unbound
-    assert work_for_a_mark(1600) <= work_for_a_mark(200) <= 30
+def test_the_work_for_an_acknowledgement_does_not_grow_with_the_fleet():
+    # Guards against an acknowledgement that visits all batches in flight, or sorts and tries to assign all
+    # unassigned proxies
+    assert calls_for_an_acknowledgement(1600) <= calls_for_an_acknowledgement(200) <= 30
--- a/tests/service/test_service_memory.py
+++ b/tests/service/test_service_memory.py
@@ -1,4 +1,4 @@
-"""What the service keeps does not grow with what has been."""
+"""The memory of the service does not grow with the number of former backends and streams."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -10,7 +10,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 
-def test_what_is_kept_does_not_grow_as_backends_and_streams_come_and_go(
+def test_collections_do_not_grow_as_backends_and_streams_come_and_go(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
--- a/tests/service/test_service_proxy_streams.py
+++ b/tests/service/test_service_proxy_streams.py
@@ -1,4 +1,4 @@
-"""Streams of proxies and collectors: joining, leaving, messages and what they lead to."""
+"""Streams of proxies and collectors: joining, leaving, messages and their effects."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -9,7 +9,7 @@
 from granitespool.units import SECOND
 
 
-def test_a_heartbeat_is_answered_on_any_connection_and_messages_may_come_in_pieces_or_many_at_once(
+def test_a_heartbeat_is_answered_on_any_connection_and_messages_may_arrive_split_or_many_at_once(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -25,7 +25,7 @@
     log.wait_for("the unknown 'pay'")
 
 
-def test_a_joined_proxy_gets_the_complete_table_and_a_barrier(
+def test_a_joined_proxy_receives_the_complete_table_and_a_barrier(
     clients: ServiceClients, backends: BackendStandIns
 ) -> None:
     backends.start("a", "b")
@@ -112,7 +112,7 @@
     log.wait_for('"reachable"')
 
 
-def test_a_proxy_that_acknowledges_stays_however_little_it_reports(
+def test_a_proxy_that_acknowledges_stays_joined_without_reports(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -145,7 +145,7 @@
     service.state.wait_for_joined(1, 2)
 
 
-def test_a_message_that_arrives_as_an_update_is_written_belongs_to_the_next_turn(
+def test_a_message_that_arrives_while_an_update_is_written_is_read_in_the_next_turn(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -156,7 +156,7 @@
     log.wait_for("a 'odd'")
 
 
-def test_a_proxy_that_has_shut_down_sending_has_left_though_it_reads(
+def test_a_proxy_that_has_shut_down_sending_has_left_even_if_it_still_reads(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -168,7 +168,7 @@
     log.wait_for('"reason":"closed by peer"')
 
 
-def test_an_update_that_the_system_had_no_buffer_for_is_written_once_it_has(
+def test_an_update_whose_write_failed_for_lack_of_a_system_buffer_is_written_later(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns
 ) -> None:
     backends.start("a", "b")
--- a/tests/service/test_service_races.py
+++ b/tests/service/test_service_races.py
@@ -1,4 +1,4 @@
-"""Events that meet in one turn, or while the process was stopped."""
+"""Events that arrive in the same turn, or while the process is stopped."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -10,7 +10,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 
-def test_what_came_while_the_process_was_stopped_is_read_before_anyone_is_timed_out(
+def test_data_that_arrived_while_the_process_was_stopped_is_read_before_timeouts_apply(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -94,7 +94,7 @@
     assert '"message_dropped"' not in log.text
 
 
-def test_a_client_that_shut_down_sending_is_written_its_waiting_answer(
+def test_a_client_that_shut_down_sending_receives_its_pending_answer(
     clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -123,7 +123,7 @@
     service.state.wait_for_no_connections()
 
 
-def test_a_join_that_came_while_the_process_was_stopped_is_read_before_its_time_limit(
+def test_a_join_that_arrived_while_the_process_was_stopped_is_read_before_its_deadline(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -141,7 +141,7 @@
     assert '"rejected"' not in log.text
 
 
-def test_a_load_report_sent_before_a_reset_counts_though_an_answer_waited(
+def test_a_load_report_sent_before_a_reset_counts_though_an_answer_is_pending(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -156,7 +156,7 @@
     assert '"task_failed"' not in log.text
 
 
-def test_a_time_limit_that_ends_in_the_turn_of_a_reload_holds(
+def test_a_join_deadline_that_expires_in_the_turn_of_a_reload_applies(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
@@ -173,7 +173,7 @@
     log.wait_for('"collector_joined"')
 
 
-def test_a_proxy_that_joins_again_and_again_during_reloads_keeps_its_last_stream(
+def test_a_proxy_that_joins_repeatedly_during_reloads_keeps_its_last_stream(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     backends.start("a")
--- a/tests/service/test_service_reload.py
+++ b/tests/service/test_service_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration while the service runs."""
+"""Reloads of the configuration of a running service."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -41,7 +41,7 @@
     assert "GET" not in discovery.requests
 
 
-def test_a_reload_retries_a_discovery_that_does_not_answer_and_an_invalid_one_changes_nothing(
+def test_a_reload_retries_an_unreachable_discovery_and_an_invalid_reload_changes_nothing(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -69,7 +69,7 @@
     assert '"task_failed"' not in log.text
 
 
-def test_new_settings_apply_at_once_where_they_can_and_the_log_names_those_that_wait_for_a_restart(
+def test_new_settings_apply_at_once_and_the_log_lists_those_that_require_a_restart(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
@@ -89,7 +89,7 @@
     log.wait_for("the unknown 'see'")
 
 
-def test_a_joined_proxy_stays_a_sender_though_fewer_proxies_are_expected(
+def test_messages_of_a_joined_proxy_are_accepted_though_fewer_proxies_are_expected(
     service: ServiceHarness, clients: ServiceClients, backends: BackendStandIns, log: ServiceLog
 ) -> None:
     service.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
--- a/tests/support/backend_stand_ins.py
+++ b/tests/support/backend_stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for backends: listeners on loopback that answer health checks as a test says."""
+"""Stand-ins for backends: listeners on loopback that answer health checks as a test configures them."""
 
 import select
 import socket
@@ -11,17 +11,17 @@
 
 
 class BackendStandIns:
-    """Backends that listen, by name; `known` is the list that a service starts with."""
+    """Listening backends by name; a service starts with `initial_endpoints` as its endpoint list."""
 
     def __init__(self) -> None:
         self.initial_endpoints: list[dict[str, Any]] = []
         self.addresses: dict[str, str] = {}
         self._listeners: dict[str, socket.socket] = {}
         self._answers: dict[str, str] = {}
-        self.checks: list[tuple[socket.socket, str]] = []  # health checks without an answer yet
+        self.checks: list[tuple[socket.socket, str]] = []  # pending health checks: socket, backend
 
     def start(self, *names: str, zone: str = "n") -> None:
-        """Start backends; they are healthy, and in the list of a service that starts after them."""
+        """Start healthy backends and add them to the endpoint list of a service that starts later."""
         for name in names:
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
@@ -41,16 +41,16 @@
             )
 
     def stop(self, name: str) -> None:
-        """It listens no more."""
+        """Close the listener of a backend."""
         self._listeners.pop(name).close()
         del self._answers[name]
 
     def answer_health_checks(self, name: str, answer: str) -> None:
-        """What its health checks get from now on; nothing for silence."""
+        """Set the answer to later health checks of a backend; an empty answer leaves them unanswered."""
         self._answers[name] = answer
 
     def turn(self) -> None:
-        """Accept health checks and answer those that have asked."""
+        """Accept health checks and answer those whose request has arrived."""
         for name, listener in self._listeners.items():
             if sock := sockets.accepted(listener):
                 self.checks.append((sock, name))
@@ -62,13 +62,13 @@
                 self.checks.remove((sock, name))
 
     def has_pending_check(self, name: str) -> bool:
-        """Whether a health check of it has asked and waits for an answer."""
+        """Return whether a health check of the backend has sent its request and waits for an answer."""
         return any(
             checked == name and bool(select.select([sock], [], [], 0)[0]) for sock, checked in self.checks
         )
 
     def send_answer(self, name: str, answer: str) -> None:
-        """Answer the one health check of it that waits."""
+        """Answer the only pending health check of a backend."""
         [sock] = [sock for sock, checked in self.checks if checked == name]
         sock.sendall(answer.encode())
 
--- a/tests/support/coordinator_harness.py
+++ b/tests/support/coordinator_harness.py
@@ -1,4 +1,4 @@
-"""A coordinator and its planner: events and actions go in, messages to proxies come out, typed."""
+"""A coordinator with its planner: takes events and actions, returns typed messages to proxies."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class TableUpdate(msgspec.Struct, frozen=True):
-    """Entries of a table for some classes (None: all), in their order; a complete one replaces the former."""
+    """Entries of a table in order, for some classes (None: all); a complete update replaces the table."""
 
     complete: bool
     entries: tuple[tuple[str, float], ...]
@@ -21,7 +21,7 @@
 
 
 class Admission(msgspec.Struct, frozen=True):
-    """The admitted share of some classes (None: all) and how they are retried."""
+    """The admitted share of some classes (None: all) and how their attempts are retried."""
 
     share: float
     retries: int
@@ -39,17 +39,17 @@
 
 
 def complete_table(*classes: str, **entries: float) -> TableUpdate:
-    """A complete table of these entries, for these classes or all."""
+    """Return a complete table with these entries, for these classes or all."""
     return TableUpdate(True, tuple(entries.items()), classes or None)
 
 
 def table_changes(*classes: str, **entries: float) -> TableUpdate:
-    """Changed entries of a table, for these classes or all."""
+    """Return changed entries of a table, for these classes or all."""
     return TableUpdate(False, tuple(entries.items()), classes or None)
 
 
 class CoordinatorHarness(EventReporter):
-    """A coordinator, made at the first use; its clock stands until it is advanced."""
+    """A coordinator that is created at the first use; its clock stands still until it is advanced."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -57,29 +57,29 @@
 
     @property
     def actions(self) -> Coordinator:
-        """The coordinator as its planner sees it: the actions that it may ask for."""
+        """The coordinator, which implements the actions of its planner."""
         if self._coordinator is None:
             self._coordinator = Coordinator(settings_of(self.settings), SEED, self.now)
         return self._coordinator
 
     def report(self, event: events.Event) -> None:
-        """Report one event at the present time."""
+        """Report one event at the current time."""
         self.actions.report(self.now, event)
 
     def advance_to(self, time: int) -> None:
-        """Run the timers that are due until then."""
+        """Advance the clock and run the timers that are due by then."""
         while (due := self.actions.tick(self.now)) is not None and due <= time:
             self.now = due
         self.now = time
 
     def message(self, proxy: int) -> ProxyMessage | None:
-        """End the turn and take what the proxy is to be sent, None for nothing."""
+        """End the turn and return the next message to the proxy, None if there is none."""
         self.actions.tick(self.now)
         picked = self.actions.next_message(proxy)
         return _message_of(picked) if picked else None
 
     def logged_errors(self) -> list[object]:
-        """Errors that the coordinator has caught, and what the planner has logged."""
+        """Return the errors that the coordinator has caught and the texts that the planner has logged."""
         return list(self.actions.queues[Queue.INTERNAL_ERRORS])
 
 
--- a/tests/support/discovery_stand_in.py
+++ b/tests/support/discovery_stand_in.py
@@ -1,4 +1,4 @@
-"""Stand-in for the discovery service: takes a service's watches and sends what a test says."""
+"""Stand-in for the discovery service: accepts a service's watches and sends the lines of a test."""
 
 import socket
 from collections.abc import Mapping
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from support.service_harness import ServiceHarness
 
-DRIP_INTERVAL = SECOND // 2  # ns between two bytes that are dripped
+DRIP_INTERVAL = SECOND // 2  # ns between two single bytes of `drip`
 
 
 class DiscoveryStandIn:
-    """A listener for watches; the latest watch is the one that is written to."""
+    """A listener for watches; lines are written to the latest watch."""
 
     def __init__(self, service: "ServiceHarness", addresses: Mapping[str, str]) -> None:
         self._service, self._addresses = service, addresses
         self.watches: list[socket.socket] = []
-        self.requests = ""  # what was asked since `wait_for_request`
+        self.requests = ""  # request text since the last `wait_for_request`
         self._listen()
 
     def _listen(self) -> None:
@@ -29,12 +29,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address of the listener."""
         host, port = self._listener.getsockname()
         return host, port
 
     def move(self) -> None:
-        """Listen at a new address; the old one takes no more."""
+        """Listen at a new address and close the old listener."""
         self._listener.close()
         self._listen()
 
@@ -46,16 +46,16 @@
             self.requests += sockets.received(sock)
 
     def wait_for_request(self, text: str) -> None:
-        """Wait until it was asked this, and forget the requests so far."""
+        """Wait until a request contains this text, then clear the requests so far."""
         self._service.wait_until(lambda: text in self.requests, (text, self.requests))
         self.requests = ""
 
     def accept_watch(self) -> None:
-        """Answer the latest watch with the head of its lines."""
+        """Send the response head on the latest watch."""
         self.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     def send(self, text: str) -> None:
-        """Send this as it stands."""
+        """Send text unframed on the latest watch."""
         self._service.wait_until(lambda: self.watches, "a watch")
         self.watches[-1].sendall(text.encode())
         self._service.turn()
@@ -66,14 +66,14 @@
         self._service.turn()
 
     def send_unread_line(self, text: str) -> None:
-        """Send a line that the service has no turn to read yet."""
+        """Send a line without running a turn of the service that would read it."""
         line = text + "\n"
         for name, address in self._addresses.items():
             line = line.replace(f"@{name}", address)
         self.watches[-1].sendall(f"{len(line):x}\r\n{line}\r\n".encode())
 
     def drip(self, duration: int, text: str) -> None:
-        """Send a byte of this each half a second for so many ns, over and over, as chunks."""
+        """Send a repeated text for `duration` ns, one byte each half second, each as a chunk."""
         data = text.encode() * 100
         for byte in data[: duration // DRIP_INTERVAL]:
             with suppress(OSError):
--- a/tests/support/events.py
+++ b/tests/support/events.py
@@ -1,4 +1,4 @@
-"""Reports events to whatever takes them, from plain values: a planner or a coordinator, and its settings."""
+"""Reports events that are built from plain values to a planner or a coordinator."""
 
 from typing import Any
 
@@ -11,11 +11,11 @@
 from granitespool.units import SECOND
 from support.records import endpoint
 
-USUAL_RATE = 5.0  # requests a second that a joining proxy names
+USUAL_RATE = 5.0  # requests a second that a joining proxy reports
 
 
 class RestoredLink(msgspec.Struct, frozen=True):
-    """What a former process had learnt of a backend in a zone."""
+    """The restored statistics of one link: the observations of a zone at a backend."""
 
     zone: str
     backend: str
@@ -25,7 +25,7 @@
     ejected: bool = False
 
     def snapshot(self, now: int) -> LinkSnapshot:
-        """The record that a state folder would give; an ejection is a second old."""
+        """Return the record that a state folder would restore; an ejection is one second old."""
         successes = self.attempts - self.failures
         return LinkSnapshot(
             attempts=float(self.attempts),
@@ -41,13 +41,13 @@
 
 
 class RestoredUnverified(msgspec.Struct, frozen=True):
-    """A backend that had neither answered a request nor a health check."""
+    """A restored backend without a successful attempt or health check."""
 
     backend: str
 
 
 class RestoredOverload(msgspec.Struct, frozen=True):
-    """The overload that a former process had met, and the demand of each class."""
+    """A restored overload, with the demand of each class."""
 
     admitted_share: float
     demand: dict[str | None, float]
@@ -59,19 +59,19 @@
 def load_report(
     zone: str, backend: str, attempts: int, failures: int = 0, mean: int = 0, window: int = SECOND
 ) -> events.LoadReport:
-    """What a zone's proxies saw at a backend over a second, `mean` in ns."""
+    """Return a load report of a zone for a backend; `mean` and `window` in ns."""
     return events.LoadReport(zone, backend, attempts, failures, mean, window, {})
 
 
 class EventReporter:
-    """A method for each event, and the settings that apply from the first one on."""
+    """One method for each event, and the settings that apply from the first event on."""
 
     def __init__(self) -> None:
         self.now = 0
         self.settings: dict[str, Any] = {"zones": ["n", "s"], "classes": []}
 
     def report(self, event: events.Event) -> None:
-        """Report one event at the present time."""
+        """Report one event at the current time."""
         raise NotImplementedError
 
     def configure(self, **settings: Any) -> None:
@@ -91,27 +91,27 @@
         )
 
     def _list(self, form: events.ListForm, entries: tuple[Endpoint | str, ...]) -> None:
-        named = [entry if isinstance(entry, Endpoint) else endpoint(entry) for entry in entries]
-        self.report(events.EndpointListUpdate(form, named))
+        endpoints = [entry if isinstance(entry, Endpoint) else endpoint(entry) for entry in entries]
+        self.report(events.EndpointListUpdate(form, endpoints))
 
     def list_restored(self, *entries: Endpoint | str) -> None:
-        """The list as a new watch tells it; a name alone is a ready endpoint of zone `n`."""
+        """Report the list of a new watch; a bare name is a ready endpoint of zone `n`."""
         self._list(events.ListForm.RESTORED, entries)
 
     def list_complete(self, *entries: Endpoint | str) -> None:
-        """The complete list: what it does not name is gone."""
+        """Report the complete list: backends that it does not contain are gone."""
         self._list(events.ListForm.COMPLETE, entries)
 
     def list_changes(self, *entries: Endpoint | str) -> None:
-        """The entries that changed."""
+        """Report the entries of the list that changed."""
         self._list(events.ListForm.CHANGES, entries)
 
     def list_failed(self) -> None:
-        """The list could not be read."""
+        """Report that the list could not be read."""
         self._list(events.ListForm.FAILED, ())
 
     def restore(self, *facts: Restored) -> None:
-        """Restore what a former process had learnt."""
+        """Report the state that was restored from a snapshot."""
         fleet = FleetSnapshot(is_overloaded=False, admitted_share=1.0, success_ratio=1.0, demand={})
         links: dict[str, dict[str, LinkSnapshot]] = {}
         unverified = set()
@@ -128,56 +128,58 @@
                 unverified.add(fact.backend)
             else:
                 links.setdefault(fact.backend, {})[fact.zone] = fact.snapshot(self.now)
-        backends = {name: _backend_snapshot(name not in unverified, each) for name, each in links.items()}
+        backends = {
+            name: _backend_snapshot(name not in unverified, by_zone) for name, by_zone in links.items()
+        }
         self.report(events.Restored(fleet, backends))
 
     def join(self, proxy: int, zone: str = "n", rate: float = USUAL_RATE) -> None:
-        """A proxy's stream is ready; it holds the table that proxies start with."""
+        """Report that a proxy has joined with the bootstrap table."""
         self.report(events.ProxyJoined(proxy, zone, True, rate))
 
     def join_many(self, number: int, zone: str = "n") -> None:
-        """So many proxies join, numbered from 0."""
+        """Report that `number` proxies have joined, numbered from 0."""
         for proxy in range(number):
             self.join(proxy, zone)
 
     def leave(self, proxy: int) -> None:
-        """A proxy's stream has ended."""
+        """Report that a proxy's stream has ended."""
         self.report(events.ProxyLeft(proxy))
 
     def load_report(
         self, zone: str, backend: str, attempts: int, failures: int = 0, mean: int = 0, window: int = SECOND
     ) -> None:
-        """What a zone's proxies saw at a backend; `mean` and `window` in ns."""
+        """Report the load of a zone at a backend; `mean` and `window` in ns."""
         self.report(load_report(zone, backend, attempts, failures, mean, window))
 
     def usage_report(
         self, proxy: int, request_class: str, requests: int, unanswered: int = 0, window: int = SECOND
     ) -> None:
-        """The requests of a class that reached a proxy."""
+        """Report the requests of a class that reached a proxy."""
         self.report(events.UsageReport(proxy, request_class, requests, unanswered, window))
 
     def acknowledged(self, proxy: int, sequence: int, latency: int) -> None:
-        """A proxy acknowledges a barrier after so many ns."""
+        """Report that a proxy acknowledged a barrier, with the latency in ns."""
         self.report(events.Acknowledged(proxy, sequence, latency))
 
     def health_check(self, backend: str, outcome: str, latency: int) -> None:
-        """A health check ended so after so many ns."""
+        """Report the outcome of a health check, with the latency in ns."""
         self.report(events.HealthCheckResult(backend, events.HealthCheckOutcome(outcome), latency, {}))
 
     def gossip(self, peer: int, payload: str) -> None:
-        """A datagram of another coordinator, in hex."""
+        """Report a datagram of another coordinator, as hexadecimal text."""
         self.report(events.GossipReceived(peer, payload))
 
     def slice_assigned(self, table: int, owned: bool) -> None:
-        """The coordinator owns a slice's table from now on, or no more."""
+        """Report that a slice's table was assigned to the coordinator or withdrawn from it."""
         self.report(events.SliceAssigned(table, owned))
 
     def slice_entry(self, table: int, backend: str, weight: float) -> None:
-        """An entry that the store holds of a slice."""
+        """Report an entry of a slice from the store."""
         self.report(events.SliceEntry(table, backend, weight))
 
     def slice_load(self, table: int, request_class: str, requests: int, unanswered: int, window: int) -> None:
-        """The requests of a class in a slice."""
+        """Report the requests of a class in a slice."""
         self.report(events.SliceLoad(table, request_class, requests, unanswered, window))
 
 
--- a/tests/support/external_names.py
+++ b/tests/support/external_names.py
@@ -1,4 +1,4 @@
-"""Names that leave the process, as the code has them: what of docs/external-names.txt can be computed."""
+"""Names that leave the process, computed from the code, for comparison with docs/external-names.txt."""
 
 import ast
 import re
@@ -29,8 +29,9 @@
 GROUP = re.compile(r"# \[(.+)\]")
 NAME = re.compile(r"[A-Za-z][\w.:/-]*")
 YANG_STATEMENTS = "container|list|leaf|leaf-list|rpc|notification|enum|typedef|grouping"
-READING_CALLS = {"get", "required_field", "required_number"}  # calls that take a key of an outer object
-# Words of the encoding modules that stay inside: Python's own, and owners in error sentences
+# Calls whose string argument is a key of an external object
+READING_CALLS = {"get", "required_field", "required_number"}
+# Strings of the encoding modules that do not leave the process: formats, codecs, parts of error messages
 PRIVATE_WORDS = {
     "net/messages.py": set(),
     "net/frames.py": {"little"},
@@ -55,7 +56,7 @@
 
 
 def computed() -> dict[str, Callable[[], set[str]]]:
-    """Return, for each group that the code can be asked for, the function that asks it."""
+    """Return, for each group that can be computed, the function that computes it."""
     return {
         "messages of the platform": partial(_words, "net/messages.py", "net/frames.py"),
         "entries of the endpoint list on sockets": partial(_entry_names, SOCKET_ENTRY),
--- a/tests/support/faulty_folder.py
+++ b/tests/support/faulty_folder.py
@@ -1,8 +1,8 @@
-"""A folder in memory that fails: what was not synced may be lost, torn or in the wrong order after a crash.
+"""An in-memory folder with faults: a crash may lose, tear or reorder changes that were not synced.
 
-It has the calls of granitespool.state.disk.Folder. Files are inodes with what is safe and what is there;
-names are safe only after `sync_names`. `crash_at` ends the call of that number half way in Crash, `fails` has
-calls end in OSError.
+It has the calls of granitespool.state.disk.Folder. An inode has synced and current data; names are durable
+only after `sync_names`. The call with the number `crash_at` is interrupted half way by Crash; calls in
+`fails` raise OSError.
 """
 
 import errno
@@ -10,23 +10,30 @@
 
 
 class Crash(Exception):
-    """The machine stops here."""
+    """The machine has crashed."""
 
 
 class Inode:
+    """A file with its synced and its current data."""
+
     def __init__(self, data=b""):
         self.safe, self.data = data, data
 
 
 class FaultyFolder:
+    """A stand-in for `Folder` whose calls can fail or be interrupted by a crash."""
+
     def __init__(self, files=None):
         self.safe_names = {name: Inode(data) for name, data in (files or {}).items()}
-        self.present, self.pending = dict(self.safe_names), []  # names now; changes of names not yet safe
+        self.present, self.pending = (
+            dict(self.safe_names),
+            [],
+        )  # current names; unsynced changes of names
         self.calls, self.crash_at, self.fails, self.open = 0, None, {}, {}
-        self.log = []  # (number, call, name) of each call so far
+        self.log = []  # number, call and name of each call so far
 
     def _call(self, call, name=""):
-        """Whether this call is the one that the machine stops in."""
+        """Record a call and return whether the machine crashes in it."""
         self.calls += 1
         self.log.append((self.calls, call, name))
         code = self.fails.get(call)
@@ -58,7 +65,7 @@
         return len(self._there(name).data)
 
     def append(self, name, data):
-        if self.fails.get("append"):  # a disk that is full takes some of it
+        if self.fails.get("append"):  # a full disk writes a part of the data
             data = data[: len(data) // 2]
         if name not in self.present:
             self.present[name] = Inode()
@@ -71,7 +78,7 @@
 
     def sync(self, name):
         inode = self.open[name]
-        if self.fails.get("sync"):  # the system forgets it, and says so once
+        if self.fails.get("sync"):  # the system drops the data and reports the error once
             inode.data = inode.safe + bytes(len(inode.data) - len(inode.safe))
         if self._call("sync", name):
             raise Crash
@@ -105,8 +112,11 @@
         self.open.pop(name, None)
 
     def after_crash(self, keep, tear):
-        """The files as the machine finds them when it is up again. `keep(number)` says whether a change of
-        names that was not safe is there all the same, `tear(data)` what is found of bytes that were not."""
+        """Return the files after a crash.
+
+        `keep(number)` decides whether an unsynced change of names survives, `tear(data)` returns the
+        surviving form of unsynced bytes.
+        """
         names = dict(self.safe_names)
         for number, (kind, name, more) in enumerate(self.pending):
             if not keep(number):
@@ -121,7 +131,7 @@
 
 
 def tears(size):
-    """Ways in which bytes that were not synced are found: cut at each of some lengths, zeros, holes."""
+    """Return functions that damage unsynced bytes: truncated at some lengths, zeroed, with holes."""
     some = {0, 1, 3, 4, 7, 8, 9, size // 2, size - 9, size - 1, size}
     lengths = range(size + 1) if size < 40 else sorted(some)
     found = [lambda data, n=n: data[:n] for n in lengths]
--- a/tests/support/interleavings.py
+++ b/tests/support/interleavings.py
@@ -1,9 +1,9 @@
-"""Days made of steps on traced coordinators: releases, restarts, crashes, losses, lists that come late."""
+"""Sequences of steps on a traced fleet: releases, restarts, crashes, lost streams and delayed lists."""
 
 from granitespool.units import SECOND
 from support.traced_fleet import ChannelSettings, TracedFleet
 
-SETTLE_TIME = 25  # s after the last step, in which all must come right; more where the channels are slow
+SETTLE_TIME = 25  # s after the last step to recover; longer by the slowdown of the channels
 BUSY_DAY = [
     ("delay_list", (1, 3)),
     ("release", 6),
@@ -20,7 +20,7 @@
 
 
 def perform_step(fleet, kind, value):
-    """Does one step."""
+    """Perform one step on the fleet."""
     if kind in ("release", "restart", "crash"):
         getattr(fleet.backends, kind)(value)
     elif kind == "lose_streams":
@@ -39,7 +39,7 @@
 
 
 def resend_list(coordinator, kind):
-    """A complete list, or the last change once more, for a coordinator that runs."""
+    """Send the complete list, or the last change again, to a coordinator if it is running."""
     if not coordinator.up:
         return
     if kind == "complete_list":
@@ -49,11 +49,13 @@
 
 
 def make_fleet(coordinators, proxies, backends, table_takes=0.1, **more):
+    """Return a traced fleet with channel settings that fit its size."""
     channel = ChannelSettings.for_fleet(coordinators, proxies, backends, table_takes)
     return TracedFleet(channel, coordinators, proxies, backends, **more)
 
 
 def run_steps(steps, fleet):
+    """Run the steps one second apart, then the time to recover, and return the fleet."""
     fleet.run(3)
     for kind, value in steps:
         perform_step(fleet, kind, value)
--- a/tests/support/large_configuration.py
+++ b/tests/support/large_configuration.py
@@ -1,8 +1,8 @@
-"""A configuration file with thousands of names."""
+"""A configuration with any number of peers and backends."""
 
 
 def large_configuration(peers, backends, **more):
-    """The configuration file of a coordinator with so many peers and backends."""
+    """Return a coordinator's configuration with `peers` peers and `backends` backends."""
     return {
         "name": "t",
         "listen": "127.0.0.1:0",
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -1,6 +1,6 @@
-"""Two coordinators that are told the same: one on the planner, one on its plain reference.
+"""Compares a coordinator with the planner to one with the reference planner on the same events.
 
-What their planners order of their hosts must be the same, call by call, and so must what they count.
+The actions of both planners must be equal, call by call, and so must their counters.
 """
 
 from random import Random
@@ -24,7 +24,7 @@
 from support.records import endpoint, settings_of
 
 SECOND = 10**9  # ns
-TURN = SECOND // 10
+TURN = SECOND // 10  # ns
 ACTIONS = (
     "set_entry",
     "assign",
@@ -36,7 +36,7 @@
     "set_timer",
     "subscribe",
 )
-COMPARED = {  # of the reference -> (part of the planner, attribute)
+COMPARED = {  # attribute of the reference -> (component of the planner, attribute)
     "credit": ("budget", "tokens"),
     "strained": ("overload", "is_overloaded"),
     "room": ("overload", "admitted_share"),
@@ -51,7 +51,7 @@
 
 
 class RecordingCoordinator(Coordinator):
-    """A coordinator that writes down what its planner orders."""
+    """A coordinator that records the actions of its planner."""
 
     def __init__(self, settings, seed, now):
         self.calls = []
@@ -59,9 +59,9 @@
 
 
 def _recorded(name):
-    def call(self, *words):
-        self.calls.append((name, *words))
-        return getattr(Coordinator, name)(self, *words)
+    def call(self, *arguments):
+        self.calls.append((name, *arguments))
+        return getattr(Coordinator, name)(self, *arguments)
 
     return call
 
@@ -71,7 +71,7 @@
 
 
 class PlannerComparison:
-    """A drawn fleet; `check` compares the two after each turn."""
+    """A random fleet before two coordinators, which `check` compares after each turn."""
 
     def __init__(self, seed, backends, zones, proxies, pace, **more):
         self.random, self.now = Random(seed), 100 * SECOND
@@ -113,11 +113,11 @@
             self.join(proxy)
 
     def report(self, event):
-        for each in self.coordinators:
-            each.report(self.now, event)
+        for coordinator in self.coordinators:
+            coordinator.report(self.now, event)
 
     def send_list(self, form, entries):
-        self.report(EndpointListUpdate(form=ListForm(form), entries=[endpoint(**each) for each in entries]))
+        self.report(EndpointListUpdate(form=ListForm(form), entries=[endpoint(**entry) for entry in entries]))
 
     def new_backend(self, started=0):
         self.backends_created += 1
@@ -149,49 +149,51 @@
         self.report(ProxyLeft(proxy=proxy))
 
     def turn(self):
-        """One turn of both, compared; then marks are answered, and probes, after a while."""
+        """Run and compare one turn of both; answer health checks at once and barriers after a delay."""
         self.now += TURN
         due, self.pending_acknowledgements = (
             [each for each in self.pending_acknowledgements if each[0] <= self.now],
             [each for each in self.pending_acknowledgements if each[0] > self.now],
         )
-        for _, proxy, mark, took in due:
-            self.report(Acknowledged(proxy=proxy, sequence=mark, latency=took))
-        for each in self.coordinators:
-            each.tick(self.now)
+        for _, proxy, sequence, latency in due:
+            self.report(Acknowledged(proxy=proxy, sequence=sequence, latency=latency))
+        for coordinator in self.coordinators:
+            coordinator.tick(self.now)
         self.check()
-        for party in self.coordinator.recipients():
-            orders = [each.next_message(party) for each in self.coordinators]
-            while isinstance(party, Queue) and orders[0] is not None:
-                if isinstance(orders[0], HealthCheckRequest):
-                    self._report_health_check(orders[0].backend)
-                orders = [each.next_message(party) for each in self.coordinators]
-            if party in self.proxies and isinstance(orders[0], ProxyUpdate):
-                took = self.random.randint(TURN, 12 * TURN)
-                self.pending_acknowledgements.append((self.now + took, party, orders[0].barrier, took))
+        for recipient in self.coordinator.recipients():
+            messages = [coordinator.next_message(recipient) for coordinator in self.coordinators]
+            while isinstance(recipient, Queue) and messages[0] is not None:
+                if isinstance(messages[0], HealthCheckRequest):
+                    self._report_health_check(messages[0].backend)
+                messages = [coordinator.next_message(recipient) for coordinator in self.coordinators]
+            if recipient in self.proxies and isinstance(messages[0], ProxyUpdate):
+                latency = self.random.randint(TURN, 12 * TURN)
+                self.pending_acknowledgements.append(
+                    (self.now + latency, recipient, messages[0].barrier, latency)
+                )
 
     def _report_health_check(self, backend):
-        dead = self.failing.get(backend, 0.0) >= 1.0 and self.random.random() < 0.5
-        status = "timeout" if dead else self.random.choice(("ok", "ok", "ok", "full", "error"))
+        times_out = self.failing.get(backend, 0.0) >= 1.0 and self.random.random() < 0.5
+        outcome = "timeout" if times_out else self.random.choice(("ok", "ok", "ok", "full", "error"))
         self.report(
             HealthCheckResult(
-                backend=backend, outcome=HealthCheckOutcome(status), latency=SECOND // 100, load={}
+                backend=backend, outcome=HealthCheckOutcome(outcome), latency=SECOND // 100, load={}
             )
         )
 
     def check(self):
-        changed, reference = self.coordinators
-        assert not changed.queues[Queue.INTERNAL_ERRORS], changed.queues[Queue.INTERNAL_ERRORS][0]
+        coordinator, reference = self.coordinators
+        assert not coordinator.queues[Queue.INTERNAL_ERRORS], coordinator.queues[Queue.INTERNAL_ERRORS][0]
         assert not reference.queues[Queue.INTERNAL_ERRORS], reference.queues[Queue.INTERNAL_ERRORS][0]
-        assert changed.calls == reference.calls, first_difference(changed.calls, reference.calls)
-        self.action_count += len(changed.calls)
+        assert coordinator.calls == reference.calls, first_difference(coordinator.calls, reference.calls)
+        self.action_count += len(coordinator.calls)
         for name, (part, attribute) in COMPARED.items():
-            value = getattr(getattr(changed.planner, part), attribute)
+            value = getattr(getattr(coordinator.planner, part), attribute)
             assert value == getattr(reference.planner.former, name), name
-        assert changed.planner.in_flight.in_flight == reference.planner.former.channel.waiting
-        assert list(changed.planner.fleet.backends) == list(reference.planner.former.backends)
-        for each in self.coordinators:
-            each.calls.clear()
+        assert coordinator.planner.in_flight.in_flight == reference.planner.former.channel.waiting
+        assert list(coordinator.planner.fleet.backends) == list(reference.planner.former.backends)
+        for compared in self.coordinators:
+            compared.calls.clear()
 
     def report_loads(self, share, scale=1.0, failed=0.0, but=None, zones=None):
         """Report load of a random `share` of the links in `zones`, without the backend `but`.
@@ -203,25 +205,27 @@
                 if self.random.random() >= share or name == but:
                     continue
                 attempts = self.random.randint(1, 12)
-                part = max(failed, self.failing.get(name, 0.0))
-                lost = sum(self.random.random() < part for _ in range(attempts))
-                mean = int(self.mean * scale * self.random.uniform(0.6, 1.6)) if lost < attempts else 0
+                failed_share = max(failed, self.failing.get(name, 0.0))
+                failures = sum(self.random.random() < failed_share for _ in range(attempts))
+                mean = int(self.mean * scale * self.random.uniform(0.6, 1.6)) if failures < attempts else 0
                 self.report(
                     LoadReport(
                         zone=zone,
                         backend=name,
                         attempts=attempts,
-                        failures=lost,
+                        failures=failures,
                         mean=mean,
                         window=SECOND,
                         load={},
                     ),
                 )
-        for grade in ("a", "b"):
-            self.report(UsageReport(proxy=0, request_class=grade, requests=50, unanswered=0, window=SECOND))
+        for request_class in ("a", "b"):
+            self.report(
+                UsageReport(proxy=0, request_class=request_class, requests=50, unanswered=0, window=SECOND)
+            )
 
     def list_changes(self, count):
-        """Drawn changes of the list: drains, ends, restarts, new ones, other weights, kinds and zones."""
+        """Send random list changes: phases, restarts, new backends, weights, machine types and zones."""
         entries = []
         for _ in range(count):
             what = self.random.randrange(8)
@@ -250,17 +254,17 @@
         self.send_list("changes", entries)
 
     def remove_backends(self, names):
-        """These are gone by the list."""
+        """Send list changes by which these backends are gone."""
         gone = [{**self.entries.pop(name), "phase": "gone"} for name in names]
         self.send_list("changes", gone)
 
     def restart(self, name):
-        """A backend starts anew, cold."""
+        """Restart a backend: it is listed as ready with a new start time."""
         entry = self.entries[name] = {**self.entries[name], "phase": "ready", "started_at": self.now}
         self.send_list("changes", [entry])
 
     def send_complete_list(self):
-        """A whole list, which may leave some out."""
+        """Send a complete list, which may lack a backend."""
         left_out = self.random.random() < 0.3 and self.random.choice(list(self.entries))
         if left_out and len(self.entries) > 3:
             del self.entries[left_out]
@@ -268,13 +272,13 @@
 
     def apply_settings(self, **changes):
         self.settings = {**self.settings, **changes}
-        for each in self.coordinators:
-            each.apply_settings(self.now, settings_of(self.settings))
+        for coordinator in self.coordinators:
+            coordinator.apply_settings(self.now, settings_of(self.settings))
 
     def random_event(self):
-        """Something drawn happens."""
+        """Report a random event."""
         what = self.random.randrange(13)
-        some = self.random.choice(list(self.entries))
+        backend = self.random.choice(list(self.entries))
         if what <= 2:
             self.report_loads(self.random.choice((0.02, 0.3, 1.0)))
         elif what == 3:
@@ -282,7 +286,7 @@
         elif what == 4:
             self.report_loads(0.3, failed=0.6)
         elif what == 5:
-            self.failing[some] = self.random.choice((0.0, 0.5, 1.0))
+            self.failing[backend] = self.random.choice((0.0, 0.5, 1.0))
             self.report_loads(0.4)
         elif what == 6:
             self.failing.clear()
@@ -306,9 +310,13 @@
             self.turn()
 
 
-def first_difference(one, other):
-    for number, (mine, theirs) in enumerate(zip(one, other)):
-        if mine != theirs:
-            return f"call {number}: {mine} and by the reference {theirs}"
-    longer = one if len(one) > len(other) else other
-    return f"{len(one)} calls and {len(other)} by the reference, such as {longer[min(len(one), len(other))]}"
+def first_difference(calls, reference_calls):
+    """Describe the first difference of two lists of calls."""
+    for number, (call, expected) in enumerate(zip(calls, reference_calls)):
+        if call != expected:
+            return f"call {number} is {call}, and {expected} by the reference"
+    longer = calls if len(calls) > len(reference_calls) else reference_calls
+    return (
+        f"{len(calls)} calls, and {len(reference_calls)} by the reference; "
+        f"the first extra call is {longer[min(len(calls), len(reference_calls))]}"
+    )
--- a/tests/support/planner_harness.py
+++ b/tests/support/planner_harness.py
@@ -1,4 +1,4 @@
-"""A planner on its own: events go in, the actions that it asks for are recorded, timers run when told."""
+"""A planner by itself: takes events, records the requested actions and runs timers on demand."""
 
 import heapq
 from collections.abc import Iterable, Mapping
@@ -46,7 +46,7 @@
 
 
 class RecordedActions:
-    """The actions that a planner asked for, each as a tuple of its name and arguments."""
+    """The actions that a planner has requested, each as a tuple of its name and arguments."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -59,18 +59,18 @@
         return f"actions {self.calls}"
 
     def made(self, action: str, *arguments: Any) -> list[tuple[Any, ...]]:
-        """The actions of this name whose first arguments are these; floats to six significant digits."""
+        """Return the actions of this name whose first arguments match; floats to six significant digits."""
         expected = (action, *arguments)
         return [
             call for call in self.calls if len(call) >= len(expected) and all(map(_matches, expected, call))
         ]
 
     def clear(self) -> None:
-        """Forget the actions so far; timers stay."""
+        """Discard the actions so far; timers stay set."""
         self.calls.clear()
 
     def next_timer(self, until: int) -> tuple[int, str] | None:
-        """Take the next timer that is due until then: its time and cookie."""
+        """Remove and return the next timer that is due by `until`: its time and cookie."""
         if not self._timers or self._timers[0][0] > until:
             return None
         due, _, cookie = heapq.heappop(self._timers)
@@ -79,76 +79,78 @@
     # The actions of `granitespool.planner.actions.PlannerActions`
 
     def set_entry(self, table: int, backend: str, weight: float) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("set_entry", table, backend, weight))
 
     def reset_table(self, table: int) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("reset_table", table))
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("assign", proxy, table, classes))
 
     def exclude(self, backend: str, excluded: bool) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("exclude", backend, excluded))
 
     def exclusion_cost(
         self, _backend: str, _excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> Mapping[int, float]:
-        """As the simulator's channel has it: a part of an entry for each proxy without a table."""
-        return {proxy: min(held, backend_count) / backend_count for proxy, (held, _) in unassigned.items()}
+        """Return the cost on the simulator's channel: a part of an entry for each unassigned proxy."""
+        return {
+            proxy: min(entries, backend_count) / backend_count for proxy, (entries, _) in unassigned.items()
+        }
 
     def readmission_cost(
         self, _proxies: Iterable[int], _table: int, _backend: str | None = None
     ) -> Mapping[int, int]:
-        """Free, as on the simulator's channel."""
+        """Return no cost, as on the simulator's channel."""
         return {}
 
     def set_admission(self, table: int, classes: int, share: float, retries: int) -> None:
-        """Recorded by class name, once for each class, however classes are grouped in one action."""
+        """Record the action once for each class, by its name, however classes are grouped."""
         for position in range(classes.bit_length()):
             if classes >> position & 1:
                 self.calls.append(("set_admission", table, self.class_names[position], share, retries))
 
     def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("request_acknowledgement", sequence, all_proxies))
 
     def check_health(self, backend: str) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("check_health", backend))
 
     def remove_backend(self, backend: str) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("remove_backend", backend))
 
     def subscribe(self, enabled: bool) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("subscribe", enabled))
 
     def fetch_endpoints(self) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("fetch_endpoints",))
 
     def set_timer(self, delay: int, cookie: str) -> None:
-        """Kept for `PlannerHarness.advance_to`."""
+        """Set a timer, which `PlannerHarness.advance_to` runs."""
         assert delay >= 0
         self._timers_set += 1
         heapq.heappush(self._timers, (self.now + delay, self._timers_set, cookie))
 
     def send_gossip(self, peer: int, payload: str) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("send_gossip", peer, payload))
 
     def log(self, text: str) -> None:
-        """Recorded."""
+        """Record the action."""
         self.calls.append(("log", text))
 
 
 class PlannerHarness(EventReporter):
-    """A planner that is told of a fleet; it is made at the first event or advance."""
+    """A planner that is created at the first event or advance of the clock."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -156,36 +158,36 @@
         self._planner: Planner | None = None
 
     def report(self, event: events.Event) -> None:
-        """Report one event at the present time."""
-        self._started().handle(self.now, event)
+        """Report one event at the current time."""
+        self._ensure_planner().handle(self.now, event)
 
     def advance_to(self, time: int) -> None:
-        """Forget the actions so far and run the timers that are due until then."""
-        self._started()
+        """Discard the actions so far and run the timers that are due by `time`."""
+        self._ensure_planner()
         self.actions.clear()
         self._run_timers(time)
 
     def report_each_second(self, until: int, *reports: events.LoadReport) -> None:
-        """Run up to each full second until then and report these; all actions stay recorded."""
+        """Advance to each full second until `until` and report these; all actions stay recorded."""
         while self.now + SECOND <= until:
             self._run_timers((self.now // SECOND + 1) * SECOND)
             for report in reports:
                 self.report(report)
 
     def acknowledge(self, proxy: int) -> None:
-        """A proxy acknowledges the last recorded barrier after 100 ms."""
+        """Report that a proxy acknowledged the last recorded barrier after 100 ms."""
         _, sequence, _ = self.actions.made("request_acknowledgement")[-1]
         self.acknowledged(proxy, sequence, SECOND // 10)
 
-    def _started(self) -> Planner:
+    def _ensure_planner(self) -> Planner:
         if self._planner is None:
             settings = settings_of(self.settings)
-            self.actions.class_names = [each.name for each in settings.classes]
+            self.actions.class_names = [request_class.name for request_class in settings.classes]
             self._planner = Planner(self.actions, SEED, settings)
         return self._planner
 
     def _run_timers(self, until: int) -> None:
-        planner = self._started()
+        planner = self._ensure_planner()
         while timer := self.actions.next_timer(until):
             due, cookie = timer
             self._set_time(max(self.now, due))
--- a/tests/support/process_faults.py
+++ b/tests/support/process_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a service's process: it is stopped, or runs out of descriptors or buffers."""
+"""Faults of a service's process: it is stopped, or runs out of descriptors or message buffers."""
 
 import os
 import resource
@@ -23,7 +23,7 @@
         self._fillers: list[int] = []
 
     def stop_before_reading(self, duration: int, meanwhile: Callable[[], None]) -> None:
-        """The process stops for so long after it was told of events; `meanwhile` happens in that time."""
+        """Stop the process for `duration` ns between a poll and its events, and call `meanwhile` then."""
         loop: Any = self._harness.instance.loop
         real = loop.epoll
 
@@ -40,13 +40,13 @@
         self._harness.turn()
 
     def stop_while_waiting(self, duration: int) -> None:
-        """The process stops for so long in its wait for events, which comes back empty."""
+        """Stop the process for `duration` ns in a poll that returns no events."""
         loop: Any = self._harness.instance.loop
         real = loop.epoll
         self._harness.now += duration
         empty: list[list[object]] = [[]]
         loop.epoll = SimpleNamespace(
-            poll=lambda *words: empty.pop() if empty else real.poll(*words),
+            poll=lambda *arguments: empty.pop() if empty else real.poll(*arguments),
             register=real.register,
             modify=real.modify,
             unregister=real.unregister,
@@ -56,8 +56,8 @@
         loop.epoll = real
 
     def limit_descriptors(self, more: int) -> None:
-        """The process may open so many descriptors more."""
-        top = max(int(each.name) for each in Path("/proc/self/fd").iterdir())
+        """Limit the process to `more` further descriptors."""
+        top = max(int(entry.name) for entry in Path("/proc/self/fd").iterdir())
         resource.setrlimit(resource.RLIMIT_NOFILE, (top + 1, self._descriptors_allowed[1]))
         with suppress(OSError):
             while True:
@@ -66,18 +66,18 @@
             os.close(self._fillers.pop())
 
     def restore_descriptors(self) -> None:
-        """The process may open as many descriptors as before."""
+        """Restore the former limit on descriptors."""
         resource.setrlimit(resource.RLIMIT_NOFILE, self._descriptors_allowed)
         while self._fillers:
             os.close(self._fillers.pop())
 
     def limit_buffers(self, more: int) -> None:
-        """So many message buffers are left."""
+        """Limit the service to `more` further message buffers."""
         pool = self._harness.instance.streams.pool
         pool.limit = pool.in_use + more
 
     def send_during_update_write(self, name: str, message: str) -> None:
-        """A message arrives just as an update is written, and is not read in that turn."""
+        """Send a message while an update is written; fail if it is read in the same turn."""
         streams: Any = self._harness.instance.streams
         real, dropped_before = streams.send, self._harness.log.text.count('"message_dropped"')
 
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -1,8 +1,9 @@
-"""Stand-in proxies before one real coordinator, on a channel that counts what is really written.
+"""Stand-in proxies of one real coordinator, on a channel that counts the entries that are written.
 
-What each proxy is written is counted frame by frame, by the protocol page's words, and leaves the channel in
-order at the channel's true pace, which may be slower than the coordinator was told. After each turn what
-really waits must be no more than what the coordinator has booked, and no more than the limit."""
+The messages to each proxy are counted frame by frame, as the protocol counts entries, and leave the channel
+in order at its true rate, which may be slower than the configured one. After each turn the backlog of the
+channel must not exceed the coordinator's account of entries in flight, nor the backlog limit.
+"""
 
 from collections import deque
 from collections.abc import Iterable
@@ -25,12 +26,12 @@
 from granitespool.units import SECOND
 from support.records import endpoint, settings_of
 
-START = 100 * SECOND  # ns: the clock begins here
+START = 100 * SECOND  # ns: first time of the clock
 TURN = SECOND // 20  # ns
 SEED = 7
-MAX_MESSAGE_PARTS = 64  # of one message
+MAX_MESSAGE_PARTS = 64
 PROXY_RATE = 5.0  # requests a second
-ROUNDING = 1e-6  # entries
+ROUNDING = 1e-6  # entries of tolerance for rounding errors
 SETTINGS = {
     "health_checks_allowed": False,
     "entries_per_s": 1000.0,
@@ -48,18 +49,18 @@
 }
 CLASSES = ("a", "b")
 
-Entry = tuple[str, str, int]  # backend, phase, started at (ns; 0: long ago)
+Entry = tuple[str, str, int]  # backend, phase, start time (ns; 0: long ago)
 
 
 class MessageSize(NamedTuple):
-    """How large one message is."""
+    """The size of one message."""
 
-    entries: int  # weights, exclusions, readmissions, levels, tickets and complete tables
+    entries: int  # weights, exclusions, readmissions, levels, barriers and complete tables
     parts: int
 
 
 class QueuedMessage(NamedTuple):
-    """A message that the channel still carries."""
+    """A message that has not left the channel."""
 
     leaves_at: float  # ns
     entries: float
@@ -69,14 +70,14 @@
 
 
 class ProxyTable(NamedTuple):
-    """What a proxy holds once it has applied what is on its way."""
+    """The table and exclusions of a proxy after it has applied all messages in flight."""
 
     weights: dict[str, float]
     excluded: set[str]
 
 
 def size_of(data: bytes) -> MessageSize:
-    """The size of one message from its frames."""
+    """Return the size of one message from its frames."""
     entries = parts = 0
     while data:
         size = int.from_bytes(data[:LENGTH_SIZE], "little")
@@ -89,15 +90,18 @@
 
 
 class ProxyFleet:
-    """Proxies of one coordinator before so many backends in so many zones."""
+    """The proxies of one coordinator, with backends in some zones."""
 
     def __init__(
         self, backends: int, zones: int, coordinators: int = 1, slowdown: float = 1.0, **settings: Any
     ) -> None:
-        """`slowdown`: how many times slower the channel is than told; `settings` replace some of SETTINGS."""
+        """Start the coordinator and send it the endpoint list.
+
+        `slowdown`: factor by which the channel is slower than configured; `settings` override SETTINGS.
+        """
         self.now = START
         self.slowdown = slowdown
-        self.due: int | None = None  # ns: when the coordinator wants its next turn
+        self.due: int | None = None  # ns: time of the coordinator's next turn
         self.settings = settings_of(
             {
                 **SETTINGS,
@@ -108,14 +112,14 @@
         )
         self.coordinator = Coordinator(self.settings, SEED, self.now)
         self.channel: deque[QueuedMessage] = deque()
-        self.free_at = 0.0  # ns: when the channel has carried all that waits
-        self.backlog = 0.0  # entries that wait in the channel
-        self.largest_backlog_share = 0.0  # of the limit
+        self.free_at = 0.0  # ns: time at which the channel will be empty
+        self.backlog = 0.0  # entries in the channel
+        self.largest_backlog_share = 0.0  # share of the backlog limit
         self.joined: dict[int, str] = {}  # proxy -> zone
         self.tables: dict[int, ProxyTable] = {}
         self.acknowledges = True
         self.zones = zones
-        self.response_times: dict[int, int] = {}  # place in `ready` -> ns, for `report_load`
+        self.response_times: dict[int, int] = {}  # index in `ready` -> ns, for `report_load`
         self.backends_created = 0
         self.ready = [self._next_backend_name() for _ in range(backends)]
         self.send_list("restored", [(name, "ready", 0) for name in self.ready])
@@ -125,13 +129,13 @@
         return f"s{self.backends_created}"
 
     def zone_of(self, backend: str) -> str:
-        """The zone of a backend, by the number in its name."""
+        """Return the zone of a backend, by the number in its name."""
         return f"z{int(backend[1:]) % self.zones}"
 
     # The endpoint list
 
     def send_list(self, form: str, entries: Iterable[Entry]) -> None:
-        """Discovery sends a list of this form (a `ListForm`)."""
+        """Report an endpoint list of this form (a `ListForm` value)."""
         endpoints = [
             endpoint(name, self.zone_of(name), "k", phase, started_at=started)
             for name, phase, started in entries
@@ -139,7 +143,7 @@
         self.coordinator.report(self.now, EndpointListUpdate(ListForm(form), endpoints))
 
     def replace_backends(self, count: int, renamed: bool = True) -> None:
-        """The first of those ready drain, and as many cold ones come: new ones, or the same again."""
+        """Drain the first `count` ready backends and start as many: new ones, or the same ones again."""
         old = self.ready[:count]
         self.ready = self.ready[count:]
         new = [self._next_backend_name() for _ in old] if renamed else old
@@ -150,13 +154,13 @@
         self.ready += new
 
     def remove_backends(self, names: Iterable[str]) -> None:
-        """Discovery tells that these are gone."""
+        """Report list changes by which these backends are gone."""
         self.send_list("changes", [(name, "gone", 0) for name in names])
 
     # Proxies
 
     def join(self, proxy: int, bootstrap: bool = True) -> None:
-        """A proxy joins; one that has joined leaves first."""
+        """Let a proxy join; if it has joined before, it leaves first."""
         if proxy in self.joined:
             self.leave(proxy)
         self.joined[proxy] = f"z{proxy % self.zones}"
@@ -164,7 +168,7 @@
         self.coordinator.report(self.now, joined)
 
     def leave(self, proxy: int) -> None:
-        """Its stream breaks: what waits for it has left the channel, whether that was noticed or not."""
+        """End the stream of a proxy: its messages leave the channel, even those not acknowledged."""
         self.channel = deque(message for message in self.channel if message.proxy != proxy)
         self.backlog = sum(message.entries for message in self.channel)
         del self.joined[proxy]
@@ -172,7 +176,7 @@
         self.coordinator.report(self.now, ProxyLeft(proxy=proxy))
 
     def report_load(self, mean: int | None, failed_share: float = 0.0, attempts: int = 20) -> None:
-        """What every zone saw at every backend: this mean (ns), or each one's own of `response_times`."""
+        """Report load of every zone at every backend, with this mean (ns) or those of `response_times`."""
         for number, backend in enumerate(self.ready):
             for zone in set(self.joined.values()):
                 report = LoadReport(
@@ -198,7 +202,7 @@
     # Time
 
     def turn(self, ahead: int = TURN) -> None:
-        """Ends the turn, writes, and lets the channel run for a while (ns)."""
+        """End the turn, write the messages and let the channel run for `ahead` ns."""
         self.due = self.coordinator.tick(self.now)
         for proxy in list(self.coordinator.updates.waiting):
             self._write(proxy, self.coordinator.next_message(proxy))
@@ -208,7 +212,7 @@
             self._arrive(self.channel.popleft())
 
     def run(self, seconds: float) -> None:
-        """Turns for so long."""
+        """Run turns for `seconds`."""
         end = self.now + seconds * SECOND
         while self.now < end:
             self.turn()
@@ -217,22 +221,24 @@
         size = size_of(encode_update(message))
         assert size.parts <= MAX_MESSAGE_PARTS
         entries = size.entries + self.settings.message_header
-        pace = self.settings.entries_per_s / self.slowdown / SECOND
-        self.free_at = max(self.free_at, self.now) + entries / pace
+        entries_per_ns = self.settings.entries_per_s / self.slowdown / SECOND
+        self.free_at = max(self.free_at, self.now) + entries / entries_per_ns
         self.channel.append(QueuedMessage(self.free_at, entries, proxy, message.barrier, self.now))
         self.backlog += entries
         self._update_table(proxy, message)
         self.on_written(proxy, message, size)
 
     def on_written(self, proxy: int, message: ProxyUpdate, size: MessageSize) -> None:
-        """A message was written; for those who build on this."""
+        """Handle a written message; a hook for subclasses."""
 
     def _check(self) -> None:
-        booked = self.coordinator.planner.in_flight.in_flight
+        in_flight = self.coordinator.planner.in_flight.in_flight
         errors = self.coordinator.queues[Queue.INTERNAL_ERRORS]
         assert not errors, errors[0]
-        assert self.backlog <= booked + ROUNDING, f"{self.backlog} entries wait and {booked} are booked"
-        assert self.backlog <= self.settings.backlog_limit, f"{self.backlog} entries wait"
+        assert self.backlog <= in_flight + ROUNDING, (
+            f"backlog {self.backlog} exceeds the account, {in_flight}"
+        )
+        assert self.backlog <= self.settings.backlog_limit, f"backlog {self.backlog} exceeds the limit"
         share = self.backlog / self.settings.backlog_limit
         self.largest_backlog_share = max(self.largest_backlog_share, share)
 
--- a/tests/support/recordings.py
+++ b/tests/support/recordings.py
@@ -1,7 +1,8 @@
-"""Recordings that a test compares today's behaviour with: JSON files under `tests/data/`.
+"""Recordings of expected behaviour: JSON files under `tests/data/`.
 
-A recording is made anew only where behaviour is meant to change: `python tests/test_..._recordings.py` writes
-those of one test file."""
+Record again only for an intended change of behaviour: `python tests/test_..._recordings.py` writes the
+recordings of one test file.
+"""
 
 import json
 from pathlib import Path
@@ -11,17 +12,17 @@
 
 
 def as_recorded(value: Any) -> Any:
-    """A value as it is once it was written to a recording and read back."""
+    """Return a value as it is after it was written to a recording and read back."""
     return json.loads(json.dumps(value))
 
 
 def read(name: str) -> Any:
-    """What the recording `tests/data/NAME.json` holds."""
+    """Return the content of the recording `tests/data/NAME.json`."""
     return json.loads((DATA / f"{name}.json").read_text(encoding="utf-8"))
 
 
 def write(name: str, value: Any) -> None:
-    """Writes the recording `tests/data/NAME.json`."""
+    """Write the recording `tests/data/NAME.json`."""
     path = DATA / f"{name}.json"
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(value, indent=1) + "\n", encoding="utf-8")
--- a/tests/support/records.py
+++ b/tests/support/records.py
@@ -1,4 +1,4 @@
-"""Builds the typed records that the code under test takes, from plain values."""
+"""Typed records that are built from plain values."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,9 +10,10 @@
 
 
 def settings_of(values: Mapping[str, Any]) -> Settings:
-    """Settings from a map of their fields; classes may be maps too."""
+    """Return settings from a dict of their fields; classes may be dicts too."""
     classes = [
-        each if isinstance(each, RequestClass) else RequestClass(**each) for each in values.get("classes", ())
+        value if isinstance(value, RequestClass) else RequestClass(**value)
+        for value in values.get("classes", ())
     ]
     return Settings(**{**values, "classes": classes})
 
@@ -25,7 +26,7 @@
     weight: float = 1.0,
     started_at: int = 0,
 ) -> Endpoint:
-    """An entry of the endpoint list."""
+    """Return an entry of the endpoint list."""
     return Endpoint(
         name=name,
         zone=zone,
@@ -38,13 +39,13 @@
 
 
 def configured_settings(settings: Settings) -> dict[str, Any]:
-    """The settings that a deployment tells, as a map of their fields; classes are maps too."""
+    """Return the settings that are set as a dict of their fields; classes are dicts too."""
     result = {name: value for name, value in msgspec.structs.asdict(settings).items() if value is not None}
-    result["classes"] = [configured_class_fields(each) for each in settings.classes]
+    result["classes"] = [configured_class_fields(request_class) for request_class in settings.classes]
     return result
 
 
 def configured_class_fields(request_class: RequestClass) -> dict[str, Any]:
-    """The fields that a deployment tells of a class."""
+    """Return the fields of a class that are set."""
     values = msgspec.structs.asdict(request_class)
     return {name: value for name, value in values.items() if value is not None}
--- a/tests/support/service_harness.py
+++ b/tests/support/service_harness.py
@@ -1,4 +1,4 @@
-"""A whole service on loopback in the test's thread, on the test's clock, with stand-ins for all others."""
+"""A whole service on loopback, in the test's thread and on its clock, with stand-ins for its neighbours."""
 
 import copy
 from collections.abc import Callable, Iterator
@@ -17,15 +17,15 @@
 from support.service_outlets import PeerStandIns, ServiceLog
 from support.service_state import ServiceState
 
-START = 10**18  # ns: where the clock begins
-TURN_LENGTH = 100 * MILLISECOND  # that time passes between two turns while it advances
-MAX_TURNS = 400  # that an expectation is waited for
-TURN_WAIT = 5 * MILLISECOND  # that one of them takes
-INITIAL_LIST_VERSION = 7  # version of the list that the service starts with
+START = 10**18  # ns: first time of the clock
+TURN_LENGTH = 100 * MILLISECOND  # ns between two turns while the clock advances
+MAX_TURNS = 400  # turns within which an expectation must be met
+TURN_WAIT = 5 * MILLISECOND  # ns that one of these turns waits for events
+INITIAL_LIST_VERSION = 7  # version of the endpoint list that the service starts with
 
 
 class ServiceHarness:
-    """The service, made at the first use after the settings."""
+    """A service that is created at its first use, with the settings of that time."""
 
     def __init__(self) -> None:
         self.now = START
@@ -41,13 +41,13 @@
         self.peers = PeerStandIns(self)
         self._service: Service | None = None
         self._is_suspended = False
-        self._configuration_error: str | None = None  # why the configuration cannot be read
+        self._configuration_error: str | None = None  # why reading the configuration fails
         self.faults, self.state = ProcessFaults(self), ServiceState(self)
 
     # Configuration
 
     def configure(self, **settings: Any) -> None:
-        """Change settings; a running service knows them after `reload`."""
+        """Change settings; a running service applies them at the next `reload`."""
         self.settings.update(settings)
 
     def request_class(self, name: str, effect: str, *, latency_objective: int, priority_weight: int) -> None:
@@ -63,8 +63,8 @@
         )
 
     def configuration(self) -> Configuration:
-        """What the configuration file would say now."""
-        told = {
+        """Return the parsed configuration for the current settings."""
+        values = {
             "name": "t",
             "listen": ("127.0.0.1", 0),
             "discovery": self.discovery.address,
@@ -76,7 +76,7 @@
             "known": {"index": INITIAL_LIST_VERSION, "endpoints": self.backends.initial_endpoints},
             "settings": settings_of(copy.deepcopy(self.settings)),
         }
-        return cast("Configuration", told)  # without limits: no manager asks for them
+        return cast("Configuration", values)  # "limits" is missing: only managers read it
 
     def _read_configuration(self) -> Configuration:
         if self._configuration_error:
@@ -84,14 +84,14 @@
         return self.configuration()
 
     def reload(self, **settings: Any) -> None:
-        """Have the configuration read again, with these settings changed."""
+        """Reload the configuration with these settings changed."""
         self._configuration_error = None
         self.configure(**settings)
         self.instance.reload()
         self.turn()
 
     def reload_invalid(self, why: str) -> None:
-        """Have a configuration read again that is wrong."""
+        """Reload a configuration that fails to be read for the reason `why`."""
         self._configuration_error = why
         self.instance.reload()
         self.turn()
@@ -109,11 +109,11 @@
 
     @property
     def actions(self) -> Any:
-        """The actions that the planner may ask for; what they order is sent in the next `turn`."""
+        """The coordinator with the planner's actions; their messages are sent in the next `turn`."""
         return self.instance.coordinator
 
     def turn(self, wait: int = 0) -> None:
-        """Let the service, then its neighbours, run once; it waits for events at most so many ns."""
+        """Run one turn of the service, which waits at most `wait` ns for events, then of its neighbours."""
         if self._is_suspended:
             return
         self.instance.turn(wait)
@@ -123,11 +123,11 @@
         self.log.turn()
 
     def wait(self) -> None:
-        """Let the service run once; where it has nothing to do, wait a little."""
+        """Run one turn that waits up to `TURN_WAIT` for events."""
         self.turn(TURN_WAIT)
 
     def wait_until(self, check: Callable[[], object], what: object) -> None:
-        """Let the service run until the check holds; its clock stands."""
+        """Run the service until the check holds, with its clock standing still."""
         for _ in range(MAX_TURNS):
             if check():
                 return
@@ -136,7 +136,7 @@
 
     @contextmanager
     def suspended(self) -> Iterator[None]:
-        """What is done in this block is done before the service runs again."""
+        """Suspend turns within the block and run one after it."""
         was_suspended, self._is_suspended = self._is_suspended, True
         try:
             yield
@@ -145,25 +145,25 @@
         self.turn()
 
     def advance_to(self, time: int) -> None:
-        """Let time pass until so many ns after the start."""
+        """Advance the clock in turns to `time` ns after the start."""
         self.turn()
         while self.now < START + time:
             self.now = min(self.now + TURN_LENGTH, START + time)
             self.turn()
 
     def advance(self, duration: int) -> None:
-        """Let so many ns pass."""
+        """Advance the clock in turns by `duration` ns."""
         self.advance_to(self.now - START + duration)
 
     def close(self) -> None:
-        """Give everything back, and check that the service did."""
+        """Close the service and the stand-ins; fail if the service has kept resources."""
         self.faults.restore_descriptors()
         if self._service:
             self._service.close()
             coordinator, loop = self._service.coordinator, self._service.loop
-            assert self._service.streams.pool.in_use == 0, "buffers are out"
+            assert self._service.streams.pool.in_use == 0, "message buffers were not returned"
             assert loop.tasks == set(), "tasks still run"
-            assert coordinator.updates.proxies == {}, "proxies are joined"
+            assert coordinator.updates.proxies == {}, "proxies are still joined"
         self.clients.close_all()
         for neighbour in (self.discovery, self.peers, self.backends, self.log):
             neighbour.close()
--- a/tests/support/service_outlets.py
+++ b/tests/support/service_outlets.py
@@ -1,4 +1,4 @@
-"""Where a service's log and gossip go: a pipe, and sockets of other coordinators."""
+"""Receivers of a service's log and gossip: a pipe, and sockets of other coordinators."""
 
 import os
 import select
@@ -11,7 +11,7 @@
 
 
 class ServiceLog:
-    """The service's log: a pipe that is read each turn, unless a test has nobody read it."""
+    """The service's log: a pipe that is read in each turn while `is_read` is set."""
 
     def __init__(self, harness: "ServiceHarness") -> None:
         self._harness = harness
@@ -20,17 +20,17 @@
         self.text, self.is_read = "", True
 
     def turn(self) -> None:
-        """Read what stands there."""
+        """Read the available part of the log."""
         if self.is_read:
             with suppress(BlockingIOError):
                 self.text += os.read(self._reader, 1 << 20).decode()
 
     def wait_for(self, text: str) -> None:
-        """Wait until the log holds this text."""
+        """Wait until the log contains this text."""
         self._harness.wait_until(lambda: text in self.text, text)
 
     def wait_for_dropped_messages(self, number: int) -> None:
-        """Wait until so many lines tell of something dropped."""
+        """Wait until the log contains `number` events of dropped messages."""
         self._harness.wait_until(lambda: self.text.count('"message_dropped"') == number, number)
 
     def close(self) -> None:
@@ -40,7 +40,7 @@
 
 
 class PeerStandIns:
-    """Sockets of a coordinator that the service knows, and of one that it does not."""
+    """Sockets of a configured peer coordinator and of an unknown one."""
 
     def __init__(self, harness: "ServiceHarness") -> None:
         self._harness = harness
@@ -56,7 +56,7 @@
         self._harness.turn()
 
     def next_datagram(self) -> bytes:
-        """Wait for the next datagram that the known peer gets."""
+        """Wait for the next datagram to the configured peer and return it."""
         self._harness.wait_until(lambda: select.select([self.peer], [], [], 0)[0], "a datagram")
         return self.peer.recv(512)
 
--- a/tests/support/service_state.py
+++ b/tests/support/service_state.py
@@ -1,4 +1,4 @@
-"""What a running service holds: proxies, connections, counts, and the sizes of everything that it keeps."""
+"""State of a running service: proxies, connections, counts and the sizes of its collections."""
 
 from collections.abc import Sized
 from typing import TYPE_CHECKING
@@ -14,45 +14,45 @@
         self._harness = harness
 
     def wait_for_joined(self, *proxies: int) -> None:
-        """Wait until just these proxies are joined."""
+        """Wait until exactly these proxies are joined."""
         self._harness.wait_until(
             lambda: sorted(self._harness.instance.coordinator.updates.proxies) == list(proxies),
             ("joined", proxies),
         )
 
     def wait_for_no_connections(self) -> None:
-        """Wait until nobody is connected."""
+        """Wait until no connection is open."""
         self._harness.wait_until(lambda: not self._harness.instance.streams.connections, "connections")
 
     def wait_for_attempts(self, backend: str, number: int) -> None:
-        """Wait until so many attempts were counted of a backend."""
+        """Wait until `number` recent attempts are counted for a backend."""
         backends = self._harness.instance.coordinator.planner.fleet.backends
         self._harness.wait_until(lambda: backends[backend].recent_attempts == number, (backend, number))
 
     def wait_for_health_check(self, backend: str) -> None:
-        """Wait until a health check of the backend has asked."""
+        """Wait until a health check of the backend has sent its request."""
         self._harness.wait_until(lambda: self._harness.backends.has_pending_check(backend), backend)
 
     def attempts(self, backend: str) -> tuple[float, list[float]]:
-        """Attempts that were counted of a backend lately, and those of each zone that has any."""
+        """Return the recent attempts at a backend, in total and for each zone with attempts."""
         record = self._harness.instance.coordinator.planner.fleet.backends[backend]
         return record.recent_attempts, [link.attempts for link in record.links.values() if link.attempts]
 
     def address(self, backend: str) -> object:
-        """Where a backend's health checks go."""
+        """Return the address of a backend's health checks."""
         return self._harness.instance.discovery.addresses[backend]
 
     @property
     def buffers_in_use(self) -> int:
-        """Message buffers that connections hold."""
+        """The number of message buffers in use."""
         return int(self._harness.instance.streams.pool.in_use)
 
     def sizes_above(self, limit: int) -> dict[str, int]:
-        """The size of each thing kept by name, stream or time that exceeds a limit."""
-        sizes = {name: len(kept) for name, kept in self._kept().items()}
+        """Return the collections with more than `limit` items, with their sizes."""
+        sizes = {name: len(collection) for name, collection in self._collections().items()}
         return {name: size for name, size in sizes.items() if size > limit}
 
-    def _kept(self) -> dict[str, Sized]:
+    def _collections(self) -> dict[str, Sized]:
         service, coordinator = self._harness.instance, self._harness.instance.coordinator
         return {
             "addresses": service.discovery.addresses,
@@ -71,7 +71,7 @@
             **{queue.value: waiting for queue, waiting in coordinator.queues.items()},
             **{f"table {table}": entries for table, entries in coordinator.updates.tables.items()},
             **{
-                f"told to proxy {proxy}": held.sent_exclusions
-                for proxy, held in coordinator.updates.proxies.items()
+                f"exclusions sent to proxy {proxy}": state.sent_exclusions
+                for proxy, state in coordinator.updates.proxies.items()
             },
         }
--- a/tests/support/service_thread.py
+++ b/tests/support/service_thread.py
@@ -1,4 +1,4 @@
-"""A whole service with its management listeners, in a thread and in real time, for clients that block."""
+"""A whole service with its management listeners, in a thread and in real time, for blocking clients."""
 
 import json
 import os
@@ -24,14 +24,14 @@
 from support.records import configured_settings
 
 LOOPBACK = "127.0.0.1"
-PORTS = range(20_000, 32_000)  # under the range that the system gives to whoever dials
+PORTS = range(20_000, 32_000)  # below the system's range of ephemeral ports
 STATE_INTERVAL_MS = 200
-JOIN_TIMEOUT = 10  # s that a thread has for its end
-RELOAD_TIMEOUT = 5  # s until a reload has to be answered in the log
+JOIN_TIMEOUT = 10  # s within which a thread must end
+RELOAD_TIMEOUT = 5  # s within which the log must contain the result of a reload
 POLL_INTERVAL = 0.01  # s
-INTERNAL_ERRORS = ("task_failed", "internal_error")  # log events that no test expects
-RELOADED = ("reloaded", "reload_rejected")  # log events that answer a SIGHUP
-LINES_SHOWN = 8  # of the log, where a line does not come
+INTERNAL_ERRORS = ("task_failed", "internal_error")  # log events that fail a test
+RELOADED = ("reloaded", "reload_rejected")  # log events with the result of a SIGHUP
+LINES_SHOWN = 8  # last lines of the log in the error if an expected line is missing
 SETTINGS = {
     "zones": ["n", "s"],
     "classes": [
@@ -55,7 +55,7 @@
 
 
 def free_port() -> int:
-    """A port that nobody takes meanwhile, as it is not among those that the system gives to who dials."""
+    """Return a free port outside the ephemeral range, so that no outgoing connection takes it meanwhile."""
     while True:
         port = PORTS.start + secrets.randbelow(len(PORTS))
         with suppress(OSError), socket.create_server((LOOPBACK, port)):
@@ -63,13 +63,16 @@
 
 
 def make_keys(folder: Path) -> str:
-    """Makes a set of keys; `operations` may write all, `reader` nothing, `pacer` the channel."""
+    """Create a set of keys; `operations` may write all, `reader` nothing, `pacer` the channel."""
     make(str(folder), [LOOPBACK], ["operations", "reader", "pacer", "stranger"], "5")
     return str(folder)
 
 
 class ServiceThread:
-    """`with ServiceThread(path, keys_folder) as service`; what is written to the log is in `lines`."""
+    """A running service as a context manager: `with ServiceThread(path, keys_folder) as service`.
+
+    `lines` contains the parsed lines of its log.
+    """
 
     def __init__(
         self,
@@ -80,14 +83,17 @@
         limits: dict[str, int] | None = None,
         **netconf: Any,
     ) -> None:
-        """`state`: whether it keeps a state folder; `netconf` are keys of the operator's section."""
+        """Write the configuration.
+
+        `state`: whether to keep a state folder; `netconf`: keys of the operator's section.
+        """
         self.path = path
         self.keys = keys_folder
         self.lines: list[dict[str, Any]] = []
         self.endpoints = endpoints
         self.limits = limits or {}
         self.file = path / "config.json"
-        self.file_settings: dict[str, Any] = dict(SETTINGS)  # the settings in the file
+        self.file_settings: dict[str, Any] = dict(SETTINGS)  # the settings in the configuration file
         self.netconf_address = LOOPBACK, free_port()
         self.operator = self._operator(state, netconf)
         self.write()
@@ -113,7 +119,7 @@
         )
 
     def write(self, **changes: Any) -> None:
-        """Writes the configuration's file, with other settings."""
+        """Write the configuration file with changed settings."""
         self.file_settings.update(changes)
         configuration = {
             "name": "n0",
@@ -127,7 +133,7 @@
         self.file.write_text(json.dumps(configuration))
 
     def read(self) -> dict[str, Any]:
-        """The configuration as the service reads it."""
+        """Return the configuration as the service reads it."""
         return {**config.load(str(self.file)), "operator": self.operator}
 
     def __enter__(self) -> "ServiceThread":
@@ -152,7 +158,7 @@
         assert not [line for line in self.lines if line["event"] in INTERNAL_ERRORS], self.lines
 
     def wait_for_log(self, event: str, seconds: float = 5.0, **fields: Any) -> dict[str, Any]:
-        """Waits for a line of the log whose fields contain these texts."""
+        """Wait for a line of the log whose fields contain these texts and return it."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             for line in list(self.lines):
@@ -164,7 +170,7 @@
         raise AssertionError((event, fields, self.lines[-LINES_SHOWN:]))
 
     def reload(self, **changes: Any) -> dict[str, Any]:
-        """SIGHUP with other settings; returns the line of the log that answers it."""
+        """Reload with changed settings and return the line of the log with the result."""
         before = len(self.lines)
         self.write(**changes)
         self.service.reload()
@@ -177,29 +183,29 @@
         raise AssertionError(self.lines[-LINES_SHOWN:])
 
     def manager(self, user: str = "operations", **more: Any) -> NetconfClient:
-        """A NETCONF session of a user."""
+        """Open a NETCONF session of a user."""
         return NetconfClient(self.netconf_address, self.keys, user, **more)
 
     def settings(self) -> dict[str, Any]:
-        """The planner's settings, as they act."""
+        """Return the current settings of the planner."""
         return configured_settings(self.service.coordinator.planner.settings)
 
     def proxy(self, number: int = 1, zone: str = "n") -> socket.socket:
-        """A joined proxy's plain socket, after its first table."""
+        """Return the socket of a proxy that has joined and received its first table."""
         sock = socket.create_connection(self.service.streams.listener.getsockname(), timeout=5)
-        joining = {"type": "joined", "node": number, "locality": zone, "w": 5.0, "cold": True}
-        body = json.dumps(joining).encode()
+        message = {"type": "joined", "node": number, "locality": zone, "w": 5.0, "cold": True}
+        body = json.dumps(message).encode()
         sock.sendall(len(body).to_bytes(4, "little") + body)
         assert b"lines" in sock.recv(1 << 16)
         return sock
 
 
 def answers_ping(sock: socket.socket) -> bool:
-    """Whether a proxy's ping is answered on its stream."""
+    """Return whether a ping on a proxy's stream is answered."""
     sock.sendall(b'\x0f\0\0\0{"type":"ping"}')
     data = b""
     while b"pong" not in data:
-        piece = sock.recv(1 << 16)
-        assert piece, "the stream ended"
-        data += piece
+        chunk = sock.recv(1 << 16)
+        assert chunk, "the stream ended before the pong"
+        data += chunk
     return True
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -1,14 +1,14 @@
-"""What the stand-ins of a service's neighbours share: sockets that never block."""
+"""Helpers for the non-blocking sockets of the stand-ins."""
 
 import socket
 from contextlib import suppress
 
-END = "<end>"  # stands in what was received for the end of a connection
-READ_SIZE = 1 << 20  # bytes
+END = "<end>"  # marks the end of a connection in received text
+READ_SIZE = 1 << 20  # bytes of one read at most
 
 
 def accepted(listener: socket.socket) -> socket.socket | None:
-    """The next connection that waits; None where nobody does or no descriptor is free."""
+    """Return the next pending connection; None if there is none or no descriptor is free."""
     with suppress(OSError):
         sock = listener.accept()[0]
         sock.setblocking(False)
@@ -17,7 +17,7 @@
 
 
 def received(sock: socket.socket) -> str:
-    """What stands there to be read as text, `END` for the end of the connection."""
+    """Return the available data as text, `END` at the end of the connection."""
     try:
         return sock.recv(READ_SIZE).decode("latin1") or END
     except BlockingIOError:
@@ -27,7 +27,7 @@
 
 
 class FullSocket:
-    """A socket whose other side takes nothing; writes fail with `error`."""
+    """A socket with a full send buffer: writes fail with `error`."""
 
     error: type[OSError] = BlockingIOError
 
@@ -38,5 +38,5 @@
         return getattr(self.sock, name)
 
     def send(self, _data: bytes) -> int:
-        """Fail."""
+        """Raise `error`."""
         raise self.error
--- a/tests/support/traced_backends.py
+++ b/tests/support/traced_backends.py
@@ -1,4 +1,4 @@
-"""The backends of a traced fleet: the truth about each, what happens to them, and the endpoint list."""
+"""The backends of a traced fleet: their actual state, scheduled changes and the endpoint list."""
 
 from typing import NamedTuple
 
@@ -7,23 +7,22 @@
 
 WARM_UP_TIME = 17 * SECOND  # ns
 WARM_UP_START_SHARE = 0.2
-MIN_WARM_SHARE = (
-    2 / 3
-)  # of the first backends that stay ready and warm at least: with less no capacity is planned
+# Share of the first backends that always stay ready and warm: the capacity is not planned for fewer
+MIN_WARM_SHARE = 2 / 3
 DRAIN_TIME = 8 * SECOND  # ns from a backend's drain to its end
 RESTART_DRAIN = 2 * SECOND  # ns from the drain of a backend that is restarted to its end
 RETURN_DELAY = 4 * SECOND  # ns from a backend's end to its return
 
 
 class Clock:
-    """The time that all parts of a fleet share."""
+    """The clock that all parts of a fleet share."""
 
     def __init__(self) -> None:
         self.now = START  # ns
 
 
 class TracedBackend:
-    """The truth about one backend."""
+    """The actual state of one backend."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -31,28 +30,28 @@
         self.started = 0  # ns; 0: long ago
 
     def capacity_share(self, now: int) -> float:
-        """The share of its warm work that it can do."""
+        """Return the capacity as a share of the warm capacity."""
         age = 1.0 if not self.started else min(1.0, (now - self.started) / WARM_UP_TIME)
         return WARM_UP_START_SHARE + (1 - WARM_UP_START_SHARE) * age
 
     def warms_up(self, now: int) -> bool:
-        """Whether it can do less than its whole work."""
+        """Return whether the backend has less than its warm capacity."""
         return bool(self.started) and now - self.started < WARM_UP_TIME
 
     def entry(self) -> Entry:
-        """Its entry in the list."""
+        """Return its entry of the endpoint list."""
         return self.name, self.phase, self.started
 
 
 class ListChange(NamedTuple):
-    """One change of the list."""
+    """One change of the endpoint list."""
 
     at: int  # ns
     entries: list[Entry]
 
 
 class _ScheduledChange(NamedTuple):
-    """What will happen to a backend."""
+    """A scheduled change of a backend's phase."""
 
     at: int  # ns
     phase: str
@@ -60,10 +59,10 @@
 
 
 class TracedBackends:
-    """All backends, by name, and every change of the list."""
+    """All backends by name, and every change of the endpoint list."""
 
     def __init__(self, clock: Clock, count: int) -> None:
-        """So many backends, which have been ready for long."""
+        """Create `count` backends that have been ready for a long time."""
         self.clock = clock
         self.by_name = {f"s{number}": TracedBackend(f"s{number}") for number in range(1, count + 1)}
         self.first_count = count
@@ -73,42 +72,42 @@
         self._scheduled: list[_ScheduledChange] = []
 
     def current_list(self) -> list[Entry]:
-        """The entries of those who are listed now."""
+        """Return the entries of the current list."""
         return [backend.entry() for backend in self.by_name.values() if backend.phase != "gone"]
 
     def list_after(self, changes: int) -> list[Entry]:
-        """The entries of those who are listed after so many changes."""
+        """Return the entries of the list after its first `changes` changes."""
         listed = {entry[0]: entry for entry in self.first_list}
         for change in self.changes[:changes]:
             listed.update((entry[0], entry) for entry in change.entries)
         return [entry for entry in listed.values() if entry[1] != "gone"]
 
     def ready(self) -> list[TracedBackend]:
-        """Those that take requests."""
+        """Return the backends that accept requests."""
         return [backend for backend in self.by_name.values() if backend.phase == "ready"]
 
     def replaceable(self, number: int) -> list[TracedBackend]:
-        """So many of the ready backends, longest there first, where enough warm ones stay."""
+        """Return up to `number` warm backends, oldest first, such that enough warm ones remain."""
         warm = [backend for backend in self.ready() if not backend.warms_up(self.clock.now)]
         number = min(number, len(warm) - int(MIN_WARM_SHARE * self.first_count) - 1)
         return warm[: max(0, number)]
 
     def release(self, number: int) -> None:
-        """New backends come, and the old ones that they replace drain and end."""
+        """Start new backends, and drain and stop the ones that they replace."""
         old = self.replaceable(number)
         new = [self._make() for _ in old]
         self._drain(old, new)
         self._schedule(DRAIN_TIME, "gone", old)
 
     def restart(self, number: int) -> None:
-        """Backends drain, end, and come back cold under their names."""
+        """Drain and stop backends; they return cold under the same names."""
         old = self.replaceable(number)
         self._drain(old, [])
         self._schedule(RESTART_DRAIN, "gone", old)
         self._schedule(RESTART_DRAIN + RETURN_DELAY, "ready", old)
 
     def crash(self, number: int) -> None:
-        """Backends end at once, and come back cold."""
+        """Stop backends without a drain; they return cold."""
         lost = self.replaceable(number)
         for backend in lost:
             backend.phase = "gone"
@@ -117,7 +116,7 @@
         self._schedule(RETURN_DELAY, "ready", lost)
 
     def advance(self) -> None:
-        """Does what is due."""
+        """Apply the scheduled changes that are due."""
         due = [planned for planned in self._scheduled if planned.at <= self.clock.now]
         self._scheduled = [planned for planned in self._scheduled if planned.at > self.clock.now]
         for planned in due:
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -1,4 +1,4 @@
-"""One coordinator of a traced fleet: its channel, what it was told of the list, what its intake holds."""
+"""One coordinator of a traced fleet: its channel, its version of the endpoint list, its pending reports."""
 
 from collections import deque
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -30,34 +30,34 @@
 
 
 class ReportedStart(NamedTuple):
-    """When a backend started, as a coordinator was told of it."""
+    """The start of a backend as a coordinator has received it."""
 
     started: int  # ns
     received_at: int  # ns
 
 
 class TracedProxy:
-    """What a proxy holds, whoever wrote it; it outlives the proxy's streams."""
+    """The table of a proxy, from any coordinator; it is kept when a stream ends."""
 
     def __init__(self, number: int, home: int) -> None:
-        """`home`: the number of the coordinator that it belongs to."""
+        """Create a proxy without a stream; `home`: number of the coordinator that it belongs to."""
         self.number = number
         self.home = home
         self.coordinator: TracedCoordinator | None = None
         self.zone = f"z{number % ZONES}"
-        self.has_table = False  # that a coordinator gave it
+        self.has_table = False  # whether a coordinator has sent it a table
         self.weights: dict[str, float] = {}
         self.excluded: set[str] = set()
-        self.retries: dict[str, int] = {}  # class -> manner of retrying
-        self.reported_starts: dict[str, ReportedStart] = {}  # to its last message's coordinator
-        self.written_at = 0  # ns, of its last message
+        self.retries: dict[str, int] = {}  # class -> retry mode
+        self.reported_starts: dict[str, ReportedStart] = {}  # by backend, of its last message's coordinator
+        self.written_at = 0  # ns: write time of its last message
 
     def usable_weights(self) -> dict[str, float]:
-        """The backends that it may pick."""
+        """Return the weights of the backends that are not excluded."""
         return {name: weight for name, weight in self.weights.items() if name not in self.excluded}
 
     def apply(self, message: ProxyUpdate) -> None:
-        """Applies a message of a coordinator."""
+        """Apply a message of a coordinator."""
         for _, complete, weights in message.tables:
             if complete:
                 self.weights = {}
@@ -72,7 +72,7 @@
 
 
 class _InTransit(NamedTuple):
-    """A message that has not arrived at its proxy."""
+    """A message that has not arrived at its proxy yet."""
 
     arrives_at: float  # ns
     proxy: TracedProxy
@@ -81,7 +81,7 @@
 
 
 class _QueuedReports(msgspec.Struct):
-    """Load reports of one link that wait for the intake, summed up."""
+    """Sums of the load reports of one link that were not processed yet."""
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -90,31 +90,31 @@
 
 
 class TracedCoordinator(ProxyFleet):
-    """One coordinator, which may end and start again."""
+    """One coordinator, which can stop and restart."""
 
     def __init__(self, fleet: "TracedFleet", name: str, **settings: Any) -> None:
         self.fleet = fleet
         self.name = name
         self.incarnation = 0
-        self.phases: dict[str, str] = {}  # backend -> phase that it was told last
+        self.phases: dict[str, str] = {}  # backend -> last phase received
         self.reported_starts: dict[str, ReportedStart] = {}
         self.in_transit: list[_InTransit] = []
-        self.intake: dict[tuple[str, str], _QueuedReports] = {}  # (zone, backend)
+        self.intake: dict[tuple[str, str], _QueuedReports] = {}  # by zone and backend
         self.recorded_backlog = 0.0
         self.list_delay = 0  # ns
-        self.list_position = 0  # changes of the list that it was told
-        self.up_at: int | None = None  # ns; None: it runs
+        self.list_position = 0  # number of list changes received
+        self.up_at: int | None = None  # ns: time of the restart; None while it runs
         super().__init__(len(fleet.backends.by_name), ZONES, **settings)
 
     @property
     def up(self) -> bool:
-        """Whether it runs."""
+        """Whether the coordinator is running."""
         return self.up_at is None
 
-    # The list
+    # The endpoint list
 
     def send_list(self, form: str, entries: list[Entry]) -> None:
-        """Discovery sends a list, which is traced."""
+        """Send an endpoint list and record it in the trace."""
         entries = list(entries)
         for name, phase, started in [*entries, *self._absent(form, entries)]:
             self.phases[name] = phase
@@ -127,7 +127,7 @@
         super().send_list(form, entries)
 
     def _absent(self, form: str, entries: list[Entry]) -> list[Entry]:
-        """Entries of those that a list of this form shows to be gone, though it does not name them."""
+        """Return gone entries for the backends that are missing from a complete list."""
         if form == "changes":
             return []
         named = {name for name, _, _ in entries}
@@ -136,7 +136,7 @@
         ]
 
     def catch_up(self) -> None:
-        """Takes the changes of the list that are due here."""
+        """Send the list changes that are due at this coordinator."""
         changes = self.fleet.backends.changes
         while self.list_position < len(changes):
             change = changes[self.list_position]
@@ -146,32 +146,32 @@
             self.send_list("changes", change.entries)
 
     def repeat_change(self) -> None:
-        """The last change that it was told is told once more."""
+        """Send the last list change again."""
         if self.list_position:
             self.send_list("changes", self.fleet.backends.changes[self.list_position - 1].entries)
 
     def send_complete_list(self) -> None:
-        """A complete list of now, which skips what was not told yet."""
+        """Send the current complete list; list changes that were not sent yet are skipped."""
         self.list_position = len(self.fleet.backends.changes)
         self.send_list("complete", self.fleet.backends.current_list())
 
     # Streams
 
     def add_proxy(self, proxy: TracedProxy) -> None:
-        """A proxy joins."""
+        """Let a proxy join."""
         self.join(proxy.number, bootstrap=not proxy.has_table)
         proxy.coordinator = self
         self.fleet.record(ProxyJoined(at=self.now, proxy=proxy.number, coordinator=self.name))
 
     def drop_proxy(self, proxy: TracedProxy) -> None:
-        """A proxy's stream breaks; what is on its way to it is lost."""
+        """Break a proxy's stream; messages in transit to it are lost."""
         self.leave(proxy.number)
-        self.in_transit = [each for each in self.in_transit if each.proxy is not proxy]
+        self.in_transit = [item for item in self.in_transit if item.proxy is not proxy]
         proxy.coordinator = None
         self.fleet.record(ProxyLeft(at=self.now, proxy=proxy.number, coordinator=self.name))
 
     def end(self, downtime: int) -> None:
-        """The process ends for so long (ns): what waits in its channel is lost, its proxies go elsewhere."""
+        """Stop the process for `downtime` ns; its channel's content and its streams are lost."""
         self.fleet.record(CoordinatorEnded(at=self.now, coordinator=self.name))
         for number in list(self.joined):
             self.drop_proxy(self.fleet.proxies[number])
@@ -179,7 +179,7 @@
         self.incarnation += 1
 
     def start(self) -> None:
-        """A new incarnation, which knows the list as it was told it last and nothing else."""
+        """Start a new incarnation that has restored only the last endpoint list."""
         self.up_at = None
         self.phases = {}
         self.reported_starts = {}
@@ -195,7 +195,7 @@
     # Turns
 
     def turn(self, ahead: int = TURN) -> None:
-        """One turn; only time passes while it is down."""
+        """Run one turn; only advance the clock while the coordinator is stopped."""
         if not self.up:
             self.now += ahead
             return
@@ -218,7 +218,7 @@
         self.coordinator.report(self.now, result)
 
     def on_written(self, proxy: int, message: Any, size: MessageSize) -> None:
-        """A message was written: it leaves the channel at `free_at`."""
+        """Record a written message, which leaves the channel at `free_at`."""
         written = MessageWritten(
             at=self.now,
             coordinator=self.name,
@@ -237,28 +237,28 @@
             self.fleet.record(ChannelBacklog(at=self.now, coordinator=self.name, entries=self.backlog))
 
     def deliver(self) -> None:
-        """Proxies apply what has arrived."""
-        arrived = [each for each in self.in_transit if each.arrives_at <= self.now]
-        self.in_transit = [each for each in self.in_transit if each.arrives_at > self.now]
-        for each in arrived:
-            each.proxy.apply(each.message)
-            each.proxy.reported_starts = self.reported_starts
-            each.proxy.written_at = each.written_at
-            self.fleet.record_table(each.proxy, self.now)
+        """Let proxies apply the messages that have arrived."""
+        arrived = [item for item in self.in_transit if item.arrives_at <= self.now]
+        self.in_transit = [item for item in self.in_transit if item.arrives_at > self.now]
+        for item in arrived:
+            item.proxy.apply(item.message)
+            item.proxy.reported_starts = self.reported_starts
+            item.proxy.written_at = item.written_at
+            self.fleet.record_table(item.proxy, self.now)
 
     # Load reports
 
     def queue_load_report(self, zone: str, name: str, attempts: float, failures: float, mean: float) -> None:
-        """A load report of a second, which waits for the intake; what waits adds up."""
+        """Queue a load report of one second; pending reports of a link are summed up."""
         waiting = self.intake.setdefault((zone, name), _QueuedReports())
         waiting.attempts += attempts
         waiting.failures += failures
         waiting.answered_time += (attempts - failures) * mean
         waiting.window += SECOND
 
-    def process_load_reports(self, most: int) -> None:
-        """Takes as many load reports as the intake does in a second."""
-        for zone, name in list(self.intake)[:most]:
+    def process_load_reports(self, limit: int) -> None:
+        """Process at most `limit` links' load reports, those of one second."""
+        for zone, name in list(self.intake)[:limit]:
             waiting = self.intake.pop((zone, name))
             answered = waiting.attempts - waiting.failures
             report = LoadReport(
@@ -274,7 +274,7 @@
 
 
 def _largest_part(data: bytes) -> int:
-    """Bytes of the largest part of a message, without the length before it."""
+    """Return the size of a message's largest part in bytes, without its length prefix."""
     largest = at = 0
     while at < len(data):
         size = int.from_bytes(data[at : at + LENGTH_SIZE], "little")
--- a/tests/support/traced_fleet.py
+++ b/tests/support/traced_fleet.py
@@ -1,10 +1,11 @@
-"""Several real coordinators in virtual time before the same backends and proxies, who record what they see.
+"""Several real coordinators in virtual time with the same backends and proxies, and a trace of their events.
 
-Built on `ProxyFleet`, which counts and paces what one coordinator writes. What is added: proxies that keep
-their tables and exclusions when they go from one coordinator to another and hold only what has arrived;
-backends that drain, die and come back cold; a list that each coordinator is told later or sooner, or twice;
-load reports past an intake; requests whose effect must happen once. All of it is recorded as events of
-`granitespool.scale.trace`, for the checker of the rules. Chance is one seeded generator."""
+Built on `ProxyFleet`, which counts and paces the messages of one coordinator. In addition, proxies keep their
+tables and exclusions when they move between coordinators and apply only messages that have arrived; backends
+drain, crash and return cold; coordinators receive the endpoint list at different times, or twice; load
+reports are processed at a limited rate; some requests must take effect only once. The events of
+`granitespool.scale.trace` are recorded for the rule checker. One seeded generator supplies all randomness.
+"""
 
 from random import Random
 from typing import NamedTuple
@@ -37,17 +38,17 @@
     "default_retries": 0,
     "health_checks_allowed": True,
 }
-BOOTSTRAP_BACKENDS = 5  # backends that a proxy knows at the start
-TABLE_OVERHEAD = 7  # entries of a message beside those of backends: its head, ticket, `whole` and levels
-DRAIN_OVERHEAD = 4  # the same of a message that takes backends out: its head and ticket
+BOOTSTRAP_BACKENDS = 5  # entries of a bootstrap table
+TABLE_OVERHEAD = 7  # entries of a message that are not weights: header, barrier, `whole` and levels
+DRAIN_OVERHEAD = 4  # the same of a message that removes backends: header and barrier
 MIN_DRAIN_GRACE = 3_300_000_000  # ns
-BACKLOG_TIME = 2  # s at the told pace that a full channel holds at least
-RECONNECT_TIME = SECOND // 2  # ns until a proxy that lost its stream has joined elsewhere, or twice as long
-TURNS_PER_LOAD_RECORD = 5  # turns
+BACKLOG_TIME = 2  # s of the configured rate that a full channel holds at least
+RECONNECT_TIME = SECOND // 2  # ns: shortest time to join again after a lost stream; the longest is twice that
+TURNS_PER_LOAD_RECORD = 5
 
 
 class ChannelSettings(msgspec.Struct, frozen=True):
-    """What a fleet's settings tell of its channels, and of the drains that must pass them."""
+    """The settings of a fleet's channels and of the drains that the channels must carry in time."""
 
     pace: float  # entries a second
     backlog_limit: float  # entries
@@ -57,10 +58,11 @@
     def for_fleet(
         cls, coordinators: int, proxies: int, backends: int, table_takes: float
     ) -> "ChannelSettings":
-        """As the platform sets it: what cannot be put off fits twice, with all proxies on one coordinator.
+        """Return settings with which urgent entries fit twice with all proxies on one coordinator.
 
-        Here that is the drains of all that may drain at a time. `table_takes`: seconds that a channel takes
-        for one complete table."""
+        The platform sets them so. The urgent entries are here the drains of all backends that may drain at a
+        time. `table_takes`: seconds that a channel takes for one complete table.
+        """
         pace = (backends + TABLE_OVERHEAD) / table_takes
         drains = coordinators * proxies * (int((1 - MIN_WARM_SHARE) * backends) + DRAIN_OVERHEAD)
         grace = max(MIN_DRAIN_GRACE, round(2 * drains / pace * SECOND))
@@ -68,7 +70,7 @@
 
 
 class _Reconnection(NamedTuple):
-    """A proxy that is about to join a coordinator."""
+    """A proxy that will join a coordinator at some time."""
 
     at: int  # ns
     proxy: TracedProxy
@@ -76,10 +78,11 @@
 
 
 class TracedFleet:
-    """Coordinators, proxies and backends; `events` gives what was recorded.
+    """Coordinators, proxies and backends; `events` returns the recorded trace.
 
-    `proxies` are each coordinator's, `intake` is load reports a second, `slowdown` how many times slower the
-    channels are than told."""
+    `proxies` is the number of proxies of each coordinator, `intake` the limit on load reports a second,
+    `slowdown` the factor by which the channels are slower than configured.
+    """
 
     def __init__(
         self,
@@ -91,7 +94,7 @@
         slowdown: float = 1,
         seed: int = 1,
     ) -> None:
-        """The coordinators run and all proxies have joined."""
+        """Start the coordinators and let all proxies join."""
         self.random = Random(seed)
         self.channel = channel
         self.intake = intake
@@ -122,31 +125,31 @@
         }
         return TracedCoordinator(self, f"c{number}", slowdown=self.slowdown, **settings)
 
-    def _join_first(self, proxy: TracedProxy, known: int) -> None:
-        names = self.random.sample(sorted(self.backends.by_name), known)
+    def _join_first(self, proxy: TracedProxy, entries: int) -> None:
+        names = self.random.sample(sorted(self.backends.by_name), entries)
         proxy.weights = dict.fromkeys(names, 1.0)
         self.record_table(proxy, self.now)
         self.coordinators[proxy.home].add_proxy(proxy)
 
     @property
     def now(self) -> int:
-        """The time in ns."""
+        """The current time in ns."""
         return self.clock.now
 
     # The trace
 
     def record(self, event: AnyEvent) -> None:
-        """Adds to the trace."""
+        """Add an event to the trace."""
         self.trace.append(event)
 
     def record_table(self, proxy: TracedProxy, now: int) -> None:
-        """Adds the table that a proxy holds from now (ns) on."""
+        """Record the table that a proxy has from `now` (ns) on."""
         excluded = frozenset(proxy.excluded)
         held = TableHeld(at=now, proxy=proxy.number, weights=dict(proxy.weights), excluded=excluded)
         self.record(held)
 
     def limits(self) -> Limits:
-        """The rules' figures; the times grow by the factor that the channels are slower than told."""
+        """Return the limits of the rules; times are multiplied by the slowdown of the channels."""
         return Limits(
             drain_grace=self.slowdown * self.channel.drain_grace,
             empty_limit=self.slowdown * SETTINGS["empty_table_limit"],
@@ -159,35 +162,36 @@
         )
 
     def events(self) -> list[AnyEvent]:
-        """The trace in order of time; events of one time stay in the order in which they were recorded."""
+        """Return the trace in order of time; events of the same time stay in recorded order."""
         return sorted(self.trace, key=lambda event: event.at)
 
     # Coordinators and proxies
 
     def running(self) -> list[TracedCoordinator]:
-        """The coordinators that run."""
+        """Return the running coordinators."""
         return [coordinator for coordinator in self.coordinators if coordinator.up]
 
     def end_coordinator(self, number: int, downtime: int) -> None:
-        """A coordinator ends for so long (ns); its proxies join the others and stay there.
+        """Stop a coordinator for `downtime` ns; its proxies join the others and stay there.
 
-        The last one is spared."""
+        The last running coordinator is not stopped.
+        """
         coordinator = self.coordinators[number % len(self.coordinators)]
         if coordinator.up and len(self.running()) > 1:
-            leaving = [self.proxies[each] for each in coordinator.joined]
+            leaving = [self.proxies[number] for number in coordinator.joined]
             coordinator.end(downtime)
             for proxy in leaving:
                 self._reconnect(proxy)
 
     def lose_streams(self, number: int) -> None:
-        """So many proxies lose their streams, and join anew where they may."""
+        """Break the streams of `number` proxies, which join a random coordinator again."""
         joined = [proxy for proxy in self.proxies.values() if proxy.coordinator]
         for proxy in self.random.sample(joined, min(number, len(joined))):
             proxy.coordinator.drop_proxy(proxy)
             self._reconnect(proxy)
 
     def return_home(self) -> None:
-        """Who is elsewhere goes back to its own coordinator, where that runs."""
+        """Move proxies back to their home coordinator if it is running."""
         for proxy in self.proxies.values():
             home = self.coordinators[proxy.home]
             if home.up and proxy.coordinator not in (None, home):
@@ -211,7 +215,7 @@
     # Time
 
     def turn(self) -> None:
-        """One turn of all, in step."""
+        """Run one turn of all parts."""
         self.backends.advance()
         for coordinator in self.coordinators:
             if coordinator.up_at is not None and coordinator.up_at <= self.now:
@@ -228,7 +232,7 @@
         self.clock.now += TURN
 
     def run(self, seconds: float) -> None:
-        """Turns for so long."""
+        """Run turns for `seconds`."""
         end = self.now + round(seconds * SECOND)
         while self.now < end:
             self.turn()
--- a/tests/support/traced_traffic.py
+++ b/tests/support/traced_traffic.py
@@ -1,4 +1,4 @@
-"""The requests of a traced fleet: the work that tables bring to backends, and requests with one effect."""
+"""The requests of a traced fleet: the load of the backends, and requests that must take effect only once."""
 
 from collections import defaultdict
 from random import Random
@@ -15,24 +15,22 @@
     from support.traced_backends import TracedBackend
     from support.traced_fleet import TracedFleet
 
-LOAD = 0.6  # of what the first backends can do warm
-ANSWER_TIME = SECOND // 10  # ns that a backend takes which is not overloaded
-ATTEMPTS = 20.0  # a second and proxy
-REQUESTS = 2  # with an effect that must happen once, a second and proxy
-LOST_ANSWER_SHARE = 0.05  # of those, whose answer is lost after the effect
-MAX_QUEUE_FACTOR = 4.0  # times the work that it can do by which a backend gets slower at most
-ATTEMPTS_BY_RETRIES = {0: 1, 1: 2, 2: 2, 3: 3}  # manner of retrying -> attempts in all
-RETRIES_AFTER_ANY_FAILURE = (
-    2  # the first manner of retrying that does not need proof that the attempt never ran
-)
-CLASS = "b"  # of the requests
+LOAD = 0.6  # share of the first backends' warm capacity
+ANSWER_TIME = SECOND // 10  # ns: response time of an idle backend
+ATTEMPTS = 20.0  # per second and proxy
+REQUESTS = 2  # requests that must take effect only once, per second and proxy
+LOST_ANSWER_SHARE = 0.05  # share of these requests whose answer is lost after the effect
+MAX_QUEUE_FACTOR = 4.0  # greatest load, as a multiple of the capacity, that still slows a backend down
+ATTEMPTS_BY_RETRIES = {0: 1, 1: 2, 2: 2, 3: 3}  # retry mode -> attempts in total
+RETRIES_AFTER_ANY_FAILURE = 2  # first retry mode that also retries attempts that may have been executed
+CLASS = "b"  # class of the requests
 
 
 class Work(msgspec.Struct):
-    """Work that reaches a backend, 1 for what one can do warm."""
+    """Work that reaches a backend, as a multiple of the warm capacity."""
 
     total: float = 0.0
-    informed: float = 0.0  # of it, from proxies that know of the backend's start
+    informed: float = 0.0  # part that is sent with knowledge of the backend's start
 
 
 class TracedTraffic:
@@ -45,9 +43,11 @@
         self.requests = 0
 
     def _shares(self, proxy: TracedProxy) -> dict[str, float]:
-        """Backend -> share of a proxy's attempts, retries counted.
+        """Return each backend's share of a proxy's attempts, including retries.
 
-        What a backend rejects that takes nothing new is tried once elsewhere, where it may be retried."""
+        An attempt that a backend rejects because it is not ready is retried once at another backend, if
+        retries are allowed.
+        """
         weights = proxy.usable_weights()
         total = sum(weights.values())
         if not total:
@@ -62,9 +62,9 @@
         return shares
 
     def _is_informed(self, proxy: TracedProxy, backend: "TracedBackend") -> bool:
-        """Whether the work that a proxy sends to a backend counts as sent with knowledge of its start."""
-        told = proxy.reported_starts.get(backend.name, ReportedStart(0, 0))
-        if told.started == backend.started and proxy.written_at >= told.received_at:
+        """Return whether a proxy's work counts as sent with knowledge of the backend's start."""
+        applied = proxy.reported_starts.get(backend.name, ReportedStart(0, 0))
+        if applied.started == backend.started and proxy.written_at >= applied.received_at:
             return True
         if proxy.coordinator is None:
             known = ReportedStart(0, 0)
@@ -74,18 +74,18 @@
         return known.started == backend.started and self.fleet.now - known.received_at >= grace
 
     def work(self) -> dict[str, Work]:
-        """The work that reaches each backend."""
+        """Return the work that reaches each backend."""
         found: dict[str, Work] = defaultdict(Work)
-        each = LOAD * self.fleet.backends.first_count / len(self.fleet.proxies)
+        proxy_work = LOAD * self.fleet.backends.first_count / len(self.fleet.proxies)
         for proxy in self.fleet.proxies.values():
             for name, share in self._shares(proxy).items():
-                found[name].total += each * share
+                found[name].total += proxy_work * share
                 informed = self._is_informed(proxy, self.fleet.backends.by_name[name])
-                found[name].informed += each * share * informed
+                found[name].informed += proxy_work * share * informed
         return found
 
     def record_loads(self) -> None:
-        """Records the work of each backend that did not start long ago."""
+        """Record the work of each backend that has started during the run."""
         work, now = self.work(), self.fleet.now
         for backend in self.fleet.backends.ready():
             if not backend.started:
@@ -101,7 +101,7 @@
             self.fleet.record(load)
 
     def report(self) -> None:
-        """What each coordinator's proxies saw in a second reaches it, as far as its intake goes."""
+        """Report a second's load and usage to each coordinator, within the limit of its intake."""
         work = self.work()
         for coordinator in self.fleet.running():
             by_link: dict[tuple[str, str], float] = defaultdict(float)
@@ -123,14 +123,14 @@
             coordinator.process_load_reports(self.fleet.intake)
 
     def _answers(self, name: str, work: dict[str, Work]) -> tuple[float, float]:
-        """The share of attempts that fail at a backend, and the mean time (ns) of the others."""
+        """Return the share of failing attempts at a backend and the mean time (ns) of the others."""
         backend = self.fleet.backends.by_name[name]
         pressure = work[name].total / backend.capacity_share(self.fleet.now)
         failed_share = 1.0 if backend.phase != "ready" else max(0.0, 1 - 1 / max(1.0, pressure))
         return failed_share, ANSWER_TIME * (1 + min(MAX_QUEUE_FACTOR, pressure))
 
     def execute_requests(self) -> None:
-        """Requests whose effect must happen once, retried as their proxy was told."""
+        """Execute the requests that must take effect only once, with the retry mode of their proxy."""
         for proxy in self.fleet.proxies.values():
             for _ in range(REQUESTS if proxy.coordinator else 0):
                 self.requests += 1
@@ -140,9 +140,9 @@
     def _execute(self, request: int, weights: dict[str, float], retries: int) -> None:
         for _ in range(min(ATTEMPTS_BY_RETRIES[retries], len(weights))):
             name = self.random.choices(list(weights), list(weights.values()))[0]
-            weights = {each: weight for each, weight in weights.items() if each != name}
+            weights = {other: weight for other, weight in weights.items() if other != name}
             if self.fleet.backends.by_name[name].phase != "ready":
-                continue  # rejected: it provably never ran
+                continue  # rejected: the attempt was certainly not executed
             executed = RequestExecuted(at=self.fleet.now, request=request, backend=name, effect="single_shot")
             self.fleet.record(executed)
             lost = self.random.random() < LOST_ANSWER_SHARE
