--- a/tests/reference/__init__.py
+++ b/tests/reference/__init__.py
@@ -1,1 +1,1 @@
-"""Former texts, kept plain as references that the present ones are held against."""
+"""Former implementations, kept as references for the current ones."""
--- a/tests/reference/adapter.py
+++ b/tests/reference/adapter.py
@@ -1,6 +1,7 @@
-"""The reference planner behind the present interface: events in, actions out, in its former words.
+"""Adapts the reference planner to the current interface of events and actions.
 
-Nothing is decided here. `former_settings` gives a typed record the former names.
+Translates names only: the reference keeps its former identifiers, and `former_settings` converts a typed
+record to them.
 """
 
 import msgspec
@@ -51,20 +52,20 @@
 
 
 def renamed(record, names):
-    """A record as a map in former words, without what is not told."""
+    """Return a record as a dict with the former names, without unset fields."""
     values = msgspec.structs.asdict(record)
     return {names.get(name, name): value for name, value in values.items() if value is not None}
 
 
 def former_settings(settings):
-    """The settings as the map that they were."""
+    """Return the settings as the former dict."""
     result = renamed(settings, SETTINGS)
     result["classes"] = [renamed(each, CLASS) for each in settings.classes]
     return result
 
 
 def former_entry(entry):
-    """An endpoint entry as the map that it was."""
+    """Return an endpoint list entry as the former dict."""
     return {
         "backend": entry.name,
         "zone": entry.zone,
@@ -77,7 +78,7 @@
 
 
 class FormerHost:
-    """The former host's calls on the present actions."""
+    """Maps the calls of the former host to the current actions."""
 
     NAMES = {
         "weigh": "set_entry",
@@ -104,14 +105,14 @@
 
 
 class FormerRecord:
-    """A backend of the reference, as far as the coordinator reads it."""
+    """The fields of a reference backend that the coordinator reads."""
 
     def __init__(self, record):
         self.name, self.phase, self.started_at = record.id, record.phase, record.started
 
 
 class FormerInspection:
-    """What the coordinator reads of a planner."""
+    """The inspection interface that the coordinator reads."""
 
     def __init__(self, planner):
         self.planner = planner
@@ -125,7 +126,7 @@
 
 
 class ReferencePlanner:
-    """The reference with the interface of `granitespool.planner.planner.Planner`."""
+    """The reference planner with the interface of `granitespool.planner.planner.Planner`."""
 
     def __init__(self, actions, seed, settings):
         self.actions = actions
--- a/tests/reference/channel.py
+++ b/tests/reference/channel.py
@@ -1,65 +1,72 @@
-"""The former account of the channel, for the reference planner. Counting alone.
+"""The former account of the entries in flight, for the reference planner. It only counts.
 
-A turn's orders to one proxy are one message: a head, a mark and its lines. They are taken off once the proxy
-answers that mark or a later one, or has left; what is neither is taken off when it has become too old."""
+The updates of a turn to one proxy are one message: a header, an acknowledgement barrier (`serial`, a "mark")
+and its entries ("lines"). They leave the account when the proxy acknowledges that barrier or a later one, or
+has left; otherwise when they are too old.
+"""
 
 from collections import Counter, deque
 
-SERIALS = 65536  # marks are whole numbers under this
+SERIALS = 65536  # barrier numbers are below this
 SECOND = 1_000_000_000  # ns
-UNTOLD = 2 * SECOND  # ns that a full queue takes where no pace or no limit is told: the usual one's
-MESSAGES_SPAN = 10 * SECOND  # ns that messages to a proxy are counted over where it is not told: the usual
-NO_LIMIT = 1e9  # lines: stands for a queue, or a pace, without a limit
-MARK_LOST = 16  # full queues at the told pace after which a mark is lost: a channel may be ten times
-#                         slower for a while, and what it holds must not be forgotten
-EMPTY_PART = 0.94  # part that one order may take of an empty queue: what a leaving stream was just being
-#                         sent is passed on to its end, and is counted here no more
-
-
-ANSWERS = 64  # answers that the met pace is a mean of: about half of a coordinator's proxies, since
-#                         one that stands still tells nothing of the channel
-WAY = SECOND // 2  # ns that a message may be on its way and applied in beyond the queue: tells of small
-#                         queues are mostly that, and no channel is slow for it
+UNTOLD = 2 * SECOND  # ns to drain a full queue if the rate or the limit is unset: the usual value
+MESSAGES_SPAN = 10 * SECOND  # ns: window of the message limit if it is unset: the usual value
+NO_LIMIT = 1e9  # entries: stands for an unlimited queue or rate
+# Times to drain a full queue at the configured rate after which a barrier is lost: a channel may be ten times
+# slower for a while, and what it holds must stay in the account
+MARK_LOST = 16
+# Share of an empty queue that one update may take: the message that an ended stream was being sent is still
+# passed on, and is no longer counted here
+EMPTY_PART = 0.94
+# Acknowledgements in the mean of the observed rate: about half of a coordinator's proxies, since a stalled
+# one shows nothing about the channel
+ANSWERS = 64
+# ns of transport and applying beyond the time in the queue: with small queues the latency is mostly that, and
+# the channel is not slow because of it
+WAY = SECOND // 2
 
 
 class Turn:
     __slots__ = ("ahead", "at", "lines", "serial")
 
     def __init__(self, serial, at):
-        self.serial, self.at, self.lines = serial, at, {}  # proxy -> lines of its message
-        self.ahead = {}  # proxy -> lines of its message and all before it
+        self.serial, self.at, self.lines = serial, at, {}  # proxy -> entries of its message
+        self.ahead = {}  # proxy -> entries of its message and of all earlier ones
 
 
 class Channel:
     def __init__(self):
-        self.waiting, self.serial, self.ordered = 0, 0, 0  # ordered: lines in all, heads with them
-        self.turns = {}  # mark -> Turn, oldest first; as long as any of its lines waits
+        self.waiting, self.serial, self.ordered = 0, 0, 0  # ordered: entries sent in total, with headers
+        self.turns = {}  # barrier -> Turn, oldest first, while any of its entries is in flight
         self.held = {}  # proxy -> its turns, oldest first
-        self.took = self.expected = 0.0  # ns that messages took, and would by the told pace: means
+        # ns: mean latency of messages, and the one expected by the configured rate
+        self.took = self.expected = 0.0
 
     def new_settings(self, settings):
         self.pace, self.limit = settings.get("lines_per_s", NO_LIMIT), settings.get("backlog_limit", NO_LIMIT)
-        self.head = 1 + settings.get("message_head", 0)  # of a message, its mark with it
+        self.head = 1 + settings.get("message_head", 0)  # entries of a message's header with its barrier
         told = settings.get("lines_per_s") and settings.get("backlog_limit")
         most, span = settings.get("messages_limit"), settings.get("messages_span", MESSAGES_SPAN)
-        self.message_gap = span / most if most else 0  # ns between a proxy's messages by their cap
-        self.full = int(SECOND * self.limit / self.pace) if told else UNTOLD  # ns that a full queue takes
+        self.message_gap = span / most if most else 0  # ns between a proxy's messages by the limit
+        self.full = int(SECOND * self.limit / self.pace) if told else UNTOLD  # ns to drain a full queue
 
     @property
     def met(self):
-        """Lines a second that the channel carries by the answers met: at most the told pace."""
+        """The observed rate in entries a second, by the acknowledgements; at most the configured rate."""
         return self.pace * min(1.0, self.expected / self.took) if self.took else self.pace
 
     def room(self, part, within=None):
-        """Lines that still fit into a part of the queue, and leave within a time (ns) at the met pace; an
-        empty queue takes nearly all, whatever the part."""
+        """Return the entries that fit into a share of the queue and leave within a time (ns).
+
+        The time counts at the observed rate. An empty queue takes nearly its limit, whatever the share.
+        """
         most = part * self.limit
         if within is not None:
             most = min(most, self.met * within / SECOND)
         return (most if self.waiting else max(most, EMPTY_PART * self.limit)) - self.waiting
 
     def book(self, now, proxy, lines):
-        """More lines in this turn's message to a proxy; True where the turn has no mark yet."""
+        """Add entries to this turn's message to a proxy; return True if the turn has no barrier yet."""
         turn = self.turns.get(self.serial)
         first = turn is None or turn.at != now
         if first:
@@ -76,9 +83,12 @@
         return first
 
     def fitting(self, costs, part):
-        """Of orders with these lines by proxy, how many in a row fit into a part of the queue with heads,
-        and the lines that they then are to each proxy, its head not with them. Lines may be parts of one, as
-        likely as they are sent: booked whole, what is never sent would fill the account."""
+        """Return how many updates in order fit into a share of the queue, and their entries by proxy.
+
+        `costs` are entries by proxy of each update; headers count for the fit and not in the result. Entries
+        may be fractions, by the probability that they are sent: counted whole, entries that are never sent
+        would fill the account.
+        """
         room, reach, fits = self.room(part), Counter(), 0
         for more in costs:
             room -= sum(
@@ -98,7 +108,10 @@
         return ((self.serial + 1 + n) % SERIALS for n in range(SERIALS))
 
     def answered(self, now, proxy, serial, took=None):
-        """The proxy has applied all up to this mark, or at least its oldest (None); True if one waited."""
+        """Record that a proxy has applied all up to this barrier, or its oldest (None).
+
+        Return True if a message was in flight.
+        """
         turns = self.held.get(proxy, ())
         turn = next((turn for turn in turns if turn.serial == serial), None)
         if not turns or (serial is not None and turn is None):
@@ -116,18 +129,18 @@
             self._take(proxy)
 
     def takes(self, lines):
-        """The time until these have left as well, in ns, at the told pace."""
+        """Return the time until these entries have left as well, in ns, at the configured rate."""
         return (self.waiting + lines) / self.pace * SECOND
 
     def expire(self, now):
-        """Takes off what has waited for too long to be on its way still."""
+        """Remove the messages that are too old to be still in flight."""
         before = now - MARK_LOST * self.full
         for turn in [turn for turn in self.turns.values() if turn.at < before]:
             for proxy in list(turn.lines):
                 self._take(proxy)
 
     def _take(self, proxy):
-        """Takes off the oldest message to a proxy; returns its mark."""
+        """Remove the oldest message to a proxy and return its barrier."""
         turns = self.held[proxy]
         turn = turns.popleft()
         if not turns:
@@ -135,5 +148,6 @@
         self.waiting -= turn.lines.pop(proxy)
         if not turn.lines:
             del self.turns[turn.serial]
-            self.waiting = self.waiting if self.turns else 0  # parts of lines leave no dust
+            # Drops the rounding error of fractions of entries
+            self.waiting = self.waiting if self.turns else 0
         return turn.serial
--- a/tests/reference/planner.py
+++ b/tests/reference/planner.py
@@ -1,13 +1,12 @@
-"""The planner as it was before it looked only at what changed: the reference of planner/test_dirty_set.py.
+"""The planner from before it evaluated only changes: the reference of planner/test_dirty_set.py.
 
-It walks every backend, zone and table at each flush. It is kept as it stood, but for decisions that were
-changed on purpose since, which are changed in both: joiners are bound within a third of the grace and before
-newer drains, and levels are ordered by groups of classes, for tables that somebody uses.
+It evaluates every backend, zone and table at each flush. It is unchanged, apart from intended changes of
+behaviour that were made in both planners: joining proxies are assigned within a third of the grace and before
+newer drains, and admission levels are sent by groups of classes, for tables that have users.
 
-All decisions of granitespool: one Planner for each coordinator instance.
-
-Made when an instance starts; then one method is called for each thing that happens, with the batch clock in
-whole nanoseconds, and it acts by calling the host at once (granitespool/host.py; docs/design.md)."""
+One Planner makes all decisions of a coordinator. It is created when the coordinator starts; one method is
+called for each event, with the clock in whole nanoseconds, and it acts by calling the host at once.
+"""
 
 import math
 from collections import Counter, defaultdict, deque
@@ -17,79 +16,87 @@
 from reference.subsets import Subsets
 
 SECOND = 1_000_000_000  # ns
-ALPHA = 0.5  # per percent: steepness of f(u), the paper's
-BETA = 80.0  # percent: where f(u) is half way up and a server counts as running over, the paper's
-PERIOD = 1 * SECOND  # ns between recomputes: the period of the reports, so each weight move is small
-RAMP_STEP = 5 * SECOND  # ns for each doubling of a new server's part: the design page's round
-RAMP_DONE = 40  # doublings after which a ramp is over whatever it began at; past 1,023 a float ends
-RAMP_START = 0.25  # part of its weight that a new or returned server starts at: the design page's
-LOWEST_SPAN = 60 * SECOND  # ns that the lowest mean is looked for in: the design page's minute
-GONE_KEPT = 20 * SECOND  # ns that who is gone is known: joiners with old tables are bound in a few seconds
-KEEP = 0.92  # part of what was heard that a recompute carries on: a mean over some twelve seconds
-PRIOR = 8.0  # answers that the average cost of a server's kind stands for
-HEARD_LEAST = 3.0  # answers below which a server's mean is chance, so it counts as unheard
-RESEND = 0.1  # part a weight must move by to be sent: the design page's tenth
-CUT_REPORTS = 2  # reports running over before a cut: the design page's
-CUT_TRIES = 5  # tries running that a cut for failures rests on: one or two failing are chance
-REFUSAL = SECOND // 4  # ns: a refusal is quick; one that took longer is of a server whose own check hung
-LATE_PROBE = 2  # failing tries that a probe without an answer in time stands for
-CUT_SHARE = 3  # at most one in this many listed ready servers is cut from a table: the design page's
-LAST_RESORT = 0.02  # part of its weight that a server past the cap on cuts keeps: some tries to hear it
-UNHEARD_PERIODS = 2  # periods that a cut server stays unheard before it comes back: the design page's
-MESSAGE_ROOM = 1.25  # times the shortest gap that keeps the messages to a proxy under their cap
-RECENT = 0.1  # part of the fleet sums that each look carries on: late as they are, no lag is added
-STRAINED_TIME = 0.65  # part of the shortest promised time: a mean above it means many answers come too late
-LOOK_LEAST = 20  # tries under which a look at the fleet is chance: the first reports after a start
-CALM_TIME = 0.5  # part of the shortest promised time: a mean under it ends a strain
-SHED_STEP = 0.95  # factor a look while the strain lasts, of what is let in and of what is answered
-SHED_BACK = 1.08  # factor a look without strain: the less is refused, the less is asked again
-SHED_LEAST = 0.2  # share of the work that is always let in: what is heard must not run dry
-SHED_FLOOR = 0.1  # share of each class let in however low its benefit: the worst class counts too
-SHED_MOVE = 0.03  # step of a level that is worth a message
-GUARD = 0.5  # part of the told multiple of its work that a cold server is let have in a storm
-START_THROUGH = 0.3  # share of tries taken as answered by who starts among cold servers: a storm may be on
-LEAST_WEIGHT = 0.0001  # what rounding leaves of a weight above 0: a line must not vanish by it
-LEVELS = 4  # orders that let all classes in at most: whole, as good as whole, one in part, the floor
-NO_LIMIT = 1e6  # transactions a second at a proxy that stand for letting in all
-ORDINARY = 0.15  # part of the channel's pace that ordinary changes may use: orders have a price
-HEADS = 0.15  # part of the channel's pace for heads of messages: sets the gap between flushes
-RULE_PART = 0.94  # part of the queue's limit that rule lines may fill: what joiners hold is a guess
-JOIN_PART = 0.2  # part that moves may fill while anyone is to be bound: binds go first
-AHEAD = 2 * SECOND  # ns at the met pace that moves may wait in the channel: a drain would be behind them
-FEW = 8  # a table that at most one in so many proxies uses: a message to all of them is cheap
-BIND_PART = 0.35  # part of the queue that binds may fill: drains need the rest
-BIND_TIME = 1 / 3  # part of the grace that what they fill may take at the met pace: a drain waits behind it
-IN_TIME = 0.5  # part of the drain's grace: who is bound within it needs nothing shut out
-TOGETHER = 1 / 6  # part of the grace that joiners wait for others, to be told at once what is shut out
-KEPT = 2  # graces after which a drain needs no telling: who had the joiners before has kept it
-DOUBT = 3 * SECOND  # ns that a remembered strain holds unless it is met: reports of the first two seconds
+ALPHA = 0.5  # per percent: steepness of f(u)
+BETA = 80.0  # percent: midpoint of f(u), and the utilization above which a server counts as overloaded
+# ns between recomputations: the period of the reports, so that each weight change is small
+PERIOD = 1 * SECOND
+RAMP_STEP = 5 * SECOND  # ns for each doubling of a new server's share
+RAMP_DONE = 40  # doublings after which any ramp has ended; a float overflows after 1,023
+RAMP_START = 0.25  # share of its weight with which a new or returned server starts
+LOWEST_SPAN = 60 * SECOND  # ns: window of the minimum round trip
+# ns that a gone backend is kept: proxies that join with old tables are assigned in a few seconds
+GONE_KEPT = 20 * SECOND
+KEEP = 0.92  # decay factor of observations at a recomputation: a mean over some twelve seconds
+PRIOR = 8.0  # answers that the average cost of a server's kind counts for
+HEARD_LEAST = 3.0  # answers below which a server's mean is random, so that it has no cost of its own
+RESEND = 0.1  # relative change of a weight from which it is sent
+CUT_REPORTS = 2  # consecutive overloaded reports before an ejection
+CUT_TRIES = 5  # consecutive failed attempts for an ejection: one or two are random
+REFUSAL = SECOND // 4  # ns: a rejection is quick; a slower one comes from a server whose own check hung
+LATE_PROBE = 2  # failed attempts that a late health check counts for
+CUT_SHARE = 3  # at most one in this many ready servers is ejected from a table
+# Share of its weight that a server past the cap on ejections keeps: some attempts to observe it
+LAST_RESORT = 0.02
+UNHEARD_PERIODS = 2  # periods without a report after which an ejected server returns
+MESSAGE_ROOM = 1.25  # multiple of the shortest gap that keeps the messages to a proxy under their limit
+# Decay factor of the fleet's sums at each evaluation: the reports are late, and this adds no lag
+RECENT = 0.1
+STRAINED_TIME = 0.65  # share of the shortest latency objective: a mean above it means many late answers
+LOOK_LEAST = 20  # attempts below which an evaluation of the fleet is random: the first reports after a start
+CALM_TIME = 0.5  # share of the shortest latency objective: a mean below it ends an overload
+SHED_STEP = 0.95  # factor at each evaluation during an overload, on the smaller of admitted and answered work
+SHED_BACK = 1.08  # factor at each evaluation without overload: fewer rejections cause fewer retries
+SHED_LEAST = 0.2  # share of the work that is always admitted: observations must not stop
+SHED_FLOOR = 0.1  # share of each class that is admitted however low its benefit: the worst class counts too
+SHED_MOVE = 0.03  # smallest step of a level that is sent
+GUARD = 0.5  # share of the permitted overload multiple that a cold server may receive in a storm of retries
+START_THROUGH = 0.3  # assumed success ratio at a start among cold servers: there may be a storm of retries
+LEAST_WEIGHT = 0.0001  # lower bound of a rounded weight above 0: rounding must not remove an entry
+LEVELS = 4  # maximum of different admission levels: all, nearly all, one partial, the floor
+NO_LIMIT = 1e6  # requests a second at a proxy that stand for admitting all
+ORDINARY = 0.15  # share of the channel's rate for ordinary changes: updates have a cost
+HEADS = 0.15  # share of the channel's rate for message headers: sets the gap between flushes
+RULE_PART = 0.94  # share of the queue for mandatory entries: what joining proxies hold is an estimate
+JOIN_PART = 0.2  # share of the queue for moves while a proxy is unassigned: assignments go first
+# ns at the observed rate that moves may wait in the channel: a drain would wait behind them
+AHEAD = 2 * SECOND
+FEW = 8  # a table has few users if at most one in this many proxies uses it: a message to them is cheap
+BIND_PART = 0.35  # share of the queue for assignments: drains need the rest
+BIND_TIME = 1 / 3  # share of the grace for assignments at the observed rate: a drain waits behind them
+IN_TIME = 0.5  # share of the drain grace: a proxy assigned within it needs no exclusions
+TOGETHER = 1 / 6  # share of the grace that joining proxies wait for others, to get exclusions together
+KEPT = 2  # graces after which a drain needs no exclusion: the proxies' former coordinator has sent it
+# ns that a restored overload lasts unless it is observed: reports of the first two seconds
+DOUBT = 3 * SECOND
 REMEMBERED = "phase", "zone", "kind", "listed", "started", "gone_at", "ramp_from", "proven", "missing"
 MET = "tries", "failed", "answered", "time", "over", "streak", "cut_at", "ramp_from"  # of a link
-DISAGREE = 2.5  # factor between means that is no chance: an eighth of three answers' means pass it
-DISAGREE_FAILED = 0.35  # the same of shares that failed
-SAVED = 5  # s of the channel's pace that ordinary changes may save up: the design page's period
+DISAGREE = 2.5  # factor between means that is not random: an eighth of the means of three answers exceed it
+DISAGREE_FAILED = 0.35  # the same for the difference of failed shares
+SAVED = 5  # s of the channel's rate that ordinary changes may save up
 
 
-class Link:  # what the proxies of one zone met at a backend, and what that makes of it
+class Link:  # observations of the proxies of one zone at a backend, and the state derived from them
     def __init__(self):
         self.tries = self.failed = self.answered = self.time = self.heard = 0.0
-        self.lows, self.spare = deque(), False  # means of the last minute; cut only down to a last resort
-        self.over = self.streak = 0  # reports running over; tries running that failed
+        # Means of the last minute; whether ejected only down to a last resort
+        self.lows, self.spare = deque(), False
+        self.over = self.streak = 0  # consecutive overloaded reports; consecutive failed attempts
         self.cut_at = self.ramp_from = self.cost = None
-        self.recalled = False  # its sums are what a former life had met
+        self.recalled = False  # whether its sums were restored
 
     def fade(self, part):
         self.tries, self.failed = self.tries * part, self.failed * part
         self.answered, self.time = self.answered * part, self.time * part
 
 
-class Backend:  # the one record of a backend
+class Backend:  # the record of a backend
     def __init__(self, backend, now):
         self.id, self.zone, self.kind, self.phase = backend, None, None, "gone"
         self.listed, self.started, self.ramp_from, self.probed_at = 1.0, 0, None, -PERIOD
-        self.links, self.sent, self.subset = defaultdict(Link), {}, None  # subset: where the fleet is split
+        self.links, self.sent, self.subset = defaultdict(Link), {}, None  # subset: if the fleet is split
         self.tried = self.missed = self.done = self.spent = 0.0
-        self.missing, self.proven, self.gone_at = False, True, now  # gone by the list alone; answers; when
+        # Gone by the list alone; has answered; since when it is gone
+        self.missing, self.proven, self.gone_at = False, True, now
 
 
 class Planner:
@@ -97,21 +104,23 @@
         self.host, self.jitter, self.channel = host, Random(seed).uniform, Channel()
         self.new_settings(now, settings)
         self.backends, self.proxies, self.average = {}, {}, {}  # id -> Backend, (table, rate); zone -> ns
-        self.unbound, self.flushed_at = {}, -1  # proxy yet to be bound -> (others' lines it holds, since)
+        # Unassigned proxy -> (entries of other tables it holds, since)
+        self.unbound, self.flushed_at = {}, -1
         self.subsets = Subsets(settings.get("zones") or [])
         self.tables = self.subsets.tables  # zone -> its tables, one for each subset of the fleet
-        self.lines, self.users = Counter(), defaultdict(dict)  # table -> its lines; proxies bound to it
-        self.levels, self.slices = defaultdict(dict), {}  # table -> {class: as sent}; slice held -> lines
+        self.lines, self.users = Counter(), defaultdict(dict)  # table -> its entries; its assigned proxies
+        # Table -> {class: level sent}; assigned slice -> entries
+        self.levels, self.slices = defaultdict(dict), {}
         self.next_flush = self.next_alarm = self.flush_due = self.lag = self.shut_at = self.doubt = 0
-        self.credit = SAVED * settings.get("lines_per_s", 1e9)  # lines for ordinary changes
+        self.credit = SAVED * settings.get("lines_per_s", 1e9)  # entries for ordinary changes
         self.short = self.later = self.listed_once = self.strained = self.bare = False
-        self.through, self.room, self.asked = 1.0, 1.0, {}  # answered part of tries; let-in part; by class
+        self.through, self.room, self.asked = 1.0, 1.0, {}  # success ratio; admitted share; demand by class
         if settings.get("subscribe"):
             host.observe(True)
         host.wake(PERIOD, "round")
 
     def new_settings(self, now, settings):
-        self.settings = settings  # read where needed, so they act from the next decision on
+        self.settings = settings  # read where needed, so that they apply from the next decision on
         self.channel.new_settings(settings)
         self.classes = [{"promised_time": SECOND, "benefit": 1, **c} for c in settings.get("classes") or []]
         self.level_lines, self.let_in = min(len(self.classes), LEVELS), None
@@ -132,15 +141,15 @@
         rec = self.backends.get(backend)
         if rec is None:
             rec = self.backends[backend] = Backend(backend, now)
-        # Where only a drain binds, a probe checks a list that drops a server: it may be old or wrong. Harm:
-        # one that died is kept until the probe, or the reports, tell.
+        # If removals need a drain, a health check verifies a list that lacks a server: it may be old or
+        # wrong. Drawback: a crashed server is kept until the health check or the load reports show it.
         rec.missing = phase == "gone" and rec.phase == "ready" and self.settings.get("drain_needs_entry")
         if rec.missing:
             return self._probe(now, rec, True)
         rec.gone_at = now if phase != "ready" and rec.phase == "ready" else rec.gone_at
         if phase == "ready" and (rec.phase != "ready" or started > rec.started):
-            # A list may name what is not there: who is new earns its ramp by an answer, where probes tell. In
-            # the first list only those still cold are new; they start over: a storm may be on, levels lost.
+            # A list may contain absent servers: with health checks a new one starts its ramp by an answer. In
+            # the first list only cold ones are new; they start over: there may be a storm, with levels lost.
             cold = started and now - started < self.settings.get("cold_time", 0)
             rec.links.clear()
             rec.ramp_from = now if self.listed_once or cold else None
@@ -156,7 +165,7 @@
         if cookie == "round":
             self.host.wake(PERIOD, "round")
             self._round(now)
-        elif cookie == "flush" and now >= self.flush_due:  # one that an earlier has replaced is none
+        elif cookie == "flush" and now >= self.flush_due:  # a timer replaced by an earlier one is ignored
             self.flush_due = 0
             self._flush(now)
         elif cookie == "observe":
@@ -195,16 +204,16 @@
                         rec.links[zone] = Link()
                         rec.links[zone].ramp_from = now
             if rec.phase == "gone" and not any(rec.sent.values()) and now - rec.gone_at > GONE_KEPT:
-                self.host.forget(self.backends.pop(rec.id).id)  # the one place; no table or shut-out names it
+                self.host.forget(self.backends.pop(rec.id).id)  # only here: no table or exclusion contains it
         self.channel.expire(now)
         self._flush(now)
 
     def _cost(self, now, rec, link):
-        """W = (p*2*RTT + (1-p)*RTT) * f(u), or None where too little was heard."""
+        """W = (p*2*RTT + (1-p)*RTT) * f(u), or None with too few answers."""
         if link.answered < HEARD_LEAST:
             return None
         rtt, errors = link.time / link.answered, link.failed / link.tries
-        while link.lows and link.lows[-1][1] >= rtt:  # the lowest stays at the front
+        while link.lows and link.lows[-1][1] >= rtt:  # the minimum stays at the front
             link.lows.pop()
         link.lows.append((now, rtt))
         while link.lows[0][0] < now - LOWEST_SPAN:
@@ -218,7 +227,7 @@
         return 100 * max(0.0, rtt - (link.lows[0][1] if link.lows else rtt)) / rtt
 
     def _strain(self, now):
-        """Strain is trouble of the fleet, told by the middle try's server; failures alone are none."""
+        """Detect overload of the fleet by the server of the median attempt; failures alone are none."""
         heard = [rec for rec in self.backends.values() if rec.tried >= 1]
         tries, asked = sum(rec.tried for rec in heard), sum(self.asked.values())
         if tries >= LOOK_LEAST:
@@ -230,20 +239,23 @@
             promised = min((kind["promised_time"] for kind in self.classes), default=SECOND)
             self.strained = mean > (CALM_TIME if self.strained else STRAINED_TIME) * promised
             self.through = 1 - sum(rec.missed for rec in heard) / tries
-            if not self.strained:  # more is let in as the strain eases
+            if not self.strained:  # admit more as the overload recedes
                 self.room = min(1.0, self.room * SHED_BACK)
             elif asked > 0:
                 self.room = max(SHED_LEAST, SHED_STEP * min(self.room, sum(r.done for r in heard) / asked))
         if self.doubt and (tries >= LOOK_LEAST or now >= self.doubt):
             self.strained, self.doubt = self.strained and tries >= LOOK_LEAST, 0
-            self.room = self.room if self.strained else 1.0  # who is calm has nothing to ease
+            self.room = self.room if self.strained else 1.0  # without overload nothing is shed
         for rec in self.backends.values():
             rec.tried, rec.missed = rec.tried * RECENT, rec.missed * RECENT
             rec.done, rec.spent = rec.done * RECENT, rec.spent * RECENT
         self.asked = {name: number * RECENT for name, number in self.asked.items()}
 
     def _shares(self):
-        """The share let in of each class: least benefit per work goes first, by promised time for work."""
+        """Return the admitted share of each class; the least benefit per work is shed first.
+
+        Work counts by the latency objective.
+        """
         work = [self.asked.get(kind.get("name"), 0) * kind["promised_time"] for kind in self.classes]
         shares, room = [1.0] * len(work), (self.room - SHED_FLOOR) * sum(work)
         if self.room < 1 and sum(work) and self.settings.get("admission") == "fraction":
@@ -266,7 +278,8 @@
         if answered:
             self._prove(now, rec)
         if link.recalled and tries >= HEARD_LEAST:
-            # What is met goes before what is remembered: where the two disagree, all of that is dropped.
+            # Observations take precedence over restored sums: if they disagree, all restored sums are
+            # dropped.
             link.recalled, moved = False, abs(failed / tries - link.failed / link.tries) > DISAGREE_FAILED
             ratio = mean * link.answered / link.time if answered and link.time else 1.0
             if moved or not 1 / DISAGREE < ratio < DISAGREE:
@@ -276,8 +289,8 @@
         link.answered, link.time = link.answered + answered, link.time + answered * mean
         rec.tried, rec.missed = rec.tried + tries, rec.missed + min(failed, tries)
         rec.done, rec.spent = rec.done + answered, rec.spent + answered * mean
-        # Failures alone are an alarm like u over 80%, once enough tries stand behind it: for quick errors,
-        # hangs, silence, a cut link. u is none while the fleet strains: a cut would only move load.
+        # Failures alone are an alarm like u over 80%, given enough attempts: for quick errors, hangs, missing
+        # answers, a broken link. u is none during an overload: an ejection would only move load.
         link.streak = 0 if failed < tries else link.streak + tries
         eased = answered and not self.strained and self.room >= 1
         over = failed >= tries or (eased and self._utilization(link, link.time / link.answered) > BETA)
@@ -292,7 +305,8 @@
             self._probe(now, rec)
 
     def _cut(self, now, zone, rec):
-        # Past the cap a server stays as a last resort: a few tries tell when it heals, or all weigh alike
+        # Past the cap a server stays as a last resort: a few attempts show its recovery; if all are, all
+        # weigh equal
         ready = [
             each.links[zone]
             for each in self.backends.values()
@@ -314,7 +328,7 @@
             self.host.probe(rec.id)
 
     def probed(self, now, backend, status, took, load):
-        """A silent probe confirms a report of failures and keeps a cut server out."""
+        """Handle a health check; a missing answer confirms reported failures and keeps a server ejected."""
         rec = self.backends.get(backend)
         status = "timeout" if status == "full" and took > REFUSAL else status
         if rec and status in ("ok", "full"):
@@ -329,7 +343,8 @@
             if link.cut_at is not None:
                 link.cut_at = now
             elif link.streak:
-                # A probe may wait in the queue like a transaction: late, it is worth a few tries and no more.
+                # A health check may wait in the queue like a request: a late one counts for a few attempts
+                # only.
                 link.streak += LATE_PROBE if late else CUT_TRIES
                 if link.streak >= CUT_TRIES:
                     self._cut(now, zone, rec)
@@ -338,22 +353,23 @@
     def arrivals(self, now, proxy, grade, number, unanswered, window):
         self.asked[grade] = self.asked.get(grade, 0) + number
 
-    def joined(self, now, proxy, zone, standing, rate, again=False):  # again: on the stream that was silent
+    # again: on the stream that was unreachable
+    def joined(self, now, proxy, zone, standing, rate, again=False):
         self.left(now, proxy, again)
         self.proxies[proxy] = table, _ = self.subsets.join(zone, rate, self.channel), rate
         if self.settings.get("slices"):
             for rec in self.backends.values():
-                rec.sent.pop("out", None)  # what was shut out before did not reach this one
+                rec.sent.pop("out", None)  # earlier exclusions did not reach this proxy
             return self._flush(now)
         held = min(len(self.backends), self.settings.get("standing_lines", 0) if standing else 1e9)
         self.unbound[proxy] = held, now
         if not self.lines[table]:
             self._flush(now)
-        if self.let_in and not self.users[table]:  # it comes with the table
+        if self.let_in and not self.users[table]:  # sent together with the table
             self._levels(now, table, *self.let_in)
         self._bind(now, proxy)
 
-    def left(self, now, proxy, silent=False):  # silent: what waits for it may still be on its way
+    def left(self, now, proxy, silent=False):  # silent: messages to it may still be in flight
         if proxy in self.proxies:
             table, rate = self.proxies.pop(proxy)
             self.users[table].pop(proxy, None)
@@ -371,15 +387,18 @@
         self.slices.pop(table, None)
         if ours:
             self.slices[table] = {}
-            self.host.wake(0, "flush")  # its lines come with the same batch
+            self.host.wake(0, "flush")  # its entries follow in the same batch
 
     def slice_line(self, now, table, backend, weight):
         if table in self.slices:
             self.slices[table][backend] = weight
 
     def recalled(self, now, fleet, backends):
-        """What a former life had learnt, as far as it is believed; at a start, before anyone joins. The first
-        reports of a server outweigh it, cuts keep to their cap and are probed, cold servers stay guarded."""
+        """Restore the trusted state of a former process; at a start, before any proxy joins.
+
+        The first reports of a server outweigh it, ejections keep to their cap and are health-checked, and
+        cold servers stay protected.
+        """
         for backend, (kept, links) in backends.items():
             rec = self.backends[backend]
             rec.ramp_from, rec.missing = rec.ramp_from or kept["ramp_from"], kept["missing"]
@@ -404,11 +423,11 @@
         self._flush(now)
 
     def peer_said(self, now, *words):
-        """Nothing is decided on it, nor on the load of slices: each instance keeps the rules alone."""
+        """Ignore gossip, like the load of slices: each coordinator follows the rules by itself."""
 
     slice_load = peer_said
 
-    def warm(self, now, rec):  # the part of its work that it can do by the told warm-up
+    def warm(self, now, rec):  # the share of its work that it can do by the configured warm-up
         share, whole = self.settings.get("cold_share", 0), self.settings.get("cold_time", 3 * RAMP_STEP)
         age = 1 if rec.ramp_from is None else min(1, (now - rec.started) / max(1, whole))
         return share + (1 - share) * age
@@ -419,52 +438,56 @@
         if out or rec.phase != "ready" or not (rec.proven or self.bare):
             return 0.0
         for since in (rec.ramp_from, link.ramp_from):
-            if since is not None:  # who is new does its whole part once it is warm
+            if since is not None:  # a new server gets its whole share once it is warm
                 pace = max(1, min(RAMP_STEP, self.settings.get("cold_time", 2 * RAMP_STEP) // 2))
                 least = max(RAMP_START, self.settings.get("cold_share", 0))
                 part = min(part, least * 2.0 ** min(RAMP_DONE, (now - since) // pace))
         if link.cut_at is not None:
             part = min(part, LAST_RESORT)
         if (warm := self.warm(now, rec)) < 1:
-            # In a storm of tries a quarter weight is many times a quarter of the work: a cold server gets its
-            # part of what is answered, or by its warmth what the rule lets pass. Harm: it warms with less.
+            # In a storm of retries a quarter of the weight is many times a quarter of the work: a cold server
+            # gets its share of the answered work, or by its warmth what the rule permits. Drawback: it warms
+            # up with less.
             part = min(part, self.through * max(part, GUARD * self.settings.get("fall_multiple", 0) * warm))
-            average = min(average or 0, link.cost or 0)  # an idle cold server answers fast: no more for that
+            # An idle cold server answers fast: it gets no more for that
+            average = min(average or 0, link.cost or 0)
         cost = average / link.cost if average and link.cost else 1.0
         return max(LEAST_WEIGHT, round(rec.listed * cost * part, 4))
 
     def _flush(self, now, only=None):
-        """Sends what differs, of one backend or all; only a rule's lines use the channel's second half."""
-        merging = now == self.flushed_at  # one reply, one message: more of it costs no head
+        """Send changed entries, of one backend or all; only mandatory ones use the channel's second half."""
+        merging = now == self.flushed_at  # one message for each turn: more entries cost no header
         if (only and self.short) or (now < self.next_flush and not merging):  # the oldest drains go first
             return self._flush_at(self.next_flush, now)
         if self.settings.get("slices"):
             return self._keep_slices(now)
         before, touched, held, left = self.channel.serial, set(), now < self.next_alarm and not merging, 1
-        self.short = self.later = False  # later: something is held back for the next alarm
+        self.short = self.later = False  # later: entries are deferred to the next alarm
         if not only:
             self._shut_out(now)
         moves, brings = list(self._moves(now, only)), Counter()
-        for urgency, rank, _, table, _, _ in moves:  # a table's lines go together: one head
+        for urgency, rank, _, table, _, _ in moves:  # a table's entries go together: one header
             brings[table] += urgency and rank
         moves.sort(key=lambda move: (move[0], move[0] and brings[move[3]], move))
-        if moves and not moves[0][0]:  # a joiner from before the oldest drain is due before it
+        if moves and not moves[0][0]:  # a proxy that joined before the oldest drain goes first
             self._bind_next(now, moves[0][1][0])
         few = len(self.proxies) // FEW if self.channel.room(1, PERIOD // 4) > 0 else 0
         rule = sum(len(self.users[move[3]]) for move in moves if not move[0])
-        # Who is not bound keeps a jam up by another's table: moves make room. Harm: weights stand still then.
+        # An unassigned proxy prolongs an overload with another table: moves yield. Drawback: weights do not
+        # change.
         part = 0 if self.short else JOIN_PART if self.unbound else 0.5
-        crowded = self.channel.room(RULE_PART) < rule / 2 and self.channel.room(0.5) < 0  # few: mostly heads
+        # Few entries: mostly headers
+        crowded = self.channel.room(RULE_PART) < rule / 2 and self.channel.room(0.5) < 0
         for urgency, _, backend, table, want, ordinary in moves:
             rec, users = self.backends[backend], self.users[table]
             back = self.host.returns(users, table, rec.id) if want and not rec.sent.get(table) else {}
             cost = len(back) + len(users) * (1 if table in touched else 1 + self.channel.head)
             if urgency and held and (ordinary or (table not in touched and len(users) > few)):
-                self.later = True  # an alarm to few keeps no gap where nothing waits
+                self.later = True  # an alarm to few proxies needs no gap if the queue is empty
                 continue
             room = self.channel.room(part, AHEAD) if urgency else self.channel.room(RULE_PART * (not crowded))
             if cost > max(0, room) or (ordinary and cost > self.credit):
-                self.short = self.short or not urgency  # nothing else may use what frees until this fits
+                self.short = self.short or not urgency  # nothing else may use freed room until this fits
                 left = 4 if self.credit > cost and not self.unbound else left
                 continue
             self.credit -= cost * ordinary
@@ -491,7 +514,7 @@
         self._bind_next(now)
 
     def _moves(self, now, only):
-        """Lines that differ from the wanted tables, ranked: a rule's by age, others by the weight moved."""
+        """Yield changed entries with ranks: mandatory ones by age, others by the weight moved."""
         self.bare = not any(rec.phase == "ready" and rec.proven for rec in self.backends.values())
         for rec, zone, table, holds in self.subsets.lines_of((only,) if only else self.backends.values()):
             want, sent = self._want(now, rec, zone) if holds else 0.0, rec.sent.get(table, 0.0)
@@ -501,7 +524,7 @@
             if want != sent and (rec.phase != "ready" or not self.lines[table]):
                 yield 0, (rec.gone_at, table), rec.id, table, want, False
             elif want != sent and (alarm or (not only and moved > RESEND * sent)):
-                if want or self.lines[table] > 1:  # who comes in ranks by what it will carry
+                if want or self.lines[table] > 1:  # a new entry ranks by the load that it will carry
                     yield 1, -(moved if sent else rec.listed), rec.id, table, want, not alarm
 
     def _flush_at(self, when, now):
@@ -511,8 +534,11 @@
             self.host.wake(when - now, "flush")
 
     def _shut_out(self, now):
-        """Proxies not bound yet go on with tables of others: what drains or is gone is shut out of those too,
-        once its lines have left the tables here; again for who joined since, well within the grace."""
+        """Exclude draining and gone backends at unassigned proxies, which still use tables of others.
+
+        An exclusion is sent once the backend's entries have left the tables here, and again for proxies that
+        joined since, well within the grace.
+        """
         grace, turned = self.settings.get("drain_grace", SECOND), []
         waits = max((now - since for _, since in self.unbound.values() if since >= self.shut_at), default=0)
         self.shut_at = now if waits >= TOGETHER * grace else self.shut_at
@@ -525,7 +551,7 @@
         for rec in order:
             out, recent = rec.sent.get("out", False), now - rec.gone_at < KEPT * grace
             if out and recent and waits >= TOGETHER * grace:
-                out = rec.sent["out"] = None  # not told to all
+                out = rec.sent["out"] = None  # not sent to all
             want = (recent and (late or "out" in rec.sent)) or out
             want = bool(want and self.unbound and rec.phase != "ready")
             if out != want and not any(weight for table, weight in rec.sent.items() if table != "out"):
@@ -540,14 +566,14 @@
             turned = [each for each in turned if not each[1]]
         fits, lines = self.channel.fitting(map(reach, turned), RULE_PART)
         self.short = self.short or fits < len(turned)
-        fits *= fits * 2 >= len(turned) or self.channel.room(0.25) > 0  # else most would be heads
+        fits *= fits * 2 >= len(turned) or self.channel.room(0.25) > 0  # else most entries would be headers
         for rec, rec.sent["out"] in turned[:fits]:
             self.host.withdraw(rec.id, rec.sent["out"])
         for proxy, number in lines.items() if fits else ():
             self._count(now, proxy, number)
 
     def _levels(self, now, table, shares, retries):
-        """One order for all classes that are to have the same: a few, whatever the number of classes."""
+        """Send one level for all classes with the same share: a few, whatever the number of classes."""
         usual, groups = (1.0, self.settings.get("usual_retry", 0)), Counter()
         sent = self.levels[table]
         for position, share in enumerate(shares):
@@ -559,11 +585,13 @@
             self._order(now, self.users[table], self.host.level, table, classes, share, retries)
 
     def _bind_next(self, now, drain=None):
-        """Joiners are bound in turn, as there is room: who waits long first, then who has most traffic.
-        Before a drain is ordered, only those who wait long and since before it: they are due first."""
+        """Assign joining proxies as there is room: the longest waiting first, then those with most traffic.
+
+        Before a drain is sent, only those that have waited long and since before it: they are due first.
+        """
         if self.short or not self.unbound or self._bind_room(drain) < 0:
-            return  # asked at each answer: no walk of all that could bind none
-        soon = now - self.settings.get("drain_grace", SECOND) / 3  # an old table may hold what is not listed
+            return  # called at each acknowledgement: does not visit all proxies if none could be assigned
+        soon = now - self.settings.get("drain_grace", SECOND) / 3  # an old table may contain unlisted servers
         order = {p: (min(since, soon), -self.proxies[p][1]) for p, (_, since) in self.unbound.items()}
         due = [p for p, (since, _) in order.items() if drain is None or since < min(drain, soon)]
         all(self._bind(now, proxy, drain) for proxy in sorted(due, key=order.get))
@@ -584,14 +612,18 @@
         )
         if self.short or cost + self.channel.head > room:
             return False
-        if self.lines[table] and self.unbound.pop(proxy, None):  # an empty table is worse than what it holds
+        # An empty table is worse than its current one
+        if self.lines[table] and self.unbound.pop(proxy, None):
             self.users[table][proxy] = None
             self.host.bind(proxy, table, 0)
             self._count(now, proxy, cost)
         return True
 
     def _keep_slices(self, now):
-        """The store's lines stand; what drains or is lost is shut out and, with no single owner, replaced."""
+        """Keep the store's entries, but exclude draining and lost servers.
+
+        Without a single owner, replace them.
+        """
         ready = {rec.id: rec for rec in self.backends.values() if rec.phase == "ready"}
         for rec in self.backends.values():
             if rec.sent.get("out", False) != (rec.id not in ready):
@@ -613,6 +645,6 @@
             self._count(now, proxy, 2 if proxy in more else 1)
 
     def _count(self, now, proxy, lines):
-        """Books lines to the message that this reply sends a proxy; the first one asks for an answer."""
+        """Add entries to this turn's message to a proxy; the first one requests an acknowledgement."""
         if self.channel.book(now, proxy, lines):
             self.host.mark(self.channel.serial, False)
--- a/tests/reference/subsets.py
+++ b/tests/reference/subsets.py
@@ -1,42 +1,42 @@
-"""The split into subsets as it was before the planner looked only at what changed; kept as it stood.
+"""The former assignment of subsets, from before the planner evaluated only changes; kept unchanged.
 
-Subsets: a fleet whose whole table the channel cannot carry to everyone is split among a zone's proxies.
-
-The design's table holds the whole fleet. Where a coordinator's channel needs so long to carry that to its
-own proxies that it is outdated on arrival, or that a drain's grace is over before (its own proxies come back
-all at once after its restart, and what was on its way to them is lost), the fleet is split into subsets of
-like servers; a table holds one of them: it costs its part of the lines, and so does a drain. A coordinator
-may have to take the proxies of others that died, and each that joins has the drain's grace until the table it
-came with must be right: that sizes the subsets. One subset is the whole fleet, and then nothing is split. A
-table has copies where more proxies use it than one line could reach.
+A table normally contains the whole fleet. A coordinator's channel can be too slow for that: the table would
+be outdated on arrival at its own proxies, or the drain grace over before (they all come back at once after a
+restart, and the messages in flight to them are lost). Then the fleet is split into subsets of similar
+servers, and a table contains one of them: a table and a drain cost that share of the entries. A coordinator
+may have to serve the proxies of failed ones, and the table with which a proxy joins must be correct after the
+drain grace: both determine the size of subsets. A single subset is the whole fleet. A table has copies if it
+has more users than one entry could reach at once.
 """
 
 from collections import Counter
 
 SECOND = 1_000_000_000  # ns
-OUTDATED = 12 * SECOND  # ns that what was heard counts for in the planner's means (its KEEP): a table that
-#                         arrives later is made of what is forgotten
-TAKES = 4  # proxies' shares that one coordinator may have to carry: its own and three others'
-PART = 0.5  # part of what the channel carries within the grace that binding may take: drains need more
-LEAST = 16  # servers of a subset at least: with a third of them cut, those left still share evenly
-RESPLIT = 3  # factor that the fleet's size must have moved by for all to be split anew: a zone lost must
-#                  not do it, nor a release whose old half has gone before the new one answers
-UNEVEN = 2  # times the smallest subset's size, and one more, that the largest may have: else one moves
-LEVELS = 4  # lines that order what is let in of all classes, whatever their number, at most: the planner's
-USERS_PART = 0.5  # part of the queue that one line to all users of a table may take
+# ns that an observation counts in the planner's means (its KEEP): a table that arrives later is based on
+# outdated ones
+OUTDATED = 12 * SECOND
+TAKES = 4  # shares of the proxies that one coordinator may have to serve: its own and those of three others
+PART = 0.5  # share of the channel's capacity within the grace for assignments: drains need more
+LEAST = 16  # minimum size of a subset: with a third of it ejected, the rest still shares evenly
+# Factor of change in the fleet's size that causes a new split: neither a lost zone nor a release whose old
+# half is gone before the new one answers may cause it
+RESPLIT = 3
+UNEVEN = 2  # a backend moves if the largest subset has more than this times the smallest, plus one
+LEVELS = 4  # maximum of entries that set the admission levels of all classes: the planner's
+USERS_PART = 0.5  # share of the queue that one entry to all users of a table may take
 
 
 class Subsets:
     def __init__(self, zones):
         self.count, self.split_for = 1, 0
-        self.tables, self.number = {}, 0  # zone -> its tables; how many there are
-        self.proxies, self.loads = Counter(), Counter()  # table -> who is or will be on it; their rates
+        self.tables, self.number = {}, 0  # zone -> its tables; number of tables
+        self.proxies, self.loads = Counter(), Counter()  # table -> its current and future users; their rates
         for zone in zones:
             self.know(zone)
-        self.sizes, self.like = Counter(), Counter()  # subset -> its backends; (subset, zone, kind) -> those
+        self.sizes, self.like = Counter(), Counter()  # number of backends by subset; by (subset, zone, kind)
 
     def know(self, zone):
-        """This zone, which has a table at least from now on."""
+        """Return the zone after adding a table for it if it has none."""
         if zone not in self.tables:
             self._add(zone)
         return zone
@@ -46,8 +46,10 @@
         self.number += 1
 
     def join(self, zone, rate, channel):
-        """The table for a proxy that joins: the least laden, or a further one where all have too many users
-        for one line to reach them in one go."""
+        """Return the table for a joining proxy: the least loaded one.
+
+        Add a table if that one has too many users for one entry to reach them at once.
+        """
         while len(self.tables.get(zone, ())) < self.count:
             self._add(zone)
         table = min(self.tables[zone], key=lambda each: (self.loads[each], each))
@@ -63,7 +65,7 @@
         self.loads[table] = max(0.0, self.loads[table] - 1 - rate) if self.proxies[table] else 0.0
 
     def lines_of(self, backends):
-        """Each table that holds one of these, or is to: (record, zone, table, whether it is to)."""
+        """Yield each table that contains a backend or should: (record, zone, table, whether it should)."""
         for rec in backends:
             for zone, tables in self.tables.items():
                 mine = [] if rec.subset is None else tables[rec.subset :: self.count]
@@ -73,22 +75,23 @@
                 )
 
     def wanted(self, settings, channel, fleet):
-        """How many subsets the channel asks for."""
+        """Return the number of subsets that the channel requires."""
         grace, expected = settings.get("drain_grace"), settings.get("proxies_expected")
         if not grace or not expected or not settings.get("lines_per_s") or settings.get("slices"):
             return 1
         share = -(-expected // max(1, settings.get("planners") or 1))
         fixed = channel.head + 1 + min(LEVELS, len(settings.get("classes") or ()))
         if (fleet + fixed) * share * SECOND <= min(OUTDATED, grace) * channel.pace:
-            return 1  # the design's own tables: nothing is departed from
+            return 1  # tables with the whole fleet
         takers = min(expected, TAKES * share)
-        lines = int(PART * channel.pace * grace / SECOND / takers - fixed)  # figures may be told as 3.0
+        # Settings may be floats such as 3.0
+        lines = int(PART * channel.pace * grace / SECOND / takers - fixed)
         return 1 if lines >= fleet else max(1, fleet // max(LEAST, lines))
 
     def assign(self, settings, channel, backends):
-        """Gives every ready backend its subset, and takes it from the others."""
-        # A list may name what is not there: who has not answered yet is in no subset as long as any has.
-        # Harm: a fleet of which few have answered is split anew once the others do.
+        """Assign a subset to every ready backend and remove it from the others."""
+        # A list may contain absent backends: one that has not answered yet is in no subset while any has.
+        # Drawback: a fleet of which few have answered is split again once the others do.
         ready = [rec for rec in backends if rec.phase == "ready"]
         ready = [rec for rec in ready if rec.proven] or ready
         anew = not self.split_for / RESPLIT <= len(ready) <= self.split_for * RESPLIT
--- a/tests/service/test_service_configuration.py
+++ b/tests/service/test_service_configuration.py
@@ -87,14 +87,10 @@
     ) as process:
         assert process.stdout is not None
         assert any('"serving"' in line for line in iter(process.stdout.readline, ""))
-        for text, expected_text in (
-            ("{", "reload_rejected"),
-            (json.dumps(CONFIG), "reloaded"),
-            ("", "not JSON"),
-        ):
+        for text, logged in (("{", "reload_rejected"), (json.dumps(CONFIG), "reloaded"), ("", "not JSON")):
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
-            assert any(expected_text in line for line in iter(process.stdout.readline, ""))
+            assert any(logged in line for line in iter(process.stdout.readline, ""))
         for number in (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM):
             process.send_signal(number)
         out, err = process.communicate(timeout=30)
--- a/tests/service/test_service_endings.py
+++ b/tests/service/test_service_endings.py
@@ -1,4 +1,4 @@
-"""What is owed in the instant in which something ends: real processes with real signals, and the loop."""
+"""Starts, stops, signals and interrupted messages, with real processes and with the event loop."""
 
 import errno
 import json
@@ -27,35 +27,41 @@
 from granitespool.net.service import Service
 
 SERVE = [sys.executable, "-m", "granitespool", "serve", "--config"]
-LONG = 60  # s: a bound for a machine that is busy, never a time that is waited
+TIMEOUT = 60  # s: bound for a busy machine; no test waits this long
 
 
-def configured(path, **more):
-    path.write_text(json.dumps({**HERE, **more}))
+def write_configuration(path, **more):
+    """Write a configuration file and return its path."""
+    path.write_text(json.dumps({**CONFIGURATION, **more}))
     return path
 
 
 @contextmanager
-def process(path, **how):
-    with subprocess.Popen([*SERVE, str(path)], stdout=subprocess.PIPE, stderr=subprocess.PIPE, **how) as it:
+def running_process(path, **options):
+    """Run `granitespool serve` with a configuration file; kill the process at the end if it still runs."""
+    with subprocess.Popen(
+        [*SERVE, str(path)], stdout=subprocess.PIPE, stderr=subprocess.PIPE, **options
+    ) as process:
         try:
-            yield it
+            yield process
         finally:
-            if it.poll() is None:
-                it.kill()
+            if process.poll() is None:
+                process.kill()
 
 
-HERE = {**large_configuration(1, 3), "peer_listen": None}
+CONFIGURATION = {**large_configuration(1, 3), "peer_listen": None}
 
 
 @contextmanager
-def serving(tmp_path, clock=None, **more):
-    """A service in this thread, with where it listens and what it has logged so far."""
+def service_in_thread(tmp_path, clock=None, **more):
+    """Create a service in this thread; `address` is its listener, `log_text` returns its log so far."""
     path = tmp_path / f"log-{len(list(tmp_path.iterdir()))}"
     with open(path, "wb") as log:
-        service = Service(config.load(str(configured(tmp_path / "config.json", **more))), log.fileno(), clock)
-        service.where = "{}:{}".format(*service.streams.listener.getsockname())
-        service.text = path.read_text
+        service = Service(
+            config.load(str(write_configuration(tmp_path / "config.json", **more))), log.fileno(), clock
+        )
+        service.address = "{}:{}".format(*service.streams.listener.getsockname())
+        service.log_text = path.read_text
         try:
             yield service
         finally:
@@ -63,181 +69,188 @@
                 service.close()
 
 
-def joins(sock, service, zone="z0"):
+def join(sock, service, zone="z0"):
+    """Join as proxy 1 and run the service until it has joined."""
     sock.sendall(framed(json.dumps({"type": "joined", "node": 1, "locality": zone, "w": 1, "cold": True})))
     while 1 not in service.streams.proxies:
         service.turn(SECOND)
 
 
-def event(it, name):
-    """The next line of this event; the log's end is a failure."""
-    for line in iter(it.stdout.readline, b""):
-        told_of = json.loads(line)
-        if told_of["event"] == name:
-            return told_of
-    raise AssertionError((name, it.stderr.read()))
+def wait_for_event(process, name):
+    """Return the next log line of this event; fail at the end of the log."""
+    for line in iter(process.stdout.readline, b""):
+        fields = json.loads(line)
+        if fields["event"] == name:
+            return fields
+    raise AssertionError((name, process.stderr.read()))
 
 
-def dialled(where):
-    host, _, port = where.rpartition(":")
-    sock = socket.create_connection((host, int(port)), LONG)
-    sock.settimeout(LONG)
+def connect(address):
+    """Return a socket that is connected to an address."""
+    host, _, port = address.rpartition(":")
+    sock = socket.create_connection((host, int(port)), TIMEOUT)
+    sock.settimeout(TIMEOUT)
     return sock
 
 
-def to_the_end(sock):
-    """All bytes up to the end in good order; a reset is a failure."""
+def receive_all(sock):
+    """Return all bytes up to the end of the stream; a reset raises an error."""
     data = b""
-    while part := sock.recv(1 << 16):
-        data += part
+    while chunk := sock.recv(1 << 16):
+        data += chunk
     return data
 
 
-# Start
+# Starting
 
 
 @pytest.fixture
-def reading(tmp_path):
-    """A process that is just reading its configuration, which it gets through a pipe."""
+def reading_process(tmp_path):
+    """Yield a process that is reading its configuration from a pipe, the path and the open pipe."""
     path = tmp_path / "config.json"
     os.mkfifo(path)
-    with process(path) as it, ExitStack() as stack:
-        file = stack.enter_context(open(path, "w"))  # comes back once the process has opened it
+    with running_process(path) as process, ExitStack() as stack:
+        file = stack.enter_context(open(path, "w"))  # returns when the process has opened it
         path.unlink()
-        yield it, path, file
+        yield process, path, file
 
 
-def test_a_configuration_that_is_written_while_the_former_is_read_is_read_too(reading):
-    it, path, file = reading
-    configured(path, discovery="127.0.0.1:11")
-    it.send_signal(signal.SIGHUP)
-    file.write(json.dumps(HERE))
+def test_a_configuration_that_is_changed_while_the_former_one_is_read_is_read_after_it(reading_process):
+    process, path, file = reading_process
+    write_configuration(path, discovery="127.0.0.1:11")
+    process.send_signal(signal.SIGHUP)
+    file.write(json.dumps(CONFIGURATION))
     file.close()
-    event(it, "serving")
-    assert event(it, "reloaded")["discovery"] == "127.0.0.1:11"
-    it.send_signal(signal.SIGTERM)
-    assert it.wait(LONG) == 0 and it.stderr.read() == b""
+    wait_for_event(process, "serving")
+    assert wait_for_event(process, "reloaded")["discovery"] == "127.0.0.1:11"
+    process.send_signal(signal.SIGTERM)
+    assert process.wait(TIMEOUT) == 0 and process.stderr.read() == b""
+
 
+def test_sigterm_while_the_configuration_is_read_ends_the_process_without_an_error(reading_process):
+    process, _, _ = reading_process
+    process.send_signal(signal.SIGTERM)
+    assert process.wait(TIMEOUT) == 0 and process.stderr.read() == b"" and process.stdout.read() == b""
 
-def test_an_end_that_is_asked_for_while_the_configuration_is_read_is_one_in_good_order(reading):
-    it, _, _ = reading
-    it.send_signal(signal.SIGTERM)
-    assert it.wait(LONG) == 0 and it.stderr.read() == b"" and it.stdout.read() == b""
 
+def test_a_process_started_with_sighup_ignored_handles_it_once_it_serves(tmp_path):
+    # The deploy file ignores SIGHUP because the signal would end the process while the interpreter starts
+    path = write_configuration(tmp_path / "config.json")
+    with running_process(path, preexec_fn=lambda: signal.signal(signal.SIGHUP, signal.SIG_IGN)) as process:
+        wait_for_event(process, "serving")
+        process.send_signal(signal.SIGHUP)
+        wait_for_event(process, "reloaded")
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(TIMEOUT) == 0
 
-def test_who_is_started_deaf_to_sighup_hears_it_once_it_serves(tmp_path):
-    # The deploy file starts it so: while the interpreter starts, SIGHUP would end the process
-    path = configured(tmp_path / "config.json")
-    with process(path, preexec_fn=lambda: signal.signal(signal.SIGHUP, signal.SIG_IGN)) as it:
-        event(it, "serving")
-        it.send_signal(signal.SIGHUP)
-        event(it, "reloaded")
-        it.send_signal(signal.SIGTERM)
-        assert it.wait(LONG) == 0
 
+class NullLog:
+    """A log that discards everything."""
 
-class Quiet:
     def event(self, *_, **__):
-        """A log that nobody reads."""
+        """Discard an event."""
 
     def flush(self):
-        """Nor is it written."""
+        """Do nothing."""
 
 
-def test_the_deploy_file_starts_the_process_deaf_to_sighup_and_gives_way_to_it():
+def test_the_deploy_file_ignores_sighup_and_replaces_the_shell_by_the_process():
     run = tomllib.loads((Path(__file__).parents[2] / "deploy/balancer.toml").read_text())["run"]
-    asks = "import os, signal; print(signal.getsignal(signal.SIGHUP).name, os.getpid())"
-    shown = run.replace(".venv/bin/python -m granitespool serve", f"{sys.executable} -c '{asks}'")
-    with subprocess.Popen(["/bin/sh", "-c", shown], stdout=subprocess.PIPE, text=True) as it:
-        assert shown != run and it.communicate(timeout=LONG)[0].split() == ["SIG_IGN", str(it.pid)]
+    program = "import os, signal; print(signal.getsignal(signal.SIGHUP).name, os.getpid())"
+    command = run.replace(".venv/bin/python -m granitespool serve", f"{sys.executable} -c '{program}'")
+    with subprocess.Popen(["/bin/sh", "-c", command], stdout=subprocess.PIPE, text=True) as process:
+        assert command != run and process.communicate(timeout=TIMEOUT)[0].split() == [
+            "SIG_IGN",
+            str(process.pid),
+        ]
 
 
 @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM])
-def test_an_address_that_the_former_process_still_holds_is_waited_for(monkeypatch, kind):
+def test_binding_waits_for_an_address_that_the_former_process_still_uses(monkeypatch, kind):
     with socket.socket(socket.AF_INET, kind) as former, socket.socket(socket.AF_INET, kind) as sock:
         former.bind(("127.0.0.1", 0))
         if kind == socket.SOCK_STREAM:
             former.listen()
         waits = []
-        monkeypatch.setattr(binding.time, "sleep", lambda s: (waits.append(s), former.close()))
-        where = former.getsockname()
-        binding.bind(sock, where, Quiet())
-        assert len(waits) == 1 and sock.getsockname() == where
+        monkeypatch.setattr(binding.time, "sleep", lambda seconds: (waits.append(seconds), former.close()))
+        address = former.getsockname()
+        binding.bind(sock, address, NullLog())
+        assert len(waits) == 1 and sock.getsockname() == address
 
 
-def test_an_address_that_stays_taken_is_told(monkeypatch):
+def test_an_address_that_stays_in_use_raises_an_error(monkeypatch):
     with socket.create_server(("127.0.0.1", 0)) as other, socket.socket() as sock:
         now = [0.0]
-        monkeypatch.setattr(binding.time, "sleep", lambda s: now.__setitem__(0, now[0] + s))
+        monkeypatch.setattr(binding.time, "sleep", lambda seconds: now.__setitem__(0, now[0] + seconds))
         monkeypatch.setattr(binding.time, "monotonic", lambda: now[0])
         with pytest.raises(OSError) as error:
-            binding.bind(sock, other.getsockname(), Quiet())
+            binding.bind(sock, other.getsockname(), NullLog())
         assert error.value.errno == errno.EADDRINUSE
         assert binding.IN_USE_TIMEOUT <= now[0] < 2 * binding.IN_USE_TIMEOUT
 
 
 def test_a_successor_starts_while_the_former_process_still_serves(tmp_path):
-    where = f"127.0.0.1:{free_port()}"
-    path = configured(tmp_path / "config.json", listen=where)
-    with process(path) as former:
-        event(former, "serving")
-        with process(path) as successor:
-            assert event(successor, "address_in_use")["address"] == where
+    address = f"127.0.0.1:{free_port()}"
+    path = write_configuration(tmp_path / "config.json", listen=address)
+    with running_process(path) as former:
+        wait_for_event(former, "serving")
+        with running_process(path) as successor:
+            assert wait_for_event(successor, "address_in_use")["address"] == address
             former.send_signal(signal.SIGTERM)
-            event(successor, "serving")
-            with dialled(where) as sock:
+            wait_for_event(successor, "serving")
+            with connect(address) as sock:
                 sock.sendall(framed('{"type":"ping"}'))
                 assert b"pong" in sock.recv(100)
             successor.send_signal(signal.SIGTERM)
-            assert successor.wait(LONG) == former.wait(LONG) == 0
+            assert successor.wait(TIMEOUT) == former.wait(TIMEOUT) == 0
 
 
-def test_each_start_under_a_storm_of_joinings_and_silent_connections_is_ready():
-    told_of = []
-    took = restarts(Sizes(restarts=3, proxies=60, silent=40, backends=30), told_of.append)
-    assert len(took) == 3 and all(each is not None for each in took), told_of
-    assert not any("ended" in line for line in told_of), told_of
+def test_each_start_with_many_joining_proxies_and_silent_connections_becomes_ready():
+    lines = []
+    durations = restarts(Sizes(restarts=3, proxies=60, silent=40, backends=30), lines.append)
+    assert len(durations) == 3 and all(duration is not None for duration in durations), lines
+    assert not any("ended" in line for line in lines), lines
 
 
-# SIGTERM
+# Stopping
 
 
-def test_a_stream_ends_in_good_order_after_what_was_ordered_though_bytes_of_it_were_not_read(tmp_path):
-    # A close over bytes that were not read is a reset, and takes with it what the other has not read yet
-    where = f"127.0.0.1:{free_port()}"
-    with process(configured(tmp_path / "config.json", listen=where)) as it:
-        event(it, "serving")
-        with dialled(where) as sock:
+def test_a_stream_is_closed_without_a_reset_though_the_service_has_not_read_all_of_it(tmp_path):
+    # Closing a socket with unread bytes resets it, and the peer loses the data that it has not read yet
+    address = f"127.0.0.1:{free_port()}"
+    with running_process(write_configuration(tmp_path / "config.json", listen=address)) as process:
+        wait_for_event(process, "serving")
+        with connect(address) as sock:
             sock.sendall(framed(joined(1, "z0")))
-            event(it, "joined")
+            wait_for_event(process, "joined")
             sock.sendall(framed('{"type":"ping"}'))
             while b"pong" not in sock.recv(1 << 16, socket.MSG_PEEK):
-                pass  # it was written; it stays unread here
-            it.send_signal(signal.SIGSTOP)
+                pass  # the pong has arrived and stays unread here
+            process.send_signal(signal.SIGSTOP)
 
-            def floods():  # far more than is read in one turn
+            def send_flood():  # far more than is read in one turn
                 with suppress(OSError):
                     sock.sendall(framed('{"type":"odd"}') * 200_000)
 
-            flood = threading.Thread(target=floods)
+            flood = threading.Thread(target=send_flood)
             flood.start()
-            it.send_signal(signal.SIGTERM)
-            it.send_signal(signal.SIGCONT)
-            data = to_the_end(sock)
+            process.send_signal(signal.SIGTERM)
+            process.send_signal(signal.SIGCONT)
+            data = receive_all(sock)
             sock.close()
-            flood.join(LONG)
+            flood.join(TIMEOUT)
         assert b'"whole"' in data and b"pong" in data
-        event(it, "stopped")
-        assert it.wait(LONG) == 0 and it.stderr.read() == b""
+        wait_for_event(process, "stopped")
+        assert process.wait(TIMEOUT) == 0 and process.stderr.read() == b""
 
 
-def test_who_takes_nothing_keeps_the_end_up_for_a_moment_only(tmp_path):
+def test_a_proxy_that_does_not_read_delays_the_stop_by_the_linger_timeout_at_most(tmp_path):
     now, turns = [10**18], []
-    with serving(tmp_path, lambda: now[0]) as service, dialled(service.where) as sock:
-        joins(sock, service)
+    with service_in_thread(tmp_path, lambda: now[0]) as service, connect(service.address) as sock:
+        join(sock, service)
         real = service.loop.turn
 
-        def turn(end_of_turn, wait):  # a second passes by the quarter of LINGER_TIMEOUT
+        def turn(end_of_turn, wait):  # time passes in quarters of LINGER_TIMEOUT
             turns.append(wait)
             now[0] += LINGER_TIMEOUT // 4
             real(end_of_turn, 0)
@@ -245,119 +258,119 @@
         service.loop.turn = turn
         service.stop()
         service.run()
-        assert 3 <= len(turns) <= 5 and LINGER_TIMEOUT < 0.35 * SECOND and '"stopped"' in service.text()
+        assert 3 <= len(turns) <= 5 and LINGER_TIMEOUT < 0.35 * SECOND and '"stopped"' in service.log_text()
 
 
-def test_a_second_asking_for_the_end_waits_for_nobody(tmp_path):
-    with serving(tmp_path) as service, dialled(service.where) as sock:
-        joins(sock, service)
+def test_a_second_stop_does_not_wait_for_connections(tmp_path):
+    with service_in_thread(tmp_path) as service, connect(service.address) as sock:
+        join(sock, service)
         service.stop()
         service.stop()
-        service.loop.turn = lambda *_: pytest.fail("it waits")
+        service.loop.turn = lambda *_: pytest.fail("the loop has run")
         service.run()
 
 
-def test_the_orders_of_the_turn_that_sigterm_falls_into_are_written(tmp_path):
-    with serving(tmp_path) as service, dialled(service.where) as sock:
-        joins(sock, service)
+def test_the_updates_of_the_turn_in_which_sigterm_arrives_are_written(tmp_path):
+    with service_in_thread(tmp_path) as service, connect(service.address) as sock:
+        join(sock, service)
         real = service.coordinator.tick
 
         def tick(now):
-            service.stop()  # as a handler does, in the middle of it
+            service.stop()  # as the signal handler does, in the middle of the turn
             service.coordinator.set_entry(0, "s1", 7.5)
             return real(now)
 
         service.coordinator.tick = tick
         service.run()
-        assert b'["s1",7.5]' in to_the_end(sock)
+        assert b'["s1",7.5]' in receive_all(sock)
 
 
-def test_one_part_that_fails_to_close_keeps_no_other_from_it(tmp_path):
-    class Torn:
+def test_a_part_that_fails_to_close_does_not_keep_the_others_open(tmp_path):
+    class FailingPart:
         def close(self):
             raise OSError("the disk is gone")
 
-    def late():
+    def failing_task():
         try:
             yield None, 0, None
         finally:
-            raise OSError("nor this")
+            raise OSError("the task cannot end")
 
-    with serving(tmp_path) as service:
-        service.snapshotter = service.management = Torn()
-        service.loop.spawn(late())
+    with service_in_thread(tmp_path) as service:
+        service.snapshotter = service.management = FailingPart()
+        service.loop.spawn(failing_task())
         service.close()
         assert service.loop.wake_fd is None and not service.loop.tasks
         with pytest.raises(ConnectionRefusedError):
-            dialled(service.where)
-        text = service.text()
-    assert text.count('"event":"task_failed"') == 3 and "nor this" in text and '"stopped"' in text
+            connect(service.address)
+        text = service.log_text()
+    assert text.count('"event":"task_failed"') == 3 and "the task cannot end" in text and '"stopped"' in text
 
 
-def test_the_last_lines_wait_for_a_reader_that_is_slow(monkeypatch):
-    monkeypatch.setattr(logging, "CLOSE_TIMEOUT", LONG)  # not on this machine's speed
+def test_closing_waits_until_a_slow_reader_has_read_the_last_log_lines(monkeypatch):
+    monkeypatch.setattr(logging, "CLOSE_TIMEOUT", TIMEOUT)  # not to depend on the machine's speed
     read, write = os.pipe()
-    service = Service(config.parse_configuration(HERE), write)
+    service = Service(config.parse_configuration(CONFIGURATION), write)
     os.set_blocking(read, False)
     for _ in range(1000):
         service.log.event("internal_error", detail="a-word-" * 20)
     service.log.flush()
     assert service.log.unread  # the pipe is full now
-    got = []
+    received = []
 
-    def reader():
+    def read_log():
         os.set_blocking(read, True)
         while data := os.read(read, 1 << 16):
-            got.append(data)
+            received.append(data)
 
-    thread = threading.Thread(target=reader)
+    thread = threading.Thread(target=read_log)
     thread.start()
     service.close()
     os.close(write)
-    thread.join(LONG)
+    thread.join(TIMEOUT)
     os.close(read)
-    assert b"".join(got).splitlines()[-1].endswith(b'"event":"stopped","name":"t"}')
+    assert b"".join(received).splitlines()[-1].endswith(b'"event":"stopped","name":"t"}')
 
 
-# The loop
+# The event loop
 
 
-def pairs(stack, number):
-    return [[stack.enter_context(each) for each in socket.socketpair()] for _ in range(number)]
+def socket_pairs(stack, number):
+    return [[stack.enter_context(sock) for sock in socket.socketpair()] for _ in range(number)]
 
 
-def test_an_event_for_a_descriptor_that_was_closed_and_given_to_another_in_that_turn_is_nobodys():
+def test_an_event_of_a_descriptor_that_was_closed_and_reused_in_that_turn_wakes_no_task():
     loop, met = Loop(pytest.fail), []
     with ExitStack() as stack:
-        (first, tells_first), (second, tells_second) = pairs(stack, 2)
+        (first, first_peer), (second, second_peer) = socket_pairs(stack, 2)
         stack.callback(loop.close)
 
-        def newcomer(sock):
+        def new_task(sock):
             met.append((yield sock.fileno(), IN, None))
 
-        def one(sock):
+        def ending_task(sock):
             yield sock.fileno(), IN, None
             number = second.fileno()
-            loop.end(two)
+            loop.end(second_task)
             second.close()
-            taken = [stack.enter_context(each) for each in socket.socketpair()]
-            taken += [stack.enter_context(socket.socket()) for _ in range(8)]
-            new = next(each for each in taken if each.fileno() == number)
-            loop.spawn(newcomer(new))
+            opened = [stack.enter_context(sock) for sock in socket.socketpair()]
+            opened += [stack.enter_context(socket.socket()) for _ in range(8)]
+            new = next(sock for sock in opened if sock.fileno() == number)
+            loop.spawn(new_task(new))
 
-        def other(sock):
+        def ended_task(sock):
             yield sock.fileno(), IN, None
-            met.append("the ended one ran")
+            met.append("the ended task ran")
 
-        loop.spawn(one(first))
-        two = loop.spawn(other(second))
-        tells_first.send(b"x")
-        tells_second.send(b"x")
+        loop.spawn(ending_task(first))
+        second_task = loop.spawn(ended_task(second))
+        first_peer.send(b"x")
+        second_peer.send(b"x")
         loop.turn(lambda now: None, 0)
         assert met == []
 
 
-def test_all_that_came_before_a_time_was_over_is_met_however_many_there_are():
+def test_all_events_that_arrived_before_a_timeout_are_handled_whatever_their_number():
     now, met = [10**18], []
     loop = Loop(pytest.fail, lambda: now[0])
     with ExitStack() as stack:
@@ -366,17 +379,17 @@
         def waits(sock):
             met.append((yield sock.fileno(), IN, 10**18 + SECOND))
 
-        both = pairs(stack, 400)
-        for mine, _ in both:
+        pairs = socket_pairs(stack, 400)
+        for mine, _ in pairs:
             loop.spawn(waits(mine))
         real, late = loop.epoll, []
 
-        class Stopped:  # the process is stopped with few events in its hand
-            def poll(self, *words):
+        class StoppedPoll:  # the process is stopped after a poll that has returned two events
+            def poll(self, *arguments):
                 if late:
-                    return real.poll(*words)
+                    return real.poll(*arguments)
                 found = real.poll(0, 2)
-                for _, other in both[2:]:
+                for _, other in pairs[2:]:
                     other.send(b"x")
                 now[0] += 5 * SECOND
                 late.append(True)
@@ -385,39 +398,39 @@
             def __getattr__(self, name):
                 return getattr(real, name)
 
-        for _, other in both[:2]:
+        for _, other in pairs[:2]:
             other.send(b"x")
-        loop.epoll = Stopped()
+        loop.epoll = StoppedPoll()
         loop.turn(lambda now: None, SECOND)
         assert len(met) == 400 and all(met)
 
 
-def test_a_task_that_fails_in_its_end_does_not_fail_who_ends_it():
+def test_a_task_that_fails_while_it_is_ended_does_not_fail_the_task_that_ends_it():
     failed = []
     loop = Loop(failed.append)
 
-    def torn():
+    def failing_task():
         try:
             yield None, 0, None
         finally:
-            raise KeyError("torn")
+            raise KeyError("failing")
 
-    def ends():
+    def ending_task():
         loop.end(task)
         yield None, 0, None
 
-    task = loop.spawn(torn())
-    other = loop.spawn(ends())
+    task = loop.spawn(failing_task())
+    other = loop.spawn(ending_task())
     assert [type(error) for error in failed] == [KeyError] and other in loop.tasks and task not in loop.tasks
     loop.close()
 
 
-def test_a_timer_of_a_wait_that_is_over_wakes_nobody():
+def test_the_timer_of_a_finished_wait_wakes_no_task():
     now, met = [10**18], []
     loop = Loop(pytest.fail, lambda: now[0])
     with ExitStack() as stack:
         stack.callback(loop.close)
-        [(mine, other)] = pairs(stack, 1)
+        [(mine, other)] = socket_pairs(stack, 1)
 
         def waits():
             met.append((yield mine.fileno(), IN, 10**18 + SECOND))
@@ -431,24 +444,24 @@
         assert met == [IN]
 
 
-# A message that is cut
+# Interrupted messages
 
-JOINING = framed(joined(1, "z0"))
+JOINED_MESSAGE = framed(joined(1, "z0"))
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "silence"])
-def test_a_joining_that_is_cut_at_any_byte_joins_nobody_and_gives_all_back(tmp_path, how):
+@pytest.mark.parametrize("interruption", ["close", "reset", "silence"])
+def test_a_join_that_is_cut_at_any_byte_joins_no_proxy_and_releases_everything(tmp_path, interruption):
     now = [10**18]
-    with serving(tmp_path, lambda: now[0]) as service, ExitStack() as stack:
+    with service_in_thread(tmp_path, lambda: now[0]) as service, ExitStack() as stack:
         streams = service.streams
-        for cut in range(len(JOINING)):
-            sock = stack.enter_context(dialled(service.where))
-            sock.sendall(JOINING[:cut])
+        for cut in range(len(JOINED_MESSAGE)):
+            sock = stack.enter_context(connect(service.address))
+            sock.sendall(JOINED_MESSAGE[:cut])
             while not streams.connections:
                 service.turn(SECOND)
-            if how == "reset":
+            if interruption == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            if how == "silence":
+            if interruption == "silence":
                 now[0] += 3 * SECOND
             else:
                 sock.close()
@@ -459,24 +472,27 @@
                     break
             assert not streams.connections and not streams.pending, cut
             assert streams.pool.in_use == 0 and not service.coordinator.updates.proxies, cut
-        assert "failed" not in service.text()
+        assert "failed" not in service.log_text()
 
 
-# Settings of any deployment
+# Settings of different deployments
 
 NAMES = "zone name with spaces", "Zürich ☂", "type", "", "__class__", "a" * 500, "\u0000\n\"'{}%s", "None"
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_any_text_names_a_zone_and_a_class(tmp_path, name):
+def test_any_text_is_accepted_as_the_name_of_a_zone_and_a_class(tmp_path, name):
     now, data = [10**18], b""
-    named = {
+    names_settings = {
         "zones": [name],
         "classes": [{"name": name, "aim_us": 1000000, "worth": 1}],
         "family_info": {"proxy_count": 4, "admit": "fraction"},
     }
-    with serving(tmp_path, lambda: now[0], settings=named) as service, dialled(service.where) as sock:
-        joins(sock, service, name)
+    with (
+        service_in_thread(tmp_path, lambda: now[0], settings=names_settings) as service,
+        connect(service.address) as sock,
+    ):
+        join(sock, service, name)
         sock.sendall(
             framed(
                 json.dumps(
@@ -491,12 +507,12 @@
             with suppress(BlockingIOError):
                 data += sock.recv(1 << 16)
         assert b'"whole"' in data and service.coordinator.planner.overload.demand.get(name)
-        text = service.text()
+        text = service.log_text()
     assert not any(word in text for word in ("task_failed", "internal_error", "message_dropped"))
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    "change, expected_text",
     [
         ({"settings": {"zones": ["n", ["m"]]}}, "contain the zone .* not a string"),
         ({"settings": {"zones": [None]}}, "contain the zone None, which is not a string"),
@@ -513,15 +529,15 @@
         ({"limits": {"memory_mb": 0}}, "the limits are too low"),
     ],
 )
-def test_what_cannot_be_served_is_refused_in_one_sentence(change, words):
-    with pytest.raises(InvalidInputError, match=words):
+def test_an_invalid_configuration_is_rejected_in_one_sentence(change, expected_text):
+    with pytest.raises(InvalidInputError, match=expected_text):
         config.parse_configuration({**large_configuration(1, 3), **change})
 
 
-def test_a_reload_takes_another_deployments_settings_whole_and_names_what_waits(tmp_path):
+def test_a_reload_applies_the_settings_of_another_deployment_and_lists_what_requires_a_restart(tmp_path):
     channel = {"egress_per_s": 50.0, "most_waiting": 100.0, "proxy_count": 9}
-    there = {
-        **HERE,
+    other_configuration = {
+        **CONFIGURATION,
         "settings": {
             "zones": ["x", "y"],
             "classes": [{"name": "other"}],
@@ -529,16 +545,16 @@
             "family_info": channel,
         },
     }
-    with serving(tmp_path) as service, serving(tmp_path) as beside:
-        service.read_configuration = lambda: config.parse_configuration(there)
+    with service_in_thread(tmp_path) as service, service_in_thread(tmp_path) as other_service:
+        service.read_configuration = lambda: config.parse_configuration(other_configuration)
         service.reload()
         service.turn(0)
-        beside.turn(0)
-        planner, other = service.coordinator.planner, beside.coordinator.planner
+        other_service.turn(0)
+        planner, other = service.coordinator.planner, other_service.coordinator.planner
         assert service.reconfiguration.restart_required == ["classes"]
         assert service.coordinator.classes == ["a"]
-        names, others_names = service.streams.names, beside.streams.names
+        names, others_names = service.streams.names, other_service.streams.names
         assert (planner.in_flight.rate, planner.in_flight.limit, names.zones) == (50, 100, {"x", "y"})
-        # What the other service in this process holds is its own
+        # The other service in this process keeps its own settings
         assert (other.in_flight.rate, other.in_flight.limit) == (20000, 400000)
         assert others_names.zones == {"z0", "z1", "z2"} and others_names.proxies_expected == 8192
