--- a/tests/coordinator/test_drawn_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -6,7 +6,7 @@
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from support.interleavings import BUSY, fitting, played
+from support.interleavings import BUSY_DAY, make_fleet, run_steps
 from support.traced_coordinator import TracedCoordinator
 from support.traced_fleet import SETTINGS, ChannelSettings, TracedFleet
 
@@ -32,14 +32,16 @@
         st.tuples(st.just("release"), st.integers(1, 8)),  # number of backends replaced by cold ones
         st.tuples(st.just("restart"), st.integers(1, 6)),  # number that drain, end and return cold
         st.tuples(st.just("crash"), st.integers(1, 3)),  # number that end at once and return cold
-        st.tuples(st.just("dies"), COORDINATOR),  # its proxies join the others; it returns after 6 s
-        st.tuples(st.just("replaced"), COORDINATOR),  # the same, but it returns after one second
-        st.tuples(st.just("loses"), st.integers(1, 10)),  # number of proxies that lose their streams
-        st.tuples(st.just("go_home"), st.just(0)),  # proxies return to their own coordinator
-        st.tuples(st.just("complete"), COORDINATOR),  # a complete list instead of missed changes
-        st.tuples(st.just("again"), COORDINATOR),  # the last change is sent twice
         st.tuples(
-            st.just("late"), st.tuples(COORDINATOR, st.integers(0, 5))
+            st.just("stop_coordinator"), COORDINATOR
+        ),  # its proxies join the others; it returns after 6 s
+        st.tuples(st.just("replace_coordinator"), COORDINATOR),  # the same, but it returns after one second
+        st.tuples(st.just("lose_streams"), st.integers(1, 10)),  # number of proxies that lose their streams
+        st.tuples(st.just("return_home"), st.just(0)),  # proxies return to their own coordinator
+        st.tuples(st.just("complete_list"), COORDINATOR),  # a complete list instead of missed changes
+        st.tuples(st.just("repeat_change"), COORDINATOR),  # the last change is sent twice
+        st.tuples(
+            st.just("delay_list"), st.tuples(COORDINATOR, st.integers(0, 5))
         ),  # coordinator, age of its list in s
         st.tuples(st.just("wait"), st.integers(1, 8)),
     ),
@@ -67,7 +69,7 @@
     table_takes=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for a complete table
 )
 def test_the_five_rules_hold_over_all_coordinators_for_any_order_of_events(steps, **drawn):
-    assert not violations(played(steps, fitting(**drawn)))
+    assert not violations(run_steps(steps, make_fleet(**drawn)))
 
 
 def test_a_drain_is_in_time_if_a_full_queue_takes_longer_than_the_drain_grace():
@@ -77,14 +79,14 @@
     of the grace for one entry to each.
     """
     channel = ChannelSettings(pace=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
-    assert not violations(played([("release", 1)], TracedFleet(channel, 1, 20, 12)))
+    assert not violations(run_steps([("release", 1)], TracedFleet(channel, 1, 20, 12)))
 
 
 # Checks of the test itself: the events that the rules are about occur, and each violation is found
 
 
 def test_the_busy_scenario_contains_all_events_that_the_rules_are_about():
-    fleet = played(BUSY, fitting(3, 6, 18))
+    fleet = run_steps(BUSY_DAY, make_fleet(3, 6, 18))
     trace = fleet.events()
     assert not violations(fleet)
 
@@ -117,12 +119,12 @@
 
     monkeypatch.setattr(CandidateSelection, "select", select_without_removals)
     monkeypatch.setattr(ExclusionControl, "publish", lambda *_: None)
-    assert violated_rules(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
+    assert violated_rules(run_steps([("release", 4)], make_fleet(2, 4, 12))) == {"drain"}
 
 
 def test_a_coordinator_whose_messages_are_never_delivered_is_found(monkeypatch):
     monkeypatch.setattr(TracedCoordinator, "deliver", lambda _: None)
-    assert violated_rules(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
+    assert violated_rules(run_steps([("release", 4)], make_fleet(2, 4, 12))) == {"drain"}
 
 
 def test_a_coordinator_that_has_uncertain_attempts_retried_is_found(monkeypatch):
@@ -132,7 +134,7 @@
         set_admission(self, table, classes, share, 2)
 
     monkeypatch.setattr(Coordinator, "set_admission", set_admission_with_retries)
-    assert violated_rules(played([("wait", 8)], fitting(2, 4, 12))) == {"double_effect"}
+    assert violated_rules(run_steps([("wait", 8)], make_fleet(2, 4, 12))) == {"double_effect"}
 
 
 def test_a_coordinator_that_overloads_a_cold_backend_is_found(monkeypatch):
@@ -143,11 +145,11 @@
         return 1000.0 if weight and backend.started_at else weight
 
     monkeypatch.setattr(EntryWeights, "target_weight", excessive_weight)
-    assert violated_rules(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
+    assert violated_rules(run_steps([("release", 1)], make_fleet(2, 4, 24))) == {"cold_overload"}
 
 
 def test_a_coordinator_that_excludes_every_backend_is_found():
-    fleet = fitting(2, 4, 12)
+    fleet = make_fleet(2, 4, 12)
     fleet.run(3)
     coordinator = fleet.coordinators[1].coordinator
     for proxy in fleet.coordinators[1].joined:
@@ -161,7 +163,7 @@
 
 
 def test_a_coordinator_that_exceeds_the_message_limit_is_found():
-    fleet = fitting(2, 2, 8)
+    fleet = make_fleet(2, 2, 8)
     fleet.run(3)
     traced = fleet.coordinators[0]
     for _ in range(SETTINGS["messages_limit"] + 1):
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -24,7 +24,7 @@
 
 def run_random_events(comparison, events):
     for _ in range(events):
-        comparison.event()
+        comparison.random_event()
         comparison.run(comparison.random.choice((1, 3, 12)))
     return comparison
 
@@ -32,13 +32,13 @@
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(3, 40), st.integers(1, 6), st.integers(1, 20), st.sampled_from(RATES))
 def test_decisions_for_small_random_fleets_equal_the_references(seed, backends, zones, proxies, rate):
-    assert run_random_events(PlannerComparison(seed, backends, zones, proxies, rate), 25).ordered
+    assert run_random_events(PlannerComparison(seed, backends, zones, proxies, rate), 25).action_count
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(100, 200), st.integers(8, 50), st.sampled_from(RATES))
 def test_decisions_for_large_random_fleets_equal_the_references(seed, backends, zones, rate):
-    assert run_random_events(PlannerComparison(seed, backends, zones, 20, rate), 8).ordered
+    assert run_random_events(PlannerComparison(seed, backends, zones, 20, rate), 8).action_count
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -46,20 +46,20 @@
 def test_decisions_for_random_fleets_in_subsets_equal_the_references(seed, backends, rate):
     comparison = PlannerComparison(seed, backends, 3, 40, rate, drain_grace=SECOND)
     comparison.run(40)
-    assert comparison.changed.planner.subsets.count > 1
+    assert comparison.coordinator.planner.subsets.count > 1
     for _ in range(8):
-        comparison.event()
-        subset = comparison.random.randrange(comparison.changed.planner.subsets.count)
-        known_backends = comparison.changed.planner.fleet.backends.values()
+        comparison.random_event()
+        subset = comparison.random.randrange(comparison.coordinator.planner.subsets.count)
+        known_backends = comparison.coordinator.planner.fleet.backends.values()
         members = [
             backend.name
             for backend in known_backends
             if backend.subset == subset and backend.name in comparison.entries
         ]
         if len(members) < len(comparison.entries) - 10:  # a subset is lost, and the others replace it
-            comparison.lose(members[: comparison.random.randrange(len(members) + 1)])
+            comparison.remove_backends(members[: comparison.random.randrange(len(members) + 1)])
         comparison.run(60)
-    assert comparison.ordered
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -69,21 +69,21 @@
     comparison.restart("s3")
     for _ in range(30):
         comparison.run(10)
-        comparison.hear(0.8, failed=0.3 * (seed % 2), but="s3", zones=comparison.zones[:1])
-    assert comparison.ordered
+        comparison.report_loads(0.8, failed=0.3 * (seed % 2), but="s3", zones=comparison.zones[:1])
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_decisions_for_a_restarted_backend_without_slow_start_equal_the_references(seed):
     comparison = PlannerComparison(seed, 10, 2, 6, 1e6, warm_up_time=0)
     for _ in range(6):
-        comparison.hear(1.0)
+        comparison.report_loads(1.0)
         comparison.run(5)
     for name in list(comparison.entries)[:4]:
         comparison.restart(name)
         comparison.run(1 + seed * 2)
     comparison.run(40)
-    assert comparison.ordered
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -92,21 +92,21 @@
     comparison = run_random_events(PlannerComparison(seed, 12, 3, 6, 2000.0), 10)
     for quiet in (EXACT_PERIODS_MAX - 5, EXACT_PERIODS_MAX + 30, 5):
         comparison.run(10 * quiet)
-        comparison.hear(0.7)
+        comparison.report_loads(0.7)
         comparison.run(15)
-    assert comparison.ordered
+    assert comparison.action_count
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_decisions_after_a_restored_snapshot_equal_the_references(seed):
     former = run_random_events(PlannerComparison(seed, 20, 3, 8, 2000.0), 15)
-    former.hear(1.0)
-    snapshot = former.changed.snapshot(list(former.entries))
+    former.report_loads(1.0)
+    snapshot = former.coordinator.snapshot(list(former.entries))
     later = PlannerComparison(seed + 1, 20, 3, 8, 2000.0)
     backends = {name: each for name, each in snapshot.backends.items() if name in later.entries}
     later.report(Restored(snapshot.fleet, backends))
     later.run(5)
-    assert run_random_events(later, 10).ordered
+    assert run_random_events(later, 10).action_count
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -115,7 +115,7 @@
     for table in range(3):
         comparison.report(SliceAssigned(table=table, owned=True))
         comparison.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
-    assert run_random_events(comparison, 12).ordered
+    assert run_random_events(comparison, 12).action_count
 
 
 def quiet_fleet(backends, zones, proxies=5):
@@ -138,7 +138,7 @@
     with monkeypatch.context() as patched:
         patched.setattr(EntryWeights, "target_weight", counting)
         act()
-    return counts[comparison.changed.planner.weights]
+    return counts[comparison.coordinator.planner.weights]
 
 
 @pytest.mark.parametrize("backends, zones", [(50, 4), (300, 4), (300, 16)])
@@ -155,7 +155,7 @@
 
         def change(comparison=comparison, name=name):
             entry = {**comparison.entries[name], "weight": 5.0}
-            comparison.list("changes", [entry])
+            comparison.send_list("changes", [entry])
             comparison.run(3)
 
         work.append(evaluations(comparison, monkeypatch, change))
@@ -185,7 +185,7 @@
     }
     comparison = PlannerComparison(4, 60, 12, 3, 2000.0, **settings)
     comparison.run(60)
-    assert comparison.changed.planner.subsets.count > 1
+    assert comparison.coordinator.planner.subsets.count > 1
     unused = next(zone for zone in comparison.zones if zone not in comparison.proxies.values())
 
     def join():
@@ -197,8 +197,8 @@
 
 def test_links_are_created_only_where_something_is_observed():
     comparison = quiet_fleet(100, 8)
-    comparison.hear(0.02)
-    links = sum(len(backend.links) for backend in comparison.changed.planner.fleet.backends.values())
+    comparison.report_loads(0.02)
+    links = sum(len(backend.links) for backend in comparison.coordinator.planner.fleet.backends.values())
     assert 1 <= links <= 50
 
 
