--- a/granitespool/cli/emulate.py
+++ b/granitespool/cli/emulate.py
@@ -10,14 +10,14 @@
 def run(arguments: Mapping[str, Any]) -> int:
     """Lists experiments or runs one; the exit code. Raises InvalidInputError where it cannot be run."""
     if arguments["list"]:
-        for name in schema.names():
+        for name in schema.experiment_names():
             print(f"{name:12} {schema.load(name).experiment.title}")
         return 0
     setup = schema.load(arguments["EXPERIMENT"], arguments["--set"])
     result = experiment.run(setup, _print_progress if sys.stderr.isatty() else _ignore)
     if arguments["--plot"]:
         plot.plot(result, arguments["--plot"])
-    print(report.as_json(result) if arguments["--json"] else "\n".join(report.table(result)))
+    print(report.as_json(result) if arguments["--json"] else "\n".join(report.format_table(result)))
     return 0
 
 
--- a/granitespool/emulator/backend.py
+++ b/granitespool/emulator/backend.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from granitespool.emulator.schema import Fleet
+from granitespool.emulator.schema import FleetSettings
 from granitespool.units import MILLISECOND, SECOND
 
 ERROR_TIME = 5 * MILLISECOND  # ns until a request that fails at once is answered
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """What came of one attempt."""
 
-    took: int | None  # ns; None: no answer ever comes
+    latency: int | None  # ns; None: no answer ever comes
     succeeded: bool
 
 
@@ -44,27 +44,27 @@
         self.name = name
         self.zone = zone
         self.service_time = service_time
-        self.free_at = [0] * workers  # ns when each worker is free, a heap
-        self.started = 0  # ns; 0: long ago
+        self.workers_free_at = [0] * workers  # ns when each worker is free, a heap
+        self.started_at = 0  # ns; 0: long ago
         self.fault = HEALTHY
 
-    def answer(self, now: int, random: Random, fleet: Fleet) -> Answer:
+    def serve(self, now: int, random: Random, fleet: FleetSettings) -> Response:
         """Takes one attempt that arrives now (ns)."""
         if self.fault.dead:
-            return Answer(None, False)
+            return Response(None, False)
         if self.fault.failure_share and random.random() < self.fault.failure_share:
-            return Answer(ERROR_TIME, False)
-        begin = max(now, self.free_at[0])
+            return Response(ERROR_TIME, False)
+        begin = max(now, self.workers_free_at[0])
         if begin - now > fleet.queue_ms * MILLISECOND:
-            return Answer(ERROR_TIME, False)
-        warming_up = self.started and now - self.started < fleet.cold_s * SECOND
+            return Response(ERROR_TIME, False)
+        warming_up = self.started_at and now - self.started_at < fleet.cold_s * SECOND
         speed = fleet.cold_share if warming_up else 1.0
         took = random.expovariate(1.0) * self.service_time * self.fault.slowdown / speed
-        heapq.heapreplace(self.free_at, begin + int(took))
-        return Answer(begin + int(took) - now, True)
+        heapq.heapreplace(self.workers_free_at, begin + int(took))
+        return Response(begin + int(took) - now, True)
 
 
-def assign_faults(backends: Iterable[Backend], fleet: Fleet, random: Random) -> None:
+def assign_faults(backends: Iterable[Backend], fleet: FleetSettings, random: Random) -> None:
     """Makes the fleet's shares of the backends slow, failing and dead by chance, all others healthy."""
     order = list(backends)
     random.shuffle(order)
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -8,7 +8,7 @@
 
 from granitespool.coordinator import Coordinator
 from granitespool.emulator.backend import Backend
-from granitespool.emulator.channel import BATCH_TIME, Channel
+from granitespool.emulator.channel import BATCH_INTERVAL, Channel
 from granitespool.emulator.clock import VirtualClock
 from granitespool.endpoints import Endpoint, Phase
 from granitespool.outgoing import HealthCheckRequest, InternalError, OutgoingMessage, ProxyUpdate, Recipient
@@ -31,14 +31,14 @@
 )
 from granitespool.units import MILLISECOND, SECOND
 
-HEALTH_CHECK_TIME = 2 * MILLISECOND  # ns until a health check is answered
+HEALTH_CHECK_LATENCY = 2 * MILLISECOND  # ns until a health check is answered
 HEALTH_CHECK_TIMEOUT = SECOND // 2  # ns, as the service has it
-APPLY_TIME = 5 * MILLISECOND  # ns in which a proxy applies a message
-UPDATE_OVERHEAD = 2  # table entries that a message counts as beside those in it
+APPLY_DURATION = 5 * MILLISECOND  # ns in which a proxy applies a message
+UPDATE_OVERHEAD_ENTRIES = 2  # table entries that a message counts as beside those in it
 MACHINE_TYPE = "m"
 CELL = 0
 
-Restore = Callable[[Coordinator], None]
+RestoreCallback = Callable[[Coordinator], None]
 
 
 class CoordinatorHost:
@@ -61,44 +61,44 @@
         self.random = random
         self.backends = backends
         self.proxies = proxies
-        self.make = make
+        self.make_coordinator = make
         self.make_channel = make_channel
-        self.rate = rate
+        self.transaction_rate = rate
         self.coordinator: Coordinator | None = None
         self.incarnation = 0  # counted from 1
-        self.joined: set[int] = set()  # proxies with a stream
+        self.joined_proxies: set[int] = set()  # proxies with a stream
         self.internal_errors: list[str] = []
         self._channel = make_channel(clock.now)
-        self._next_wake: int | None = None  # ns
+        self._next_wakeup_at: int | None = None  # ns
         self._turn_scheduled = False
 
     def running(self, incarnation: int) -> Coordinator | None:
         """The coordinator of this incarnation, or None where it has ended."""
         return self.coordinator if incarnation == self.incarnation else None
 
-    def start(self, restore: Restore | None = None, rejoin_s: float = 0.0) -> None:
+    def start(self, restore: RestoreCallback | None = None, rejoin_s: float = 0.0) -> None:
         """Starts an incarnation with the whole list and what `restore` gives it.
 
         Proxies join within `rejoin_s` s."""
         now = self.clock.now
         self.incarnation += 1
-        self._next_wake = None
+        self._next_wakeup_at = None
         self._channel = self.make_channel(now)
-        self.coordinator = coordinator = self.make(self.incarnation, now)
+        self.coordinator = coordinator = self.make_coordinator(self.incarnation, now)
         coordinator.report(now, EndpointListUpdate(ListForm.RESTORED, self._endpoints()))
         if restore:
             restore(coordinator)
-        self._turn(coordinator)
+        self._run_turn(coordinator)
         for proxy in self.proxies:
-            delay = int(self.random.random() * rejoin_s * SECOND) // BATCH_TIME * BATCH_TIME
-            self.clock.at(now + delay, self._join, self.incarnation, proxy)
+            delay = int(self.random.random() * rejoin_s * SECOND) // BATCH_INTERVAL * BATCH_INTERVAL
+            self.clock.call_at(now + delay, self._join, self.incarnation, proxy)
 
     def kill(self) -> None:
         """Ends the incarnation at once; every proxy goes on with the table that it holds."""
         self.coordinator = None
-        self.joined.clear()
+        self.joined_proxies.clear()
 
-    def take(self, incarnation: int, events: Iterable[Event]) -> None:
+    def deliver(self, incarnation: int, events: Iterable[Event]) -> None:
         """Reports events that reach this incarnation now, as one turn.
 
         Usage of proxies without a stream is dropped."""
@@ -106,9 +106,9 @@
         if coordinator is None:
             return
         for event in events:
-            if not isinstance(event, UsageReport) or event.proxy in self.joined:
+            if not isinstance(event, UsageReport) or event.proxy in self.joined_proxies:
                 coordinator.report(self.clock.now, event)
-        self._turn(coordinator)
+        self._run_turn(coordinator)
 
     def zone_table(self, zone: str) -> dict[str, float]:
         """The weights of the coordinator's tables for a zone; empty where there are none."""
@@ -128,7 +128,7 @@
                 cell=CELL,
                 phase=Phase.READY,
                 weight=1.0,
-                started_at=backend.started,
+                started_at=backend.started_at,
             )
             for backend in self.backends.values()
         ]
@@ -137,12 +137,12 @@
         coordinator = self.running(incarnation)
         if coordinator is None:
             return
-        self.joined.add(proxy.number)
+        self.joined_proxies.add(proxy.number)
         joined = ProxyJoined(
             proxy=proxy.number,
             zone=proxy.zone,
             bootstrap=incarnation == 1,
-            rate=self.rate / len(self.proxies),
+            rate=self.transaction_rate / len(self.proxies),
         )
         coordinator.report(self.clock.now, joined)
         self._schedule_turn()
@@ -153,32 +153,32 @@
         """Ends the turn once everything of this instant has been reported."""
         if not self._turn_scheduled:
             self._turn_scheduled = True
-            self.clock.at(self.clock.now, self._scheduled_turn, self.incarnation)
+            self.clock.call_at(self.clock.now, self._run_scheduled_turn, self.incarnation)
 
-    def _scheduled_turn(self, incarnation: int) -> None:
+    def _run_scheduled_turn(self, incarnation: int) -> None:
         self._turn_scheduled = False
-        self._wake(incarnation)
+        self._wake_up(incarnation)
 
-    def _wake(self, incarnation: int) -> None:
+    def _wake_up(self, incarnation: int) -> None:
         coordinator = self.running(incarnation)
         if coordinator is not None:
-            self._turn(coordinator)
+            self._run_turn(coordinator)
 
-    def _turn(self, coordinator: Coordinator) -> None:
+    def _run_turn(self, coordinator: Coordinator) -> None:
         due = coordinator.tick(self.clock.now)
         for recipient in coordinator.recipients():
             while (message := coordinator.next_message(recipient)) is not None:
-                self._handle(recipient, message)
-        if due is not None and self._is_sooner(due):
-            self._next_wake = due
-            self.clock.at(max(due, self.clock.now + 1), self._wake, self.incarnation)
+                self._handle_message(recipient, message)
+        if due is not None and self._needs_wakeup(due):
+            self._next_wakeup_at = due
+            self.clock.call_at(max(due, self.clock.now + 1), self._wake_up, self.incarnation)
 
-    def _is_sooner(self, due: int) -> bool:
+    def _needs_wakeup(self, due: int) -> bool:
         """Whether a wake-up has to be scheduled for this time."""
-        scheduled = self._next_wake
+        scheduled = self._next_wakeup_at
         return scheduled is None or due < scheduled or scheduled <= self.clock.now
 
-    def _handle(self, recipient: Recipient, message: OutgoingMessage) -> None:
+    def _handle_message(self, recipient: Recipient, message: OutgoingMessage) -> None:
         if isinstance(message, HealthCheckRequest):
             self._check_health(message.backend)
         elif isinstance(message, InternalError):
@@ -188,10 +188,10 @@
 
     def _check_health(self, name: str) -> None:
         dead = self.backends[name].fault.dead
-        took = HEALTH_CHECK_TIMEOUT if dead else HEALTH_CHECK_TIME
+        took = HEALTH_CHECK_TIMEOUT if dead else HEALTH_CHECK_LATENCY
         outcome = HealthCheckOutcome.TIMED_OUT if dead else HealthCheckOutcome.OK
         result = HealthCheckResult(backend=name, outcome=outcome, latency=took, load={})
-        self.clock.at(self.clock.now + took, self.take, self.incarnation, [result])
+        self.clock.call_at(self.clock.now + took, self.deliver, self.incarnation, [result])
 
     # Messages to proxies
 
@@ -199,18 +199,18 @@
         update = table_update(message)
         arrives_at = self._channel.send(self.clock.now, entry_count(message))
         sent_at = self.clock.now
-        self.clock.at(arrives_at, self._apply, self.incarnation, proxy, update, message.barrier, sent_at)
+        self.clock.call_at(arrives_at, self._apply, self.incarnation, proxy, update, message.barrier, sent_at)
 
     def _apply(
         self, incarnation: int, proxy: ProxyTable, update: TableUpdate, mark: int | None, sent_at: int
     ) -> None:
-        if self.running(incarnation) is None or proxy.number not in self.joined:
+        if self.running(incarnation) is None or proxy.number not in self.joined_proxies:
             return
         proxy.apply(update)
         if mark is not None:
             took = self.clock.now - sent_at
-            done_at = self.clock.now + APPLY_TIME
-            self.clock.at(done_at, self._acknowledge, incarnation, proxy.number, mark, took)
+            done_at = self.clock.now + APPLY_DURATION
+            self.clock.call_at(done_at, self._acknowledge, incarnation, proxy.number, mark, took)
 
     def _acknowledge(self, incarnation: int, proxy: int, mark: int, took: int) -> None:
         coordinator = self.running(incarnation)
@@ -236,4 +236,4 @@
     """Table entries that a message counts as in the channel."""
     weights = sum(len(table.entries) + table.complete for table in message.tables)
     exclusions = len(message.excluded) + len(message.readmitted)
-    return UPDATE_OVERHEAD + int(weights) + len(message.levels) + exclusions
+    return UPDATE_OVERHEAD_ENTRIES + int(weights) + len(message.levels) + exclusions
--- a/granitespool/emulator/coordinator_settings.py
+++ b/granitespool/emulator/coordinator_settings.py
@@ -2,33 +2,35 @@
 
 from collections.abc import Sequence
 
-from granitespool.emulator.schema import Class, Setup
+from granitespool.emulator.schema import ClassSettings, ExperimentSetup
 from granitespool.settings import Admission, RequestClass, Settings
 from granitespool.units import MILLISECOND, SECOND
 
-DRAIN_GRACE = 10 * SECOND  # ns
-BACKLOG_TIME = 2  # s at the channel's pace that may wait in it
-MESSAGE_HEADER = 1  # table entries that each message costs beside its own
+DRAIN_GRACE_PERIOD = 10 * SECOND  # ns
+MAX_BACKLOG_SECONDS = 2  # s at the channel's pace that may wait in it
+MESSAGE_HEADER_ENTRIES = 1  # table entries that each message costs beside its own
 
 
-def entries_per_s(setup: Setup, backends: int, proxies: int) -> float:
+def channel_entry_rate(setup: ExperimentSetup, backends: int, proxies: int) -> float:
     """The channel's pace in table entries a second: a whole table for every proxy takes `binding_s`."""
     return backends * proxies / setup.channel.binding_s
 
 
-def coordinator_settings(setup: Setup, zones: Sequence[str], backends: int, proxies: int) -> Settings:
+def coordinator_settings(
+    setup: ExperimentSetup, zones: Sequence[str], backends: int, proxies: int
+) -> Settings:
     """The settings of a coordinator before so many backends and proxies."""
-    pace = entries_per_s(setup, backends, proxies)
+    pace = channel_entry_rate(setup, backends, proxies)
     return Settings(
         zones=list(zones),
         health_checks_allowed=True,
         admission=Admission.FRACTION,
         entries_per_s=pace,
-        message_header=MESSAGE_HEADER,
-        backlog_limit=BACKLOG_TIME * pace,
+        message_header=MESSAGE_HEADER_ENTRIES,
+        backlog_limit=MAX_BACKLOG_SECONDS * pace,
         bootstrap_entries=backends,
         proxies_expected=proxies,
-        drain_grace=DRAIN_GRACE,
+        drain_grace=DRAIN_GRACE_PERIOD,
         default_retries=0,
         warm_up_time=int(setup.fleet.cold_s * SECOND),
         warm_up_start_share=setup.fleet.cold_share,
@@ -36,7 +38,7 @@
     )
 
 
-def _request_class(name: str, settings: Class) -> RequestClass:
+def _request_class(name: str, settings: ClassSettings) -> RequestClass:
     return RequestClass(
         name=name,
         effect="free" if settings.again else "single_shot",
--- a/granitespool/emulator/emulation.py
+++ b/granitespool/emulator/emulation.py
@@ -6,12 +6,12 @@
 from granitespool.emulator.backend import Backend, assign_faults, swap_faults
 from granitespool.emulator.channel import Channel
 from granitespool.emulator.clock import VirtualClock
-from granitespool.emulator.coordinator_host import CoordinatorHost, Restore
-from granitespool.emulator.coordinator_settings import coordinator_settings, entries_per_s
+from granitespool.emulator.coordinator_host import CoordinatorHost, RestoreCallback
+from granitespool.emulator.coordinator_settings import channel_entry_rate, coordinator_settings
 from granitespool.emulator.distance import shares
 from granitespool.emulator.load_reports import LoadReporter
 from granitespool.emulator.request_traffic import OutcomeShares, RequestTraffic
-from granitespool.emulator.schema import Setup
+from granitespool.emulator.schema import ExperimentSetup
 from granitespool.simulation.proxy_table import ProxyTable
 from granitespool.units import MILLISECOND
 
@@ -19,7 +19,7 @@
 class Emulation:
     """A fleet in virtual time; all chance comes from one generator."""
 
-    def __init__(self, setup: Setup, backends: int, proxies: int, seed: int) -> None:
+    def __init__(self, setup: ExperimentSetup, backends: int, proxies: int, seed: int) -> None:
         """A fleet of so many backends and proxies; no coordinator runs until `start`."""
         self.setup = setup
         self.seed = seed
@@ -39,7 +39,7 @@
             self.proxies,
             self._make_coordinator,
             self._make_channel,
-            self.traffic.rate,
+            self.traffic.transaction_rate,
         )
         self.load_reporter = LoadReporter(self.clock, self.traffic, self.host, setup.channel.report_lag_ms)
 
@@ -63,7 +63,7 @@
         return Coordinator(settings, self.seed + incarnation, now)
 
     def _make_channel(self, now: int) -> Channel:
-        pace = entries_per_s(self.setup, len(self.backends), len(self.proxies))
+        pace = channel_entry_rate(self.setup, len(self.backends), len(self.proxies))
         return Channel(self.setup.channel, pace, now)
 
     @property
@@ -75,7 +75,7 @@
         """Lets time pass up to a time (ns)."""
         self.clock.run_until(until)
 
-    def start(self, restore: Restore | None = None, rejoin_s: float = 0.0) -> None:
+    def start(self, restore: RestoreCallback | None = None, rejoin_s: float = 0.0) -> None:
         """Starts a coordinator, which `restore` may give what one before it knew."""
         self.host.start(restore, rejoin_s)
 
@@ -93,4 +93,4 @@
 
     def outcomes(self, first: int, last: int) -> dict[str, OutcomeShares]:
         """By class, what came of the transactions that began in the seconds from `first` to before `last`."""
-        return self.traffic.shares(first, last)
+        return self.traffic.outcome_shares(first, last)
--- a/granitespool/emulator/experiment.py
+++ b/granitespool/emulator/experiment.py
@@ -7,17 +7,17 @@
 from granitespool import __version__
 from granitespool.emulator.report import Report, Row, make_row
 from granitespool.emulator.restart import CONTROL, RestartTrial
-from granitespool.emulator.schema import Setup
+from granitespool.emulator.schema import ExperimentSetup
 from granitespool.state.disk import StateFolder
 
-Progress = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
-def _ignore(_: str) -> None:
+def _ignore_progress(_: str) -> None:
     """Takes progress that nobody wants to see."""
 
 
-def run(setup: Setup, progress: Progress = _ignore) -> Report:
+def run(setup: ExperimentSetup, progress: ProgressCallback = _ignore_progress) -> Report:
     """The report of an experiment; `progress` is told of each trial as it begins."""
     experiment = setup.experiment
     rows: list[Row] = []
@@ -32,7 +32,7 @@
     )
 
 
-def _run_size(setup: Setup, backends: int, proxies: int, progress: Progress) -> list[Row]:
+def _run_size(setup: ExperimentSetup, backends: int, proxies: int, progress: ProgressCallback) -> list[Row]:
     """All variants of one size, after the control that tells how far tables wander by themselves."""
     experiment = setup.experiment
     seeds = range(experiment.first_seed, experiment.first_seed + experiment.seeds)
@@ -52,7 +52,7 @@
 
 @contextmanager
 def _trial(
-    setup: Setup, variant: str, size: tuple[int, int], seed: int, progress: Progress
+    setup: ExperimentSetup, variant: str, size: tuple[int, int], seed: int, progress: ProgressCallback
 ) -> Iterator[RestartTrial]:
     """A trial with a state folder that is removed at its end; `size` is (backends, proxies)."""
     backends, proxies = size
--- a/granitespool/emulator/load_reports.py
+++ b/granitespool/emulator/load_reports.py
@@ -17,10 +17,10 @@
         self.traffic = traffic
         self.host = host
         self.lag = int(lag_ms * MILLISECOND)  # ns
-        clock.at(EPOCH + SECOND, self._report, 0)
+        clock.call_at(EPOCH + SECOND, self._report, 0)
 
     def _report(self, second: int) -> None:
-        self.clock.at(self.clock.now + SECOND, self._report, second + 1)
+        self.clock.call_at(self.clock.now + SECOND, self._report, second + 1)
         links, demand = self.traffic.take_links(second), self.traffic.take_demand()
         if self.host.coordinator is None:
             return
@@ -28,7 +28,7 @@
             _load_report(zone, backend, counts) for (zone, backend), counts in links.items()
         ]
         events += [_usage_report(proxy, name, number) for (proxy, name), number in demand.items()]
-        self.clock.at(self.clock.now + self.lag, self.host.take, self.host.incarnation, events)
+        self.clock.call_at(self.clock.now + self.lag, self.host.deliver, self.host.incarnation, events)
 
 
 def _load_report(zone: str, backend: str, counts: LinkCounts) -> LoadReport:
@@ -37,7 +37,7 @@
         backend=backend,
         attempts=counts.attempts,
         failures=counts.failed,
-        mean=counts.mean_time,
+        mean=counts.mean_latency,
         window=SECOND,
         load={},
     )
--- a/granitespool/emulator/plot.py
+++ b/granitespool/emulator/plot.py
@@ -6,8 +6,8 @@
 from granitespool.emulator.report import Report, Row
 from granitespool.simulation.plotting import load_pyplot
 
-WIDTH, HEIGHT = 11.0, 3.2  # inches of a line of axes
-TITLES = ("the coordinator's tables", "what proxies hold")
+FIGURE_WIDTH, ROW_HEIGHT = 11.0, 3.2  # inches of a line of axes
+COLUMN_TITLES = ("the coordinator's tables", "what proxies hold")
 
 
 def plot(report: Report, path: str) -> None:
@@ -16,8 +16,8 @@
     Raises InvalidInputError where matplotlib is not there."""
     pyplot = load_pyplot()
     sizes = list(dict.fromkeys(row.size for row in report.rows))
-    height = HEIGHT * len(sizes)
-    figure, axes = pyplot.subplots(len(sizes), 2, figsize=(WIDTH, height), squeeze=False, sharex=True)
+    height = ROW_HEIGHT * len(sizes)
+    figure, axes = pyplot.subplots(len(sizes), 2, figsize=(FIGURE_WIDTH, height), squeeze=False, sharex=True)
     for pair, size in zip(axes, sizes, strict=True):
         _plot_size(pair, size, [row for row in report.rows if row.size == size])
     axes[0][0].legend(fontsize=8)
@@ -32,7 +32,7 @@
         times, *columns = zip(*row.far, strict=True)
         for axis, column in zip(axes, columns, strict=True):
             axis.plot(times, column, label=row.variant, linewidth=1.2)
-    for axis, title in zip(axes, TITLES, strict=True):
+    for axis, title in zip(axes, COLUMN_TITLES, strict=True):
         axis.set_title(f"{size}: {title}", fontsize=9)
         axis.set_xlabel("s after the start")
         axis.set_ylabel("distance from before the kill")
--- a/granitespool/emulator/report.py
+++ b/granitespool/emulator/report.py
@@ -10,8 +10,8 @@
 from granitespool.emulator.restart import Sample, TrialResult
 from granitespool.units import SECOND
 
-DIGITS = 4  # after the point, of what is reported
-Look = tuple[
+DECIMAL_PLACES = 4  # after the point, of what is reported
+DistancePoint = tuple[
     float, float, float
 ]  # s after the start, distance of the coordinator's tables and of the proxies'
 
@@ -26,7 +26,7 @@
     service: dict[str, OutcomeShares]  # by class, of the first seconds after the start
     usual: dict[str, float]  # by class, the share in time before the end
     spread: dict[str, float]  # by class, largest less least share in time over the seeds
-    far: list[Look]  # of the first seed
+    far: list[DistancePoint]  # of the first seed
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
@@ -46,41 +46,43 @@
     return Row(
         size=size,
         variant=variant,
-        tables_s=_median(trial.tables_s for trial in trials),
-        held_s=_median(trial.held_s for trial in trials),
+        tables_s=_median_of_present(trial.coordinator_settled_s for trial in trials),
+        held_s=_median_of_present(trial.proxies_settled_s for trial in trials),
         service={name: _median_outcomes([trial.outcomes[name] for trial in trials]) for name in names},
-        usual={name: _median_known(trial.usual[name].in_time for trial in trials) for name in names},
-        spread={name: round(max(column) - min(column), DIGITS) for name, column in in_time.items()},
-        far=[_look(sample) for sample in trials[0].samples],
+        usual={
+            name: _rounded_median(trial.baseline_outcomes[name].in_time for trial in trials) for name in names
+        },
+        spread={name: round(max(column) - min(column), DECIMAL_PLACES) for name, column in in_time.items()},
+        far=[_distance_point(sample) for sample in trials[0].samples],
     )
 
 
-def _median(values: Iterable[float | None]) -> float | None:
+def _median_of_present(values: Iterable[float | None]) -> float | None:
     """The median of the values that are there, None where there are none."""
     known = [value for value in values if value is not None]
-    return _median_known(known) if known else None
+    return _rounded_median(known) if known else None
 
 
-def _median_known(values: Iterable[float]) -> float:
-    return round(statistics.median(values), DIGITS)
+def _rounded_median(values: Iterable[float]) -> float:
+    return round(statistics.median(values), DECIMAL_PLACES)
 
 
 def _median_outcomes(found: Sequence[OutcomeShares]) -> OutcomeShares:
     return OutcomeShares(
-        asked=_median_known(shares.asked for shares in found),
-        in_time=_median_known(shares.in_time for shares in found),
-        late=_median_known(shares.late for shares in found),
-        failed=_median_known(shares.failed for shares in found),
-        refused=_median_known(shares.refused for shares in found),
+        asked=_rounded_median(shares.asked for shares in found),
+        in_time=_rounded_median(shares.in_time for shares in found),
+        late=_rounded_median(shares.late for shares in found),
+        failed=_rounded_median(shares.failed for shares in found),
+        refused=_rounded_median(shares.refused for shares in found),
     )
 
 
-def _look(sample: Sample) -> Look:
+def _distance_point(sample: Sample) -> DistancePoint:
     distances = sample.distances
     return (
         round(sample.at / SECOND, 1),
-        round(distances.coordinator, DIGITS),
-        round(distances.proxies, DIGITS),
+        round(distances.coordinator, DECIMAL_PLACES),
+        round(distances.proxies, DECIMAL_PLACES),
     )
 
 
@@ -89,13 +91,13 @@
     return json.dumps(msgspec.to_builtins(report), indent=1)
 
 
-def table(report: Report) -> list[str]:
+def format_table(report: Report) -> list[str]:
     """The report as lines for a terminal."""
     names = list(report.rows[0].service)
     head = ["size", "variant", "tables", "held"]
     head += [f"{name} in time" for name in names]
     head += [f"{name} before" for name in names]
-    lines = [head, *(_line(row, names) for row in report.rows)]
+    lines = [head, *(_row_cells(row, names) for row in report.rows)]
     widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
     return [
         f"{report.title} (simulated servers; median of {report.seeds} seeds)",
@@ -103,16 +105,16 @@
     ]
 
 
-def _line(row: Row, names: Sequence[str]) -> list[str]:
+def _row_cells(row: Row, names: Sequence[str]) -> list[str]:
     return [
         row.size,
         row.variant,
-        _seconds(row.tables_s),
-        _seconds(row.held_s),
+        _format_seconds(row.tables_s),
+        _format_seconds(row.held_s),
         *(f"{row.service[name].in_time:.4f}" for name in names),
         *(f"{row.usual[name]:.4f}" for name in names),
     ]
 
 
-def _seconds(seconds: float | None) -> str:
+def _format_seconds(seconds: float | None) -> str:
     return "-" if seconds is None else f"{seconds:.1f} s"
--- a/granitespool/emulator/request_traffic.py
+++ b/granitespool/emulator/request_traffic.py
@@ -12,11 +12,11 @@
 
 from granitespool.emulator.backend import Backend
 from granitespool.emulator.clock import EPOCH, VirtualClock
-from granitespool.emulator.schema import Class, Fleet
+from granitespool.emulator.schema import ClassSettings, FleetSettings
 from granitespool.simulation.proxy_table import ProxyTable
 from granitespool.units import MILLISECOND, SECOND
 
-SAME_ZONE_SHARE = 0.1  # round trip within a zone as a part of that to another zone
+SAME_ZONE_ROUND_TRIP_FACTOR = 0.1  # round trip within a zone as a part of that to another zone
 
 
 class OutcomeCounts(msgspec.Struct):
@@ -45,12 +45,12 @@
     attempts: int = 0
     failed: int = 0
     answered: int = 0
-    answered_time: int = 0  # ns, summed over those answered
+    total_latency: int = 0  # ns, summed over those answered
 
     @property
-    def mean_time(self) -> int:
+    def mean_latency(self) -> int:
         """Mean time of an answer in ns, 0 where there was none."""
-        return self.answered_time // self.answered if self.answered else 0
+        return self.total_latency // self.answered if self.answered else 0
 
 
 class Transaction(msgspec.Struct, frozen=True):
@@ -59,7 +59,7 @@
     proxy: ProxyTable
     class_name: str
     counts: OutcomeCounts  # of the second in which it began
-    began: int  # ns
+    started_at: int  # ns
 
 
 class RequestTraffic:
@@ -69,8 +69,8 @@
         self,
         clock: VirtualClock,
         random: Random,
-        fleet: Fleet,
-        classes: Mapping[str, Class],
+        fleet: FleetSettings,
+        classes: Mapping[str, ClassSettings],
         backends: Mapping[str, Backend],
         proxies: Sequence[ProxyTable],
     ) -> None:
@@ -80,13 +80,13 @@
         self.classes = classes
         self.backends = backends
         self.proxies = proxies
-        self.rate = fleet.load * self._capacity()  # transactions a second of all proxies
+        self.transaction_rate = fleet.load * self._capacity()  # transactions a second of all proxies
         self.class_names = list(classes)
         self.cumulative_shares = list(accumulate(each.share for each in classes.values()))
         self.outcomes: dict[tuple[int, str], OutcomeCounts] = {}  # by second and class
         self._links: dict[int, dict[tuple[str, str], LinkCounts]] = {}  # second -> by zone and backend
         self._demand: dict[tuple[int, str], int] = {}  # (proxy, class) -> transactions since the last report
-        clock.at(self._next_arrival(), self._arrive)
+        clock.call_at(self._next_arrival(), self._arrive)
 
     def _capacity(self) -> float:
         """Transactions a second that all backends together can do."""
@@ -105,7 +105,7 @@
         demand, self._demand = self._demand, {}
         return demand
 
-    def shares(self, first: int, last: int) -> dict[str, OutcomeShares]:
+    def outcome_shares(self, first: int, last: int) -> dict[str, OutcomeShares]:
         """By class, what came of the transactions that began in the seconds from `first` to before `last`."""
         return {name: self._class_shares(name, range(first, last)) for name in self.class_names}
 
@@ -125,11 +125,11 @@
         )
 
     def _next_arrival(self) -> int:
-        return self.clock.now + int(self.random.expovariate(self.rate) * SECOND)
+        return self.clock.now + int(self.random.expovariate(self.transaction_rate) * SECOND)
 
     def _arrive(self) -> None:
         """One transaction begins at a proxy of a class, both drawn by chance."""
-        self.clock.at(self._next_arrival(), self._arrive)
+        self.clock.call_at(self._next_arrival(), self._arrive)
         proxy = self.proxies[int(self.random.random() * len(self.proxies))]
         class_name = self._draw_class()
         second = (self.clock.now - EPOCH) // SECOND
@@ -151,11 +151,11 @@
         """One attempt, after so many retries."""
         request_class = self.classes[transaction.class_name]
         endpoint = transaction.proxy.pick(self.random)
-        time_left = transaction.began + int(request_class.limit_ms * MILLISECOND) - self.clock.now
+        time_left = transaction.started_at + int(request_class.limit_ms * MILLISECOND) - self.clock.now
         if endpoint is None or time_left <= 0:
             transaction.counts.failed += 1
             return
-        took, succeeded = self._call(transaction.proxy, self.backends[endpoint], time_left)
+        took, succeeded = self._send_attempt(transaction.proxy, self.backends[endpoint], time_left)
         end = self.clock.now + took
         self._count_link(transaction.proxy.zone, endpoint, end, took if succeeded else None)
         if succeeded:
@@ -164,19 +164,19 @@
             request_class.again
             and retries < transaction.proxy.admission_level(transaction.class_name).retries
         ):
-            self.clock.at(end, self._attempt, transaction, retries + 1)
+            self.clock.call_at(end, self._attempt, transaction, retries + 1)
         else:
             transaction.counts.failed += 1
 
-    def _call(self, proxy: ProxyTable, backend: Backend, time_left: int) -> tuple[int, bool]:
+    def _send_attempt(self, proxy: ProxyTable, backend: Backend, time_left: int) -> tuple[int, bool]:
         """The time (ns) after which the proxy knows what came of an attempt, and whether it succeeded."""
-        answer = backend.answer(self.clock.now, self.random, self.fleet)
+        answer = backend.serve(self.clock.now, self.random, self.fleet)
         round_trip = self.fleet.cross_zone_ms * MILLISECOND
         if backend.zone == proxy.zone:
-            round_trip *= SAME_ZONE_SHARE
-        if answer.took is None:
+            round_trip *= SAME_ZONE_ROUND_TRIP_FACTOR
+        if answer.latency is None:
             return time_left, False
-        took = min(time_left, answer.took + int(round_trip))
+        took = min(time_left, answer.latency + int(round_trip))
         return took, answer.succeeded and took < time_left
 
     def _count_link(self, zone: str, backend: str, end: int, answered_after: int | None) -> None:
@@ -187,11 +187,11 @@
             counts.failed += 1
         else:
             counts.answered += 1
-            counts.answered_time += answered_after
+            counts.total_latency += answered_after
 
     def _count_answer(self, transaction: Transaction, end: int) -> None:
         promised = self.classes[transaction.class_name].promised_ms * MILLISECOND
-        if end - transaction.began <= promised:
+        if end - transaction.started_at <= promised:
             transaction.counts.in_time += 1
         else:
             transaction.counts.late += 1
--- a/granitespool/emulator/schema.py
+++ b/granitespool/emulator/schema.py
@@ -11,15 +11,15 @@
 from granitespool.simulation import ini_files
 
 PACKAGE = "granitespool.emulator"  # whose folder holds the experiments that come with the program
-CLASS_SECTIONS = "class."  # what the name of a class's section begins with
-LARGEST_SIZE = 100_000  # backends or proxies
+CLASS_SECTION_PREFIX = "class."  # what the name of a class's section begins with
+MAX_SIZE = 100_000  # backends or proxies
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
-Count = Annotated[int, Meta(ge=1, le=LARGEST_SIZE)]
+Count = Annotated[int, Meta(ge=1, le=MAX_SIZE)]
 VARIANTS = ("without", "state", "old", "changed", "wrong", "alive")
 
 
-class Experiment(msgspec.Struct, frozen=True, kw_only=True):
+class ExperimentSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[experiment]"""
 
     kind: Literal["restart"]
@@ -47,12 +47,12 @@
             found = [(int(backends), int(proxies)) for backends, proxies in pairs]
         except ValueError:
             found = []
-        if not found or any(min(pair) < 1 or max(pair) > LARGEST_SIZE for pair in found):
+        if not found or any(min(pair) < 1 or max(pair) > MAX_SIZE for pair in found):
             raise ValueError(f"sizes is {self.sizes!r:.40}, where 30x150 or 30x150, 120x640 would do")
         return found
 
 
-class Fleet(msgspec.Struct, frozen=True, kw_only=True):
+class FleetSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[fleet]"""
 
     zones: Annotated[int, Meta(ge=1, le=64)] = 2
@@ -70,7 +70,7 @@
     cold_share: Annotated[float, Meta(ge=0.01, le=1)] = 0.25
 
 
-class Channel(msgspec.Struct, frozen=True, kw_only=True):
+class ChannelSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[channel]"""
 
     binding_s: Annotated[float, Meta(ge=0.01, le=600)] = 2.0  # that a table for every proxy takes
@@ -78,7 +78,7 @@
     report_lag_ms: Annotated[float, Meta(ge=0, le=60_000)] = 300.0
 
 
-class Class(msgspec.Struct, frozen=True, kw_only=True):
+class ClassSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[class.NAME]"""
 
     share: Annotated[float, Meta(ge=0, le=1000)] = 1.0
@@ -88,7 +88,7 @@
     again: bool = False  # free to be tried again after any failure
 
 
-class Restart(msgspec.Struct, frozen=True, kw_only=True):
+class RestartSettings(msgspec.Struct, frozen=True, kw_only=True):
     """[restart]"""
 
     learn_s: Seconds = 30.0
@@ -103,45 +103,49 @@
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
-    "experiment": Experiment,
-    "fleet": Fleet,
-    "channel": Channel,
-    "restart": Restart,
+    "experiment": ExperimentSettings,
+    "fleet": FleetSettings,
+    "channel": ChannelSettings,
+    "restart": RestartSettings,
 }
 
 
-class Setup(msgspec.Struct, frozen=True, kw_only=True):
+class ExperimentSetup(msgspec.Struct, frozen=True, kw_only=True):
     """A whole experiment, as it is run."""
 
-    experiment: Experiment
-    fleet: Fleet = Fleet()
-    channel: Channel = Channel()
-    restart: Restart = Restart()
-    classes: dict[str, Class] = {}
+    experiment: ExperimentSettings
+    fleet: FleetSettings = FleetSettings()
+    channel: ChannelSettings = ChannelSettings()
+    restart: RestartSettings = RestartSettings()
+    classes: dict[str, ClassSettings] = {}
 
 
-def names() -> list[str]:
+def experiment_names() -> list[str]:
     """The experiments that come with the program."""
-    return ini_files.names(PACKAGE)
+    return ini_files.packaged_names(PACKAGE)
 
 
-def load(name: str, changes: Iterable[str] = ()) -> Setup:
+def load(name: str, changes: Iterable[str] = ()) -> ExperimentSetup:
     """The experiment of a file or of a name that `names` has, with other values for some keys.
 
     A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key. Raises
     InvalidInputError."""
-    path, text = ini_files.read(PACKAGE, name, "experiment")
+    path, text = ini_files.read_text(PACKAGE, name, "experiment")
     for change in changes:
-        text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
-    sections: dict[str, Any] = {**ini.parse(path, text, {**SECTIONS, f"{CLASS_SECTIONS}*": Class})}
+        text = ini_files.apply_override(text, _with_section(ini_files.parse_override(change)))
+    sections: dict[str, Any] = {
+        **ini.parse(path, text, {**SECTIONS, f"{CLASS_SECTION_PREFIX}*": ClassSettings})
+    }
     if "experiment" not in sections:
         raise InvalidInputError(f"{path}: it lacks the section [experiment]")
-    class_sections = [section for section in sections if section.startswith(CLASS_SECTIONS)]
-    classes = {section.removeprefix(CLASS_SECTIONS): sections.pop(section) for section in class_sections}
-    return Setup(**sections, classes=classes or {"pay": Class()})
+    class_sections = [section for section in sections if section.startswith(CLASS_SECTION_PREFIX)]
+    classes = {
+        section.removeprefix(CLASS_SECTION_PREFIX): sections.pop(section) for section in class_sections
+    }
+    return ExperimentSetup(**sections, classes=classes or {"pay": ClassSettings()})
 
 
-def _with_section(change: ini_files.Change) -> ini_files.Change:
+def _with_section(change: ini_files.KeyOverride) -> ini_files.KeyOverride:
     """The change with the section that alone has its key."""
     if change.section:
         return change
--- a/granitespool/emulator/snapshots.py
+++ b/granitespool/emulator/snapshots.py
@@ -2,9 +2,9 @@
 
 from granitespool import __version__
 from granitespool.coordinator import Coordinator
-from granitespool.emulator.coordinator_host import Restore
+from granitespool.emulator.coordinator_host import RestoreCallback
 from granitespool.emulator.emulation import Emulation
-from granitespool.emulator.schema import Restart
+from granitespool.emulator.schema import RestartSettings
 from granitespool.state import record, restore_policy
 from granitespool.state.disk import Folder
 from granitespool.state.record import Clocks
@@ -13,20 +13,20 @@
 from granitespool.state.writer import read_folder
 from granitespool.units import MILLISECOND, SECOND
 
-FOLDER_LIMIT = 64 << 20  # bytes of a state folder
-INCARNATION = 1  # that the header tells
+MAX_FOLDER_BYTES = 64 << 20  # bytes of a state folder
+HEADER_INCARNATION = 1  # that the header tells
 
 
 class SnapshotRecorder:
     """Writes what changed to a folder at intervals, for as long as the first incarnation runs."""
 
-    def __init__(self, emulation: Emulation, settings: Restart, folder: Folder) -> None:
+    def __init__(self, emulation: Emulation, settings: RestartSettings, folder: Folder) -> None:
         self.emulation = emulation
         self.settings = settings
         self.folder = folder
         self.identity = restore_policy.Identity("lab", list(emulation.setup.classes), emulation.zones)
         self.recovery = Recovery(settings, self.identity)
-        self.store = Store(folder, FOLDER_LIMIT, self._header)
+        self.store = Store(folder, MAX_FOLDER_BYTES, self._header)
 
     def start(self) -> None:
         """Begins with the incarnation that runs now."""
@@ -34,10 +34,10 @@
 
     def _header(self) -> record.Header:
         now = self.emulation.now
-        return record.Header(record.FORMAT_VERSION, *self.identity, now, now, INCARNATION, __version__)
+        return record.Header(record.FORMAT_VERSION, *self.identity, now, now, HEADER_INCARNATION, __version__)
 
     def _schedule(self, when: int) -> None:
-        self.emulation.clock.at(when, self._write, self.emulation.host.incarnation)
+        self.emulation.clock.call_at(when, self._write, self.emulation.host.incarnation)
 
     def _write(self, incarnation: int) -> None:
         now = self.emulation.now
@@ -51,12 +51,12 @@
         if changes:
             self.store.append(Clocks(now, now), changes)
 
-    def restore(self, age_s: float) -> Restore:
+    def restore(self, age_s: float) -> RestoreCallback:
         """Reads the folder as if it were so many seconds older; the result restores a new coordinator."""
         now = self.emulation.now
         later = now + int(age_s * SECOND)
         clocks = Clocks(later, later)
-        content = read_folder(self.folder, FOLDER_LIMIT)
+        content = read_folder(self.folder, MAX_FOLDER_BYTES)
         recovery = Recovery(self.settings, self.identity)
         recovery.load(content.state, content.record, content.reason, clocks)
 
--- a/granitespool/scale/propagation.py
+++ b/granitespool/scale/propagation.py
@@ -36,7 +36,7 @@
                 self._follow(entry.name, during_cut)
 
     def _follow(self, backend: str, during_cut: bool) -> None:
-        holders = {stream.number for stream in self.streams if stream.table.may_use(backend)}
+        holders = {stream.number for stream in self.streams if stream.table.is_usable(backend)}
         if holders:
             self._pending[backend] = _Pending(self.clock(), holders, during_cut)
 
@@ -44,7 +44,7 @@
         """A proxy has applied a message."""
         now = self.clock()
         for backend, pending in list(self._pending.items()):
-            if stream.number in pending.holders and not stream.table.may_use(backend):
+            if stream.number in pending.holders and not stream.table.is_usable(backend):
                 pending.holders.discard(stream.number)
                 if not pending.holders:
                     del self._pending[backend]
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -166,7 +166,10 @@
         excluded = frozenset(self.table.excluded)
         self.recorder.add(
             TableHeld(
-                at=self.loop.clock(), proxy=self.number, weights=self.table.weighted(), excluded=excluded
+                at=self.loop.clock(),
+                proxy=self.number,
+                weights=self.table.positive_weights(),
+                excluded=excluded,
             )
         )
 
--- a/granitespool/scale/schema.py
+++ b/granitespool/scale/schema.py
@@ -164,7 +164,7 @@
 
 def names() -> list[str]:
     """The scenarios that come with the program."""
-    return ini_files.names(PACKAGE)
+    return ini_files.packaged_names(PACKAGE)
 
 
 def load(name: str, changes: Iterable[str] = ()) -> Scenario:
@@ -172,9 +172,9 @@
 
     A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key. Raises
     InvalidInputError."""
-    path, text = ini_files.read(PACKAGE, name, "scenario")
+    path, text = ini_files.read_text(PACKAGE, name, "scenario")
     for change in changes:
-        text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
+        text = ini_files.apply_override(text, _with_section(ini_files.parse_override(change)))
     sections: dict[str, Any] = {**ini.parse(path, text, {**SECTIONS, f"{EVENT}*": Event})}
     if "scale" not in sections:
         raise InvalidInputError(f"{path}: it lacks the section [scale]")
@@ -183,7 +183,7 @@
     return Scenario(name=Path(name).name.removesuffix(ini_files.SUFFIX), **sections, events=events)
 
 
-def _with_section(change: ini_files.Change) -> ini_files.Change:
+def _with_section(change: ini_files.KeyOverride) -> ini_files.KeyOverride:
     """The change with the section that alone has its key."""
     if change.section:
         return change
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -116,7 +116,7 @@
         """Requests a second that the tables bring to each backend that gets any."""
         work: dict[str, float] = {}
         for stream in self.streams:
-            weights = stream.table.open_weights()
+            weights = stream.table.usable_weights()
             total = sum(weights.values())
             for name, weight in weights.items():
                 work[name] = work.get(name, 0.0) + stream.rate * weight / total
--- a/granitespool/simulation/ini_files.py
+++ b/granitespool/simulation/ini_files.py
@@ -10,8 +10,8 @@
 from granitespool.errors import InvalidInputError
 
 SUFFIX = ".ini"
-FOLDER = "experiments"  # in a package
-QUOTED = 60  # characters of a wrong change that a sentence repeats
+EXPERIMENTS_FOLDER = "experiments"  # in a package
+MAX_SHOWN_CHARS = 60  # characters of a wrong change that a sentence repeats
 
 Schemas = Mapping[str, type[msgspec.Struct]]  # section -> what it may hold
 
@@ -23,7 +23,7 @@
     text: str
 
 
-class Change(NamedTuple):
+class KeyOverride(NamedTuple):
     """Another value for one key, as `--set SECTION.KEY=VALUE` gives it."""
 
     section: str  # "" where none was named
@@ -31,22 +31,22 @@
     value: str
 
 
-def names(package: str) -> list[str]:
+def packaged_names(package: str) -> list[str]:
     """The names of the files that come with a package."""
-    folder = importlib.resources.files(package) / FOLDER
+    folder = importlib.resources.files(package) / EXPERIMENTS_FOLDER
     return sorted(
         entry.name.removesuffix(SUFFIX) for entry in folder.iterdir() if entry.name.endswith(SUFFIX)
     )
 
 
-def read(package: str, name: str, kind: str) -> IniText:
+def read_text(package: str, name: str, kind: str) -> IniText:
     """The file of a path, or of a name that `names` has; `kind` is what sentences call such a file.
 
     Raises InvalidInputError where it cannot be read."""
-    known = names(package)
+    known = packaged_names(package)
     if name in known and not Path(name).exists():
         path = f"{name}{SUFFIX}"
-        return IniText(path, (importlib.resources.files(package) / FOLDER / path).read_text())
+        return IniText(path, (importlib.resources.files(package) / EXPERIMENTS_FOLDER / path).read_text())
     try:
         return IniText(name, Path(name).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -57,13 +57,13 @@
         ) from None
 
 
-def parse_change(text: str) -> Change:
+def parse_override(text: str) -> KeyOverride:
     """A change from its text. Raises InvalidInputError where it has no value."""
     name, equals, value = text.partition("=")
     if not equals:
-        raise InvalidInputError(f"--set {text!r:.{QUOTED}} is no KEY=VALUE")
+        raise InvalidInputError(f"--set {text!r:.{MAX_SHOWN_CHARS}} is no KEY=VALUE")
     section, _, key = name.strip().rpartition(".")
-    return Change(section, key, value.strip())
+    return KeyOverride(section, key, value.strip())
 
 
 def sections_with(key: str, schemas: Schemas) -> list[str]:
@@ -75,7 +75,7 @@
     ]
 
 
-def apply_change(text: str, change: Change) -> str:
+def apply_override(text: str, change: KeyOverride) -> str:
     """The text with another value for a key, in place of a former one."""
     section, lines, found = "", [], False
     for line in text.splitlines():
--- a/granitespool/simulation/netconf_client.py
+++ b/granitespool/simulation/netconf_client.py
@@ -11,15 +11,15 @@
 from granitespool.errors import GranitespoolError
 from granitespool.netconf.framing import MessageReader, frame
 
-MESSAGE_LIMIT = 256 << 20  # bytes of an answer that are taken: the whole state of a large fleet
-READ_SIZE = 1 << 16
+MAX_MESSAGE_BYTES = 256 << 20  # bytes of an answer that are taken: the whole state of a large fleet
+READ_BYTES = 1 << 16
 NAMESPACE = "urn:granitespool:coordinator"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
 HELLO = (
     f'<hello xmlns="{BASE}"><capabilities><capability>urn:ietf:params:netconf:base:1.{{}}</capability>'
     "</capabilities></hello>"
 )
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
 
 
 class ConnectionEndedError(GranitespoolError):
@@ -53,7 +53,7 @@
         except BaseException:
             self.sock.close()
             raise
-        self.reader = MessageReader(MESSAGE_LIMIT)
+        self.reader = MessageReader(MAX_MESSAGE_BYTES)
         self.message_id = 0  # of the last rpc
         self.notes: list[str] = []  # notifications that came before an answer
         self.hello = ""  # the server's
@@ -81,7 +81,7 @@
 
     def _read(self) -> bytes:
         try:
-            data = self.tls.recv(READ_SIZE)
+            data = self.tls.recv(READ_BYTES)
         except (ConnectionError, ssl.SSLError) as error:
             raise ConnectionEndedError(str(error)) from None
         if not data:
@@ -141,7 +141,7 @@
 
     def reset(self) -> None:
         """Ends the connection by a reset, whatever is under way."""
-        self.tls.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        self.tls.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.tls.close()
 
 
--- a/granitespool/simulation/proxy_table.py
+++ b/granitespool/simulation/proxy_table.py
@@ -83,14 +83,14 @@
         default = self.admission.get(None, AdmissionLevel())
         return self.admission.get(request_class, default)
 
-    def weighted(self) -> dict[str, float]:
+    def positive_weights(self) -> dict[str, float]:
         """The endpoints with a weight above 0, excluded ones with them."""
         return {name: weight for name, weight in self.weights.items() if weight > 0}
 
-    def open_weights(self) -> dict[str, float]:
+    def usable_weights(self) -> dict[str, float]:
         """The endpoints that requests may still be sent to, with their weights."""
-        return {name: weight for name, weight in self.weighted().items() if name not in self.excluded}
+        return {name: weight for name, weight in self.positive_weights().items() if name not in self.excluded}
 
-    def may_use(self, endpoint: str) -> bool:
+    def is_usable(self, endpoint: str) -> bool:
         """Whether requests may still be sent to an endpoint."""
         return self.weights.get(endpoint, 0) > 0 and endpoint not in self.excluded
--- a/tests/support/external_names.py
+++ b/tests/support/external_names.py
@@ -69,7 +69,9 @@
         "YANG nodes": _yang_names,
         "operator's INI file": _operator_keys,
         "experiments of the emulator": partial(
-            _schema_keys, emulator_schema.SECTIONS, {emulator_schema.CLASS_SECTIONS: emulator_schema.Class}
+            _schema_keys,
+            emulator_schema.SECTIONS,
+            {emulator_schema.CLASS_SECTION_PREFIX: emulator_schema.ClassSettings},
         ),
         "scenarios of the scale run": partial(
             _schema_keys, scale_schema.SECTIONS, {scale_schema.EVENT: scale_schema.Event}
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -63,7 +63,7 @@
     for shares in emulation.outcomes(0, 9).values():
         assert shares.asked > 100
         assert shares.in_time + shares.late + shares.failed + shares.refused == pytest.approx(1)
-    assert emulation.host.joined == {proxy.number for proxy in emulation.proxies}
+    assert emulation.host.joined_proxies == {proxy.number for proxy in emulation.proxies}
     assert all(proxy.weights for proxy in emulation.proxies)
     assert not emulation.host.internal_errors
     assert sum(emulation.zone_shares("z0").values()) == pytest.approx(1)
@@ -83,15 +83,15 @@
     fleet = schema.load("restart", [*SMALL, "cold_s=10", "cold_share=0.25"]).fleet
     backend, took = Backend("a", "z0", 1, 60 * MILLISECOND), {}
     for started in (0, EPOCH + 1):
-        backend.started, random, took[started] = started, Random(1), 0
+        backend.started_at, random, took[started] = started, Random(1), 0
         for _ in range(100):
-            backend.free_at = [0]
-            took[started] += backend.answer(EPOCH + SECOND, random, fleet).took
+            backend.workers_free_at = [0]
+            took[started] += backend.serve(EPOCH + SECOND, random, fleet).latency
     assert took[EPOCH + 1] == pytest.approx(4 * took[0], rel=0.01)
-    backend.free_at = [EPOCH + SECOND + (fleet.queue_ms + 1) * MILLISECOND]
-    assert backend.answer(EPOCH + SECOND, random, fleet) == (ERROR_TIME, False)
+    backend.workers_free_at = [EPOCH + SECOND + (fleet.queue_ms + 1) * MILLISECOND]
+    assert backend.serve(EPOCH + SECOND, random, fleet) == (ERROR_TIME, False)
     backend.fault = Fault(dead=True)
-    assert backend.answer(EPOCH + SECOND, random, fleet) == (None, False)
+    assert backend.serve(EPOCH + SECOND, random, fleet) == (None, False)
 
 
 def test_the_command_prints_a_table_json_or_a_sentence(capsys, tmp_path):
--- a/tests/test_emulator_recordings.py
+++ b/tests/test_emulator_recordings.py
@@ -40,7 +40,7 @@
     result = experiment.run(schema.load("restart", EXPERIMENTS[name]))
     made = json.loads(reports.as_json(result))
     del made["program"]
-    return recordings.as_recorded({"report": made, "table": reports.table(result)})
+    return recordings.as_recorded({"report": made, "table": reports.format_table(result)})
 
 
 def digest(value):
@@ -77,14 +77,14 @@
         {
             "seconds": seconds,
             "chance": digest(emulation.random.getstate()),
-            "events": emulation.clock.scheduled,
+            "events": emulation.clock.scheduled_count,
             "times": digest(sorted(waiting)),
         }
     )
 
 
 def keys():
-    sections = {**schema.SECTIONS, "class.*": schema.Class}
+    sections = {**schema.SECTIONS, "class.*": schema.ClassSettings}
     return recordings.as_recorded(
         {
             section: {
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -157,7 +157,7 @@
 
 
 def test_an_experiment_is_a_name_or_a_file_with_changes(tmp_path, capsys):
-    assert "restart" in schema.names()
+    assert "restart" in schema.experiment_names()
     assert schema.load("restart", ["load=0.9"]).fleet.load == 0.9
     path = tmp_path / "mine.ini"
     path.write_text("[experiment]\nkind = restart\ntitle = mine\n[class.pay]\nbenefit = 9\n")
@@ -178,4 +178,4 @@
 
 def test_booleans_and_words_are_named_as_such():
     with pytest.raises(InvalidInputError, match="again is 'perhaps', where true or false would do"):
-        ini.parse("x.ini", "[c]\nagain = perhaps\n", {"c": schema.Class})
+        ini.parse("x.ini", "[c]\nagain = perhaps\n", {"c": schema.ClassSettings})
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -419,7 +419,7 @@
 def test_the_trace_holds_what_proxies_hold(played):
     last = {e.proxy: e for e in played.environment.recorder.events if isinstance(e, TableHeld)}
     for stream in played.environment.streams:
-        assert last[stream.number].weights == stream.table.weighted()
+        assert last[stream.number].weights == stream.table.positive_weights()
         assert last[stream.number].excluded == stream.table.excluded
     times = [event.at for event in played.environment.recorder.events]
     assert times == sorted(times)
