--- a/granitespool/emulator/__init__.py
+++ b/granitespool/emulator/__init__.py
@@ -1,16 +1,21 @@
-"""Emulator: real coordinators in virtual time among stand-ins of everyone else, from one seed.
+"""Run real coordinators in virtual time with simulated backends, proxies and traffic.
 
-    schema              what an experiment's INI file may say
-    clock               virtual time and what is due when
-    backend             one emulated backend, and its faults
-    request_traffic     transactions, their attempts, and what proxies and collectors count of them
-    channel             the channel from a coordinator to its proxies
-    coordinator_host    a coordinator's incarnations, and everything that reaches or leaves it
-    emulation           all of these together
-    snapshots           what a coordinator writes to a state folder and recovers from it
-    distance            how far routing tables are from each other
-    restart             one trial: an incarnation ends, the next one starts
-    experiment          all trials of an experiment
-    report, plot        the result as JSON, as a table, as a plot
+A run is deterministic: all randomness comes from one seed.
 
-Every figure is one of simulated servers."""
+    schema               sections and keys of an experiment's INI file
+    clock                virtual clock and scheduled calls
+    backend              simulated backend and its faults
+    request_traffic      transactions, their attempts, and the counts that proxies and collectors report
+    load_reports         delayed delivery of those counts to the coordinator
+    channel              rate-limited channel from a coordinator to its proxies
+    coordinator_settings settings of the emulated coordinator
+    coordinator_host     incarnations of a coordinator, with their inputs and outputs
+    emulation            a whole fleet, made of the modules above
+    snapshots            saving to a state folder, and restoring from it
+    distance             distance between routing tables
+    restart              one trial: a coordinator is killed and restarted
+    experiment           all trials of an experiment
+    report, plot         the result as JSON, as text and as a plot
+
+Every reported figure is about simulated servers.
+"""
--- a/granitespool/emulator/backend.py
+++ b/granitespool/emulator/backend.py
@@ -1,4 +1,4 @@
-"""Emulated backends: a queue before so many workers, and the faults that an experiment gives them."""
+"""Emulated backends: a queue in front of a fixed number of workers, and injected faults."""
 
 import heapq
 from collections.abc import Iterable
@@ -10,26 +10,26 @@
 from granitespool.emulator.schema import FleetSettings
 from granitespool.units import MILLISECOND, SECOND
 
-ERROR_TIME = 5 * MILLISECOND  # ns until a request that fails at once is answered
+ERROR_LATENCY = 5 * MILLISECOND  # ns until an error response of a backend that does no work for it
 
 
 class Response(NamedTuple):
-    """What came of one attempt."""
+    """Result of one attempt."""
 
-    latency: int | None  # ns; None: no answer ever comes
+    latency: int | None  # ns; None: the backend never responds
     succeeded: bool
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """What is wrong with a backend; nothing by default."""
+    """Fault of a backend; the default is a healthy one."""
 
-    slowdown: float = 1.0  # factor on its service time
-    failure_share: float = 0.0  # of its attempts, those that fail at once
-    dead: bool = False  # it answers nothing
+    slowdown: float = 1.0  # factor on the service time
+    failure_share: float = 0.0  # share of attempts that fail immediately
+    dead: bool = False  # responds to nothing
 
     @property
     def present(self) -> bool:
-        """Whether anything is wrong."""
+        """Whether the backend is faulty."""
         return self.slowdown > 1 or self.failure_share > 0 or self.dead
 
 
@@ -37,55 +37,58 @@
 
 
 class Backend:
-    """Serves `workers` requests at once, first come first served."""
+    """A backend that executes up to `workers` requests concurrently, first come, first served."""
 
     def __init__(self, name: str, zone: str, workers: int, service_time: float) -> None:
-        """`service_time`: mean in ns while it has no fault and is warm."""
+        """Create a healthy backend; `service_time` is its mean in ns once it has warmed up."""
         self.name = name
         self.zone = zone
         self.service_time = service_time
-        self.workers_free_at = [0] * workers  # ns when each worker is free, a heap
-        self.started_at = 0  # ns; 0: long ago
+        self.workers_free_at = [0] * workers  # heap of the times (ns) at which workers become free
+        self.started_at = 0  # ns; 0: long ago, so that it is not warming up
         self.fault = HEALTHY
 
     def serve(self, now: int, random: Random, fleet: FleetSettings) -> Response:
-        """Takes one attempt that arrives now (ns)."""
+        """Return the response to an attempt that arrives at `now` (ns).
+
+        An attempt that would have to queue for longer than `queue_ms` fails immediately.
+        """
         if self.fault.dead:
             return Response(None, False)
         if self.fault.failure_share and random.random() < self.fault.failure_share:
-            return Response(ERROR_TIME, False)
+            return Response(ERROR_LATENCY, False)
         begin = max(now, self.workers_free_at[0])
         if begin - now > fleet.queue_ms * MILLISECOND:
-            return Response(ERROR_TIME, False)
+            return Response(ERROR_LATENCY, False)
         warming_up = self.started_at and now - self.started_at < fleet.cold_s * SECOND
         speed = fleet.cold_share if warming_up else 1.0
-        took = random.expovariate(1.0) * self.service_time * self.fault.slowdown / speed
-        heapq.heapreplace(self.workers_free_at, begin + int(took))
-        return Response(begin + int(took) - now, True)
+        duration = random.expovariate(1.0) * self.service_time * self.fault.slowdown / speed
+        heapq.heapreplace(self.workers_free_at, begin + int(duration))
+        return Response(begin + int(duration) - now, True)
 
 
 def assign_faults(backends: Iterable[Backend], fleet: FleetSettings, random: Random) -> None:
-    """Makes the fleet's shares of the backends slow, failing and dead by chance, all others healthy."""
-    order = list(backends)
-    random.shuffle(order)
-    slow = round(len(order) * fleet.slow_share)
-    failing = slow + round(len(order) * fleet.failing_share)
-    dead = failing + round(len(order) * fleet.dead_share)
-    for backend in order:
+    """Make random shares of the backends slow, failing and dead, as configured, and the others healthy."""
+    shuffled = list(backends)
+    random.shuffle(shuffled)
+    slow_end = round(len(shuffled) * fleet.slow_share)
+    failing_end = slow_end + round(len(shuffled) * fleet.failing_share)
+    dead_end = failing_end + round(len(shuffled) * fleet.dead_share)
+    for backend in shuffled:
         backend.fault = HEALTHY
-    for backend in order[:slow]:
+    for backend in shuffled[:slow_end]:
         backend.fault = Fault(slowdown=fleet.slow_factor)
-    for backend in order[slow:failing]:
+    for backend in shuffled[slow_end:failing_end]:
         backend.fault = Fault(failure_share=fleet.failing_part)
-    for backend in order[failing:dead]:
+    for backend in shuffled[failing_end:dead_end]:
         backend.fault = Fault(dead=True)
 
 
 def swap_faults(backends: Iterable[Backend], random: Random) -> None:
-    """Heals every backend with a fault and gives its fault to a healthy one."""
-    every = list(backends)
-    faulty = [backend for backend in every if backend.fault.present]
-    healthy = [backend for backend in every if not backend.fault.present]
+    """Move the fault of each faulty backend to a random healthy one, as long as there are healthy ones."""
+    all_backends = list(backends)
+    faulty = [backend for backend in all_backends if backend.fault.present]
+    healthy = [backend for backend in all_backends if not backend.fault.present]
     chosen = random.sample(healthy, min(len(faulty), len(healthy)))
-    for one, other in zip(faulty, chosen, strict=False):
-        one.fault, other.fault = other.fault, one.fault
+    for faulty_backend, healthy_backend in zip(faulty, chosen, strict=False):
+        faulty_backend.fault, healthy_backend.fault = healthy_backend.fault, faulty_backend.fault
--- a/granitespool/emulator/channel.py
+++ b/granitespool/emulator/channel.py
@@ -1,25 +1,29 @@
-"""The channel from a coordinator to its proxies: messages one after the other at a pace, then a delay."""
+"""The rate-limited channel from a coordinator to its proxies.
+
+Messages are sent one after another at a fixed rate of table entries, and arrive after a fixed delay.
+"""
 
 from granitespool.emulator.schema import ChannelSettings
 from granitespool.units import MILLISECOND, SECOND
 
-BATCH_INTERVAL = 10 * MILLISECOND  # ns: what arrives within so long is taken in one turn
+# Messages that arrive within one interval are processed in one turn, at its end. In ns.
+BATCH_INTERVAL = 10 * MILLISECOND
 
 
-def batch_end(when: int) -> int:
-    """The time (ns) at which something that arrives at `when` is taken."""
-    return -(-when // BATCH_INTERVAL) * BATCH_INTERVAL
+def batch_end(arrival: int) -> int:
+    """Return the time (ns) at which a message that arrives at `arrival` (ns) is processed."""
+    return -(-arrival // BATCH_INTERVAL) * BATCH_INTERVAL
 
 
 class Channel:
-    """Carries the messages of one incarnation of a coordinator."""
+    """Channel of one incarnation of a coordinator."""
 
     def __init__(self, settings: ChannelSettings, entries_per_s: float, now: int) -> None:
         self.entry_rate = entries_per_s
         self.delay = int(settings.delay_ms * MILLISECOND)  # ns
-        self.free_at = now  # ns
+        self.free_at = now  # ns; when all messages so far have been sent
 
     def send(self, now: int, entries: int) -> int:
-        """Takes a message of so many table entries; the time (ns) at which its proxy has it."""
+        """Send a message of `entries` table entries; return the time (ns) at which the proxy processes it."""
         self.free_at = max(self.free_at, now) + int(SECOND * entries / self.entry_rate)
         return batch_end(self.free_at + self.delay)
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -1,7 +1,8 @@
-"""Runs a coordinator in virtual time: its incarnations, and everything that reaches or leaves it.
+"""Run the incarnations of a coordinator in virtual time, and deliver their inputs and outputs.
 
-Whatever belongs to an incarnation that has ended is dropped, as it would be with its sockets: messages on
-their way to proxies, their acknowledgements, load reports, answers to health checks."""
+Whatever is in flight for an incarnation that has ended is dropped, as closed sockets would drop it: messages
+to proxies, acknowledgements, load reports and health check results.
+"""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from random import Random
@@ -31,10 +32,10 @@
 )
 from granitespool.units import MILLISECOND, SECOND
 
-HEALTH_CHECK_LATENCY = 2 * MILLISECOND  # ns until a health check is answered
-HEALTH_CHECK_TIMEOUT = SECOND // 2  # ns, as the service has it
-APPLY_DURATION = 5 * MILLISECOND  # ns in which a proxy applies a message
-UPDATE_OVERHEAD_ENTRIES = 2  # table entries that a message counts as beside those in it
+HEALTH_CHECK_LATENCY = 2 * MILLISECOND  # ns
+HEALTH_CHECK_TIMEOUT = SECOND // 2  # ns; same as in the service
+APPLY_DURATION = 5 * MILLISECOND  # ns that a proxy needs to apply a message
+UPDATE_OVERHEAD_ENTRIES = 2  # size of a message without its contents, in table entries
 MACHINE_TYPE = "m"
 CELL = 0
 
@@ -42,7 +43,7 @@
 
 
 class CoordinatorHost:
-    """At most one running coordinator, before the backends and proxies of an emulation."""
+    """Host of at most one running coordinator for the backends and proxies of an emulation."""
 
     def __init__(
         self,
@@ -54,9 +55,11 @@
         make_channel: Callable[[int], Channel],
         rate: float,
     ) -> None:
-        """`rate`: transactions a second of all proxies.
+        """Create a host without a running coordinator.
 
-        `make(incarnation, now)` and `make_channel(now)` give a new coordinator and its channel."""
+        `rate` is the number of transactions per second over all proxies. `make(incarnation, now)` and
+        `make_channel(now)` create a coordinator and its channel.
+        """
         self.clock = clock
         self.random = random
         self.backends = backends
@@ -66,20 +69,21 @@
         self.transaction_rate = rate
         self.coordinator: Coordinator | None = None
         self.incarnation = 0  # counted from 1
-        self.joined_proxies: set[int] = set()  # proxies with a stream
+        self.joined_proxies: set[int] = set()  # numbers of the proxies with a stream
         self.internal_errors: list[str] = []
         self._channel = make_channel(clock.now)
         self._next_wakeup_at: int | None = None  # ns
         self._turn_scheduled = False
 
     def running(self, incarnation: int) -> Coordinator | None:
-        """The coordinator of this incarnation, or None where it has ended."""
+        """Return the coordinator of this incarnation, or None if it has ended."""
         return self.coordinator if incarnation == self.incarnation else None
 
     def start(self, restore: RestoreCallback | None = None, rejoin_s: float = 0.0) -> None:
-        """Starts an incarnation with the whole list and what `restore` gives it.
+        """Start an incarnation with the complete endpoint list, then call `restore` on it.
 
-        Proxies join within `rejoin_s` s."""
+        The proxies join at random times within `rejoin_s` seconds.
+        """
         now = self.clock.now
         self.incarnation += 1
         self._next_wakeup_at = None
@@ -94,14 +98,15 @@
             self.clock.call_at(now + delay, self._join, self.incarnation, proxy)
 
     def kill(self) -> None:
-        """Ends the incarnation at once; every proxy goes on with the table that it holds."""
+        """End the running incarnation immediately; the proxies keep their current tables."""
         self.coordinator = None
         self.joined_proxies.clear()
 
     def deliver(self, incarnation: int, events: Iterable[Event]) -> None:
-        """Reports events that reach this incarnation now, as one turn.
+        """Report events to this incarnation in one turn, unless it has ended.
 
-        Usage of proxies without a stream is dropped."""
+        Usage reports of proxies without a stream are dropped.
+        """
         coordinator = self.running(incarnation)
         if coordinator is None:
             return
@@ -111,7 +116,7 @@
         self._run_turn(coordinator)
 
     def zone_table(self, zone: str) -> dict[str, float]:
-        """The weights of the coordinator's tables for a zone; empty where there are none."""
+        """Return the merged weights of the coordinator's tables for a zone, or an empty dict without any."""
         if self.coordinator is None:
             return {}
         weights: dict[str, float] = {}
@@ -147,10 +152,10 @@
         coordinator.report(self.clock.now, joined)
         self._schedule_turn()
 
-    # Turns
+    # Turns of the coordinator
 
     def _schedule_turn(self) -> None:
-        """Ends the turn once everything of this instant has been reported."""
+        """Run the turn after all other calls of the current time have reported their events."""
         if not self._turn_scheduled:
             self._turn_scheduled = True
             self.clock.call_at(self.clock.now, self._run_scheduled_turn, self.incarnation)
@@ -174,7 +179,7 @@
             self.clock.call_at(max(due, self.clock.now + 1), self._wake_up, self.incarnation)
 
     def _needs_wakeup(self, due: int) -> bool:
-        """Whether a wake-up has to be scheduled for this time."""
+        """Return whether no wake-up is scheduled before or at `due` (ns)."""
         scheduled = self._next_wakeup_at
         return scheduled is None or due < scheduled or scheduled <= self.clock.now
 
@@ -188,10 +193,10 @@
 
     def _check_health(self, name: str) -> None:
         dead = self.backends[name].fault.dead
-        took = HEALTH_CHECK_TIMEOUT if dead else HEALTH_CHECK_LATENCY
+        latency = HEALTH_CHECK_TIMEOUT if dead else HEALTH_CHECK_LATENCY
         outcome = HealthCheckOutcome.TIMED_OUT if dead else HealthCheckOutcome.OK
-        result = HealthCheckResult(backend=name, outcome=outcome, latency=took, load={})
-        self.clock.call_at(self.clock.now + took, self.deliver, self.incarnation, [result])
+        result = HealthCheckResult(backend=name, outcome=outcome, latency=latency, load={})
+        self.clock.call_at(self.clock.now + latency, self.deliver, self.incarnation, [result])
 
     # Messages to proxies
 
@@ -202,25 +207,25 @@
         self.clock.call_at(arrives_at, self._apply, self.incarnation, proxy, update, message.barrier, sent_at)
 
     def _apply(
-        self, incarnation: int, proxy: ProxyTable, update: TableUpdate, mark: int | None, sent_at: int
+        self, incarnation: int, proxy: ProxyTable, update: TableUpdate, barrier: int | None, sent_at: int
     ) -> None:
         if self.running(incarnation) is None or proxy.number not in self.joined_proxies:
             return
         proxy.apply(update)
-        if mark is not None:
-            took = self.clock.now - sent_at
-            done_at = self.clock.now + APPLY_DURATION
-            self.clock.call_at(done_at, self._acknowledge, incarnation, proxy.number, mark, took)
+        if barrier is not None:
+            latency = self.clock.now - sent_at
+            applied_at = self.clock.now + APPLY_DURATION
+            self.clock.call_at(applied_at, self._acknowledge, incarnation, proxy.number, barrier, latency)
 
-    def _acknowledge(self, incarnation: int, proxy: int, mark: int, took: int) -> None:
+    def _acknowledge(self, incarnation: int, proxy: int, barrier: int, latency: int) -> None:
         coordinator = self.running(incarnation)
         if coordinator is not None:
-            coordinator.report(self.clock.now, Acknowledged(proxy=proxy, sequence=mark, latency=took))
+            coordinator.report(self.clock.now, Acknowledged(proxy=proxy, sequence=barrier, latency=latency))
             self._schedule_turn()
 
 
 def table_update(message: ProxyUpdate) -> TableUpdate:
-    """A message to a proxy, as `Coordinator.pick` gives it, as an update of its table."""
+    """Convert a message from `Coordinator.next_message` to an update of the proxy's table."""
     return TableUpdate(
         weights=[WeightUpdate(table.complete, table.entries.items()) for table in message.tables],
         admission=[
@@ -233,7 +238,7 @@
 
 
 def entry_count(message: ProxyUpdate) -> int:
-    """Table entries that a message counts as in the channel."""
+    """Return the size of a message in the channel, in table entries."""
     weights = sum(len(table.entries) + table.complete for table in message.tables)
     exclusions = len(message.excluded) + len(message.readmitted)
     return UPDATE_OVERHEAD_ENTRIES + int(weights) + len(message.levels) + exclusions
--- a/granitespool/emulator/coordinator_settings.py
+++ b/granitespool/emulator/coordinator_settings.py
@@ -1,4 +1,4 @@
-"""The settings that an experiment's coordinator is started with."""
+"""Settings of the coordinator in an experiment."""
 
 from collections.abc import Sequence
 
@@ -7,34 +7,37 @@
 from granitespool.units import MILLISECOND, SECOND
 
 DRAIN_GRACE_PERIOD = 10 * SECOND  # ns
-MAX_BACKLOG_SECONDS = 2  # s at the channel's pace that may wait in it
-MESSAGE_HEADER_ENTRIES = 1  # table entries that each message costs beside its own
+MAX_BACKLOG_SECONDS = 2  # the channel's queue holds what it sends in this time
+MESSAGE_HEADER_ENTRIES = 1  # size of a message without its entries, in table entries
 
 
 def channel_entry_rate(setup: ExperimentSetup, backends: int, proxies: int) -> float:
-    """The channel's pace in table entries a second: a whole table for every proxy takes `binding_s`."""
+    """Return the channel's rate in table entries per second.
+
+    At this rate, sending a complete table to every proxy takes `binding_s`.
+    """
     return backends * proxies / setup.channel.binding_s
 
 
 def coordinator_settings(
     setup: ExperimentSetup, zones: Sequence[str], backends: int, proxies: int
 ) -> Settings:
-    """The settings of a coordinator before so many backends and proxies."""
-    pace = channel_entry_rate(setup, backends, proxies)
+    """Return the settings of a coordinator for the given numbers of backends and proxies."""
+    entry_rate = channel_entry_rate(setup, backends, proxies)
     return Settings(
         zones=list(zones),
         health_checks_allowed=True,
         admission=Admission.FRACTION,
-        entries_per_s=pace,
+        entries_per_s=entry_rate,
         message_header=MESSAGE_HEADER_ENTRIES,
-        backlog_limit=MAX_BACKLOG_SECONDS * pace,
+        backlog_limit=MAX_BACKLOG_SECONDS * entry_rate,
         bootstrap_entries=backends,
         proxies_expected=proxies,
         drain_grace=DRAIN_GRACE_PERIOD,
         default_retries=0,
         warm_up_time=int(setup.fleet.cold_s * SECOND),
         warm_up_start_share=setup.fleet.cold_share,
-        classes=[_request_class(name, each) for name, each in setup.classes.items()],
+        classes=[_request_class(name, settings) for name, settings in setup.classes.items()],
     )
 
 
--- a/granitespool/emulator/distance.py
+++ b/granitespool/emulator/distance.py
@@ -1,30 +1,33 @@
-"""How far two routing tables are from each other."""
+"""Distance between routing tables."""
 
 import statistics
 from collections.abc import Iterable, Mapping, Sequence
 
-Shares = Mapping[str, float]  # endpoint -> its share of a table's weight, 1 in all
+Shares = Mapping[str, float]  # endpoint -> its share of the table's total weight; the shares sum up to 1
 
 
 def shares(weights: Mapping[str, float]) -> dict[str, float]:
-    """The shares of a table's weights; empty where there are none."""
+    """Return each endpoint's share of a table's total weight, or an empty dict if the total is 0."""
     total = sum(weights.values())
     return {name: weight / total for name, weight in weights.items()} if total else {}
 
 
-def distance(one: Shares, other: Shares) -> float:
-    """Half the sum of the differences of two tables' shares: 0 for the same, 1 for nothing in common."""
-    if not one or not other:
+def distance(first: Shares, second: Shares) -> float:
+    """Return the total variation distance: half the sum of the absolute differences of the shares.
+
+    It is 0 for equal tables, and 1 for tables without a common endpoint or if one of them is empty.
+    """
+    if not first or not second:
         return 1.0
-    return 0.5 * sum(abs(one.get(name, 0) - other.get(name, 0)) for name in one.keys() | other.keys())
+    return 0.5 * sum(abs(first.get(name, 0) - second.get(name, 0)) for name in first.keys() | second.keys())
 
 
 def mean_shares(tables: Sequence[Shares]) -> dict[str, float]:
-    """The mean of some tables' shares."""
+    """Return each endpoint's mean share over the tables."""
     names: set[str] = set().union(*tables)
     return {name: sum(table.get(name, 0) for table in tables) / len(tables) for name in names}
 
 
 def mean_distance(pairs: Iterable[tuple[Shares, Shares]]) -> float:
-    """The mean distance of pairs of tables."""
-    return statistics.fmean(distance(one, other) for one, other in pairs)
+    """Return the mean distance over pairs of tables."""
+    return statistics.fmean(distance(first, second) for first, second in pairs)
--- a/granitespool/emulator/emulation.py
+++ b/granitespool/emulator/emulation.py
@@ -1,4 +1,4 @@
-"""One emulated fleet from a seed: backends, proxies, traffic, and the coordinator before them."""
+"""An emulated fleet: backends, proxies, their traffic and a coordinator, generated from a seed."""
 
 from random import Random
 
@@ -17,10 +17,10 @@
 
 
 class Emulation:
-    """A fleet in virtual time; all chance comes from one generator."""
+    """Fleet in virtual time; all randomness comes from one generator."""
 
     def __init__(self, setup: ExperimentSetup, backends: int, proxies: int, seed: int) -> None:
-        """A fleet of so many backends and proxies; no coordinator runs until `start`."""
+        """Create a fleet with the given numbers of backends and proxies; `start` starts a coordinator."""
         self.setup = setup
         self.seed = seed
         self.random = Random(seed)
@@ -45,15 +45,15 @@
 
     def _make_backends(self, count: int) -> dict[str, Backend]:
         fleet = self.setup.fleet
-        made = [
+        backends = [
             Backend(f"s-{number:05d}", self._zone(number), fleet.workers, fleet.service_ms * MILLISECOND)
             for number in range(count)
         ]
-        return {backend.name: backend for backend in made}
+        return {backend.name: backend for backend in backends}
 
     def _make_proxies(self, count: int) -> list[ProxyTable]:
-        equal = dict.fromkeys(self.backends, 1.0)
-        return [ProxyTable(number, self._zone(number), equal) for number in range(count)]
+        equal_weights = dict.fromkeys(self.backends, 1.0)
+        return [ProxyTable(number, self._zone(number), equal_weights) for number in range(count)]
 
     def _zone(self, number: int) -> str:
         return self.zones[number % len(self.zones)]
@@ -63,8 +63,8 @@
         return Coordinator(settings, self.seed + incarnation, now)
 
     def _make_channel(self, now: int) -> Channel:
-        pace = channel_entry_rate(self.setup, len(self.backends), len(self.proxies))
-        return Channel(self.setup.channel, pace, now)
+        entry_rate = channel_entry_rate(self.setup, len(self.backends), len(self.proxies))
+        return Channel(self.setup.channel, entry_rate, now)
 
     @property
     def now(self) -> int:
@@ -72,25 +72,28 @@
         return self.clock.now
 
     def run_until(self, until: int) -> None:
-        """Lets time pass up to a time (ns)."""
+        """Advance virtual time to `until` (ns)."""
         self.clock.run_until(until)
 
     def start(self, restore: RestoreCallback | None = None, rejoin_s: float = 0.0) -> None:
-        """Starts a coordinator, which `restore` may give what one before it knew."""
+        """Start a coordinator; `restore` may load the state of a former incarnation into it.
+
+        The proxies join within `rejoin_s` seconds.
+        """
         self.host.start(restore, rejoin_s)
 
     def kill(self) -> None:
-        """Ends the coordinator at once."""
+        """End the coordinator immediately."""
         self.host.kill()
 
     def swap_faults(self) -> None:
-        """Heals every backend with a fault and gives its fault to a healthy one."""
+        """Move the fault of each faulty backend to a random healthy one."""
         swap_faults(self.backends.values(), self.random)
 
     def zone_shares(self, zone: str) -> dict[str, float]:
-        """The shares of the coordinator's table for a zone; empty where there is none."""
+        """Return the weight shares of the coordinator's tables for a zone, or an empty dict without any."""
         return shares(self.host.zone_table(zone))
 
     def outcomes(self, first: int, last: int) -> dict[str, OutcomeShares]:
-        """By class, what came of the transactions that began in the seconds from `first` to before `last`."""
+        """Return the outcomes, by class, of transactions that began in the seconds [first, last)."""
         return self.traffic.outcome_shares(first, last)
--- a/granitespool/emulator/experiment.py
+++ b/granitespool/emulator/experiment.py
@@ -1,4 +1,4 @@
-"""Runs an experiment: every variant of every size with every seed, and what came of it."""
+"""Run all trials of an experiment (each size, variant and seed) and build its report."""
 
 import tempfile
 from collections.abc import Callable, Iterator
@@ -14,11 +14,11 @@
 
 
 def _ignore_progress(_: str) -> None:
-    """Takes progress that nobody wants to see."""
+    """Ignore a progress message."""
 
 
 def run(setup: ExperimentSetup, progress: ProgressCallback = _ignore_progress) -> Report:
-    """The report of an experiment; `progress` is told of each trial as it begins."""
+    """Run an experiment and return its report; `progress` is called at the start of each trial."""
     experiment = setup.experiment
     rows: list[Row] = []
     for backends, proxies in experiment.size_pairs():
@@ -33,19 +33,22 @@
 
 
 def _run_size(setup: ExperimentSetup, backends: int, proxies: int, progress: ProgressCallback) -> list[Row]:
-    """All variants of one size, after the control that tells how far tables wander by themselves."""
+    """Run the control of each seed and then all variants of one size.
+
+    The control gives the distances by which tables vary without a restart.
+    """
     experiment = setup.experiment
     seeds = range(experiment.first_seed, experiment.first_seed + experiment.seeds)
-    near = {}
+    control_distances = {}
     for seed in seeds:
         with _trial(setup, CONTROL, (backends, proxies), seed, progress) as trial:
-            near[seed] = trial.run_control()
+            control_distances[seed] = trial.run_control()
     rows = []
     for variant in experiment.variant_names():
         results = []
         for seed in seeds:
             with _trial(setup, variant, (backends, proxies), seed, progress) as trial:
-                results.append(trial.run(near[seed]))
+                results.append(trial.run(control_distances[seed]))
         rows.append(make_row(f"{backends}x{proxies}", variant, results))
     return rows
 
@@ -54,7 +57,7 @@
 def _trial(
     setup: ExperimentSetup, variant: str, size: tuple[int, int], seed: int, progress: ProgressCallback
 ) -> Iterator[RestartTrial]:
-    """A trial with a state folder that is removed at its end; `size` is (backends, proxies)."""
+    """Yield a trial with a temporary state folder; `size` is (backends, proxies)."""
     backends, proxies = size
     progress(f"{backends} x {proxies}, {variant}, seed {seed}")
     with tempfile.TemporaryDirectory() as path:
--- a/granitespool/emulator/load_reports.py
+++ b/granitespool/emulator/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what collectors and proxies report of each second, some time after it has passed."""
+"""Load reports of collectors and usage reports of proxies, delivered some time after each second."""
 
 from granitespool.emulator.clock import EPOCH, VirtualClock
 from granitespool.emulator.coordinator_host import CoordinatorHost
@@ -8,7 +8,10 @@
 
 
 class LoadReporter:
-    """Reports each second to the incarnation that runs at its end; where none runs, it is lost."""
+    """Reporter that sends each second's counts to the coordinator.
+
+    The incarnation running at the end of the second receives them; without one, they are lost.
+    """
 
     def __init__(
         self, clock: VirtualClock, traffic: RequestTraffic, host: CoordinatorHost, lag_ms: float
--- a/granitespool/emulator/plot.py
+++ b/granitespool/emulator/plot.py
@@ -1,4 +1,4 @@
-"""A plot of an experiment: how far tables are from those before the end, over time."""
+"""Plot the distance of the tables from those before the kill, over time."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -6,14 +6,16 @@
 from granitespool.emulator.report import Report, Row
 from granitespool.simulation.plotting import load_pyplot
 
-FIGURE_WIDTH, ROW_HEIGHT = 11.0, 3.2  # inches of a line of axes
-COLUMN_TITLES = ("the coordinator's tables", "what proxies hold")
+FIGURE_WIDTH, ROW_HEIGHT = 11.0, 3.2  # inches; each size has a row of axes
+COLUMN_TITLES = ("the coordinator's tables", "the proxies' tables")
 
 
 def plot(report: Report, path: str) -> None:
-    """Writes a plot (PNG, SVG or PDF) with a line for each variant of each size.
+    """Write a plot (PNG, SVG or PDF) with a row of axes for each size and a line for each variant.
 
-    Raises InvalidInputError where matplotlib is not there."""
+    Raises:
+        InvalidInputError: matplotlib is not installed.
+    """
     pyplot = load_pyplot()
     sizes = list(dict.fromkeys(row.size for row in report.rows))
     height = ROW_HEIGHT * len(sizes)
--- a/granitespool/emulator/report.py
+++ b/granitespool/emulator/report.py
@@ -1,4 +1,4 @@
-"""The result of an experiment: typed, as JSON and as a table for a terminal."""
+"""The result of an experiment: as records, as JSON and as a text table for a terminal."""
 
 import json
 import statistics
@@ -10,37 +10,36 @@
 from granitespool.emulator.restart import Sample, TrialResult
 from granitespool.units import SECOND
 
-DECIMAL_PLACES = 4  # after the point, of what is reported
-DistancePoint = tuple[
-    float, float, float
-]  # s after the start, distance of the coordinator's tables and of the proxies'
+DECIMAL_PLACES = 4  # of the reported values
+# (s after the start, distance of the coordinator's tables, distance of the proxies' tables)
+DistancePoint = tuple[float, float, float]
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """One size and variant; medians over the seeds. The fields are the keys of the JSON."""
+    """Result of one size and variant, as medians over the seeds. The fields are the keys of the JSON."""
 
     size: str
     variant: str
-    tables_s: float | None
-    held_s: float | None
+    tables_s: float | None  # s after the start until the coordinator's tables have settled
+    held_s: float | None  # s after the start until the proxies' tables have settled
     service: dict[str, OutcomeShares]  # by class, of the first seconds after the start
-    usual: dict[str, float]  # by class, the share in time before the end
-    spread: dict[str, float]  # by class, largest less least share in time over the seeds
-    far: list[DistancePoint]  # of the first seed
+    usual: dict[str, float]  # by class, share answered in time before the kill
+    spread: dict[str, float]  # by class, range (maximum - minimum) of the share in time over the seeds
+    far: list[DistancePoint]  # distances over time, of the first seed
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole experiment. The fields are the keys of the JSON."""
+    """Result of a whole experiment. The fields are the keys of the JSON."""
 
     title: str
-    program: str  # version
+    program: str  # version of granitespool
     seeds: int
     first_seed: int
     rows: list[Row]
 
 
 def make_row(size: str, variant: str, trials: Sequence[TrialResult]) -> Row:
-    """Sums the trials of one size and variant up, one a seed."""
+    """Return the row of one size and variant from its trials, one for each seed."""
     names = list(trials[0].outcomes)
     in_time = {name: [trial.outcomes[name].in_time for trial in trials] for name in names}
     return Row(
@@ -58,22 +57,22 @@
 
 
 def _median_of_present(values: Iterable[float | None]) -> float | None:
-    """The median of the values that are there, None where there are none."""
-    known = [value for value in values if value is not None]
-    return _rounded_median(known) if known else None
+    """Return the rounded median of the values that are not None, or None without any."""
+    present = [value for value in values if value is not None]
+    return _rounded_median(present) if present else None
 
 
 def _rounded_median(values: Iterable[float]) -> float:
     return round(statistics.median(values), DECIMAL_PLACES)
 
 
-def _median_outcomes(found: Sequence[OutcomeShares]) -> OutcomeShares:
+def _median_outcomes(outcomes: Sequence[OutcomeShares]) -> OutcomeShares:
     return OutcomeShares(
-        asked=_rounded_median(shares.asked for shares in found),
-        in_time=_rounded_median(shares.in_time for shares in found),
-        late=_rounded_median(shares.late for shares in found),
-        failed=_rounded_median(shares.failed for shares in found),
-        refused=_rounded_median(shares.refused for shares in found),
+        asked=_rounded_median(shares.asked for shares in outcomes),
+        in_time=_rounded_median(shares.in_time for shares in outcomes),
+        late=_rounded_median(shares.late for shares in outcomes),
+        failed=_rounded_median(shares.failed for shares in outcomes),
+        refused=_rounded_median(shares.refused for shares in outcomes),
     )
 
 
@@ -87,18 +86,18 @@
 
 
 def as_json(report: Report) -> str:
-    """The report as indented JSON."""
+    """Return the report as indented JSON."""
     return json.dumps(msgspec.to_builtins(report), indent=1)
 
 
 def format_table(report: Report) -> list[str]:
-    """The report as lines for a terminal."""
+    """Return the report as lines of a text table."""
     names = list(report.rows[0].service)
-    head = ["size", "variant", "tables", "held"]
-    head += [f"{name} in time" for name in names]
-    head += [f"{name} before" for name in names]
-    lines = [head, *(_row_cells(row, names) for row in report.rows)]
-    widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
+    header = ["size", "variant", "tables", "held"]
+    header += [f"{name} in time" for name in names]
+    header += [f"{name} before" for name in names]
+    lines = [header, *(_row_cells(row, names) for row in report.rows)]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(header))]
     return [
         f"{report.title} (simulated servers; median of {report.seeds} seeds)",
         *("  ".join(cell.ljust(width) for cell, width in zip(line, widths)).rstrip() for line in lines),
--- a/granitespool/emulator/request_traffic.py
+++ b/granitespool/emulator/request_traffic.py
@@ -1,7 +1,9 @@
-"""Transactions: when they arrive, how proxies attempt them, and what is counted of them.
+"""Transactions: their arrivals, attempts, retries and outcomes.
 
-Arrivals are a Poisson process over all proxies. An attempt is drawn by weight from the proxy's table, takes
-its time at the backend and on the way, and is retried where class and admission level allow it."""
+Arrivals are a Poisson process over all proxies. The backend of an attempt is drawn by weight from the proxy's
+table. An attempt takes the backend's latency and a round trip. It is retried if its class and admission level
+allow it.
+"""
 
 from bisect import bisect
 from collections.abc import Mapping, Sequence
@@ -16,11 +18,11 @@
 from granitespool.simulation.proxy_table import ProxyTable
 from granitespool.units import MILLISECOND, SECOND
 
-SAME_ZONE_ROUND_TRIP_FACTOR = 0.1  # round trip within a zone as a part of that to another zone
+SAME_ZONE_ROUND_TRIP_FACTOR = 0.1  # round trip within a zone, relative to that to another zone
 
 
 class OutcomeCounts(msgspec.Struct):
-    """Transactions of one class that began in one second, by what came of them."""
+    """Numbers of transactions of one class that began in one second, by outcome."""
 
     asked: int = 0
     in_time: int = 0
@@ -30,9 +32,9 @@
 
 
 class OutcomeShares(msgspec.Struct, frozen=True):
-    """The same as shares of those asked; the names are those of the report."""
+    """Outcomes as shares of all transactions. The fields are keys of the JSON report."""
 
-    asked: float
+    asked: float  # number of transactions
     in_time: float
     late: float
     failed: float
@@ -40,21 +42,21 @@
 
 
 class LinkCounts(msgspec.Struct):
-    """What one zone's proxies met at one backend in one second."""
+    """Attempts of one zone's proxies at one backend that ended in one second."""
 
     attempts: int = 0
     failed: int = 0
     answered: int = 0
-    total_latency: int = 0  # ns, summed over those answered
+    total_latency: int = 0  # ns; sum over the answered attempts
 
     @property
     def mean_latency(self) -> int:
-        """Mean time of an answer in ns, 0 where there was none."""
+        """Mean latency of the answered attempts in ns, 0 without any."""
         return self.total_latency // self.answered if self.answered else 0
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """One transaction on its way."""
+    """An admitted transaction."""
 
     proxy: ProxyTable
     class_name: str
@@ -63,7 +65,7 @@
 
 
 class RequestTraffic:
-    """The transactions of all proxies."""
+    """Generator of the transactions of all proxies."""
 
     def __init__(
         self,
@@ -80,16 +82,16 @@
         self.classes = classes
         self.backends = backends
         self.proxies = proxies
-        self.transaction_rate = fleet.load * self._capacity()  # transactions a second of all proxies
+        self.transaction_rate = fleet.load * self._capacity()  # transactions per second over all proxies
         self.class_names = list(classes)
-        self.cumulative_shares = list(accumulate(each.share for each in classes.values()))
-        self.outcomes: dict[tuple[int, str], OutcomeCounts] = {}  # by second and class
-        self._links: dict[int, dict[tuple[str, str], LinkCounts]] = {}  # second -> by zone and backend
+        self.cumulative_shares = list(accumulate(settings.share for settings in classes.values()))
+        self.outcomes: dict[tuple[int, str], OutcomeCounts] = {}  # (second, class) -> counts
+        self._links: dict[int, dict[tuple[str, str], LinkCounts]] = {}  # second -> (zone, backend) -> counts
         self._demand: dict[tuple[int, str], int] = {}  # (proxy, class) -> transactions since the last report
         clock.call_at(self._next_arrival(), self._arrive)
 
     def _capacity(self) -> float:
-        """Transactions a second that all backends together can do."""
+        """Return the transactions per second that all backends together can execute."""
         return sum(
             self.fleet.workers / (self.fleet.service_ms / 1e3 * backend.fault.slowdown)
             for backend in self.backends.values()
@@ -97,38 +99,38 @@
         )
 
     def take_links(self, second: int) -> dict[tuple[str, str], LinkCounts]:
-        """What was met in a second at each (zone, backend); it is forgotten here."""
+        """Remove and return the counts of a second by (zone, backend)."""
         return self._links.pop(second, {})
 
     def take_demand(self) -> dict[tuple[int, str], int]:
-        """Transactions of each (proxy, class) since it was taken last."""
+        """Return the number of transactions by (proxy, class) since the last call."""
         demand, self._demand = self._demand, {}
         return demand
 
     def outcome_shares(self, first: int, last: int) -> dict[str, OutcomeShares]:
-        """By class, what came of the transactions that began in the seconds from `first` to before `last`."""
+        """Return the outcomes, by class, of transactions that began in the seconds [first, last)."""
         return {name: self._class_shares(name, range(first, last)) for name in self.class_names}
 
     def _class_shares(self, name: str, seconds: range) -> OutcomeShares:
-        found = [counts for second in seconds if (counts := self.outcomes.get((second, name)))]
-        asked = sum(counts.asked for counts in found)
+        all_counts = [counts for second in seconds if (counts := self.outcomes.get((second, name)))]
+        asked = sum(counts.asked for counts in all_counts)
 
         def share(count: int) -> float:
             return count / asked if asked else 0.0
 
         return OutcomeShares(
             asked=asked,
-            in_time=share(sum(counts.in_time for counts in found)),
-            late=share(sum(counts.late for counts in found)),
-            failed=share(sum(counts.failed for counts in found)),
-            refused=share(sum(counts.refused for counts in found)),
+            in_time=share(sum(counts.in_time for counts in all_counts)),
+            late=share(sum(counts.late for counts in all_counts)),
+            failed=share(sum(counts.failed for counts in all_counts)),
+            refused=share(sum(counts.refused for counts in all_counts)),
         )
 
     def _next_arrival(self) -> int:
         return self.clock.now + int(self.random.expovariate(self.transaction_rate) * SECOND)
 
     def _arrive(self) -> None:
-        """One transaction begins at a proxy of a class, both drawn by chance."""
+        """Start a transaction of a random class at a random proxy."""
         self.clock.call_at(self._next_arrival(), self._arrive)
         proxy = self.proxies[int(self.random.random() * len(self.proxies))]
         class_name = self._draw_class()
@@ -148,16 +150,16 @@
         return self.class_names[min(position, len(self.class_names) - 1)]
 
     def _attempt(self, transaction: Transaction, retries: int) -> None:
-        """One attempt, after so many retries."""
+        """Make an attempt, after `retries` retries."""
         request_class = self.classes[transaction.class_name]
         endpoint = transaction.proxy.pick(self.random)
         time_left = transaction.started_at + int(request_class.limit_ms * MILLISECOND) - self.clock.now
         if endpoint is None or time_left <= 0:
             transaction.counts.failed += 1
             return
-        took, succeeded = self._send_attempt(transaction.proxy, self.backends[endpoint], time_left)
-        end = self.clock.now + took
-        self._count_link(transaction.proxy.zone, endpoint, end, took if succeeded else None)
+        latency, succeeded = self._send_attempt(transaction.proxy, self.backends[endpoint], time_left)
+        end = self.clock.now + latency
+        self._count_link(transaction.proxy.zone, endpoint, end, latency if succeeded else None)
         if succeeded:
             self._count_answer(transaction, end)
         elif (
@@ -169,29 +171,30 @@
             transaction.counts.failed += 1
 
     def _send_attempt(self, proxy: ProxyTable, backend: Backend, time_left: int) -> tuple[int, bool]:
-        """The time (ns) after which the proxy knows what came of an attempt, and whether it succeeded."""
-        answer = backend.serve(self.clock.now, self.random, self.fleet)
+        """Return the time (ns) until the attempt is answered or times out, and whether it succeeded."""
+        response = backend.serve(self.clock.now, self.random, self.fleet)
         round_trip = self.fleet.cross_zone_ms * MILLISECOND
         if backend.zone == proxy.zone:
             round_trip *= SAME_ZONE_ROUND_TRIP_FACTOR
-        if answer.latency is None:
+        if response.latency is None:
             return time_left, False
-        took = min(time_left, answer.latency + int(round_trip))
-        return took, answer.succeeded and took < time_left
+        latency = min(time_left, response.latency + int(round_trip))
+        return latency, response.succeeded and latency < time_left
 
-    def _count_link(self, zone: str, backend: str, end: int, answered_after: int | None) -> None:
+    def _count_link(self, zone: str, backend: str, end: int, latency: int | None) -> None:
+        """Count an attempt that ended at `end` (ns); `latency` is None if it failed."""
         links = self._links.setdefault((end - EPOCH) // SECOND, {})
         counts = links.setdefault((zone, backend), LinkCounts())
         counts.attempts += 1
-        if answered_after is None:
+        if latency is None:
             counts.failed += 1
         else:
             counts.answered += 1
-            counts.total_latency += answered_after
+            counts.total_latency += latency
 
     def _count_answer(self, transaction: Transaction, end: int) -> None:
-        promised = self.classes[transaction.class_name].promised_ms * MILLISECOND
-        if end - transaction.started_at <= promised:
+        latency_objective = self.classes[transaction.class_name].promised_ms * MILLISECOND
+        if end - transaction.started_at <= latency_objective:
             transaction.counts.in_time += 1
         else:
             transaction.counts.late += 1
--- a/granitespool/emulator/restart.py
+++ b/granitespool/emulator/restart.py
@@ -1,7 +1,8 @@
-"""One trial of a restart: a coordinator learns, ends, and the next incarnation starts.
+"""One trial of a restart: a coordinator runs, is killed, and the next incarnation starts.
 
-In the variant `CONTROL` nothing ends: it shows how far tables wander by themselves, which is what the tables
-of the other variants must come back to."""
+In the variant `CONTROL` the coordinator is not killed: it shows by how much tables vary without a restart. In
+the other variants, tables have settled once they are as near as that to the tables before the kill.
+"""
 
 from collections.abc import Sequence
 
@@ -17,55 +18,52 @@
 from granitespool.state.disk import Folder
 from granitespool.units import SECOND
 
-SAMPLE_INTERVAL = SECOND // 10  # ns between looks at the tables
-REFERENCE_DURATION = 5 * SECOND  # ns before the end whose mean tables are the ones to come back to
-SETTLED_DURATION = 2 * SECOND  # ns for which tables must stay near those to count as settled
-CONTROL_QUANTILE = 0.95  # part of the looks in the control that count as near
-SAMPLED_PROXY_COUNT = 40  # proxies whose tables are looked at
-BASELINE_SECONDS = 10  # s before the end whose outcomes are the usual ones
+SAMPLE_INTERVAL = SECOND // 10  # ns between samples of the tables
+REFERENCE_DURATION = 5 * SECOND  # ns before the kill over which the reference tables are averaged
+SETTLED_DURATION = 2 * SECOND  # ns for which tables must stay near the reference to count as settled
+CONTROL_QUANTILE = 0.95  # quantile of the control's distances below which tables count as near
+SAMPLED_PROXY_COUNT = 40  # proxies whose tables are sampled
+BASELINE_SECONDS = 10  # time before the kill over which the baseline outcomes are counted
 
-CONTROL = "control"  # nothing ends
-VARIANTS_SWAPPING_FAULTS = (
-    "changed",
-    "wrong",
-    "alive",
-)  # faulty and healthy backends change places at the end
-VARIANTS_WITHOUT_KILL = (CONTROL, "alive")  # the coordinator is not ended
-VARIANTS_WITHOUT_RESTORE = ("without", "changed")  # the next incarnation restores nothing
+CONTROL = "control"  # the coordinator is not killed
+# Faulty and healthy backends swap their faults at the time of the kill.
+VARIANTS_SWAPPING_FAULTS = ("changed", "wrong", "alive")
+VARIANTS_WITHOUT_KILL = (CONTROL, "alive")
+VARIANTS_WITHOUT_RESTORE = ("without", "changed")  # the next incarnation starts with no saved state
 
 
 class Distances(msgspec.Struct, frozen=True):
-    """Mean distances from the tables before the end."""
+    """Mean distances from the reference tables before the kill."""
 
     coordinator: float  # of the coordinator's tables
-    proxies: float  # of what proxies hold
+    proxies: float  # of the proxies' tables
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """One look at the tables."""
+    """Distances of the tables at one time."""
 
     at: int  # ns after the start of the next incarnation
     distances: Distances
 
 
 class TrialResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What one trial showed."""
-
-    coordinator_settled_s: (
-        float | None
-    )  # until the coordinator's tables settled; None: there is nothing to come back to
-    proxies_settled_s: float | None  # the same of what proxies hold
-    outcomes: dict[str, OutcomeShares]  # by class, of the first seconds after the start
-    baseline_outcomes: dict[str, OutcomeShares]  # the same before the end
+    """Result of one trial."""
+
+    # Seconds after the restart until the tables have settled. None if faults were swapped: the tables from
+    # before the kill are then no reference.
+    coordinator_settled_s: float | None
+    proxies_settled_s: float | None
+    outcomes: dict[str, OutcomeShares]  # by class, of the first seconds after the restart
+    baseline_outcomes: dict[str, OutcomeShares]  # by class, of the last seconds before the kill
     samples: list[Sample]
 
 
 class PlannerFailedError(GranitespoolError):
-    """The planner failed in a trial, so it shows nothing."""
+    """The planner failed in a trial, so that its result is not valid."""
 
 
 class RestartTrial:
-    """One variant of one size and seed."""
+    """A trial of one variant, size and seed."""
 
     def __init__(
         self, setup: ExperimentSetup, variant: str, backends: int, proxies: int, seed: int, folder: Folder
@@ -76,37 +74,43 @@
         self.emulation = Emulation(setup, backends, proxies, seed)
         self.recorder = SnapshotRecorder(self.emulation, setup.restart, folder)
         self.sampled_proxies = self.emulation.proxies[:: max(1, proxies // SAMPLED_PROXY_COUNT)]
-        self.reference_tables: dict[str, Shares] = {}  # zone -> mean table before the end
-        self.baseline_outcomes: dict[str, OutcomeShares] = {}  # by class, before the end
+        self.reference_tables: dict[str, Shares] = {}  # zone -> mean table before the kill
+        self.baseline_outcomes: dict[str, OutcomeShares] = {}  # by class, before the kill
 
     def run_control(self) -> Distances:
-        """Lets the coordinator run on; how far its tables wander by themselves."""
+        """Run without a kill; return the distances below which tables count as near the reference."""
         samples = self._run_phases()
         return Distances(
             _quantile([sample.distances.coordinator for sample in samples]),
             _quantile([sample.distances.proxies for sample in samples]),
         )
 
-    def run(self, near: Distances) -> TrialResult:
-        """Runs the trial; tables are back once they are as near as `near`."""
+    def run(self, thresholds: Distances) -> TrialResult:
+        """Run the trial; tables have settled once their distances stay within `thresholds`.
+
+        Raises:
+            PlannerFailedError: the planner raised an internal error.
+        """
         samples = self._run_phases()
         internal_errors = self.emulation.host.internal_errors
         if internal_errors:
             raise PlannerFailedError(f"the planner failed in {self.variant}: {internal_errors[0][-300:]}")
-        settings, comes_back = self.settings, self.variant not in VARIANTS_SWAPPING_FAULTS
+        settings, has_reference = self.settings, self.variant not in VARIANTS_SWAPPING_FAULTS
         first_second = int(settings.learn_s + settings.down_s)
-        tables = [(sample.at, sample.distances.coordinator <= near.coordinator) for sample in samples]
-        held = [(sample.at, sample.distances.proxies <= near.proxies) for sample in samples]
+        coordinator_near = [
+            (sample.at, sample.distances.coordinator <= thresholds.coordinator) for sample in samples
+        ]
+        proxies_near = [(sample.at, sample.distances.proxies <= thresholds.proxies) for sample in samples]
         return TrialResult(
-            coordinator_settled_s=self._settled_after(tables) if comes_back else None,
-            proxies_settled_s=self._settled_after(held) if comes_back else None,
+            coordinator_settled_s=self._settled_after(coordinator_near) if has_reference else None,
+            proxies_settled_s=self._settled_after(proxies_near) if has_reference else None,
             outcomes=self.emulation.outcomes(first_second, first_second + int(settings.look_s)),
             baseline_outcomes=self.baseline_outcomes,
             samples=samples,
         )
 
     def _run_phases(self) -> list[Sample]:
-        """The whole course: what the tables were from the start of the next incarnation on."""
+        """Run all phases of the trial; return the samples taken since the restart."""
         settings, emulation = self.settings, self.emulation
         emulation.start()
         self.recorder.start()
@@ -156,16 +160,19 @@
             mean_distance((shares(proxy.weights), reference[proxy.zone]) for proxy in self.sampled_proxies),
         )
 
-    def _settled_after(self, looks: Sequence[tuple[int, bool]]) -> float:
-        """Seconds until the looks (ns, is it near) stay near; `settle_s` where they never do."""
-        since = None
-        for at, is_near in looks:
+    def _settled_after(self, samples: Sequence[tuple[int, bool]]) -> float:
+        """Return the seconds until the tables stay near the reference, `settle_s` if they never do.
+
+        A sample is its time (ns) and whether the tables were near the reference.
+        """
+        near_since = None
+        for at, is_near in samples:
             if not is_near:
-                since = None
-            elif since is None:
-                since = at
-            if since is not None and at - since >= SETTLED_DURATION:
-                return round(since / SECOND, 1)
+                near_since = None
+            elif near_since is None:
+                near_since = at
+            if near_since is not None and at - near_since >= SETTLED_DURATION:
+                return round(near_since / SECOND, 1)
         return float(self.settings.settle_s)
 
 
--- a/granitespool/emulator/schema.py
+++ b/granitespool/emulator/schema.py
@@ -1,4 +1,4 @@
-"""What an experiment's INI file may say; every key has its unit in its name."""
+"""Sections and keys of an experiment's INI file. A suffix of a key is its unit."""
 
 from collections.abc import Iterable
 from typing import Annotated, Any, Literal
@@ -10,9 +10,9 @@
 from granitespool.errors import InvalidInputError
 from granitespool.simulation import ini_files
 
-PACKAGE = "granitespool.emulator"  # whose folder holds the experiments that come with the program
-CLASS_SECTION_PREFIX = "class."  # what the name of a class's section begins with
-MAX_SIZE = 100_000  # backends or proxies
+PACKAGE = "granitespool.emulator"  # contains the packaged experiments
+CLASS_SECTION_PREFIX = "class."
+MAX_SIZE = 100_000  # of backends and of proxies
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Count = Annotated[int, Meta(ge=1, le=MAX_SIZE)]
@@ -20,86 +20,90 @@
 
 
 class ExperimentSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[experiment]"""
+    """Section [experiment]."""
 
     kind: Literal["restart"]
     title: Annotated[str, Meta(min_length=1)]
     variants: str = "without, state, old, changed, wrong, alive"
-    sizes: str = "30x150"  # backends x proxies, several are played in turn
-    seeds: Annotated[int, Meta(ge=1, le=100)] = 1  # the first seed and how many follow it
+    sizes: str = "30x150"  # BACKENDSxPROXIES, comma-separated; run one after another
+    seeds: Annotated[int, Meta(ge=1, le=100)] = 1  # number of consecutive seeds, from first_seed on
     first_seed: Annotated[int, Meta(ge=0, le=10**9)] = 1
 
     def __post_init__(self) -> None:
-        """Raises ValueError where variants or sizes are not what they may be."""
+        """Raise ValueError if a variant is unknown or `sizes` is invalid."""
         for variant in self.variant_names():
             if variant not in VARIANTS:
-                raise ValueError(f"variants names {variant!r:.40}; known are {', '.join(VARIANTS)}")
+                raise ValueError(f"variants contains {variant!r:.40}, expected any of {', '.join(VARIANTS)}")
         self.size_pairs()
 
     def variant_names(self) -> list[str]:
-        """The variants in the order in which they are run."""
-        return [word.strip() for word in self.variants.split(",")]
+        """Return the variants in the order in which they are run."""
+        return [variant.strip() for variant in self.variants.split(",")]
 
     def size_pairs(self) -> list[tuple[int, int]]:
-        """The sizes as (backends, proxies); raises ValueError where they are none."""
-        pairs = [size.split("x") for size in self.sizes.split(",")]
+        """Return the sizes as (backends, proxies).
+
+        Raises:
+            ValueError: `sizes` is not a list of sizes within the limits.
+        """
+        texts = [size.split("x") for size in self.sizes.split(",")]
         try:
-            found = [(int(backends), int(proxies)) for backends, proxies in pairs]
+            pairs = [(int(backends), int(proxies)) for backends, proxies in texts]
         except ValueError:
-            found = []
-        if not found or any(min(pair) < 1 or max(pair) > MAX_SIZE for pair in found):
-            raise ValueError(f"sizes is {self.sizes!r:.40}, where 30x150 or 30x150, 120x640 would do")
-        return found
+            pairs = []
+        if not pairs or any(min(pair) < 1 or max(pair) > MAX_SIZE for pair in pairs):
+            raise ValueError(f"sizes is {self.sizes!r:.40}, expected sizes such as 30x150, 120x640")
+        return pairs
 
 
 class FleetSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[fleet]"""
+    """Section [fleet]."""
 
     zones: Annotated[int, Meta(ge=1, le=64)] = 2
-    workers: Count = 4  # transactions that a backend works on at once
+    workers: Count = 4  # transactions that a backend executes concurrently
     service_ms: Annotated[float, Meta(ge=0.1, le=60_000)] = 40.0  # mean of a backend that is not slow
-    queue_ms: Annotated[float, Meta(ge=0, le=600_000)] = 400.0  # wait past which a backend refuses
+    queue_ms: Annotated[float, Meta(ge=0, le=600_000)] = 400.0  # queueing time above which a backend rejects
     cross_zone_ms: Annotated[float, Meta(ge=0, le=10_000)] = 8.0  # round trip to another zone; a tenth within
-    load: Annotated[float, Meta(ge=0.01, le=5)] = 0.6  # work asked for over what all backends can do
-    slow_share: Share = 1 / 3
-    slow_factor: Annotated[float, Meta(ge=1, le=1000)] = 4.0
-    failing_share: Share = 0.1
-    failing_part: Share = 0.4  # of a failing backend's tries
-    dead_share: Share = 0.0  # backends that answer nothing
-    cold_s: Seconds = 5.0
-    cold_share: Annotated[float, Meta(ge=0.01, le=1)] = 0.25
+    load: Annotated[float, Meta(ge=0.01, le=5)] = 0.6  # offered load relative to the capacity of all backends
+    slow_share: Share = 1 / 3  # share of backends that are slow
+    slow_factor: Annotated[float, Meta(ge=1, le=1000)] = 4.0  # on the service time of a slow backend
+    failing_share: Share = 0.1  # share of backends that are failing
+    failing_part: Share = 0.4  # share of a failing backend's attempts that fail
+    dead_share: Share = 0.0  # share of backends that respond to nothing
+    cold_s: Seconds = 5.0  # time after its start in which a backend is warming up
+    cold_share: Annotated[float, Meta(ge=0.01, le=1)] = 0.25  # speed while warming up, relative to full speed
 
 
 class ChannelSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[channel]"""
+    """Section [channel]."""
 
-    binding_s: Annotated[float, Meta(ge=0.01, le=600)] = 2.0  # that a table for every proxy takes
-    delay_ms: Annotated[float, Meta(ge=0, le=60_000)] = 30.0
-    report_lag_ms: Annotated[float, Meta(ge=0, le=60_000)] = 300.0
+    binding_s: Annotated[float, Meta(ge=0.01, le=600)] = 2.0  # time to send a complete table to every proxy
+    delay_ms: Annotated[float, Meta(ge=0, le=60_000)] = 30.0  # from the end of sending to arrival
+    report_lag_ms: Annotated[float, Meta(ge=0, le=60_000)] = 300.0  # from the end of a second to its reports
 
 
 class ClassSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[class.NAME]"""
+    """Section [class.NAME] of a request class."""
 
-    share: Annotated[float, Meta(ge=0, le=1000)] = 1.0
-    promised_ms: Annotated[float, Meta(ge=1, le=600_000)] = 400.0
-    limit_ms: Annotated[float, Meta(ge=1, le=600_000)] = 1200.0
-    benefit: Annotated[float, Meta(ge=0, le=1000)] = 1.0
-    again: bool = False  # free to be tried again after any failure
+    share: Annotated[float, Meta(ge=0, le=1000)] = 1.0  # of the transactions, relative to the other classes
+    promised_ms: Annotated[float, Meta(ge=1, le=600_000)] = 400.0  # latency objective
+    limit_ms: Annotated[float, Meta(ge=1, le=600_000)] = 1200.0  # timeout
+    benefit: Annotated[float, Meta(ge=0, le=1000)] = 1.0  # priority weight
+    again: bool = False  # may be retried after any failure
 
 
 class RestartSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[restart]"""
+    """Section [restart]."""
 
-    learn_s: Seconds = 30.0
-    down_s: Seconds = 1.0
-    rejoin_s: Seconds = 1.0  # within which all proxies are back
-    look_s: Seconds = 10.0  # after the start, for service
-    settle_s: Seconds = 30.0  # after the start at most, for tables
+    learn_s: Seconds = 30.0  # from the first start to the kill
+    down_s: Seconds = 1.0  # from the kill to the restart
+    rejoin_s: Seconds = 1.0  # after the restart, until all proxies have joined
+    look_s: Seconds = 10.0  # after the restart, in which outcomes are counted
+    settle_s: Seconds = 30.0  # after the restart, in which tables are sampled
     every_ms: Annotated[int, Meta(ge=100, le=600_000)] = 1_000
     half_life_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 30.0
     oldest_s: Annotated[float, Meta(ge=1, le=604_800)] = 300.0
-    old_s: Seconds = 7200.0  # age of the record in the variant `old`
+    old_s: Seconds = 7200.0  # added age of the snapshot in the variant `old`
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
@@ -111,7 +115,7 @@
 
 
 class ExperimentSetup(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole experiment, as it is run."""
+    """All sections of an experiment."""
 
     experiment: ExperimentSettings
     fleet: FleetSettings = FleetSettings()
@@ -121,23 +125,26 @@
 
 
 def experiment_names() -> list[str]:
-    """The experiments that come with the program."""
+    """Return the names of the packaged experiments."""
     return ini_files.packaged_names(PACKAGE)
 
 
-def load(name: str, changes: Iterable[str] = ()) -> ExperimentSetup:
-    """The experiment of a file or of a name that `names` has, with other values for some keys.
+def load(name: str, overrides: Iterable[str] = ()) -> ExperimentSetup:
+    """Load an experiment from a file or by the name of a packaged one, and override some keys.
+
+    An override is `SECTION.KEY=VALUE`, or `KEY=VALUE` if only one section has the key.
 
-    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key. Raises
-    InvalidInputError."""
+    Raises:
+        InvalidInputError: the file cannot be read, or it or an override is invalid.
+    """
     path, text = ini_files.read_text(PACKAGE, name, "experiment")
-    for change in changes:
-        text = ini_files.apply_override(text, _with_section(ini_files.parse_override(change)))
+    for override in overrides:
+        text = ini_files.apply_override(text, _with_section(ini_files.parse_override(override)))
     sections: dict[str, Any] = {
         **ini.parse(path, text, {**SECTIONS, f"{CLASS_SECTION_PREFIX}*": ClassSettings})
     }
     if "experiment" not in sections:
-        raise InvalidInputError(f"{path}: it lacks the section [experiment]")
+        raise InvalidInputError(f"{path}: the section [experiment] is missing")
     class_sections = [section for section in sections if section.startswith(CLASS_SECTION_PREFIX)]
     classes = {
         section.removeprefix(CLASS_SECTION_PREFIX): sections.pop(section) for section in class_sections
@@ -145,15 +152,15 @@
     return ExperimentSetup(**sections, classes=classes or {"pay": ClassSettings()})
 
 
-def _with_section(change: ini_files.KeyOverride) -> ini_files.KeyOverride:
-    """The change with the section that alone has its key."""
-    if change.section:
-        return change
-    having = ini_files.sections_with(change.key, SECTIONS)
-    if len(having) == 1:
-        return change._replace(section=having[0])
-    if having:
-        problem = f"sections {', '.join(having)} have it, so name one as SECTION.KEY"
+def _with_section(override: ini_files.KeyOverride) -> ini_files.KeyOverride:
+    """Return the override with its section, which is the only one with the key if none was given."""
+    if override.section:
+        return override
+    sections = ini_files.sections_with(override.key, SECTIONS)
+    if len(sections) == 1:
+        return override._replace(section=sections[0])
+    if sections:
+        problem = f"sections {', '.join(sections)} have this key, write SECTION.KEY"
     else:
         problem = "no section has this key"
-    raise InvalidInputError(f"--set {change.key!r:.60}: {problem}")
+    raise InvalidInputError(f"--set {override.key!r:.60}: {problem}")
--- a/granitespool/emulator/snapshots.py
+++ b/granitespool/emulator/snapshots.py
@@ -1,4 +1,4 @@
-"""What an emulated coordinator writes to a state folder, and what the next incarnation recovers from it."""
+"""Save an emulated coordinator's state to a state folder, and restore it into the next incarnation."""
 
 from granitespool import __version__
 from granitespool.coordinator import Coordinator
@@ -13,12 +13,12 @@
 from granitespool.state.writer import read_folder
 from granitespool.units import MILLISECOND, SECOND
 
-MAX_FOLDER_BYTES = 64 << 20  # bytes of a state folder
-HEADER_INCARNATION = 1  # that the header tells
+MAX_FOLDER_BYTES = 64 << 20
+HEADER_INCARNATION = 1  # incarnation in the snapshot header
 
 
 class SnapshotRecorder:
-    """Writes what changed to a folder at intervals, for as long as the first incarnation runs."""
+    """Recorder that periodically writes changed state to a folder while the first incarnation runs."""
 
     def __init__(self, emulation: Emulation, settings: RestartSettings, folder: Folder) -> None:
         self.emulation = emulation
@@ -29,7 +29,7 @@
         self.store = Store(folder, MAX_FOLDER_BYTES, self._header)
 
     def start(self) -> None:
-        """Begins with the incarnation that runs now."""
+        """Start recording the running incarnation."""
         self._schedule(self.emulation.now)
 
     def _header(self) -> record.Header:
@@ -52,10 +52,10 @@
             self.store.append(Clocks(now, now), changes)
 
     def restore(self, age_s: float) -> RestoreCallback:
-        """Reads the folder as if it were so many seconds older; the result restores a new coordinator."""
+        """Read the folder as if it were `age_s` older; return a callback to restore a coordinator from it."""
         now = self.emulation.now
-        later = now + int(age_s * SECOND)
-        clocks = Clocks(later, later)
+        read_at = now + int(age_s * SECOND)
+        clocks = Clocks(read_at, read_at)
         content = read_folder(self.folder, MAX_FOLDER_BYTES)
         recovery = Recovery(self.settings, self.identity)
         recovery.load(content.state, content.record, content.reason, clocks)
--- a/granitespool/simulation/__init__.py
+++ b/granitespool/simulation/__init__.py
@@ -1,8 +1,9 @@
-"""What the emulator, the scale run, benches and tests share.
+"""Building blocks shared by the emulator, the scale run, the benches and the tests.
 
-    proxy_table     the routing table of a plain proxy
-    ini_files       experiments and scenarios as INI files, and changes of their keys
-    plotting        matplotlib, where it is there
-    netconf_client  a NETCONF client that can also misbehave
+    proxy_table     routing table of a plain proxy
+    ini_files       packaged and other INI files of experiments, with overrides of single keys
+    plotting        import of matplotlib, which is optional
+    netconf_client  NETCONF client that can also violate the protocol
 
-No module here knows any of them."""
+No module in this package imports from its users.
+"""
--- a/granitespool/simulation/ini_files.py
+++ b/granitespool/simulation/ini_files.py
@@ -1,4 +1,4 @@
-"""Experiments and scenarios as INI files: those that come with the program, others, and changes of keys."""
+"""INI files of experiments and scenarios: packaged ones, other files, and overrides of single keys."""
 
 import importlib.resources
 from collections.abc import Mapping
@@ -10,29 +10,29 @@
 from granitespool.errors import InvalidInputError
 
 SUFFIX = ".ini"
-EXPERIMENTS_FOLDER = "experiments"  # in a package
-MAX_SHOWN_CHARS = 60  # characters of a wrong change that a sentence repeats
+EXPERIMENTS_FOLDER = "experiments"  # within a package
+MAX_SHOWN_CHARS = 60  # of an invalid override in an error message
 
-Schemas = Mapping[str, type[msgspec.Struct]]  # section -> what it may hold
+Schemas = Mapping[str, type[msgspec.Struct]]  # section -> Struct of its keys
 
 
 class IniText(NamedTuple):
-    """The text of a file, and what sentences call it."""
+    """Text of a file, and its path for error messages."""
 
     path: str
     text: str
 
 
 class KeyOverride(NamedTuple):
-    """Another value for one key, as `--set SECTION.KEY=VALUE` gives it."""
+    """Override of one key, from `--set SECTION.KEY=VALUE`."""
 
-    section: str  # "" where none was named
+    section: str  # "" if none was given
     key: str
     value: str
 
 
 def packaged_names(package: str) -> list[str]:
-    """The names of the files that come with a package."""
+    """Return the names, without suffix, of the INI files that come with a package."""
     folder = importlib.resources.files(package) / EXPERIMENTS_FOLDER
     return sorted(
         entry.name.removesuffix(SUFFIX) for entry in folder.iterdir() if entry.name.endswith(SUFFIX)
@@ -40,11 +40,15 @@
 
 
 def read_text(package: str, name: str, kind: str) -> IniText:
-    """The file of a path, or of a name that `names` has; `kind` is what sentences call such a file.
+    """Read a file by its path, or a packaged one by its name; `kind` is used in error messages.
 
-    Raises InvalidInputError where it cannot be read."""
-    known = packaged_names(package)
-    if name in known and not Path(name).exists():
+    An existing file takes precedence over a packaged one of the same name.
+
+    Raises:
+        InvalidInputError: the file cannot be read.
+    """
+    packaged = packaged_names(package)
+    if name in packaged and not Path(name).exists():
         path = f"{name}{SUFFIX}"
         return IniText(path, (importlib.resources.files(package) / EXPERIMENTS_FOLDER / path).read_text())
     try:
@@ -52,22 +56,22 @@
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", error)
         raise InvalidInputError(
-            f"{name}: no such {kind} ({', '.join(known)} come with the program), and as a file it cannot be "
+            f"{name}: no such {kind} (packaged ones are {', '.join(packaged)}), and as a file it cannot be "
             f"read: {reason}"
         ) from None
 
 
 def parse_override(text: str) -> KeyOverride:
-    """A change from its text. Raises InvalidInputError where it has no value."""
+    """Parse `SECTION.KEY=VALUE` or `KEY=VALUE`. Raise InvalidInputError if there is no "="."""
     name, equals, value = text.partition("=")
     if not equals:
-        raise InvalidInputError(f"--set {text!r:.{MAX_SHOWN_CHARS}} is no KEY=VALUE")
+        raise InvalidInputError(f"--set {text!r:.{MAX_SHOWN_CHARS}}: expected KEY=VALUE")
     section, _, key = name.strip().rpartition(".")
     return KeyOverride(section, key, value.strip())
 
 
 def sections_with(key: str, schemas: Schemas) -> list[str]:
-    """The sections that have a key."""
+    """Return the sections whose schema has a key."""
     return [
         section
         for section, schema in schemas.items()
@@ -75,19 +79,19 @@
     ]
 
 
-def apply_override(text: str, change: KeyOverride) -> str:
-    """The text with another value for a key, in place of a former one."""
+def apply_override(text: str, override: KeyOverride) -> str:
+    """Return the text with the key set to the new value; a section that is missing is appended."""
     section, lines, found = "", [], False
     for line in text.splitlines():
         stripped = line.strip()
         if stripped.startswith("["):
             section = stripped.strip("[]")
-        if section == change.section and line.partition("=")[0].strip() == change.key:
+        if section == override.section and line.partition("=")[0].strip() == override.key:
             continue
         lines.append(line)
-        if stripped == f"[{change.section}]":
+        if stripped == f"[{override.section}]":
             found = True
-            lines.append(f"{change.key} = {change.value}")
+            lines.append(f"{override.key} = {override.value}")
     if not found:
-        lines += [f"[{change.section}]", f"{change.key} = {change.value}"]
+        lines += [f"[{override.section}]", f"{override.key} = {override.value}"]
     return "\n".join(lines)
--- a/granitespool/simulation/plotting.py
+++ b/granitespool/simulation/plotting.py
@@ -1,4 +1,4 @@
-"""Plots need matplotlib, which is an extra and slow to import."""
+"""Deferred import of matplotlib, which is an optional extra and slow to import."""
 
 import importlib
 import importlib.util
@@ -8,15 +8,17 @@
 
 
 def require_matplotlib() -> None:
-    """Raises InvalidInputError where matplotlib is not there."""
+    """Raise InvalidInputError if matplotlib is not installed."""
     if importlib.util.find_spec("matplotlib") is None:
         raise InvalidInputError("a plot needs the extra `plot` (pip install granitespool[plot])")
 
 
 def load_pyplot() -> Any:  # noqa: ANN401 matplotlib may be missing where types are checked
-    """`matplotlib.pyplot`, which writes files and opens no window.
+    """Return `matplotlib.pyplot` with a backend that writes files and opens no window.
 
-    Raises InvalidInputError where matplotlib is not there."""
+    Raises:
+        InvalidInputError: matplotlib is not installed.
+    """
     require_matplotlib()
     importlib.import_module("matplotlib").use("Agg")
     return importlib.import_module("matplotlib.pyplot")
--- a/granitespool/simulation/proxy_table.py
+++ b/granitespool/simulation/proxy_table.py
@@ -1,7 +1,9 @@
-"""The routing table of a plain proxy, without a connection.
+"""The routing table of a plain proxy, independent of its connection.
 
-A table holds weights, excluded endpoints and admission levels, applies updates to them, and draws endpoints
-by weight. It outlives a change of streams. It takes no decision: it follows what it was told."""
+A table contains weights, excluded endpoints and admission levels, applies updates to them, and picks
+endpoints by weight. It persists when the proxy changes streams. It makes no decisions of its own: it only
+applies updates.
+"""
 
 from bisect import bisect
 from collections.abc import Iterable, Mapping, Sequence
@@ -13,28 +15,28 @@
 
 
 class AdmissionLevel(NamedTuple):
-    """What a proxy may do with requests of one class."""
+    """Admitted share and retries of a request class."""
 
-    share: float = 1.0  # of the requests, those that are admitted
-    retries: int = 0  # the manner in which a failed request may be retried, 0 for none
+    share: float = 1.0  # share of the requests that are admitted
+    retries: int = 0  # how a failed request may be retried, 0 for not at all
 
 
 class WeightUpdate(msgspec.Struct, frozen=True):
     """New weights of some endpoints."""
 
-    complete: bool  # whether it replaces all weights held until now
+    complete: bool  # whether it replaces all current weights
     weights: Iterable[tuple[str, float]]  # a weight of 0 removes an endpoint
 
 
 class AdmissionUpdate(msgspec.Struct, frozen=True):
-    """A new level for some classes."""
+    """A new admission level for some classes."""
 
-    classes: Sequence[str | None] | None  # None: every class without a level of its own
+    classes: Sequence[str | None] | None  # None: the default for classes without a level of their own
     level: AdmissionLevel
 
 
 class TableUpdate(msgspec.Struct, frozen=True, kw_only=True):
-    """One message to a proxy."""
+    """Update of a proxy's table by one message."""
 
     weights: Sequence[WeightUpdate] = ()
     admission: Sequence[AdmissionUpdate] = ()
@@ -43,7 +45,7 @@
 
 
 class ProxyTable:
-    """What one proxy holds."""
+    """Routing table of one proxy."""
 
     def __init__(self, number: int, zone: str, weights: Mapping[str, float]) -> None:
         self.number = number
@@ -51,11 +53,11 @@
         self.weights = dict(weights)
         self.excluded: set[str] = set()
         self.admission: dict[str | None, AdmissionLevel] = {}
-        self._choices: list[str] | None = None  # endpoints to draw from; None: to be worked out anew
-        self._cumulative: list[float] = []
+        self._choices: list[str] | None = None  # cached endpoints to pick from; None: has to be recomputed
+        self._cumulative: list[float] = []  # cumulative weights of the choices
 
     def pick(self, random: Random) -> str | None:
-        """An endpoint drawn by weight, or None where none may be used."""
+        """Return a random endpoint, drawn by weight, or None if none is usable."""
         if self._choices is None:
             self._choices = [name for name in self.weights if name not in self.excluded]
             self._cumulative = list(accumulate(self.weights[name] for name in self._choices))
@@ -65,12 +67,15 @@
         return self._choices[min(position, len(self._choices) - 1)]
 
     def apply(self, update: TableUpdate) -> None:
-        """Applies one message: its weights in order, then admission levels and exclusions."""
-        for change in update.weights:
-            weights = {} if change.complete else self.weights
-            weights.update(change.weights)
+        """Apply an update: its weights in order, then admission levels and exclusions.
+
+        A complete weight update also resets all admission levels.
+        """
+        for weight_update in update.weights:
+            weights = {} if weight_update.complete else self.weights
+            weights.update(weight_update.weights)
             self.weights = {name: weight for name, weight in weights.items() if weight}
-        if any(change.complete for change in update.weights):
+        if any(weight_update.complete for weight_update in update.weights):
             self.admission = {}
         for admission in update.admission:
             classes = [None] if admission.classes is None else admission.classes
@@ -79,18 +84,18 @@
         self._choices = None
 
     def admission_level(self, request_class: str) -> AdmissionLevel:
-        """The level of a class: its own, that of all classes, or to admit everything without retries."""
+        """Return the level of a class; by default that of all classes, or else full admission, no retries."""
         default = self.admission.get(None, AdmissionLevel())
         return self.admission.get(request_class, default)
 
     def positive_weights(self) -> dict[str, float]:
-        """The endpoints with a weight above 0, excluded ones with them."""
+        """Return the weights above 0, including those of excluded endpoints."""
         return {name: weight for name, weight in self.weights.items() if weight > 0}
 
     def usable_weights(self) -> dict[str, float]:
-        """The endpoints that requests may still be sent to, with their weights."""
+        """Return the weights of the endpoints that requests may be sent to."""
         return {name: weight for name, weight in self.positive_weights().items() if name not in self.excluded}
 
     def is_usable(self, endpoint: str) -> bool:
-        """Whether requests may still be sent to an endpoint."""
+        """Return whether requests may be sent to an endpoint."""
         return self.weights.get(endpoint, 0) > 0 and endpoint not in self.excluded
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -8,7 +8,7 @@
 
 from granitespool.cli import main
 from granitespool.emulator import experiment, report, schema
-from granitespool.emulator.backend import ERROR_TIME, Backend, Fault
+from granitespool.emulator.backend import ERROR_LATENCY, Backend, Fault
 from granitespool.emulator.clock import EPOCH
 from granitespool.emulator.emulation import Emulation
 from granitespool.units import MILLISECOND, SECOND
@@ -89,7 +89,7 @@
             took[started] += backend.serve(EPOCH + SECOND, random, fleet).latency
     assert took[EPOCH + 1] == pytest.approx(4 * took[0], rel=0.01)
     backend.workers_free_at = [EPOCH + SECOND + (fleet.queue_ms + 1) * MILLISECOND]
-    assert backend.serve(EPOCH + SECOND, random, fleet) == (ERROR_TIME, False)
+    assert backend.serve(EPOCH + SECOND, random, fleet) == (ERROR_LATENCY, False)
     backend.fault = Fault(dead=True)
     assert backend.serve(EPOCH + SECOND, random, fleet) == (None, False)
 
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -139,12 +139,12 @@
 @pytest.mark.parametrize(
     ("change", "words"),
     [
-        ("load", "no KEY=VALUE"),
+        ("load", "expected KEY=VALUE"),
         ("nope=1", "no section has this key"),
         ("load=x", "[fleet] load is 'x'"),
         ("seeds=0", "seeds is '0'"),
         ("sizes=30", "30x150"),
-        ("variants=now", "variants names 'now'"),
+        ("variants=now", "variants contains 'now'"),
         ("fleet.nope=1", "nope is unknown"),
         ("kind=flood", "kind is 'flood', where one of restart would do"),
     ],
@@ -168,10 +168,10 @@
         [(4, 6)],
     )
     assert main(["emulate", "run", "nothing"]) == 1
-    assert "restart come with the program" in capsys.readouterr().err
+    assert "packaged ones are restart" in capsys.readouterr().err
     assert main(["emulate", "list"]) == 0
     assert "restart" in capsys.readouterr().out
-    with pytest.raises(InvalidInputError, match="lacks the section"):
+    with pytest.raises(InvalidInputError, match=r"the section \[experiment\] is missing"):
         path.write_text("[fleet]\nload = 0.5\n")
         schema.load(str(path))
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -89,7 +89,7 @@
     ("change", "words"),
     [
         ("real=0", "from 1 to 64"),
-        ("seed", "no KEY=VALUE"),
+        ("seed", "expected KEY=VALUE"),
         ("nothing=1", "no section has this key"),
         ("event.replace.kind=burn", "one of configure, "),
         ("coordinators.reel=3", "nearest known name is real"),
