--- a/bench/manage.py
+++ b/bench/manage.py
@@ -295,7 +295,7 @@
 
 def _read_by_netconf(child: Child, fleet: Fleet) -> str:
     begun = time.perf_counter()
-    answer = child.netconf().ask("<get/>")
+    answer = child.netconf().rpc("<get/>")
     seconds = time.perf_counter() - begun
     assert answer.count("<backend>") == fleet.backends
     return _read_figures(child, seconds, len(answer))
--- a/granitespool/simulation/netconf_client.py
+++ b/granitespool/simulation/netconf_client.py
@@ -1,7 +1,7 @@
-"""A NETCONF client over TLS that can also misbehave, on a blocking socket.
+"""A NETCONF client over TLS on a blocking socket, which can also violate the protocol.
 
-For tests and measurements on loopback; it checks nothing of what the server says beyond what it needs to go
-on."""
+It is made for tests and benches on loopback, and does not validate the server's messages.
+"""
 
 import re
 import socket
@@ -11,7 +11,7 @@
 from granitespool.errors import GranitespoolError
 from granitespool.netconf.framing import MessageReader, frame
 
-MAX_MESSAGE_BYTES = 256 << 20  # bytes of an answer that are taken: the whole state of a large fleet
+MAX_MESSAGE_BYTES = 256 << 20  # fits the whole operational state of a large fleet
 READ_BYTES = 1 << 16
 NAMESPACE = "urn:granitespool:coordinator"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -19,15 +19,18 @@
     f'<hello xmlns="{BASE}"><capabilities><capability>urn:ietf:params:netconf:base:1.{{}}</capability>'
     "</capabilities></hello>"
 )
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: closing sends a reset
 
 
 class ConnectionEndedError(GranitespoolError):
-    """The server ended the connection."""
+    """The server closed the connection, or it failed."""
 
 
 def client_context(folder: str, user: str | None) -> ssl.SSLContext:
-    """A client's context of the files that `granitespool keys make` wrote; None: without a certificate."""
+    """Return a client context with the files that `granitespool keys make` wrote to a folder.
+
+    A `user` of None has no certificate.
+    """
     context = ssl.create_default_context(cafile=f"{folder}/ca.pem")
     if user is not None:
         context.load_cert_chain(f"{folder}/{user}.pem", f"{folder}/{user}.key")
@@ -35,7 +38,7 @@
 
 
 class NetconfClient:
-    """One session; `minor` is the base version 1.`minor` that it speaks."""
+    """A NETCONF session."""
 
     def __init__(
         self,
@@ -43,10 +46,13 @@
         folder: str,
         user: str | None = "operations",
         minor: int = 1,
-        greet: bool = True,
+        send_hello: bool = True,
         timeout: float = 10,
     ) -> None:
-        """Connects with a user's keys from a folder, and says hello if `greet`; `timeout` in s."""
+        """Connect with a user's keys from a folder, and exchange hellos if `send_hello`.
+
+        The session uses base version 1.`minor`; `timeout` of the socket is in seconds.
+        """
         self.sock = socket.create_connection(address, timeout=timeout)
         try:
             self.tls = client_context(folder, user).wrap_socket(self.sock, server_hostname=address[0])
@@ -54,26 +60,26 @@
             self.sock.close()
             raise
         self.reader = MessageReader(MAX_MESSAGE_BYTES)
-        self.message_id = 0  # of the last rpc
-        self.notes: list[str] = []  # notifications that came before an answer
-        self.hello = ""  # the server's
-        self._received: list[str] = []  # messages that nobody has taken yet
-        if greet:
+        self.message_id = 0  # of the last rpc sent
+        self.notifications: list[str] = []  # received while waiting for a reply
+        self.hello = ""  # the server's hello
+        self._received: list[str] = []  # messages that `receive` has not returned yet
+        if send_hello:
             self.hello = self.receive()
-            self.raw(frame(HELLO.format(minor).encode(), False))
+            self.send_raw(frame(HELLO.format(minor).encode(), False))
             self.reader.chunked = bool(minor)
 
     # Messages
 
-    def raw(self, data: bytes) -> None:
-        """Sends bytes as they are. Raises ConnectionEndedError."""
+    def send_raw(self, data: bytes) -> None:
+        """Send bytes without framing. Raise ConnectionEndedError if the connection is closed."""
         try:
             self.tls.sendall(data)
         except (ConnectionError, ssl.SSLError) as error:
             raise ConnectionEndedError(str(error)) from None
 
     def receive(self) -> str:
-        """The next message. Raises ConnectionEndedError."""
+        """Return the next message. Raise ConnectionEndedError if the connection is closed."""
         while not self._received:
             self.reader.feed(self._read())
             self._received += [message.decode() for message in self.reader.messages()]
@@ -85,72 +91,74 @@
         except (ConnectionError, ssl.SSLError) as error:
             raise ConnectionEndedError(str(error)) from None
         if not data:
-            raise ConnectionEndedError("closed")
+            raise ConnectionEndedError("the server closed the connection")
         return data
 
     def send(self, body: str, attributes: str | None = None) -> None:
-        """An rpc without waiting for its answer; `attributes` in place of its message id."""
+        """Send an rpc without waiting for the reply; `attributes` replace its message-id attribute."""
         self.message_id += 1
         attributes = f'message-id="{self.message_id}"' if attributes is None else attributes
         rpc = f'<rpc {attributes} xmlns="{BASE}">{body}</rpc>'
-        self.raw(frame(rpc.encode(), self.reader.chunked))
+        self.send_raw(frame(rpc.encode(), self.reader.chunked))
 
-    def ask(self, body: str, attributes: str | None = None) -> str:
-        """An rpc's answer; notifications before it stay in `notes`."""
+    def rpc(self, body: str, attributes: str | None = None) -> str:
+        """Send an rpc and return its reply; notifications received before it are added to `notifications`."""
         self.send(body, attributes)
         while True:
             message = self.receive()
             if "<notification" not in message:
                 return message
-            self.notes.append(message)
+            self.notifications.append(message)
 
-    def note(self, name: str) -> str:
-        """Waits for a notification of this name."""
+    def receive_notification(self, name: str) -> str:
+        """Return the next notification of this name; messages before it are discarded."""
         while True:
-            message = self.notes.pop(0) if self.notes else self.receive()
+            message = self.notifications.pop(0) if self.notifications else self.receive()
             if f"<{name} " in message:
                 return message
 
-    # Usual requests
+    # Common operations
 
-    def edit(self, settings: str, store: str = "candidate", more: str = "") -> str:
-        """The answer to an edit-config of a datastore; `more`: further elements of the rpc."""
-        target = f"<target><{store}/></target>"
-        return self.ask(f"<edit-config>{target}{more}<config>{top(settings)}</config></edit-config>")
+    def edit(self, settings: str, datastore: str = "candidate", options: str = "") -> str:
+        """Send an edit-config and return the reply; `options` are further elements of the operation."""
+        target = f"<target><{datastore}/></target>"
+        return self.rpc(
+            f"<edit-config>{target}{options}<config>{settings_element(settings)}</config></edit-config>"
+        )
 
-    def commit(self, more: str = "") -> str:
-        """The answer to a commit."""
-        return self.ask(f"<commit>{more}</commit>")
+    def commit(self, options: str = "") -> str:
+        """Send a commit and return the reply; `options` are its child elements."""
+        return self.rpc(f"<commit>{options}</commit>")
 
-    def config(self, store: str = "running", more: str = "") -> str:
-        """The text of a datastore's settings element; "" where it has none."""
-        answer = self.ask(f"<get-config><source><{store}/></source>{more}</get-config>")
-        found = re.search(r"<settings>(.*)</settings>", answer, re.DOTALL)
-        return found[1] if found else ""
+    def config(self, datastore: str = "running", options: str = "") -> str:
+        """Return the content of a datastore's settings element, or "" without one."""
+        reply = self.rpc(f"<get-config><source><{datastore}/></source>{options}</get-config>")
+        match = re.search(r"<settings>(.*)</settings>", reply, re.DOTALL)
+        return match[1] if match else ""
 
-    def lock(self, store: str = "candidate", verb: str = "lock") -> str:
-        """The answer to a lock, or an unlock, of a datastore."""
-        return self.ask(f"<{verb}><target><{store}/></target></{verb}>")
+    def lock(self, datastore: str = "candidate", operation: str = "lock") -> str:
+        """Lock or unlock a datastore and return the reply."""
+        return self.rpc(f"<{operation}><target><{datastore}/></target></{operation}>")
 
-    # The end
+    # End of the connection
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Close the connection."""
         self.sock.close()
         self.tls.close()
 
     def reset(self) -> None:
-        """Ends the connection by a reset, whatever is under way."""
+        """Close the connection with a TCP reset, discarding unsent data."""
         self.tls.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.tls.close()
 
 
-def top(settings: str) -> str:
-    """The coordinator element around elements of its settings."""
+def settings_element(settings: str) -> str:
+    """Return the coordinator element with the given elements of its settings."""
     return f'<coordinator xmlns="{NAMESPACE}"><settings>{settings}</settings></coordinator>'
 
 
-def reply_tag(answer: str) -> str:
-    """An answer's error tag, "ok" where there is none."""
-    found = re.search(r"<error-tag>([^<]*)<", answer)
-    return found[1] if found else "ok"
+def reply_tag(reply: str) -> str:
+    """Return the error tag of a reply, or "ok" without one."""
+    match = re.search(r"<error-tag>([^<]*)<", reply)
+    return match[1] if match else "ok"
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -20,7 +20,13 @@
 from granitespool.netconf.framing import END_OF_MESSAGE, MessageReader, frame
 from granitespool.netconf.xmltree import parse_message
 from granitespool.planner.events import LoadReport
-from granitespool.simulation.netconf_client import HELLO, ConnectionEndedError, NetconfClient, reply_tag, top
+from granitespool.simulation.netconf_client import (
+    HELLO,
+    ConnectionEndedError,
+    NetconfClient,
+    reply_tag,
+    settings_element,
+)
 
 LINES_PER_SECOND = "<channel><lines-per-second>{}</lines-per-second></channel>"
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
@@ -106,7 +112,7 @@
 def test_both_framings_read_state_and_commit_a_change_that_takes_effect(server, minor):
     client = server.manager(minor=minor)
     assert "base:1.1" in client.hello and "granitespool&amp;revision=2026-12-01" in client.hello
-    state = client.ask("<get/>")
+    state = client.rpc("<get/>")
     assert state.count("<backend>") == 6 and "<phase>ready</phase>" in state
     assert "<weight>1.0</weight>" in state
     assert (
@@ -116,13 +122,13 @@
     assert "<lines-per-second>500.0<" in client.config("candidate")
     assert "<lines-per-second>1000.0<" in client.config()
     assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
-    assert "<version>2</version>" in client.ask("<get/>")
+    assert "<version>2</version>" in client.rpc("<get/>")
     ages = []
     for index in (1, 1, 2):
         server.service.discovery.index = index  # as an update of the endpoint list sets it, in a turn
         server.service.loop.wake()
         time.sleep(0.25)
-        ages.append(int(re.search(r"<age>(\d+)<", client.ask("<get/>"))[1]))
+        ages.append(int(re.search(r"<age>(\d+)<", client.rpc("<get/>"))[1]))
     assert 200_000 < ages[0] < ages[1] - 200_000 and ages[2] < ages[1]
     server.logged("settings_changed", by="operations", version=2)
     connections_limit = server.service.streams.admission.connections_limit
@@ -134,8 +140,8 @@
     assert server.service.streams.admission.connections_limit == connections_limit - 512
     assert server.service.health_checks.limit == 64
     assert reply_tag(client.edit("<limits><descriptors>4096</descriptors></limits>")) == "ok"
-    assert "over the 1024" in client.commit() and reply_tag(client.ask("<discard-changes/>")) == "ok"
-    assert reply_tag(client.ask("<close-session/>")) == "ok"
+    assert "over the 1024" in client.commit() and reply_tag(client.rpc("<discard-changes/>")) == "ok"
+    assert reply_tag(client.rpc("<close-session/>")) == "ok"
     with pytest.raises(ConnectionEndedError):
         client.receive()
 
@@ -172,9 +178,9 @@
 )
 def test_a_rejected_operation_has_the_error_tag_of_the_rfc_and_the_session_continues(server, body, tag):
     client = server.manager()
-    reply = client.ask(body)
-    assert reply_tag(reply) == tag and "<error-message" in reply and reply_tag(client.ask("<get/>")) == "ok"
-    assert reply_tag(client.ask("<get/>", "")) == "missing-attribute"
+    reply = client.rpc(body)
+    assert reply_tag(reply) == tag and "<error-message" in reply and reply_tag(client.rpc("<get/>")) == "ok"
+    assert reply_tag(client.rpc("<get/>", "")) == "missing-attribute"
 
 
 @pytest.mark.parametrize(
@@ -221,8 +227,8 @@
     assert reply_tag(client.edit(settings)) == "ok"
     reply = client.commit()
     assert reply_tag(reply) == "operation-failed" and expected_text in reply
-    assert server.settings() == before and "<version>1</version>" in client.ask("<get/>") and alive(proxy)
-    assert "<refused>1</refused>" in client.ask("<get/>")
+    assert server.settings() == before and "<version>1</version>" in client.rpc("<get/>") and alive(proxy)
+    assert "<refused>1</refused>" in client.rpc("<get/>")
     proxy.close()
 
 
@@ -230,7 +236,7 @@
     client = server.manager()
 
     def state(inner):
-        return client.ask(
+        return client.rpc(
             '<get><filter><coordinator xmlns="urn:granitespool:coordinator">'
             f"{inner}</coordinator></filter></get>"
         )
@@ -244,18 +250,18 @@
     assert "<strained>" in state("<state><fleet/></state>")
     assert "coordinator" not in state("<state><backend><name>none</name></backend></state>")
     assert state("<settings><zone/></settings><state><fleet/></state>").count("<zone>") == 2
-    xpath = client.ask(
+    xpath = client.rpc(
         "<get><filter type='xpath' xmlns:g='urn:granitespool:coordinator' "
         "select=\"/g:coordinator/g:state/g:backend[g:name='s-4']/g:phase\"/></get>"
     )
     assert xpath.count("<phase>") == 1 and "<name>" not in xpath and "<fleet>" not in xpath
-    assert "<data/>" in client.ask("<get><filter/></get>")
+    assert "<data/>" in client.rpc("<get><filter/></get>")
 
 
 def test_schema_defaults_copies_and_startup(tmp_path, keys_folder):
     with ServiceThread(tmp_path, keys_folder, state=True) as server:
         client = server.manager()
-        schema = client.ask(
+        schema = client.rpc(
             '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
             "<identifier>granitespool"
             "</identifier></get-schema>"
@@ -263,7 +269,7 @@
         assert "module granitespool {" in schema
         assert (
             reply_tag(
-                client.ask(
+                client.rpc(
                     '<get-schema xmlns="urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring">'
                     "<identifier>x"
                     "</identifier></get-schema>"
@@ -290,21 +296,21 @@
             "candidate", report_all
         )
         assert reply_tag(client.edit("<class><name>late</name></class>", "startup")) == "ok"
-        assert "<failing>false</failing>" in client.ask("<get/>")
+        assert "<failing>false</failing>" in client.rpc("<get/>")
         assert "late" in client.config("startup") and "late" not in client.config()
         assert (
             reply_tag(
-                client.ask(
+                client.rpc(
                     "<copy-config><target><startup/></target><source><running/></source></copy-config>"
                 )
             )
             == "ok"
         )
         assert "late" not in client.config("startup")
-        whole = top("<zone>n</zone><zone>s</zone><class><name>pay</name></class>")
+        whole = settings_element("<zone>n</zone><zone>s</zone><class><name>pay</name></class>")
         assert (
             reply_tag(
-                client.ask(
+                client.rpc(
                     f"<copy-config><target><candidate/></target><source><config>{whole}"
                     "</config></source></copy-config>"
                 )
@@ -313,19 +319,19 @@
         )
         assert "promised-time" not in client.config("candidate")
         assert (
-            reply_tag(client.ask("<validate><source><candidate/></source></validate>")) == "operation-failed"
+            reply_tag(client.rpc("<validate><source><candidate/></source></validate>")) == "operation-failed"
         )
         assert (
-            reply_tag(client.ask("<discard-changes/>")) == "ok"
+            reply_tag(client.rpc("<discard-changes/>")) == "ok"
             and client.config("candidate") == client.config()
         )
-        assert reply_tag(client.ask("<delete-config><target><startup/></target></delete-config>")) == "ok"
+        assert reply_tag(client.rpc("<delete-config><target><startup/></target></delete-config>")) == "ok"
 
 
 def test_users_read_and_write_what_they_are_authorized_for(server):
     reader, pacer = server.manager("reader"), server.manager("pacer")
     assert (
-        "<backend>" in reader.ask("<get/>")
+        "<backend>" in reader.rpc("<get/>")
         and reply_tag(reader.edit(LINES_PER_SECOND.format("500"))) == "access-denied"
     )
     assert reply_tag(pacer.edit("<drain><grace>5</grace></drain>")) == "access-denied"
@@ -334,7 +340,7 @@
         and reply_tag(reader.commit()) == "access-denied"
     )
     assert reply_tag(pacer.commit()) == "ok" and server.settings()["entries_per_s"] == 500
-    assert reply_tag(reader.ask("<kill-session><session-id>2</session-id></kill-session>")) == "access-denied"
+    assert reply_tag(reader.rpc("<kill-session><session-id>2</session-id></kill-session>")) == "access-denied"
 
 
 # Concurrent sessions, and sessions that end
@@ -358,7 +364,7 @@
     assert reply_tag(reply) == "operation-failed" and "candidate is based on version 1 of running" in reply
     assert server.settings()["entries_per_s"] == 700.0
     assert (
-        reply_tag(client.ask("<discard-changes/>")) == "ok"
+        reply_tag(client.rpc("<discard-changes/>")) == "ok"
         and reply_tag(client.edit(LINES_PER_SECOND.format("500"))) == "ok"
     )
     assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
@@ -383,15 +389,15 @@
         server.settings(),
         {name: watcher.config(name) for name in ("running", "candidate", "startup")},
     )
-    client = server.manager(greet=step != "hello")
+    client = server.manager(send_hello=step != "hello")
     if step == "hello":
-        client.raw(frame(HELLO.format(1).encode(), False)[:-3])
+        client.send_raw(frame(HELLO.format(1).encode(), False)[:-3])
     else:
         client.lock(), client.lock("running")
         if step != "lock":
             client.edit(LINES_PER_SECOND.format("500"))
         if step == "half an rpc":
-            client.raw(
+            client.send_raw(
                 frame(b'<rpc message-id="9" xmlns="' + BASE.encode() + b'"><commit/></rpc>', True)[:-6]
             )
         elif step == "commit unread":
@@ -449,29 +455,28 @@
     client, other_client = server.manager(), server.manager()
     create_subscription = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
     assert (
-        reply_tag(other_client.ask(create_subscription)) == "ok"
-        and reply_tag(other_client.ask(create_subscription)) == "in-use"
+        reply_tag(other_client.rpc(create_subscription)) == "ok"
+        and reply_tag(other_client.rpc(create_subscription)) == "in-use"
     )
     client.edit(LINES_PER_SECOND.format("500"))
     client.commit()
-    assert "<version>2</version>" in other_client.note("settings-changed")
+    assert "<version>2</version>" in other_client.receive_notification("settings-changed")
     for _ in range(2):
         server.service.coordinator.report(
             server.service.loop.now,
             LoadReport(zone="n", backend="s-1", attempts=9, failures=9, mean=0, window=10**9, load={}),
         )
-    assert "<backend>s-1</backend>" in other_client.note("backend-cut")
+    assert "<backend>s-1</backend>" in other_client.receive_notification("backend-cut")
     client.edit(LINES_PER_SECOND.format("0.1"))
     proxy = server.proxy()
-    assert reply_tag(client.commit()) == "operation-failed" and "one drain takes" in other_client.note(
-        "change-refused"
-    )
-    client.ask("<discard-changes/>")
+    assert reply_tag(client.commit()) == "operation-failed"
+    assert "one drain takes" in other_client.receive_notification("change-refused")
+    client.rpc("<discard-changes/>")
     server.service.coordinator.set_admission(0, 1, 0.5, 0)
-    assert "<share>0.5</share>" in other_client.note("levels-changed") and alive(proxy)
+    assert "<share>0.5</share>" in other_client.receive_notification("levels-changed") and alive(proxy)
     proxy.close()
     number = re.search(r"<session-id>(\d+)<", other_client.hello)[1]
-    assert reply_tag(client.ask(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
+    assert reply_tag(client.rpc(f"<kill-session><session-id>{number}</session-id></kill-session>")) == "ok"
     with pytest.raises(ConnectionEndedError):
         other_client.receive()
     server.logged("manager_disconnected", reason="killed by operations")
@@ -531,7 +536,7 @@
         client = server.manager()
         assert reply_tag(client.edit("<class><name>late</name></class>")) == "ok"
         assert (
-            "put it into startup" in client.commit() and reply_tag(client.ask("<discard-changes/>")) == "ok"
+            "put it into startup" in client.commit() and reply_tag(client.rpc("<discard-changes/>")) == "ok"
         )
         assert reply_tag(client.edit("<class><name>late</name></class>", "startup")) == "ok"
         assert "late" not in client.config() and len(server.settings()["classes"]) == 1
@@ -575,7 +580,7 @@
     """Connect as a misbehaving peer, and return once the server has ended the connection."""
     if behaviour in ("no certificate", "foreign", "stranger"):
         with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
-            NetconfClient(where, keys_folder, {"no certificate": None}.get(behaviour, behaviour)).ask(
+            NetconfClient(where, keys_folder, {"no certificate": None}.get(behaviour, behaviour)).rpc(
                 "<get/>"
             )
         return
@@ -594,23 +599,25 @@
         sock.close()
         return
     client = NetconfClient(
-        where, keys_folder, greet=behaviour not in ("hello without capabilities", "rpc before hello")
+        where, keys_folder, send_hello=behaviour not in ("hello without capabilities", "rpc before hello")
     )
     with pytest.raises(ConnectionEndedError):
         if behaviour == "hello without capabilities":
-            client.raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
+            client.send_raw(frame(f'<hello xmlns="{BASE}"/>'.encode(), False))
         elif behaviour == "rpc before hello":
-            client.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), False))
+            client.send_raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), False))
         elif behaviour == "oversized chunk":
-            client.raw(b"\n#4000000\n")
+            client.send_raw(b"\n#4000000\n")
         elif behaviour == "entity expansion":
-            client.raw(frame(b'<!DOCTYPE l [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;&a;">]><rpc>&b;</rpc>', True))
+            client.send_raw(
+                frame(b'<!DOCTYPE l [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;&a;">]><rpc>&b;</rpc>', True)
+            )
         elif behaviour == "deep nesting":
-            client.raw(frame(b"<a>" * 200 + b"</a>" * 200, True))
+            client.send_raw(frame(b"<a>" * 200 + b"</a>" * 200, True))
         elif behaviour == "invalid framing":
-            client.raw(b"\n##\n#5\nhello")
+            client.send_raw(b"\n##\n#5\nhello")
         elif behaviour == "flood":
-            client.raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), True) * 400)
+            client.send_raw(frame(f'<rpc message-id="1" xmlns="{BASE}"><get/></rpc>'.encode(), True) * 400)
         while True:
             client.receive()
     client.close()
@@ -646,7 +653,7 @@
         for ending in ("pem", "key"):
             shutil.copy(f"{others}/operations.{ending}", f"{others}/foreign.{ending}")
     connect_misbehaving_peer(server.where, others, behaviour)
-    assert reply_tag(client.ask("<get/>")) == "ok" and alive(proxy)
+    assert reply_tag(client.rpc("<get/>")) == "ok" and alive(proxy)
     proxy.close()
 
 
@@ -670,7 +677,7 @@
     (tmp_path / "old.pem").write_bytes(old.public_bytes(keys_module.serialization.Encoding.PEM))
     (tmp_path / "old.key").write_bytes(keys_module.key_bytes(key))
     with pytest.raises((ConnectionEndedError, ssl.SSLError, ConnectionError)):
-        NetconfClient(server.where, str(tmp_path), "old").ask("<get/>")
+        NetconfClient(server.where, str(tmp_path), "old").rpc("<get/>")
     server.logged("manager_rejected", reason="expired")
 
 
@@ -680,7 +687,7 @@
         proxy = server.proxy()
         sockets = [socket.create_connection(server.where, timeout=5) for _ in range(200)]
         client = server.manager()
-        assert reply_tag(client.ask("<get/>")) == "ok" and alive(proxy)
+        assert reply_tag(client.rpc("<get/>")) == "ok" and alive(proxy)
         assert len(server.service.management.listeners[0].connections) <= 9
         for sock in sockets:
             sock.close()
@@ -693,14 +700,14 @@
     with ServiceThread(tmp_path, keys_folder, sessions=2, idle_s=1.0) as server:
         client, other_client = server.manager(), server.manager()
         with pytest.raises((ConnectionEndedError, ConnectionError)):
-            server.manager().ask("<get/>")
+            server.manager().rpc("<get/>")
         create_subscription = '<create-subscription xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"/>'
-        assert reply_tag(other_client.ask(create_subscription)) == "ok"
+        assert reply_tag(other_client.rpc(create_subscription)) == "ok"
         server.logged("manager_disconnected", reason="idle")
         with pytest.raises(ConnectionEndedError):
             client.receive()
         time.sleep(0.5)
-        assert reply_tag(other_client.ask("<get/>")) == "ok"
+        assert reply_tag(other_client.rpc("<get/>")) == "ok"
 
 
 def test_a_client_that_stops_reading_takes_bounded_memory_and_delays_no_turn(tmp_path, keys_folder):
@@ -725,7 +732,7 @@
         [stuck] = [connection for connection in connections if connection.unsent > 200_000]
         assert stuck.unsent < 2_000_000 and len(stuck.protocol.pending) > 5
         begun = time.monotonic()
-        assert reply_tag(other_client.ask("<get-config><source><running/></source></get-config>")) == "ok"
+        assert reply_tag(other_client.rpc("<get-config><source><running/></source></get-config>")) == "ok"
         assert alive(proxy)
         assert time.monotonic() - begun < 1.0
         assert all(client.receive().count("<backend>") == 800 for _ in range(14))
@@ -739,12 +746,12 @@
         fresh = keys(tmp_path / "fresh")
         for name in os.listdir(own):
             os.replace(f"{fresh}/{name}", f"{own}/{name}")
-        assert server.reload()["event"] == "reloaded" and reply_tag(client.ask("<get/>")) == "ok"
-        assert reply_tag(server.manager().ask("<get/>")) == "ok"
+        assert server.reload()["event"] == "reloaded" and reply_tag(client.rpc("<get/>")) == "ok"
+        assert reply_tag(server.manager().rpc("<get/>")) == "ok"
         with open(f"{own}/server.pem", "w") as file:
             file.write("nothing")
         assert "cannot be used" in server.reload()["reason"]
-        assert reply_tag(client.ask("<get/>")) == "ok"
+        assert reply_tag(client.rpc("<get/>")) == "ok"
 
 
 # The client library ncclient
@@ -762,7 +769,9 @@
     ) as client:
 
         def edit(settings):
-            client.edit_config(target="candidate", config=f'<config xmlns="{BASE}">{top(settings)}</config>')
+            client.edit_config(
+                target="candidate", config=f'<config xmlns="{BASE}">{settings_element(settings)}</config>'
+            )
 
         assert client.get().xml.count("<backend>") == 6
         with client.locked("candidate"):
