--- a/granitespool/emulator/backend.py
+++ b/granitespool/emulator/backend.py
@@ -10,7 +10,7 @@
 from granitespool.emulator.schema import FleetSettings
 from granitespool.units import MILLISECOND, SECOND
 
-ERROR_LATENCY = 5 * MILLISECOND  # ns until an error response of a backend that does no work for it
+ERROR_LATENCY = 5 * MILLISECOND  # ns until the response to an attempt that fails immediately
 
 
 class Response(NamedTuple):
--- a/granitespool/emulator/channel.py
+++ b/granitespool/emulator/channel.py
@@ -18,8 +18,8 @@
 class Channel:
     """Channel of one incarnation of a coordinator."""
 
-    def __init__(self, settings: ChannelSettings, entries_per_s: float, now: int) -> None:
-        self.entry_rate = entries_per_s
+    def __init__(self, settings: ChannelSettings, entry_rate: float, now: int) -> None:
+        self.entry_rate = entry_rate  # table entries per second
         self.delay = int(settings.delay_ms * MILLISECOND)  # ns
         self.free_at = now  # ns; when all messages so far have been sent
 
--- a/granitespool/emulator/clock.py
+++ b/granitespool/emulator/clock.py
@@ -6,6 +6,7 @@
 
 EPOCH = 10**18  # ns; start of virtual time
 
+# (time in ns, sequence number, function, arguments)
 _ScheduledCall = tuple[int, int, Callable[..., None], tuple[Any, ...]]
 
 
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -36,7 +36,7 @@
 HEALTH_CHECK_TIMEOUT = SECOND // 2  # ns; same as in the service
 APPLY_DURATION = 5 * MILLISECOND  # ns that a proxy needs to apply a message
 UPDATE_OVERHEAD_ENTRIES = 2  # size of a message without its contents, in table entries
-MACHINE_TYPE = "m"
+MACHINE_TYPE = "m"  # the same for all backends, like the cell
 CELL = 0
 
 RestoreCallback = Callable[[Coordinator], None]
@@ -51,22 +51,22 @@
         random: Random,
         backends: Mapping[str, Backend],
         proxies: Sequence[ProxyTable],
-        make: Callable[[int, int], Coordinator],
+        make_coordinator: Callable[[int, int], Coordinator],
         make_channel: Callable[[int], Channel],
-        rate: float,
+        transaction_rate: float,
     ) -> None:
         """Create a host without a running coordinator.
 
-        `rate` is the number of transactions per second over all proxies. `make(incarnation, now)` and
-        `make_channel(now)` create a coordinator and its channel.
+        `make_coordinator(incarnation, now)` and `make_channel(now)` create a coordinator and its channel.
+        `transaction_rate` is in transactions per second, over all proxies.
         """
         self.clock = clock
         self.random = random
         self.backends = backends
         self.proxies = proxies
-        self.make_coordinator = make
+        self.make_coordinator = make_coordinator
         self.make_channel = make_channel
-        self.transaction_rate = rate
+        self.transaction_rate = transaction_rate
         self.coordinator: Coordinator | None = None
         self.incarnation = 0  # counted from 1
         self.joined_proxies: set[int] = set()  # numbers of the proxies with a stream
@@ -143,13 +143,13 @@
         if coordinator is None:
             return
         self.joined_proxies.add(proxy.number)
-        joined = ProxyJoined(
+        event = ProxyJoined(
             proxy=proxy.number,
             zone=proxy.zone,
             bootstrap=incarnation == 1,
             rate=self.transaction_rate / len(self.proxies),
         )
-        coordinator.report(self.clock.now, joined)
+        coordinator.report(self.clock.now, event)
         self._schedule_turn()
 
     # Turns of the coordinator
--- a/granitespool/emulator/report.py
+++ b/granitespool/emulator/report.py
@@ -41,7 +41,7 @@
 def make_row(size: str, variant: str, trials: Sequence[TrialResult]) -> Row:
     """Return the row of one size and variant from its trials, one for each seed."""
     names = list(trials[0].outcomes)
-    in_time = {name: [trial.outcomes[name].in_time for trial in trials] for name in names}
+    in_time_shares = {name: [trial.outcomes[name].in_time for trial in trials] for name in names}
     return Row(
         size=size,
         variant=variant,
@@ -51,7 +51,9 @@
         usual={
             name: _rounded_median(trial.baseline_outcomes[name].in_time for trial in trials) for name in names
         },
-        spread={name: round(max(column) - min(column), DECIMAL_PLACES) for name, column in in_time.items()},
+        spread={
+            name: round(max(shares) - min(shares), DECIMAL_PLACES) for name, shares in in_time_shares.items()
+        },
         far=[_distance_point(sample) for sample in trials[0].samples],
     )
 
--- a/granitespool/emulator/request_traffic.py
+++ b/granitespool/emulator/request_traffic.py
@@ -24,11 +24,11 @@
 class OutcomeCounts(msgspec.Struct):
     """Numbers of transactions of one class that began in one second, by outcome."""
 
-    asked: int = 0
-    in_time: int = 0
-    late: int = 0
+    asked: int = 0  # all transactions
+    in_time: int = 0  # answered within the latency objective
+    late: int = 0  # answered after the latency objective
     failed: int = 0
-    refused: int = 0
+    refused: int = 0  # not admitted
 
 
 class OutcomeShares(msgspec.Struct, frozen=True):
--- a/granitespool/emulator/restart.py
+++ b/granitespool/emulator/restart.py
@@ -94,7 +94,9 @@
         samples = self._run_phases()
         internal_errors = self.emulation.host.internal_errors
         if internal_errors:
-            raise PlannerFailedError(f"the planner failed in {self.variant}: {internal_errors[0][-300:]}")
+            raise PlannerFailedError(
+                f"the planner failed in variant {self.variant}: {internal_errors[0][-300:]}"
+            )
         settings, has_reference = self.settings, self.variant not in VARIANTS_SWAPPING_FAULTS
         first_second = int(settings.learn_s + settings.down_s)
         coordinator_near = [
@@ -114,21 +116,21 @@
         settings, emulation = self.settings, self.emulation
         emulation.start()
         self.recorder.start()
-        end = EPOCH + int(settings.learn_s * SECOND)
-        emulation.run_until(end - REFERENCE_DURATION)
-        self._record_reference(end)
+        kill_at = EPOCH + int(settings.learn_s * SECOND)
+        emulation.run_until(kill_at - REFERENCE_DURATION)
+        self._record_reference(kill_at)
         last_second = int(settings.learn_s)
         self.baseline_outcomes = emulation.outcomes(last_second - BASELINE_SECONDS, last_second)
-        start = end + int(settings.down_s * SECOND)
+        restart_at = kill_at + int(settings.down_s * SECOND)
         if self.variant in VARIANTS_SWAPPING_FAULTS:
             emulation.swap_faults()
         if self.variant in VARIANTS_WITHOUT_KILL:
-            emulation.run_until(start)
+            emulation.run_until(restart_at)
         else:
             emulation.kill()
-            emulation.run_until(start)
+            emulation.run_until(restart_at)
             self._restart()
-        return self._take_samples(start, start + int(settings.settle_s * SECOND))
+        return self._take_samples(restart_at, restart_at + int(settings.settle_s * SECOND))
 
     def _restart(self) -> None:
         if self.variant in VARIANTS_WITHOUT_RESTORE:
@@ -138,6 +140,7 @@
         self.emulation.start(restore, self.settings.rejoin_s)
 
     def _record_reference(self, until: int) -> None:
+        """Run until `until` (ns) and keep the mean tables of that time as the reference."""
         emulation = self.emulation
         tables: dict[str, list[Shares]] = {zone: [] for zone in emulation.zones}
         while emulation.now < until:
@@ -147,6 +150,7 @@
         self.reference_tables = {zone: mean_shares(tables[zone]) for zone in emulation.zones}
 
     def _take_samples(self, start: int, until: int) -> list[Sample]:
+        """Run until `until` and return samples, their times relative to `start` (both ns)."""
         samples = []
         while self.emulation.now < until:
             self.emulation.run_until(self.emulation.now + SAMPLE_INTERVAL)
--- a/granitespool/emulator/schema.py
+++ b/granitespool/emulator/schema.py
@@ -156,11 +156,11 @@
     """Return the override with its section, which is the only one with the key if none was given."""
     if override.section:
         return override
-    sections = ini_files.sections_with(override.key, SECTIONS)
-    if len(sections) == 1:
-        return override._replace(section=sections[0])
-    if sections:
-        problem = f"sections {', '.join(sections)} have this key, write SECTION.KEY"
+    matching_sections = ini_files.sections_with(override.key, SECTIONS)
+    if len(matching_sections) == 1:
+        return override._replace(section=matching_sections[0])
+    if matching_sections:
+        problem = f"sections {', '.join(matching_sections)} have this key, write SECTION.KEY"
     else:
         problem = "no section has this key"
     raise InvalidInputError(f"--set {override.key!r:.60}: {problem}")
--- a/granitespool/simulation/proxy_table.py
+++ b/granitespool/simulation/proxy_table.py
@@ -84,7 +84,10 @@
         self._choices = None
 
     def admission_level(self, request_class: str) -> AdmissionLevel:
-        """Return the level of a class; by default that of all classes, or else full admission, no retries."""
+        """Return the level of a class.
+
+        A class without its own has that of all classes, or else is admitted fully and not retried.
+        """
         default = self.admission.get(None, AdmissionLevel())
         return self.admission.get(request_class, default)
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator: the same seed gives the same figures; a restart shows what it is for, at a small size."""
+"""Emulator: results depend on the seed alone, and a state folder shortens the recovery from a restart."""
 
 import json
 from random import Random
@@ -13,7 +13,7 @@
 from granitespool.emulator.emulation import Emulation
 from granitespool.units import MILLISECOND, SECOND
 
-SMALL = [
+SMALL_EXPERIMENT = [
     "sizes=8x20",
     "seeds=1",
     "learn_s=15",
@@ -28,22 +28,24 @@
 
 @pytest.fixture(scope="module")
 def result():
-    return experiment.run(schema.load("restart", [*SMALL, "variants=without,state,old"]))
+    return experiment.run(schema.load("restart", [*SMALL_EXPERIMENT, "variants=without,state,old"]))
 
 
-def row(result, variant):
+def row_of_variant(result, variant):
     return next(row for row in result.rows if row.variant == variant)
 
 
 def test_the_same_seed_gives_the_same_result(result):
-    again = experiment.run(schema.load("restart", [*SMALL, "variants=without,state,old"]))
-    assert report.as_json(again) == report.as_json(result)
-    other = experiment.run(schema.load("restart", [*SMALL, "variants=without", "first_seed=2"]))
-    assert row(other, "without") != row(result, "without")
+    same_seed = experiment.run(schema.load("restart", [*SMALL_EXPERIMENT, "variants=without,state,old"]))
+    assert report.as_json(same_seed) == report.as_json(result)
+    other_seed = experiment.run(
+        schema.load("restart", [*SMALL_EXPERIMENT, "variants=without", "first_seed=2"])
+    )
+    assert row_of_variant(other_seed, "without") != row_of_variant(result, "without")
 
 
-def test_a_start_with_a_state_folder_stands_at_once_and_without_one_it_learns_anew(result):
-    state, without = row(result, "state"), row(result, "without")
+def test_tables_settle_much_faster_after_a_restart_with_a_state_folder(result):
+    state, without = row_of_variant(result, "state"), row_of_variant(result, "without")
     assert state.held_s <= without.held_s / 5
     assert state.tables_s <= without.tables_s / 5
     assert state.far[0][1] < without.far[0][1] / 2
@@ -51,12 +53,13 @@
         assert shares.in_time >= without.service[name].in_time - 0.01
 
 
-def test_a_record_of_hours_ago_changes_nothing_at_all(result):
-    assert msgspec.structs.replace(row(result, "old"), variant="without") == row(result, "without")
+def test_a_snapshot_that_is_hours_old_has_no_effect(result):
+    old, without = row_of_variant(result, "old"), row_of_variant(result, "without")
+    assert msgspec.structs.replace(old, variant="without") == without
 
 
 def test_every_transaction_is_counted_once():
-    setup = schema.load("restart", SMALL)
+    setup = schema.load("restart", SMALL_EXPERIMENT)
     emulation = Emulation(setup, 8, 20, 1)
     emulation.start()
     emulation.run_until(EPOCH + 10 * SECOND)
@@ -70,7 +73,7 @@
 
 
 def test_dead_backends_are_ejected():
-    setup = schema.load("restart", [*SMALL, "dead_share=0.25", "slow_share=0"])
+    setup = schema.load("restart", [*SMALL_EXPERIMENT, "dead_share=0.25", "slow_share=0"])
     emulation = Emulation(setup, 8, 20, 1)
     emulation.start()
     emulation.run_until(EPOCH + 12 * SECOND)
@@ -79,41 +82,41 @@
     assert sum(emulation.zone_shares("z0").get(name, 0) for name in dead) < 0.1
 
 
-def test_a_cold_backend_takes_longer_a_dead_one_answers_nothing_and_a_full_one_fails_at_once():
-    fleet = schema.load("restart", [*SMALL, "cold_s=10", "cold_share=0.25"]).fleet
-    backend, took = Backend("a", "z0", 1, 60 * MILLISECOND), {}
-    for started in (0, EPOCH + 1):
-        backend.started_at, random, took[started] = started, Random(1), 0
+def test_a_backend_is_slower_while_warming_up_rejects_with_a_full_queue_and_is_silent_when_dead():
+    fleet = schema.load("restart", [*SMALL_EXPERIMENT, "cold_s=10", "cold_share=0.25"]).fleet
+    backend, total_latency = Backend("a", "z0", 1, 60 * MILLISECOND), {}
+    for started_at in (0, EPOCH + 1):
+        backend.started_at, random, total_latency[started_at] = started_at, Random(1), 0
         for _ in range(100):
             backend.workers_free_at = [0]
-            took[started] += backend.serve(EPOCH + SECOND, random, fleet).latency
-    assert took[EPOCH + 1] == pytest.approx(4 * took[0], rel=0.01)
+            total_latency[started_at] += backend.serve(EPOCH + SECOND, random, fleet).latency
+    assert total_latency[EPOCH + 1] == pytest.approx(4 * total_latency[0], rel=0.01)
     backend.workers_free_at = [EPOCH + SECOND + (fleet.queue_ms + 1) * MILLISECOND]
     assert backend.serve(EPOCH + SECOND, random, fleet) == (ERROR_LATENCY, False)
     backend.fault = Fault(dead=True)
     assert backend.serve(EPOCH + SECOND, random, fleet) == (None, False)
 
 
-def test_the_command_prints_a_table_json_or_a_sentence(capsys, tmp_path):
-    words = ["emulate", "run", "restart"] + [
-        word
-        for change in [*SMALL, "variants=state", "learn_s=10", "settle_s=3"]
-        for word in ("--set", change)
+def test_the_command_prints_a_table_or_json_and_an_error_without_matplotlib(capsys, tmp_path):
+    arguments = ["emulate", "run", "restart"] + [
+        argument
+        for override in [*SMALL_EXPERIMENT, "variants=state", "learn_s=10", "settle_s=3"]
+        for argument in ("--set", override)
     ]
-    assert main(words) == 0
+    assert main(arguments) == 0
     lines = capsys.readouterr().out.splitlines()
     assert "simulated servers" in lines[0]
     assert lines[1].split()[:4] == ["size", "variant", "tables", "held"]
     assert lines[2].split()[:2] == ["8x20", "state"]
     plot = tmp_path / "plot.png"
-    code = main([*words, "--json", "--plot", str(plot)])
+    exit_code = main([*arguments, "--json", "--plot", str(plot)])
     out, err = capsys.readouterr()
     try:
         import matplotlib  # noqa: F401, PLC0415
     except ImportError:
-        assert code == 1
+        assert exit_code == 1
         assert "extra `plot`" in err
     else:
-        assert code == 0
+        assert exit_code == 0
         assert json.loads(out)["rows"][0]["variant"] == "state"
         assert plot.stat().st_size > 1000
--- a/tests/test_emulator_recordings.py
+++ b/tests/test_emulator_recordings.py
@@ -1,7 +1,8 @@
-"""The emulator's reports and the keys of its experiments are those of the recordings.
+"""Compare the emulator's reports and the keys of its experiments with recordings.
 
-The emulator runs in virtual time from a seed, so no value of a report depends on real time. One value is left
-out: `program`, the program's version, which changes with each release."""
+The emulator runs in virtual time from a seed, so no value of a report depends on real time. One value is not
+compared: `program`, the program's version, which changes with each release.
+"""
 
 import hashlib
 import json
@@ -11,16 +12,24 @@
 from support import recordings
 
 from granitespool.emulator import experiment, schema
-from granitespool.emulator import report as reports
+from granitespool.emulator import report as report_module
 from granitespool.emulator.clock import EPOCH
 from granitespool.emulator.emulation import Emulation
 from granitespool.units import SECOND
 
-SMALL = ["sizes=8x20", "seeds=1", "learn_s=12", "settle_s=6", "look_s=5", "workers=2", "service_ms=60"]
-EXPERIMENTS = {
-    "restart": [*SMALL, "variants=without,state,old"],
+SMALL_EXPERIMENT = [
+    "sizes=8x20",
+    "seeds=1",
+    "learn_s=12",
+    "settle_s=6",
+    "look_s=5",
+    "workers=2",
+    "service_ms=60",
+]
+OVERRIDES = {  # recorded report -> overrides of the experiment `restart`
+    "restart": [*SMALL_EXPERIMENT, "variants=without,state,old"],
     "faults": [
-        *SMALL,
+        *SMALL_EXPERIMENT,
         "variants=changed, wrong, alive",
         "first_seed=7",
         "zones=3",
@@ -36,26 +45,29 @@
 }
 
 
-def report(name):
-    result = experiment.run(schema.load("restart", EXPERIMENTS[name]))
-    made = json.loads(reports.as_json(result))
-    del made["program"]
-    return recordings.as_recorded({"report": made, "table": reports.format_table(result)})
+def recorded_report(name):
+    """Run an experiment and return its report and text table."""
+    result = experiment.run(schema.load("restart", OVERRIDES[name]))
+    report = json.loads(report_module.as_json(result))
+    del report["program"]
+    return recordings.as_recorded({"report": report, "table": report_module.format_table(result)})
 
 
 def digest(value):
     return hashlib.sha256(json.dumps(value).encode()).hexdigest()
 
 
-def days():
-    """An emulation whose coordinator is killed and started anew, second by second."""
-    setup = schema.load("restart", [*SMALL, "class.purchase.again=true", "failing_share=0.3", "load=1.2"])
-    emulation, seconds, waiting = Emulation(setup, 9, 21, 11), [], set()
+def emulated_seconds():
+    """Run an emulation whose coordinator is killed and restarted, and return its state after each second."""
+    setup = schema.load(
+        "restart", [*SMALL_EXPERIMENT, "class.purchase.again=true", "failing_share=0.3", "load=1.2"]
+    )
+    emulation, seconds, pending_times = Emulation(setup, 9, 21, 11), [], set()
     emulation.start()
     for second in range(1, 16):
         for step in range(1, 201):
             emulation.run_until(EPOCH + (second - 1) * SECOND + step * SECOND // 200)
-            waiting.update(emulation.clock.pending_times())
+            pending_times.update(emulation.clock.pending_times())
         if second == 6:
             emulation.swap_faults()
             emulation.kill()
@@ -78,39 +90,40 @@
             "seconds": seconds,
             "chance": digest(emulation.random.getstate()),
             "events": emulation.clock.scheduled_count,
-            "times": digest(sorted(waiting)),
+            "times": digest(sorted(pending_times)),
         }
     )
 
 
-def keys():
+def keys_and_defaults():
+    """Return the default of each key of each section, None for required keys."""
     sections = {**schema.SECTIONS, "class.*": schema.ClassSettings}
     return recordings.as_recorded(
         {
             section: {
                 field.encode_name: None if field.required else field.default
-                for field in msgspec.structs.fields(record)
+                for field in msgspec.structs.fields(schema_class)
             }
-            for section, record in sections.items()
+            for section, schema_class in sections.items()
         }
     )
 
 
-@pytest.mark.parametrize("name", EXPERIMENTS)
+@pytest.mark.parametrize("name", OVERRIDES)
 def test_an_experiment_gives_the_recorded_report(name):
-    assert report(name) == recordings.read(f"emulator/{name}")
+    assert recorded_report(name) == recordings.read(f"emulator/{name}")
 
 
-def test_an_emulation_goes_through_the_recorded_seconds():
-    assert days() == recordings.read("emulator/days")
+def test_an_emulation_with_a_restart_has_the_recorded_state_after_each_second():
+    assert emulated_seconds() == recordings.read("emulator/days")
 
 
 def test_experiments_have_the_recorded_keys_and_defaults():
-    assert keys() == recordings.read("emulator/keys")
+    assert keys_and_defaults() == recordings.read("emulator/keys")
 
 
 if __name__ == "__main__":
-    for each in EXPERIMENTS:
-        recordings.write(f"emulator/{each}", report(each))
-    recordings.write("emulator/days", days())
-    recordings.write("emulator/keys", keys())
+    for name in OVERRIDES:
+        recordings.write(f"emulator/{name}", recorded_report(name))
+    recordings.write("emulator/days", emulated_seconds())
+    recordings.write("emulator/keys", keys_and_defaults())
