--- a/bench/manage.py
+++ b/bench/manage.py
@@ -301,7 +301,7 @@
 
 def _read_by_netconf(child: ChildCoordinator, fleet: Fleet) -> str:
     started_at = time.perf_counter()
-    answer = child.netconf().ask("<get/>")
+    answer = child.netconf().rpc("<get/>")
     seconds = time.perf_counter() - started_at
     assert answer.count("<backend>") == fleet.backends
     return _read_figures(child, seconds, len(answer))
--- a/granitespool/cli/emulate.py
+++ b/granitespool/cli/emulate.py
@@ -13,14 +13,14 @@
     Raises InvalidInputError if the experiment is invalid.
     """
     if arguments["list"]:
-        for name in schema.names():
+        for name in schema.experiment_names():
             print(f"{name:12} {schema.load(name).experiment.title}")
         return 0
     setup = schema.load(arguments["EXPERIMENT"], arguments["--set"])
     result = experiment.run(setup, _print_progress if sys.stderr.isatty() else _ignore)
     if arguments["--plot"]:
         plot.plot(result, arguments["--plot"])
-    print(report.as_json(result) if arguments["--json"] else "\n".join(report.table(result)))
+    print(report.as_json(result) if arguments["--json"] else "\n".join(report.format_table(result)))
     return 0
 
 
--- a/granitespool/emulator/load_reports.py
+++ b/granitespool/emulator/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what collectors and proxies report of each second, some time after it has passed."""
+"""Load reports of collectors and usage reports of proxies, delivered some time after each second."""
 
 from granitespool.emulator.clock import EPOCH, VirtualClock
 from granitespool.emulator.coordinator_host import CoordinatorHost
@@ -8,7 +8,10 @@
 
 
 class LoadReporter:
-    """Reports each second to the incarnation that runs at its end; where none runs, it is lost."""
+    """Reporter that sends each second's counts to the coordinator.
+
+    The incarnation running at the end of the second receives them; without one, they are lost.
+    """
 
     def __init__(
         self, clock: VirtualClock, traffic: RequestTraffic, host: CoordinatorHost, lag_ms: float
@@ -17,10 +20,10 @@
         self.traffic = traffic
         self.host = host
         self.lag = int(lag_ms * MILLISECOND)  # ns
-        clock.at(EPOCH + SECOND, self._report, 0)
+        clock.call_at(EPOCH + SECOND, self._report, 0)
 
     def _report(self, second: int) -> None:
-        self.clock.at(self.clock.now + SECOND, self._report, second + 1)
+        self.clock.call_at(self.clock.now + SECOND, self._report, second + 1)
         links, demand = self.traffic.take_links(second), self.traffic.take_demand()
         if self.host.coordinator is None:
             return
@@ -28,7 +31,7 @@
             _load_report(zone, backend, counts) for (zone, backend), counts in links.items()
         ]
         events += [_usage_report(proxy, name, number) for (proxy, name), number in demand.items()]
-        self.clock.at(self.clock.now + self.lag, self.host.take, self.host.incarnation, events)
+        self.clock.call_at(self.clock.now + self.lag, self.host.deliver, self.host.incarnation, events)
 
 
 def _load_report(zone: str, backend: str, counts: LinkCounts) -> LoadReport:
@@ -37,7 +40,7 @@
         backend=backend,
         attempts=counts.attempts,
         failures=counts.failed,
-        mean=counts.mean_time,
+        mean=counts.mean_latency,
         window=SECOND,
         load={},
     )
