--- a/bench/capacity/coordinator_rows.py
+++ b/bench/capacity/coordinator_rows.py
@@ -88,7 +88,7 @@
         formula=cost("process_answer_s"),
         source="measured: `process_answer_s`",
         module="net/loop.py, net/streams.py",
-        limit=BUDGET.in_force_s,
+        limit=BUDGET.configuration_s,
         lowered_by=LoweredBy.PROGRAM,
     ),
 )
@@ -226,7 +226,7 @@
     _row(
         cost="bytes a second: one whole configuration within 4 s",
         unit="B",
-        formula=of_costs(lambda costs: costs["file_bytes"] / BUDGET.in_force_s),
+        formula=of_costs(lambda costs: costs["file_bytes"] / BUDGET.configuration_s),
         source="worked out: `file_bytes` over 4 s",
         module="missing (changes of a configuration); net/config.py reads it whole",
         limit=BUDGET.bytes_per_s,
@@ -248,7 +248,7 @@
         formula=cost("process_reload_s"),
         source="measured: `process_reload_s`",
         module="net/service.py",
-        limit=BUDGET.in_force_s,
+        limit=BUDGET.configuration_s,
         lowered_by=LoweredBy.PROGRAM,
     ),
     _row(
@@ -257,7 +257,7 @@
         formula=of_costs(lambda costs: costs["process_ready_s"] + _bound_s(costs)),
         source="worked out: start, and joining until all are bound",
         module="missing (coordinator.py does not change the classes' names)",
-        limit=BUDGET.in_force_s,
+        limit=BUDGET.configuration_s,
         lowered_by=LoweredBy.PROGRAM,
         origin=Origin.WORKED_OUT,
     ),
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -20,7 +20,7 @@
 END = "<!-- end of {name} -->"
 DIGITS = 3  # significant digits of a figure on the page
 STORED_DIGITS = 4  # significant digits of a figure in the JSON
-MARKS = {Origin.MEASURED: "m", Origin.WORKED_OUT: "w", Origin.TOLD: "t"}
+MARKS = {Origin.MEASURED: "m", Origin.WORKED_OUT: "w", Origin.GIVEN: "t"}
 CONSTANT = "constant"
 FIRST_SCALES = ("plan", ROUTES, "service", "service_routes")
 COMPARED = (
@@ -199,7 +199,7 @@
         *(_marked(row.values.get(name)) for name in names),
         row.unit,
         "" if row.limit is None else figure(row.limit),
-        _factor(row.worst(PLAN_SCALES)),
+        _factor(row.worst_factor(PLAN_SCALES)),
         _factor(row.factor("service")),
         row.lowered_by.value,
         row.source,
@@ -212,7 +212,7 @@
     over = [
         row
         for row in by_factor(found, PLAN_SCALES)
-        if row.lowered_by is LoweredBy.PROGRAM and (row.worst(PLAN_SCALES) or 0) > 1
+        if row.lowered_by is LoweredBy.PROGRAM and (row.worst_factor(PLAN_SCALES) or 0) > 1
     ]
     body = [
         [
--- a/bench/capacity/row_spec.py
+++ b/bench/capacity/row_spec.py
@@ -26,7 +26,7 @@
     source: str
     module: str
     limit: float | None = None
-    lowered_by: LoweredBy = LoweredBy.NOBODY
+    lowered_by: LoweredBy = LoweredBy.NONE
     origin: Origin = Origin.MEASURED
 
     def row(self, scales: Mapping[str, Scale]) -> Row:
--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -99,14 +99,14 @@
         source="told: one for each backend",
         module="platform",
         lowered_by=LoweredBy.PROTOCOL,
-        origin=Origin.TOLD,
+        origin=Origin.GIVEN,
     ),
     RowSpec(
         role="control machine, one of 7",
         cost="bytes out a second: one whole configuration to all within 4 s",
         unit="B",
         formula=lambda costs, sizes: (
-            costs["file_bytes"] * sizes.planners / ORDINARY_DAY.control_machines / BUDGET.in_force_s
+            costs["file_bytes"] * sizes.planners / ORDINARY_DAY.control_machines / BUDGET.configuration_s
         ),
         source="worked out: `file_bytes`, coordinators, 4 s",
         module="missing (a control service)",
--- a/bench/capacity/sweep.py
+++ b/bench/capacity/sweep.py
@@ -154,7 +154,7 @@
     samples = [fits.Sample(point.sizes.variables(), point.costs[cost]) for point in points]
     measured = samples[-1].cost
     try:
-        chosen = fits.choose(samples[:-1], fits.forms_of((size,)))
+        chosen = fits.choose_fit(samples[:-1], fits.forms_of((size,)))
     except fits.FormRejectedError as rejected:
         best = rejected.best
         return Slope(
@@ -173,7 +173,7 @@
         predicted=held.predicted,
         measured=measured,
         error=held.error,
-        is_off=held.is_off,
+        is_off=held.exceeds_limit,
     )
 
 
@@ -202,7 +202,7 @@
         fits.Sample({"backends": float(point.backends), "zones": float(point.zones)}, point.bytes_per_s)
         for point in points
     ]
-    chosen = fits.choose(samples[:-1], fits.forms_of(("backends", "zones")))
+    chosen = fits.choose_fit(samples[:-1], fits.forms_of(("backends", "zones")))
     held = fits.check_held_out(chosen, samples[-1])
     slope = Slope(
         size="backends x zones",
@@ -214,7 +214,7 @@
         predicted=held.predicted,
         measured=held.sample.cost,
         error=held.error,
-        is_off=held.is_off,
+        is_off=held.exceeds_limit,
     )
     return points, slope
 
--- a/granitespool/scale/backends.py
+++ b/granitespool/scale/backends.py
@@ -32,7 +32,7 @@
     def __init__(self, loop: Loop, entries: Iterable[ListedBackend]) -> None:
         """The backends of these entries listen from now on, warm ones."""
         self.loop = loop
-        self.living: dict[str, Task] = {}
+        self.running: dict[str, Task] = {}
         self.started: dict[str, int] = {}  # backend -> when it began, ns; 0: long ago
         self.health_checks = HealthCheckCounts()
         for entry in entries:
@@ -42,12 +42,12 @@
         """A backend begins to listen at its address; `started` in ns of Unix time."""
         listener = socket.create_server(parse_address(entry.address), backlog=BACKLOG)
         listener.setblocking(False)
-        self.living[entry.name] = self.loop.spawn(self._accept(listener))
+        self.running[entry.name] = self.loop.spawn(self._accept(listener))
         self.started[entry.name] = started
 
-    def end(self, name: str) -> None:
+    def stop(self, name: str) -> None:
         """A backend ends without a word."""
-        task = self.living.pop(name, None)
+        task = self.running.pop(name, None)
         if task is not None:
             self.loop.end(task)
 
--- a/granitespool/scale/budget.py
+++ b/granitespool/scale/budget.py
@@ -19,7 +19,7 @@
     processor_ms_per_s: float = 29.0  # 2.9 % of a core
     memory_mb: float = 256.0
     bytes_per_s: float = 4.0 * BYTES_PER_KB
-    in_force_s: float = 4.0  # a change of configuration, everywhere
+    configuration_s: float = 4.0  # a change of configuration, everywhere
 
 
 class Day(msgspec.Struct, frozen=True, kw_only=True):
@@ -43,7 +43,7 @@
 
     MEASURED = "measured"
     WORKED_OUT = "worked out"
-    TOLD = "told"
+    GIVEN = "told"
 
 
 class LoweredBy(enum.Enum):
@@ -51,7 +51,7 @@
 
     PROGRAM = "this program"
     PROTOCOL = "only the protocol"
-    NOBODY = "-"
+    NONE = "-"
 
 
 class Value(msgspec.Struct, frozen=True):
@@ -71,7 +71,7 @@
     source: str  # how the figure comes about: the measurement, or what it is worked out from
     module: str  # that carries the cost, or "missing" and where it would stand
     limit: float | None = None
-    lowered_by: LoweredBy = LoweredBy.NOBODY
+    lowered_by: LoweredBy = LoweredBy.NONE
 
     def factor(self, scale: str) -> float | None:
         """How often the limit goes into the value at this scale, or None without a limit or a value."""
@@ -80,7 +80,7 @@
             return None
         return value.amount / self.limit
 
-    def worst(self, scales: Iterable[str]) -> float | None:
+    def worst_factor(self, scales: Iterable[str]) -> float | None:
         """The largest factor over these scales."""
         factors = [factor for scale in scales if (factor := self.factor(scale)) is not None]
         return max(factors, default=None)
@@ -90,8 +90,8 @@
     """Rows with the largest factor first; those without a limit last, in the order given."""
     scales = list(scales)
 
-    def place(row: Row) -> float:
-        worst = row.worst(scales)
+    def sort_key(row: Row) -> float:
+        worst = row.worst_factor(scales)
         return 1.0 if worst is None else -worst
 
-    return sorted(rows, key=place)
+    return sorted(rows, key=sort_key)
--- a/granitespool/scale/checker/channel.py
+++ b/granitespool/scale/checker/channel.py
@@ -15,9 +15,9 @@
         """What is found is added to `violations`."""
         self.limits = limits
         self.violations = violations
-        self.full: set[str] = set()  # coordinators with more entries waiting than may be
+        self.over_backlog_limit: set[str] = set()  # coordinators with more entries waiting than may be
         self.written: dict[Stream, deque[int]] = {}  # times of the messages in the span, ns
-        self.crowded: set[Stream] = set()  # with more messages in the span than may be
+        self.over_message_limit: set[Stream] = set()  # with more messages in the span than may be
         self.ended: set[Stream] = set()  # that the coordinator itself has ended
         self.handlers: Handlers = {
             ChannelBacklog: self.backlog,
@@ -32,9 +32,9 @@
     def backlog(self, event: ChannelBacklog) -> None:
         """Reported once for each time that too many entries wait."""
         if event.entries <= self.limits.backlog_limit:
-            self.full.discard(event.coordinator)
-        elif event.coordinator not in self.full:
-            self.full.add(event.coordinator)
+            self.over_backlog_limit.discard(event.coordinator)
+        elif event.coordinator not in self.over_backlog_limit:
+            self.over_backlog_limit.add(event.coordinator)
             text = f"{event.entries:g} lines wait in its channel, over {self.limits.backlog_limit:g}."
             self._report(event.at, f"coordinator {event.coordinator}", text)
 
@@ -45,7 +45,7 @@
             self.ended.discard(stream)
         else:
             self.written.pop(stream, None)
-            self.crowded.discard(stream)
+            self.over_message_limit.discard(stream)
 
     def left(self, event: ProxyLeft) -> None:
         """Remembers which streams the coordinator itself has ended."""
@@ -74,9 +74,9 @@
         while times[0] <= event.at - self.limits.messages_span:
             times.popleft()
         if len(times) <= self.limits.messages_limit:
-            self.crowded.discard(stream)
-        elif stream not in self.crowded:
-            self.crowded.add(stream)
+            self.over_message_limit.discard(stream)
+        elif stream not in self.over_message_limit:
+            self.over_message_limit.add(stream)
             span = as_seconds(self.limits.messages_span)
             text = f"It was written {len(times)} messages in {span}, over {self.limits.messages_limit}."
             self._report(event.at, subject, text)
--- a/granitespool/scale/checker/check.py
+++ b/granitespool/scale/checker/check.py
@@ -16,13 +16,13 @@
     """All violations in order of time; raises EventOrderError and UnknownEventError.
 
     A time limit that is still running at the last event is judged as of that event."""
-    judge = _Judge(limits)
+    checker = _Checker(limits)
     for index, event in enumerate(events):
-        judge.observe(index, event)
-    return judge.violations_in_order()
+        checker.observe(index, event)
+    return checker.violations_in_order()
 
 
-class _Judge:
+class _Checker:
     """All rules over one trace, event by event."""
 
     def __init__(self, limits: Limits) -> None:
--- a/granitespool/scale/checker/cold_backends.py
+++ b/granitespool/scale/checker/cold_backends.py
@@ -53,8 +53,8 @@
 
     def _refresh(self, backend: str, now: int) -> None:
         subject = f"backend {backend}"
-        nobody_runs = self.any_answered and not self.answered
-        if backend not in self.overloaded_since or nobody_runs:
+        none_running = self.any_answered and not self.answered
+        if backend not in self.overloaded_since or none_running:
             self.deadlines.stop("cold_overload", subject)
             return
         began = self._began(self.overloaded_since[backend])
--- a/granitespool/scale/checker/endpoint_list.py
+++ b/granitespool/scale/checker/endpoint_list.py
@@ -21,7 +21,7 @@
         self.unready: dict[str, int] = {}  # backend that no proxy may hold open for long -> told when, ns
         self._listings: dict[str, _Listing] = {}
 
-    def take(self, event: BackendListed) -> None:
+    def update(self, event: BackendListed) -> None:
         """Takes one entry."""
         ready = event.phase == "ready"
         self._listings[event.backend] = _Listing(ready, event.started)
@@ -47,11 +47,11 @@
         self.listed = EndpointList(only_draining_binds)
         self._next_listed = self.listed  # what the next incarnation knows
 
-    def take(self, event: BackendListed) -> None:
+    def update(self, event: BackendListed) -> None:
         """Takes one entry of its list."""
-        self.listed.take(event)
+        self.listed.update(event)
         if self._next_listed is not self.listed:
-            self._next_listed.take(event)
+            self._next_listed.update(event)
 
     def end(self) -> None:
         """What is told from now on may be known to a new incarnation only; that shows at its answer."""
--- a/granitespool/scale/checker/tables.py
+++ b/granitespool/scale/checker/tables.py
@@ -25,7 +25,7 @@
         self.ended_by: str | None = None  # the coordinator that ended its last stream
         self.open: frozenset[str] = frozenset()  # backends that it may pick
         self.empty_since: int | None = 0  # ns; None: it has a backend to pick
-        self.limited: set[str] = set()  # backends whose drain's time runs
+        self.drain_timed: set[str] = set()  # backends whose drain's time runs
 
     def hold(self, event: TableHeld) -> None:
         """Takes the table that it holds from now on."""
@@ -72,7 +72,7 @@
     def backend_listed(self, event: BackendListed) -> None:
         """The list of one coordinator changes, and with it what its proxies may hold."""
         coordinator = self._coordinator(event.coordinator)
-        coordinator.take(event)
+        coordinator.update(event)
         for number in coordinator.proxies:
             proxy = self.proxies[number]
             if proxy.empty_since is not None:
@@ -137,7 +137,7 @@
         """Starts, keeps and stops this proxy's time limits by what holds from `now` (ns) on."""
         self._refresh_empty(proxy, now)
         unready = proxy.coordinator.listed.unready.keys() & proxy.open if proxy.coordinator else set()
-        for backend in sorted(proxy.limited | unready):
+        for backend in sorted(proxy.drain_timed | unready):
             self._refresh_drain(proxy, backend, now)
 
     def _refresh_empty(self, proxy: _Proxy, now: int) -> None:
@@ -164,10 +164,10 @@
         if proxy.coordinator is not None and backend in proxy.open:
             unready_since = proxy.coordinator.listed.unready.get(backend)
         if unready_since is None:
-            proxy.limited.discard(backend)
+            proxy.drain_timed.discard(backend)
             self.deadlines.stop("drain", _drain_subject(proxy, backend))
         else:
-            proxy.limited.add(backend)
+            proxy.drain_timed.add(backend)
             self._start_drain(proxy, backend, unready_since, now)
 
     def _start_drain(self, proxy: _Proxy, backend: str, unready_since: int, now: int) -> None:
--- a/granitespool/scale/collector.py
+++ b/granitespool/scale/collector.py
@@ -20,7 +20,7 @@
 RECONNECT_DELAY = SECOND // 2  # ns between a collector's diallings
 DIAL_TIMEOUT = SECOND  # ns for a connection to come up
 READ_SIZE = 4096
-ROUND_TRIP_LEAST = 0.8  # of the mean service time
+ROUND_TRIP_MIN = 0.8  # of the mean service time
 ROUND_TRIP_RANGE = 0.4
 
 
@@ -89,21 +89,23 @@
 
     def load_reports(self) -> list[bytes]:
         """Frames of what a second brought, on links of this zone drawn from what its proxies hold."""
-        wanted = self.scenario.traffic.links_per_s / len(self.scenario.zones)
-        count = int(wanted) + (self.random.random() < wanted % 1)
-        mine = [stream for stream in self.streams if stream.table.zone == self.zone and stream.table.weights]
-        if not mine:
+        expected = self.scenario.traffic.links_per_s / len(self.scenario.zones)
+        count = int(expected) + (self.random.random() < expected % 1)
+        zone_streams = [
+            stream for stream in self.streams if stream.table.zone == self.zone and stream.table.weights
+        ]
+        if not zone_streams:
             return []
-        names = {stream.table.pick(self.random) for stream in self.random.choices(mine, k=count)}
+        names = {stream.table.pick(self.random) for stream in self.random.choices(zone_streams, k=count)}
         return [self._load_report(name) for name in sorted(name for name in names if name is not None)]
 
     def _load_report(self, backend: str) -> bytes:
         traffic = self.scenario.traffic
-        more = traffic.tries_per_report - 1
-        attempts = 1 + (round(self.random.expovariate(1 / more)) if more else 0)
-        failing_share = traffic.failing_share if backend in self.backends.living else 1.0
+        mean_extra_attempts = traffic.tries_per_report - 1
+        attempts = 1 + (round(self.random.expovariate(1 / mean_extra_attempts)) if mean_extra_attempts else 0)
+        failing_share = traffic.failing_share if backend in self.backends.running else 1.0
         errors = sum(self.random.random() < failing_share for _ in range(attempts))
-        round_trip = traffic.service_ms * (ROUND_TRIP_LEAST + ROUND_TRIP_RANGE * self.random.random())
+        round_trip = traffic.service_ms * (ROUND_TRIP_MIN + ROUND_TRIP_RANGE * self.random.random())
         return frame(
             {
                 "type": "heard",
--- a/granitespool/scale/coordinator_endpoint.py
+++ b/granitespool/scale/coordinator_endpoint.py
@@ -17,7 +17,7 @@
         self.delay = int(settings.delay_ms * MILLISECOND)  # ns
         self.free_at = 0  # ns
 
-    def enter(self, now: int, entries: int) -> int:
+    def enqueue(self, now: int, entries: int) -> int:
         """A message of so many entries enters; returns when (ns) it has passed."""
         self.free_at = max(now, self.free_at) + int((entries + self.head) / self.entries_per_s * SECOND)
         waiting = (self.free_at - now) / SECOND * self.entries_per_s
--- a/granitespool/scale/coordinator_log.py
+++ b/granitespool/scale/coordinator_log.py
@@ -19,7 +19,7 @@
 )
 INTERNAL_ERROR_EVENTS = ("task_failed", "internal_error")  # that tell of a fault of the program
 RELOADED, RELOAD_REJECTED = "reloaded", "reload_rejected"
-TEXT_KEPT = 400  # characters of a line that tells of an internal error
+ERROR_TEXT_LENGTH = 400  # characters of a line that tells of an internal error
 
 
 class Reload(msgspec.Struct, frozen=True):
@@ -42,7 +42,7 @@
         self.fault_events: Counter[str] = Counter()
         self.internal_errors: list[str] = []
 
-    def take(self, line: dict[str, Any]) -> None:
+    def add_line(self, line: dict[str, Any]) -> None:
         """Takes one line."""
         self.lines += 1
         event = line.get("event")
@@ -51,13 +51,13 @@
         if event in (RELOADED, RELOAD_REJECTED):
             self.reloads.append(Reload(line["at_ms"] * MILLISECOND, event == RELOAD_REJECTED))
         elif event == "endpoint_list":
-            self._take_list(line["index"])
+            self._add_list(line["index"])
         elif event == "health_check":
             self.health_checks += 1
         elif event in INTERNAL_ERROR_EVENTS:
-            self.internal_errors.append(f"{self.name} logged {event}: {str(line)[-TEXT_KEPT:]}")
+            self.internal_errors.append(f"{self.name} logged {event}: {str(line)[-ERROR_TEXT_LENGTH:]}")
 
-    def _take_list(self, index: int) -> None:
+    def _add_list(self, index: int) -> None:
         if index < self.list_index:
             self.older_lists += 1
         self.list_index = index
--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -14,8 +14,8 @@
 from granitespool.scale.coroutines import Wait
 from granitespool.scale.discovery import Agent, as_row
 from granitespool.scale.fleet import ListedBackend
-from granitespool.scale.processes import Child, Sample, lines_of, sample, write_json
-from granitespool.scale.questions import ping, proxy_allowed, settings_question
+from granitespool.scale.processes import Child, Sample, read_lines, sample, write_json
+from granitespool.scale.queries import ping, proxy_allowed, settings_query
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.schema import Scenario
 from granitespool.scale.trace import CoordinatorEnded, CoordinatorStarted
@@ -49,8 +49,8 @@
         self.path = folder / f"{endpoint.name}.json"
         self.child: Child | None = None
         self.log = CoordinatorLog(endpoint.name)
-        self.version = 0  # of the settings in its file
-        self.in_force = 0  # newest version of the settings that it was seen to have
+        self.written_version = 0  # of the settings in its file
+        self.applied_version = 0  # newest version of the settings that it was seen to have
         self.older_settings = 0  # looks at which it had older settings than before
         self.samples: list[Sample] = []  # of all its processes
         self.ready_times: list[int] = []  # ns from each start to the first answer
@@ -66,11 +66,11 @@
         """Whether its process runs and has answered."""
         return not self.endpoint.down and self.child is not None and not self.child.ended
 
-    def write_configuration(self, version: int, usable: bool = True) -> None:
+    def write_configuration(self, version: int, valid: bool = True) -> None:
         """Writes its configuration; one that is not usable lacks what every configuration must have."""
         configuration = self._configuration(version)
-        if usable:
-            self.version = version
+        if valid:
+            self.written_version = version
         else:
             del configuration["settings"]
         write_json(self.path, configuration)
@@ -86,7 +86,7 @@
             "seed": f"{self.scenario.scale.seed + self.index + 1:x}",
             "limits": {"memory_mb": coordinators.memory_mb, "sockets": coordinators.sockets},
             "known": {
-                "index": self.agent.known_index,
+                "index": self.agent.list_index,
                 "snapshot": True,
                 "endpoints": [as_row(entry) for entry in self.agent.list.entries.values()],
             },
@@ -95,45 +95,45 @@
 
     def start(self, entries: list[ListedBackend]) -> Wait:
         """Starts its process and waits until it is ready; True where it was in time."""
-        self.write_configuration(self.version)
-        self.agent.record_first_list(entries)
+        self.write_configuration(self.written_version)
+        self.agent.record_initial_list(entries)
         coordinators = self.scenario.coordinators
         command = ["-m", "granitespool", "serve", "--config", str(self.path)]
         began = self.loop.clock()
-        self.log.list_index = self.agent.known_index
+        self.log.list_index = self.agent.list_index
         self.child = Child(command, coordinators.memory_mb, coordinators.sockets)
-        self.loop.spawn(lines_of(self.child, self.log.take))
+        self.loop.spawn(read_lines(self.child, self.log.add_line))
         until = began + int(self.scenario.times.ready_s * SECOND)
         while self.loop.now < until and not self.child.ended:
-            if (yield from self.ask(ping())):
-                self._is_ready(began)
+            if (yield from self.request(ping())):
+                self._record_ready(began)
                 return True
             yield None, 0, self.loop.now + POLL_INTERVAL
         return False
 
-    def _is_ready(self, began: int) -> None:
+    def _record_ready(self, began: int) -> None:
         now = self.loop.clock()
         self.ready_times.append(now - began)
         self.recorder.add(CoordinatorStarted(at=now, coordinator=self.name))
         self.endpoint.down = False
-        self.in_force = self.version
+        self.applied_version = self.written_version
 
-    def ask(self, question: bytes) -> Wait:
+    def request(self, question: bytes) -> Wait:
         """The answer to one message on a connection of its own; b"" where none came."""
         try:
-            answer = yield from self._answer(question)
+            answer = yield from self._request(question)
         except OSError:
             answer = b""
         yield None, 0, self.loop.now  # the descriptor is closed before another is opened
         return answer
 
-    def _answer(self, question: bytes) -> Wait:
+    def _request(self, question: bytes) -> Wait:
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
             until = self.loop.now + ANSWER_TIMEOUT
             yield from dial(sock, self.endpoint.address, until)
             yield from send(sock, question, until)
             answer = b""
-            while not _is_whole(answer):
+            while not _is_complete(answer):
                 data = yield from receive(sock, until)
                 if not data:
                     return b""
@@ -146,13 +146,13 @@
         """Whether settings of this version or a later one are in force; None where no answer came."""
         if version < 1:
             return True
-        answer = yield from self.ask(settings_question(fleet.proxy_base(self.scenario) + version - 1))
+        answer = yield from self.request(settings_query(fleet.expected_proxies(self.scenario) + version - 1))
         if not answer:
             return None
         allowed = proxy_allowed(answer)
         if allowed:
-            self.in_force = max(self.in_force, version)
-        elif version <= self.in_force:
+            self.applied_version = max(self.applied_version, version)
+        elif version <= self.applied_version:
             self.older_settings += 1
         return allowed
 
@@ -161,12 +161,12 @@
         assert self.child is not None
         self.child.signal(signal.SIGHUP)
 
-    def end(self, number: signal.Signals) -> None:
+    def stop(self, signal_number: signal.Signals) -> None:
         """Sends the signal that ends it; its proxies go elsewhere from then on."""
         assert self.child is not None
         self.endpoint.down = True
         self.recorder.add(CoordinatorEnded(at=self.loop.clock(), coordinator=self.name))
-        self.child.signal(number)
+        self.child.signal(signal_number)
 
     def wait_for_exit(self) -> Wait:
         """Waits until its process has ended, and ends it where it does not."""
@@ -183,7 +183,7 @@
             self.samples.append(found)
 
 
-def _is_whole(frame: bytes) -> bool:
+def _is_complete(frame: bytes) -> bool:
     """Whether a frame has come to its end."""
     return len(frame) >= LENGTH_SIZE and len(frame) >= LENGTH_SIZE + int.from_bytes(
         frame[:LENGTH_SIZE], "little"
--- a/granitespool/scale/cut_recovery.py
+++ b/granitespool/scale/cut_recovery.py
@@ -9,11 +9,11 @@
 from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
 from granitespool.scale.faults import FaultInjector
-from granitespool.scale.plan import Planned
+from granitespool.scale.plan import PlannedEvent
 from granitespool.scale.settings_changes import SettingsChanges
 from granitespool.units import SECOND
 
-WATCH_TIME = 60 * SECOND  # ns after the end of a cut for which coordinators are looked at
+RECOVERY_TIMEOUT = 60 * SECOND  # ns after the end of a cut for which coordinators are looked at
 POLL_INTERVAL = SECOND // 20  # ns between two looks
 
 
@@ -54,19 +54,19 @@
         self.failures = failures
         self.recoveries: list[Recovery] = []
 
-    def heal(self, planned: Planned) -> Wait:
+    def heal(self, planned: PlannedEvent) -> Wait:
         """Ends a cut as planned."""
         cut_off, now = self.environment.cut_coordinators(), self.loop.clock()
         recoveries = []
         for coordinator in cut_off:
-            yield from self._check_unaware(coordinator)
+            yield from self._check_still_isolated(coordinator)
             recoveries.append(self._recovery(coordinator, now))
         self.recoveries += recoveries
         self.faults.perform(planned)
-        self._follow(recoveries)
+        self._start_recovery(recoveries)
 
-    def _check_unaware(self, coordinator: RealCoordinator) -> Wait:
-        newer = yield from coordinator.has_settings(coordinator.version + 1)
+    def _check_still_isolated(self, coordinator: RealCoordinator) -> Wait:
+        newer = yield from coordinator.has_settings(coordinator.written_version + 1)
         if newer is True:
             self.failures.append(f"{coordinator.name} had settings that it could not have been told")
 
@@ -76,21 +76,21 @@
             healed_at=now,
             list_held=coordinator.log.list_index,
             list_newest=self.environment.list.index,
-            settings_held=coordinator.in_force,
+            settings_held=coordinator.applied_version,
             settings_newest=self.settings.version,
         )
 
-    def _follow(self, recoveries: Sequence[Recovery]) -> None:
+    def _start_recovery(self, recoveries: Sequence[Recovery]) -> None:
         for recovery in recoveries:
             recovery.healed_at = self.loop.clock()
             recovery.coordinator.write_configuration(self.settings.version)
             recovery.coordinator.reload()
-            self.loop.spawn(self._watch(recovery))
+            self.loop.spawn(self._wait_for_recovery(recovery))
 
-    def _watch(self, recovery: Recovery) -> Wait:
+    def _wait_for_recovery(self, recovery: Recovery) -> Wait:
         """Looks when a coordinator has the newest list and settings."""
         coordinator = recovery.coordinator
-        until = recovery.healed_at + WATCH_TIME
+        until = recovery.healed_at + RECOVERY_TIMEOUT
         while self.loop.now < until and not recovery.complete:
             if recovery.settings_recovered_after is None:
                 in_force = yield from coordinator.has_settings(recovery.settings_newest)
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -104,7 +104,7 @@
         self.opened_at = opened_at
         self.pending: deque[PendingLine] = deque()
         self.task: Task | None = None
-        self.may_poke = False  # whether its coroutine waits
+        self.waiting = False  # whether its coroutine waits
 
 
 class Agent:
@@ -119,14 +119,14 @@
         self.recorder = recorder
         self.name = name
         self.recorded = True  # whether what it writes goes into the trace
-        self.known_index = backend_list.index  # newest version that the agent knows
+        self.list_index = backend_list.index  # newest version that the agent knows
         self.cut = False
         self.stalled_until = 0  # ns; until then a line breaks off in its middle and nothing is answered
         self.watches: set[Watch] = set()
         self.written_index: dict[
             str, int
         ] = {}  # backend -> newest version that was written to the coordinator
-        self.written: dict[int, int] = {}  # version -> when the last watch that was open had it whole, ns
+        self.written_at: dict[int, int] = {}  # version -> when the last watch that was open had it whole, ns
         self.listener_address = address
         self.listener = socket.create_server(address, backlog=BACKLOG)
         self.listener.setblocking(False)
@@ -135,10 +135,10 @@
 
     def update(self) -> None:
         """Takes what the list has, unless it is cut off, and passes it on."""
-        if self.cut or self.known_index == self.list.index:
+        if self.cut or self.list_index == self.list.index:
             return
-        changes = self.list.since(self.known_index, self.list.index)
-        self.known_index = self.list.index
+        changes = self.list.since(self.list_index, self.list.index)
+        self.list_index = self.list.index
         self.push(changes)
 
     def push(self, changes: Iterable[Change]) -> None:
@@ -146,7 +146,7 @@
         lines = [PendingLine(change.line, change) for change in changes]
         for watch in list(self.watches):
             watch.pending += lines
-            if watch.may_poke and watch.task:
+            if watch.waiting and watch.task:
                 self.loop.resume(watch.task)
 
     def set_cut(self, cut: bool) -> None:
@@ -164,11 +164,11 @@
             if watch.task:
                 self.loop.end(watch.task)
 
-    def record_first_list(self, entries: Iterable[ListedBackend]) -> None:
+    def record_initial_list(self, entries: Iterable[ListedBackend]) -> None:
         """Records the list that the coordinator's configuration holds as told."""
         now = self.loop.clock()
         for entry in entries:
-            self._record(entry, self.known_index, now)
+            self._record(entry, self.list_index, now)
 
     def _record(self, entry: ListedBackend, index: int, now: int) -> None:
         if self.written_index.get(entry.name, 0) > index or not self.recorded:
@@ -227,7 +227,7 @@
 
     def _open_watch(self, watch: Watch, after: int) -> None:
         """Begins with the changes after a version, or with the whole list."""
-        changes = self.list.since(after, self.known_index)
+        changes = self.list.since(after, self.list_index)
         watch.pending = deque(PendingLine(change.line, change) for change in changes)
         self.watches.add(watch)
         if after < 1:
@@ -238,58 +238,58 @@
         heartbeat = self.loop.now + HEARTBEAT_INTERVAL
         while True:
             while watch.pending:
-                if hung_up(sock):
+                if is_closed_by_peer(sock):
                     return
                 line, change = watch.pending.popleft()
-                yield from self._line(sock, line)
-                self._was_written(watch, line, change)
+                yield from self._write_line(sock, line)
+                self._record_written(watch, line, change)
                 heartbeat = self.loop.now + HEARTBEAT_INTERVAL
             if self.loop.now >= heartbeat:
                 heartbeat = self.loop.now + HEARTBEAT_INTERVAL
-                yield from self._heartbeat(sock)
+                yield from self._write_heartbeat(sock)
                 continue
-            watch.may_poke = True
+            watch.waiting = True
             events = yield sock.fileno(), IN, heartbeat
-            watch.may_poke = False
+            watch.waiting = False
             if events and not (yield from receive(sock, self.loop.now + SECOND)):
                 return
 
-    def _heartbeat(self, sock: socket.socket) -> Wait:
+    def _write_heartbeat(self, sock: socket.socket) -> Wait:
         """An empty line, unless the agent is to be silent."""
         if not self.cut and self.loop.now >= self.stalled_until:
-            yield from self._line(sock, b"\n")
+            yield from self._write_line(sock, b"\n")
             self.recorder.count(self.name, "in", "discovery beat", len(b"\n"))
 
-    def _line(self, sock: socket.socket, line: bytes) -> Wait:
+    def _write_line(self, sock: socket.socket, line: bytes) -> Wait:
         chunk = b"%x\r\n%s\r\n" % (len(line), line)
         if self.loop.now < self.stalled_until and len(line) > 1:
             half = len(chunk) // 2
             yield from send(sock, chunk[:half], None)
             while self.loop.now < self.stalled_until:
                 events = yield sock.fileno(), IN, self.stalled_until
-                if events and hung_up(sock):
+                if events and is_closed_by_peer(sock):
                     raise ConnectionAbortedError(
                         "the coordinator has ended the watch in the middle of a line"
                     )
             chunk = chunk[half:]
         yield from send(sock, chunk, None)
 
-    def _was_written(self, watch: Watch, line: bytes, change: Change | None) -> None:
+    def _record_written(self, watch: Watch, line: bytes, change: Change | None) -> None:
         now = self.loop.clock()
         self.recorder.count(self.name, "in", "discovery list", len(line))
         if change is None:
             entries = list(self.list.entries.values())
-            index = self.known_index
+            index = self.list_index
         else:
             entries = change.entries
             index = change.index
-            if index not in self.written or watch.opened_at <= change.at:
-                self.written[index] = now
+            if index not in self.written_at or watch.opened_at <= change.at:
+                self.written_at[index] = now
         for entry in entries:
             self._record(entry, index, now)
 
 
-def hung_up(sock: socket.socket) -> bool:
+def is_closed_by_peer(sock: socket.socket) -> bool:
     """Whether the other side has ended the connection, so that nothing more is to be written."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
--- a/granitespool/scale/environment.py
+++ b/granitespool/scale/environment.py
@@ -12,7 +12,7 @@
 from granitespool.scale.coordinator_endpoint import ChannelQueue, CoordinatorEndpoint, region_of
 from granitespool.scale.coordinators import RealCoordinator
 from granitespool.scale.discovery import Agent, BackendList, Change
-from granitespool.scale.fleet import ListedBackend, MadeFleet, Network
+from granitespool.scale.fleet import GeneratedFleet, ListedBackend, Network
 from granitespool.scale.plan import coordinator_name, coordinator_zones
 from granitespool.scale.propagation import PropagationTracker
 from granitespool.scale.proxy_stream import ProxyStream
@@ -29,11 +29,11 @@
     """The stand-ins of a run: discovery, backends, proxies, collectors, and the coordinators' processes."""
 
     def __init__(
-        self, scenario: Scenario, made: MadeFleet, network: Network, loop: Loop, folder: Path
+        self, scenario: Scenario, made: GeneratedFleet, network: Network, loop: Loop, folder: Path
     ) -> None:
         """Backends and discovery listen from now on; `folder` takes the coordinators' configurations."""
         self.scenario = scenario
-        self.made = made
+        self.fleet = made
         self.network = network
         self.loop = loop
         self.random = Random(scenario.scale.seed)
@@ -108,8 +108,8 @@
         same = [zone for zone in zones if region_of(zone) == region]
         other = [zone for zone in zones if zone not in same]
         elsewhere = bool(other) and random.random() < settings.other_region_share
-        count = min(settings.first_table_lines, len(self.made.backends))
-        known = random.sample([entry.name for entry in self.made.backends], count)
+        count = min(settings.first_table_lines, len(self.fleet.backends))
+        known = random.sample([entry.name for entry in self.fleet.backends], count)
         zone = random.choice(other if elsewhere else same)
         return ProxyTable(number, zone, dict.fromkeys(known, 1.0))
 
@@ -120,12 +120,12 @@
         for coordinator in self.coordinators:
             coordinator.endpoint.wants_reports = on
 
-    def show_change(self, back: bool) -> None:
+    def change_one_backend(self, ready: bool) -> None:
         """A change before the events, to measure what it costs: a backend drains, or is ready again."""
-        status = "ready" if back else "draining"
-        self.batch.append(msgspec.structs.replace(self.made.backends[0], status=status))
+        status = "ready" if ready else "draining"
+        self.batch.append(msgspec.structs.replace(self.fleet.backends[0], status=status))
 
-    def bring_proxies_home(self, coordinator: RealCoordinator) -> None:
+    def return_proxies(self, coordinator: RealCoordinator) -> None:
         """Its proxies come back to a coordinator that serves again."""
         for stream in self.streams:
             home = self.homes[stream.number]
@@ -153,8 +153,8 @@
         real = [coordinator.agent for coordinator in self.coordinators]
         found = []
         for change in self.list.changes:
-            if all(change.index in agent.written for agent in real):
-                written = [agent.written.get(change.index, 0) for agent in self.list.agents]
+            if all(change.index in agent.written_at for agent in real):
+                written = [agent.written_at.get(change.index, 0) for agent in self.list.agents]
                 found.append(max(written) - change.at)
         return found
 
--- a/granitespool/scale/events.py
+++ b/granitespool/scale/events.py
@@ -10,7 +10,7 @@
 from granitespool.scale.environment import Environment
 from granitespool.scale.faults import FaultInjector
 from granitespool.scale.hollow_fleet import HollowFleet
-from granitespool.scale.plan import Action, Planned
+from granitespool.scale.plan import Action, PlannedEvent
 from granitespool.scale.settings_changes import SettingsChanges
 from granitespool.units import SECOND
 
@@ -33,7 +33,7 @@
         self.cuts = CutRecovery(loop, environment, self.faults, self.settings, failures)
         self.ready_times: list[int] = []  # ns, of restarts
         self._restarting = 0  # coordinators
-        self._actions: dict[Action, Callable[[Planned], Wait]] = {
+        self._actions: dict[Action, Callable[[PlannedEvent], Wait]] = {
             "configure": self._configure,
             "configure_badly": self._configure_badly,
             "kill": self._kill,
@@ -43,7 +43,7 @@
             "heal": self.cuts.heal,
         }
 
-    def play(self, plan: Sequence[Planned], lasting: int) -> Wait:
+    def play(self, plan: Sequence[PlannedEvent], duration: int) -> Wait:
         """Plays the events and waits until `lasting` ns have passed and restarts have come to an end."""
         begin = self.loop.now
         for planned in plan:
@@ -53,7 +53,7 @@
                 self.faults.perform(planned)
             else:
                 yield from action(planned)
-        yield from self._sleep_until(begin + lasting)
+        yield from self._sleep_until(begin + duration)
         while self._restarting:
             yield from self._sleep_until(self.loop.now + POLL_INTERVAL)
 
@@ -63,46 +63,46 @@
 
     # Events on processes
 
-    def _configure(self, _: Planned) -> Wait:
-        yield from self.settings.change(usable=True)
+    def _configure(self, _: PlannedEvent) -> Wait:
+        yield from self.settings.change(valid=True)
 
-    def _configure_badly(self, _: Planned) -> Wait:
-        yield from self.settings.change(usable=False)
+    def _configure_badly(self, _: PlannedEvent) -> Wait:
+        yield from self.settings.change(valid=False)
 
-    def _kill(self, planned: Planned) -> Wait:
-        yield from self._end(planned, signal.SIGKILL)
+    def _kill(self, planned: PlannedEvent) -> Wait:
+        yield from self._stop(planned, signal.SIGKILL)
 
-    def _terminate(self, planned: Planned) -> Wait:
-        yield from self._end(planned, signal.SIGTERM)
+    def _terminate(self, planned: PlannedEvent) -> Wait:
+        yield from self._stop(planned, signal.SIGTERM)
 
-    def _end(self, planned: Planned, number: signal.Signals) -> Wait:
-        for coordinator in self._named(planned):
-            coordinator.end(number)
+    def _stop(self, planned: PlannedEvent, number: signal.Signals) -> Wait:
+        for coordinator in self._planned_coordinators(planned):
+            coordinator.stop(number)
         yield from ()
 
-    def _start(self, planned: Planned) -> Wait:
-        for coordinator in self._named(planned):
+    def _start(self, planned: PlannedEvent) -> Wait:
+        for coordinator in self._planned_coordinators(planned):
             self._restarting += 1
             self.loop.spawn(self._restart(coordinator))
         yield from ()
 
-    def _kill_hollow(self, _: Planned) -> Wait:
+    def _kill_hollow(self, _: PlannedEvent) -> Wait:
         if self.hollow:
             self.hollow.kill_one()
         yield from ()
 
-    def _named(self, planned: Planned) -> list[RealCoordinator]:
+    def _planned_coordinators(self, planned: PlannedEvent) -> list[RealCoordinator]:
         return [each for each in self.environment.coordinators if each.name in planned.names]
 
     def _restart(self, coordinator: RealCoordinator) -> Wait:
         try:
             yield from coordinator.wait_for_exit()
-            coordinator.version = self.settings.version
+            coordinator.written_version = self.settings.version
             entries = list(self.environment.list.entries.values())
             ready = yield from coordinator.start(entries)
             if ready:
                 self.ready_times.append(coordinator.ready_times[-1])
-                self.environment.bring_proxies_home(coordinator)
+                self.environment.return_proxies(coordinator)
             else:
                 self.failures.append(f"{coordinator.name} was not ready in time after its restart")
         finally:
--- a/granitespool/scale/faults.py
+++ b/granitespool/scale/faults.py
@@ -6,7 +6,7 @@
 
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint, region_of
 from granitespool.scale.environment import Environment
-from granitespool.scale.plan import Action, Planned
+from granitespool.scale.plan import Action, PlannedEvent
 from granitespool.units import MILLISECOND
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self, environment: Environment) -> None:
         self.environment = environment
-        self.actions: dict[Action, Callable[[Planned], None]] = {
+        self.actions: dict[Action, Callable[[PlannedEvent], None]] = {
             "drain": self._drain,
             "remove": self._remove,
             "crash": self._crash,
@@ -30,24 +30,24 @@
             "heal": self._heal,
         }
 
-    def perform(self, planned: Planned) -> None:
+    def perform(self, planned: PlannedEvent) -> None:
         """Does one planned thing; raises KeyError for one that needs a process."""
         self.actions[planned.action](planned)
 
     # Backends
 
-    def _drain(self, planned: Planned) -> None:
+    def _drain(self, planned: PlannedEvent) -> None:
         self.environment.batch += planned.entries
 
-    def _crash(self, planned: Planned) -> None:
+    def _crash(self, planned: PlannedEvent) -> None:
         for entry in planned.entries:
-            self.environment.backends.end(entry.name)
+            self.environment.backends.stop(entry.name)
 
-    def _remove(self, planned: Planned) -> None:
+    def _remove(self, planned: PlannedEvent) -> None:
         self._crash(planned)
         self.environment.batch += planned.entries
 
-    def _add(self, planned: Planned) -> None:
+    def _add(self, planned: PlannedEvent) -> None:
         now = self.environment.loop.clock()
         for entry in planned.entries:
             started = msgspec.structs.replace(entry, since_ms=now // MILLISECOND)
@@ -56,41 +56,41 @@
 
     # Discovery
 
-    def _duplicate(self, planned: Planned) -> None:
+    def _duplicate(self, planned: PlannedEvent) -> None:
         change = self.environment.publish(list(planned.entries))
         for agent in self.environment.list.agents:
             agent.push([change])
 
-    def _reorder(self, planned: Planned) -> None:
+    def _reorder(self, planned: PlannedEvent) -> None:
         first, second = planned.entries
         earlier = self.environment.publish([first], notify=False)
         later = self.environment.publish([second], notify=False)
-        self.environment.backends.end(second.name)
+        self.environment.backends.stop(second.name)
         for agent in self.environment.list.agents:
-            agent.known_index = self.environment.list.index
+            agent.list_index = self.environment.list.index
             agent.push([later, earlier])
 
-    def _stall(self, planned: Planned) -> None:
+    def _stall(self, planned: PlannedEvent) -> None:
         for agent in self.environment.list.agents:
             agent.stall(self.environment.loop.now + planned.lasting)
 
-    def _end_watches(self, _: Planned) -> None:
+    def _end_watches(self, _: PlannedEvent) -> None:
         for agent in self.environment.list.agents:
             agent.end_watches()
 
     # Collectors
 
-    def _collectors_down(self, planned: Planned) -> None:
+    def _collectors_down(self, planned: PlannedEvent) -> None:
         for collector in self.environment.collectors:
             collector.down = collector.down or collector.zone in planned.names
 
-    def _collectors_up(self, planned: Planned) -> None:
+    def _collectors_up(self, planned: PlannedEvent) -> None:
         for collector in self.environment.collectors:
             collector.down = collector.down and collector.zone not in planned.names
 
     # Cuts
 
-    def _cut(self, planned: Planned) -> None:
+    def _cut(self, planned: PlannedEvent) -> None:
         environment = self.environment
         environment.cut_regions = set(planned.names)
         for coordinator in environment.cut_coordinators():
@@ -104,9 +104,9 @@
         for stream in environment.streams:
             region = region_of(stream.table.zone)
             if environment.are_cut_apart(region, stream.endpoint.region):
-                stream.move(self._reachable_from(region, stream.endpoint), silently=True)
+                stream.move(self._reachable_coordinator(region, stream.endpoint), leave_open=True)
 
-    def _reachable_from(self, region: str, default: CoordinatorEndpoint) -> CoordinatorEndpoint:
+    def _reachable_coordinator(self, region: str, default: CoordinatorEndpoint) -> CoordinatorEndpoint:
         """A coordinator that a proxy of this region can reach during the cut."""
         environment = self.environment
         reached = [
@@ -117,7 +117,7 @@
         same = [endpoint for endpoint in reached if endpoint.region == region]
         return environment.random.choice(same or reached or [default])
 
-    def _heal(self, _: Planned) -> None:
+    def _heal(self, _: PlannedEvent) -> None:
         environment = self.environment
         cut_off = environment.cut_coordinators()
         environment.cut_regions = set()
--- a/granitespool/scale/fits.py
+++ b/granitespool/scale/fits.py
@@ -18,8 +18,8 @@
 PARAMETER_PENALTY = 1.5  # factor by which a further term, or size of a term, must lower the residual
 RESIDUAL_LIMIT = 0.25  # relative residual above which a form does not describe the samples
 ERROR_LIMIT = 0.25  # relative error above which the prediction of a held-out sample counts as off
-PIVOT_LEAST = 1e-12  # scaled pivot below which the normal equations are singular
-NEGATIVE_LEAST = -1e-9  # part of the mean cost below which a negative coefficient is more than rounding
+PIVOT_MIN = 1e-12  # scaled pivot below which the normal equations are singular
+NEGATIVE_MIN = -1e-9  # part of the mean cost below which a negative coefficient is more than rounding
 
 Term = tuple[str, ...]  # names of the sizes that are multiplied; the empty term is the constant 1
 
@@ -92,7 +92,7 @@
     limit: float
 
     @property
-    def is_off(self) -> bool:
+    def exceeds_limit(self) -> bool:
         """Whether the prediction misses by more than the limit."""
         return not abs(self.error) <= self.limit
 
@@ -154,7 +154,7 @@
     return Fit(form, tuple(coefficients), residual)
 
 
-def choose(samples: Sequence[Sample], forms: Iterable[Form], limit: float = RESIDUAL_LIMIT) -> Fit:
+def choose_fit(samples: Sequence[Sample], forms: Iterable[Form], limit: float = RESIDUAL_LIMIT) -> Fit:
     """The form with the least residual after the penalty for parameters.
 
     Costs do not fall as a size grows, so a form with a negative coefficient is no candidate. Raises
@@ -192,8 +192,8 @@
 
 def _weights(samples: Sequence[Sample]) -> list[float]:
     """One over each cost; a cost of zero weighs like the least that is above zero."""
-    least = min((abs(sample.cost) for sample in samples if sample.cost), default=1.0)
-    return [1 / (abs(sample.cost) or least) for sample in samples]
+    smallest = min((abs(sample.cost) for sample in samples if sample.cost), default=1.0)
+    return [1 / (abs(sample.cost) or smallest) for sample in samples]
 
 
 def _penalized(candidate: Fit) -> float:
@@ -206,7 +206,7 @@
     mean = sum(abs(sample.cost) for sample in samples) / len(samples)
     for coefficient, term in zip(candidate.coefficients, candidate.form.terms, strict=True):
         largest = max(abs(_value(term, sample.sizes)) for sample in samples)
-        if coefficient * largest < NEGATIVE_LEAST * mean:
+        if coefficient * largest < NEGATIVE_MIN * mean:
             return True
     return False
 
@@ -232,7 +232,7 @@
     size = len(matrix)
     for column in range(size):
         pivot = max(range(column, size), key=lambda row: abs(matrix[row][column]))
-        if abs(matrix[pivot][column]) < PIVOT_LEAST:
+        if abs(matrix[pivot][column]) < PIVOT_MIN:
             raise SingularFitError("the samples do not tell the terms apart")
         matrix[column], matrix[pivot] = matrix[pivot], matrix[column]
         for row in range(column + 1, size):
--- a/granitespool/scale/fleet.py
+++ b/granitespool/scale/fleet.py
@@ -13,7 +13,7 @@
 BACKEND_PORT = 8081
 COORDINATOR_PORT = 7400
 DISCOVERY_PORT = 7500
-HOSTS = 250  # addresses used of each block of 256
+HOSTS_PER_BLOCK = 250  # addresses used of each block of 256
 COORDINATOR_BLOCK = 0  # third byte of the loopback addresses of coordinators, and so on
 AGENT_BLOCK = 4
 BACKEND_BLOCK = 8
@@ -51,10 +51,10 @@
         return self._address(BACKEND_BLOCK, index), BACKEND_PORT
 
     def _address(self, block: int, index: int) -> str:
-        return f"127.{self.number}.{block + index // HOSTS}.{index % HOSTS + 1}"
+        return f"127.{self.number}.{block + index // HOSTS_PER_BLOCK}.{index % HOSTS_PER_BLOCK + 1}"
 
 
-class MadeFleet:
+class GeneratedFleet:
     """The backends of a scenario: uneven services, their backends spread over all zones, in racks."""
 
     def __init__(self, scenario: Scenario, network: Network, random: Random) -> None:
@@ -62,10 +62,12 @@
         self.scenario = scenario
         self.network = network
         self.zones = scenario.zones
-        self.made = 0  # backends so far
-        self.backends = [self.make(service, place) for place, service in enumerate(self._services(random))]
+        self.backend_count = 0  # backends so far
+        self.backends = [
+            self.add_backend(service, place) for place, service in enumerate(self._draw_services(random))
+        ]
 
-    def _services(self, random: Random) -> list[int]:
+    def _draw_services(self, random: Random) -> list[int]:
         """The service of each backend; the k-th service has a share of about 1/k."""
         fleet = self.scenario.fleet
         shares = [1 / (service + 1) for service in range(fleet.services)]
@@ -73,33 +75,33 @@
         rest = random.choices(range(fleet.services), shares, k=fleet.backends - len(first))
         return first + sorted(rest)
 
-    def make(self, service: int, place: int) -> ListedBackend:
+    def add_backend(self, service: int, place: int) -> ListedBackend:
         """A further backend; `place` tells its zone and its rack."""
-        host, port = self.network.backend(self.made)
+        host, port = self.network.backend(self.backend_count)
         zone = place % len(self.zones)
         rack = place // len(self.zones) // self.scenario.fleet.rack_backends
         backend = ListedBackend(
-            name=f"s{service:02}-{self.made:05}",
+            name=f"s{service:02}-{self.backend_count:05}",
             address=f"{host}:{port}",
             zone=self.zones[zone],
             type=f"service{service:02}",
             group=rack * len(self.zones) + zone,
         )
-        self.made += 1
+        self.backend_count += 1
         return backend
 
-    def like(self, former: ListedBackend) -> ListedBackend:
+    def replacement_for(self, former: ListedBackend) -> ListedBackend:
         """A further backend in the place of a former one."""
-        host, port = self.network.backend(self.made)
+        host, port = self.network.backend(self.backend_count)
         service = former.name.partition("-")[0]
         backend = msgspec.structs.replace(
-            former, name=f"{service}-{self.made:05}", address=f"{host}:{port}", status="ready"
+            former, name=f"{service}-{self.backend_count:05}", address=f"{host}:{port}", status="ready"
         )
-        self.made += 1
+        self.backend_count += 1
         return backend
 
 
-def proxy_base(scenario: Scenario) -> int:
+def expected_proxies(scenario: Scenario) -> int:
     """Proxies of the whole fleet of coordinators: the number that version 0 of the settings tells."""
     coordinators = scenario.coordinators.real + scenario.coordinators.hollow
     return coordinators * scenario.proxies.per_coordinator
@@ -131,13 +133,13 @@
 
 
 def _class_settings(number: int, version: int) -> dict[str, Any]:
-    benefit_of_version = version % 10 / 100 if number == 0 else 0
+    weight_offset = version % 10 / 100 if number == 0 else 0
     return {
         "name": f"class{number}",
         "semantics": EFFECTS[number % len(EFFECTS)],
         "aim_us": 300_000,
         "give_up_us": 900_000,
-        "worth": 1.0 + number % 3 + benefit_of_version,
+        "worth": 1.0 + number % 3 + weight_offset,
     }
 
 
@@ -151,7 +153,7 @@
         "messages_most": channel.messages,
         "counted_over_us": int(channel.messages_span_s * US_PER_S),
         "report_every_us": US_PER_S,
-        "proxy_count": proxy_base(scenario) + version,
+        "proxy_count": expected_proxies(scenario) + version,
         "bootstrap": scenario.proxies.first_table_lines,
         "default_retry": 0,
         "empty_for_us": int(scenario.rules.empty_limit_s * US_PER_S),
--- a/granitespool/scale/hollow/connection.py
+++ b/granitespool/scale/hollow/connection.py
@@ -24,7 +24,7 @@
         self.reading = False  # its coroutine is running: it must not be resumed
 
     @property
-    def running(self) -> Task:
+    def current_task(self) -> Task:
         """Its coroutine, from the first wait on."""
         assert self.task is not None
         return self.task
@@ -38,7 +38,7 @@
             sent = 0
         self.unsent = data[sent:]
         if self.unsent and not self.reading:
-            self.loop.resume(self.running)
+            self.loop.resume(self.current_task)
 
     def read(self, handle: Callable[["Connection"], None]) -> bool:
         """Reads what is there and has `handle` take the messages; False once the other side has ended.
--- a/granitespool/scale/hollow/coordinator.py
+++ b/granitespool/scale/hollow/coordinator.py
@@ -30,7 +30,7 @@
 from granitespool.scale.hollow.connection import Connection
 from granitespool.scale.hollow.counts import Counts
 from granitespool.scale.hollow.endpoints import EndpointState, EndpointStates
-from granitespool.scale.hollow.messages import Entry, update_of
+from granitespool.scale.hollow.messages import Entry, update_message
 from granitespool.scale.hollow.profile import Parts, Profile
 from granitespool.units import SECOND
 
@@ -39,10 +39,10 @@
 ACCEPTS_PER_TURN = 64
 BUFFERS = 1024  # receive buffers of one coordinator at most: 16 MiB
 ACCEPT_RETRY_DELAY = SECOND // 50  # ns between accepts while no descriptor is free
-ENTRY_LEAST = 8  # bytes of a table entry at least
-TICKETS = 65536  # acknowledgement tickets are whole numbers under this
+ENTRY_SIZE_MIN = 8  # bytes of a table entry at least
+BARRIER_LIMIT = 65536  # acknowledgement tickets are whole numbers under this
 READ_KINDS = frozenset(("ping", "joined", "collector", "heard", "usage", "applied"))
-NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 ANY_ADDRESS = ""  # stands for all names in a watch that keeps none
 EMPTY_LIST: dict[str, Any] = {"index": 0, "endpoints": []}  # the list of a configuration that names nobody
 
@@ -94,8 +94,8 @@
         self.joinings_played = 0
         self.changes_played = 0
         self.flushes_played = 0
-        self.ticket = 0  # the latest
-        self.ticket_at = -1  # ns: the turn that the latest ticket is of
+        self.barrier = 0  # the latest
+        self.barrier_at = -1  # ns: the turn that the latest ticket is of
         listener = _listen()
         self.address: tuple[str, int] = listener.getsockname()
         self.tasks = [loop.spawn(self._accept(listener))]
@@ -104,7 +104,7 @@
 
     def close(self) -> None:
         """Ends the watch, the listening and all connections."""
-        tasks = [self.watch.task, *self.tasks, *(each.running for each in self.connections)]
+        tasks = [self.watch.task, *self.tasks, *(each.current_task for each in self.connections)]
         for task in tasks:
             self.loop.end(task)
 
@@ -118,7 +118,7 @@
             listed.update(dict.fromkeys(absent, EndpointState(Phase.GONE, 0)))
         changed: list[Entry] = []
         for backend, state in listed.items():
-            if self.states.take(backend, state.phase, state.started):
+            if self.states.update(backend, state.phase, state.started):
                 changed.append([backend, 1.0 if state.phase == Phase.READY else 0.0])
         if changed:
             self._write_change(changed)
@@ -159,7 +159,7 @@
 
     def _ready_entries(self, parts: Parts) -> list[Entry]:
         """Entries of ready backends, as many as may fit into these parts."""
-        return [[name, 1.0] for name in islice(self.states.ready(), sum(parts) // ENTRY_LEAST)]
+        return [[name, 1.0] for name in islice(self.states.ready(), sum(parts) // ENTRY_SIZE_MIN)]
 
     def _write_update(
         self, connection: Connection, parts: Parts, entries: list[Entry], complete: bool = False
@@ -167,10 +167,10 @@
         """Writes one message, unless the one before was not taken: then a real one would merge the two."""
         if connection.unsent:
             return
-        if self.ticket_at != self.loop.now:  # all messages of one turn have one ticket
-            self.ticket = (self.ticket + 1) % TICKETS
-            self.ticket_at = self.loop.now
-        data = update_of(parts, entries, complete, self.ticket)
+        if self.barrier_at != self.loop.now:  # all messages of one turn have one ticket
+            self.barrier = (self.barrier + 1) % BARRIER_LIMIT
+            self.barrier_at = self.loop.now
+        data = update_message(parts, entries, complete, self.barrier)
         self.counts.add_sent("update", len(data))
         connection.write(data)
 
@@ -191,11 +191,11 @@
             except BlockingIOError:
                 break
             except OSError as error:
-                return error.errno not in NO_DESCRIPTOR
-            self._take(sock)
+                return error.errno not in RESOURCE_ERRORS
+            self._add_connection(sock)
         return True
 
-    def _take(self, sock: socket.socket) -> None:
+    def _add_connection(self, sock: socket.socket) -> None:
         connection = Connection(self.loop, sock, self.pool)
         self.connections[connection] = None
         connection.task = self.loop.spawn(self._serve(connection))
@@ -249,7 +249,7 @@
         connection.proxy = proxy
         self.proxies[proxy] = connection
         if former and former is not connection:
-            self.loop.end(former.running)
+            self.loop.end(former.current_task)
         if self.states.any_ready():
             self._write_first_table(connection)
         else:
--- a/granitespool/scale/hollow/endpoints.py
+++ b/granitespool/scale/hollow/endpoints.py
@@ -22,7 +22,7 @@
     def __iter__(self) -> Iterator[str]:
         return iter(self._states)
 
-    def take(self, backend: str, phase: str, started: int) -> bool:
+    def update(self, backend: str, phase: str, started: int) -> bool:
         """Takes one entry of the list; True where it differs from what was known."""
         state = None if phase == "gone" else EndpointState(phase, started)
         if self._states.get(backend) == state:
--- a/granitespool/scale/hollow/measurement.py
+++ b/granitespool/scale/hollow/measurement.py
@@ -104,7 +104,7 @@
 
     def _listed(self, event: BackendListed) -> None:
         same_time = bool(self.changes) and self.changes[-1].at == event.at
-        if self.states.take(event.backend, event.phase, event.started) and not same_time:
+        if self.states.update(event.backend, event.phase, event.started) and not same_time:
             served = (proxy for proxy in self.joined if proxy not in self.awaiting)
             self.changes.append(_Written(event.at, dict.fromkeys(served)))
 
--- a/granitespool/scale/hollow/messages.py
+++ b/granitespool/scale/hollow/messages.py
@@ -10,7 +10,7 @@
 Entry = list[str | float]  # backend and weight, as the wire has it
 
 
-def update_of(parts: Parts, entries: Sequence[Entry], complete: bool, ticket: int) -> bytes:
+def update_message(parts: Parts, entries: Sequence[Entry], complete: bool, barrier: int) -> bytes:
     """The frames of one message: valid parts of exactly these bytes each, with as many entries as fit.
 
     A part that is too small for the least of a message is longer than asked for."""
@@ -23,7 +23,7 @@
         if number < len(parts) - 1:
             fields["more"] = True
         else:
-            fields["ticket"] = ticket
+            fields["ticket"] = barrier
         body, rest = _fill(size - LENGTH_SIZE, fields, rest)
         frames.append(len(body).to_bytes(LENGTH_SIZE, "little") + body)
     return b"".join(frames)
--- a/granitespool/scale/hollow_fleet.py
+++ b/granitespool/scale/hollow_fleet.py
@@ -10,12 +10,12 @@
 from granitespool.scale.coordinators import RealCoordinator
 from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
-from granitespool.scale.fleet import proxy_base
+from granitespool.scale.fleet import expected_proxies
 from granitespool.scale.hollow.counts import Traffic
 from granitespool.scale.hollow.measurement import measure_profile
 from granitespool.scale.hollow.process import ProcessStatus, Spec
 from granitespool.scale.hollow.profile import Profile
-from granitespool.scale.processes import MEGABYTE, Child, Sample, lines_of, sample, write_json
+from granitespool.scale.processes import MEGABYTE, Child, Sample, read_lines, sample, write_json
 from granitespool.scale.proxy_stream import ProxyStream
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.report import HollowRow, KindTraffic
@@ -25,7 +25,7 @@
 from granitespool.units import SECOND
 
 POLL_INTERVAL = SECOND // 20  # ns between two looks
-SOCKETS_EACH = 8  # descriptors of one hollow coordinator: its listener, its watch, some streams
+SOCKETS_PER_COORDINATOR = 8  # descriptors of one hollow coordinator: its listener, its watch, some streams
 SOCKETS_BASE = 64  # descriptors of a process beside those
 
 
@@ -37,8 +37,8 @@
         for event in recorder.events
         if isinstance(event, (ProxyJoined, ProxyLeft, BackendListed)) and event.coordinator == name
     ]
-    both = sorted([*events, *recorder.updates.get(name, ())], key=lambda event: event.at)
-    return measure_profile(both, until)
+    ordered = sorted([*events, *recorder.updates.get(name, ())], key=lambda event: event.at)
+    return measure_profile(ordered, until)
 
 
 class HollowProcess:
@@ -101,7 +101,7 @@
             yield None, 0, self.loop.now + POLL_INTERVAL
         for process in self.processes:
             if process.ready and process.status:
-                self._join(process, process.status)
+                self._connect_proxies(process, process.status)
             else:
                 self.failures.append(f"hollow process {process.agent_index} had no list in time")
 
@@ -110,24 +110,24 @@
         spec = Spec(names=process.names, discovery=agent.listener_address, profile=profile)
         write_json(process.path, msgspec.to_builtins(spec))
         command = ["-m", "granitespool.scale.hollow.process", str(process.path)]
-        process.child = Child(command, None, SOCKETS_BASE + SOCKETS_EACH * len(process.names))
-        self.loop.spawn(lines_of(process.child, process.take_line))
+        process.child = Child(command, None, SOCKETS_BASE + SOCKETS_PER_COORDINATOR * len(process.names))
+        self.loop.spawn(read_lines(process.child, process.take_line))
 
-    def _join(self, process: HollowProcess, status: ProcessStatus) -> None:
+    def _connect_proxies(self, process: HollowProcess, status: ProcessStatus) -> None:
         process.samples.clear()  # what the start took is not what it costs
         for name, address in zip(process.names, status.addresses, strict=True):
             channel = ChannelQueue(self.recorder, name, self.scenario.channel)
             endpoint = CoordinatorEndpoint(self.recorder, name, self.scenario.zones[0], address, channel)
             process.endpoints.append(endpoint)
             self._make_proxies(endpoint)
-        every = [endpoint for each in self.processes for endpoint in each.endpoints]
-        for endpoint in every:
-            endpoint.others = every
+        endpoints = [endpoint for each in self.processes for endpoint in each.endpoints]
+        for endpoint in endpoints:
+            endpoint.others = endpoints
 
     def _make_proxies(self, endpoint: CoordinatorEndpoint) -> None:
         scenario, environment = self.scenario, self.environment
         for _ in range(scenario.proxies.per_hollow):
-            number = proxy_base(scenario) - 1 - len(self.streams)  # real ones' proxies count from 0
+            number = expected_proxies(scenario) - 1 - len(self.streams)  # real ones' proxies count from 0
             table = ProxyTable(number, scenario.zones[number % len(scenario.zones)], {})
             random = Random(f"{scenario.scale.seed} proxy {number}")
             stream = ProxyStream(self.loop, self.recorder, table, endpoint, environment.ever_listed, random)
--- a/granitespool/scale/plan.py
+++ b/granitespool/scale/plan.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from granitespool.scale.fleet import ListedBackend, MadeFleet
+from granitespool.scale.fleet import GeneratedFleet, ListedBackend
 from granitespool.scale.schema import Event, Scenario
 from granitespool.scale.trace import Phase
 from granitespool.units import SECOND
@@ -39,7 +39,7 @@
 DIGEST_LENGTH = 16  # characters
 
 
-class Planned(msgspec.Struct, frozen=True, kw_only=True):
+class PlannedEvent(msgspec.Struct, frozen=True, kw_only=True):
     """One thing that is to happen."""
 
     at: int  # ns after the beginning of the events
@@ -49,7 +49,7 @@
     lasting: int = 0  # ns
 
 
-def plan_digest(plan: Iterable[Planned]) -> str:
+def plan_digest(plan: Iterable[PlannedEvent]) -> str:
     """A short text that is the same for the same planned events, whatever the run's addresses are."""
     without_addresses = [
         msgspec.structs.replace(
@@ -78,18 +78,18 @@
 class Plan:
     """Draws the events of a scenario; `planned` has them in order of time."""
 
-    def __init__(self, scenario: Scenario, fleet: MadeFleet, random: Random) -> None:
+    def __init__(self, scenario: Scenario, fleet: GeneratedFleet, random: Random) -> None:
         """`random` is used from here on: one order of calls gives one plan."""
         self.scenario = scenario
         self.fleet = fleet
         self.random = random
-        self.untouched = list(fleet.backends)  # backends that no event has yet
-        random.shuffle(self.untouched)
-        self.found: list[Planned] = []
+        self.unused_backends = list(fleet.backends)  # backends that no event has yet
+        random.shuffle(self.unused_backends)
+        self.events: list[PlannedEvent] = []
         planners = self._planners()
         for _, event in sorted(scenario.events.items()):
             planners[event.kind](event)
-        self.planned = sorted(self.found, key=lambda planned: planned.at)
+        self.planned = sorted(self.events, key=lambda planned: planned.at)
 
     def _planners(self) -> dict[str, Callable[[Event], None]]:
         """What plans the events of each kind."""
@@ -113,7 +113,7 @@
         """When the last of them happens, in ns."""
         return self.planned[-1].at if self.planned else 0
 
-    def _at(
+    def _add(
         self,
         at: float,
         action: Action,
@@ -121,8 +121,8 @@
         names: Iterable[str] = (),
         lasting: float = 0.0,
     ) -> None:
-        self.found.append(
-            Planned(
+        self.events.append(
+            PlannedEvent(
                 at=int(at * SECOND),
                 action=action,
                 entries=tuple(entries),
@@ -131,102 +131,104 @@
             )
         )
 
-    def _take(self, count: int) -> list[ListedBackend]:
-        taken = self.untouched[:count]
-        self.untouched = self.untouched[count:]
+    def _take_backends(self, count: int) -> list[ListedBackend]:
+        taken = self.unused_backends[:count]
+        self.unused_backends = self.unused_backends[count:]
         return taken
 
-    def _spread(self, event: Event) -> list[float]:
+    def _times(self, event: Event) -> list[float]:
         """Times (s) at which each of an event's things happens."""
         return [event.at_s + event.for_s * number / event.count for number in range(event.count)]
 
     def _replace(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
             self._drain_and_remove(at, [backend], event.drain_s)
             renamed = self.random.random() >= RENAMED_SHARE
-            successor = self.fleet.like(backend) if renamed else backend
-            self._at(at + event.drain_s + event.back_s, "add", [_as(successor, "ready")])
+            successor = self.fleet.replacement_for(backend) if renamed else backend
+            self._add(at + event.drain_s + event.back_s, "add", [_with_status(successor, "ready")])
 
     def _drain_and_remove(self, at: float, backends: Sequence[ListedBackend], drain_s: float) -> None:
-        self._at(at, "drain", [_as(backend, "draining") for backend in backends])
-        self._at(at + drain_s, "remove", [_as(backend, "gone") for backend in backends])
+        self._add(at, "drain", [_with_status(backend, "draining") for backend in backends])
+        self._add(at + drain_s, "remove", [_with_status(backend, "gone") for backend in backends])
 
     def _fail(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
-            self._lost(event, at, [backend], event.back_s)
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
+            self._fail_and_restore(event, at, [backend], event.back_s)
 
-    def _lost(self, event: Event, at: float, backends: Sequence[ListedBackend], back_s: float) -> None:
+    def _fail_and_restore(
+        self, event: Event, at: float, backends: Sequence[ListedBackend], back_s: float
+    ) -> None:
         """Backends end without a word, discovery notices, and they come back cold."""
-        self._at(at, "crash", [_as(backend, "gone") for backend in backends])
+        self._add(at, "crash", [_with_status(backend, "gone") for backend in backends])
         noticed = at + event.noticed_s
-        self._at(noticed, "remove", [_as(backend, "gone") for backend in backends])
-        self._at(noticed + back_s, "add", [_as(backend, "ready") for backend in backends])
+        self._add(noticed, "remove", [_with_status(backend, "gone") for backend in backends])
+        self._add(noticed + back_s, "add", [_with_status(backend, "ready") for backend in backends])
 
     def _configure(self, event: Event) -> None:
         bad = set(self.random.sample(range(event.count), min(event.refused, event.count)))
-        for number, at in enumerate(self._spread(event)):
-            self._at(at, "configure_badly" if number in bad else "configure")
+        for number, at in enumerate(self._times(event)):
+            self._add(at, "configure_badly" if number in bad else "configure")
 
     def _rack(self, event: Event) -> None:
-        groups = sorted({backend.group for backend in self.untouched})
+        groups = sorted({backend.group for backend in self.unused_backends})
         for group in self.random.sample(groups, min(event.count, len(groups))):
-            rack = [backend for backend in self.untouched if backend.group == group]
-            self.untouched = [backend for backend in self.untouched if backend.group != group]
-            self._lost(event, event.at_s, rack, event.for_s)
+            rack = [backend for backend in self.unused_backends if backend.group == group]
+            self.unused_backends = [backend for backend in self.unused_backends if backend.group != group]
+            self._fail_and_restore(event, event.at_s, rack, event.for_s)
 
     def _zone(self, event: Event) -> None:
         zones = coordinator_zones(self.scenario)
-        inhabited = sorted(set(zones))
-        for zone in self.random.sample(inhabited, min(event.count, len(inhabited))):
-            inside = [backend for backend in self.untouched if backend.zone == zone]
-            self.untouched = [backend for backend in self.untouched if backend.zone != zone]
+        coordinator_zone_names = sorted(set(zones))
+        for zone in self.random.sample(coordinator_zone_names, min(event.count, len(coordinator_zone_names))):
+            inside = [backend for backend in self.unused_backends if backend.zone == zone]
+            self.unused_backends = [backend for backend in self.unused_backends if backend.zone != zone]
             names = [coordinator_name(index) for index, each in enumerate(zones) if each == zone]
-            self._at(event.at_s, "kill", names=names)
-            self._at(event.at_s, "collectors_down", names=[zone])
-            self._lost(event, event.at_s, inside, event.for_s)
+            self._add(event.at_s, "kill", names=names)
+            self._add(event.at_s, "collectors_down", names=[zone])
+            self._fail_and_restore(event, event.at_s, inside, event.for_s)
             back_at = event.at_s + event.noticed_s + event.for_s
-            self._at(back_at, "collectors_up", names=[zone])
-            self._at(back_at, "start", names=names)
+            self._add(back_at, "collectors_up", names=[zone])
+            self._add(back_at, "start", names=names)
 
     def _partition(self, event: Event) -> None:
         regions = sorted({zone.partition("-")[0] for zone in coordinator_zones(self.scenario)})
         cut = self.random.sample(regions, min(event.count, len(regions)))
-        self._at(event.at_s, "cut", names=cut)
+        self._add(event.at_s, "cut", names=cut)
         change = event.at_s + PARTITION_CHANGE * event.for_s
-        drained = self._take(PARTITION_DRAINS)
-        self._at(change, "drain", [_as(backend, "draining") for backend in drained])
-        self._at(change, "configure")
-        self._at(event.at_s + event.for_s, "heal", names=cut)
+        drained = self._take_backends(PARTITION_DRAINS)
+        self._add(change, "drain", [_with_status(backend, "draining") for backend in drained])
+        self._add(change, "configure")
+        self._add(event.at_s + event.for_s, "heal", names=cut)
         after = event.at_s + event.for_s + event.drain_s
-        self._at(after, "remove", [_as(backend, "gone") for backend in drained])
+        self._add(after, "remove", [_with_status(backend, "gone") for backend in drained])
 
     def _restart(self, event: Event) -> None:
-        for at, index in zip(self._spread(event), range(min(event.count, self.scenario.coordinators.real))):
+        for at, index in zip(self._times(event), range(min(event.count, self.scenario.coordinators.real))):
             name = coordinator_name(index)
-            self._at(at, "terminate", names=[name])
-            self._at(at + event.back_s, "start", names=[name])
+            self._add(at, "terminate", names=[name])
+            self._add(at + event.back_s, "start", names=[name])
 
     def _stall(self, event: Event) -> None:
-        self._at(event.at_s, "stall", lasting=event.for_s)
+        self._add(event.at_s, "stall", lasting=event.for_s)
         lead = STALL_LEAD / SECOND
-        self._drain_and_remove(event.at_s + lead, self._take(event.count), event.drain_s)
+        self._drain_and_remove(event.at_s + lead, self._take_backends(event.count), event.drain_s)
 
     def _duplicate(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
-            self._at(at, "duplicate", [_as(backend, "draining")])
-            self._at(at + event.drain_s, "remove", [_as(backend, "gone")])
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
+            self._add(at, "duplicate", [_with_status(backend, "draining")])
+            self._add(at + event.drain_s, "remove", [_with_status(backend, "gone")])
 
     def _reorder(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
-            self._at(at, "reorder", [_as(backend, "draining"), _as(backend, "gone")])
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
+            self._add(at, "reorder", [_with_status(backend, "draining"), _with_status(backend, "gone")])
 
     def _end_watches(self, event: Event) -> None:
-        for at in self._spread(event):
-            self._at(at, "end_watches")
+        for at in self._times(event):
+            self._add(at, "end_watches")
 
     def _kill_hollow(self, event: Event) -> None:
-        self._at(event.at_s, "kill_hollow")
+        self._add(event.at_s, "kill_hollow")
 
 
-def _as(backend: ListedBackend, status: Phase) -> ListedBackend:
+def _with_status(backend: ListedBackend, status: Phase) -> ListedBackend:
     return msgspec.structs.replace(backend, status=status)
--- a/granitespool/scale/processes.py
+++ b/granitespool/scale/processes.py
@@ -69,7 +69,7 @@
                 [sys.executable, *command],
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
-                preexec_fn=_preparation(former, memory_mb, sockets),  # noqa: PLW1509 one thread runs
+                preexec_fn=_child_setup(former, memory_mb, sockets),  # noqa: PLW1509 one thread runs
                 env={**os.environ, "PYTHONPATH": root},
             )
             os.set_blocking(self.output.fileno(), False)
@@ -106,18 +106,18 @@
         if not self.ended:
             self.process.send_signal(number)
 
-    def close(self, limit: float = EXIT_TIMEOUT) -> int:
+    def close(self, timeout: float = EXIT_TIMEOUT) -> int:
         """Ends it, by SIGKILL after `limit` s at the latest; returns its exit code."""
         self.signal(signal.SIGTERM)
         try:
-            self.process.wait(limit)
+            self.process.wait(timeout)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
         return self.process.returncode
 
 
-def _preparation(signal_mask: SignalMask, memory_mb: int | None, sockets: int | None) -> Callable[[], None]:
+def _child_setup(signal_mask: SignalMask, memory_mb: int | None, sockets: int | None) -> Callable[[], None]:
     """What a child does before it becomes another program: it dies with its parent and keeps its limits."""
     parent = os.getpid()
     prctl = ctypes.CDLL(None, use_errno=True).prctl
@@ -147,7 +147,7 @@
         child.close()
 
 
-def lines_of(child: Child, take: Callable[[dict[str, Any]], None]) -> Wait:
+def read_lines(child: Child, handle: Callable[[dict[str, Any]], None]) -> Wait:
     """A coroutine that reads a child's JSON lines until its output ends; it owns that end of the pipe."""
     fd = child.output.fileno()
     waiting = b""
@@ -163,7 +163,7 @@
             *lines, waiting = (waiting + data).split(b"\n")
             for line in lines:
                 with suppress(ValueError):
-                    take(orjson.loads(line))
+                    handle(orjson.loads(line))
     finally:
         child.output.close()
 
--- a/granitespool/scale/proxy_message.py
+++ b/granitespool/scale/proxy_message.py
@@ -16,7 +16,7 @@
         self.admission: list[AdmissionUpdate] = []
         self.excluded: list[str] = []
         self.readmitted: list[str] = []
-        self.ticket: int | None = None
+        self.barrier: int | None = None
 
     def add(self, part: dict[str, Any], size: int) -> None:
         """Takes one part of so many bytes, its length with them; raises InvalidInputError."""
@@ -37,7 +37,7 @@
             self.admission.append(AdmissionUpdate(part.get("classes"), level))
         self.excluded += excluded
         self.readmitted += readmitted
-        self.ticket = part.get("ticket", self.ticket)
+        self.barrier = part.get("ticket", self.barrier)
         fields = ("level" in part, "ticket" in part, complete)
         self.entries += len(weights) + len(excluded) + len(readmitted) + sum(fields)
 
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -65,7 +65,7 @@
         self.joined = False
         self.weighted_at: dict[str, int] = {}  # backend -> when a message gave it its weight last, ns
         self.on_applied: Callable[[ProxyStream], None] = _ignore
-        self.silent: list[socket.socket] = []  # streams that a cut has left open
+        self.half_open: list[socket.socket] = []  # streams that a cut has left open
         self.sock: socket.socket | None = None
         self.task: Task = loop.spawn(self._run())
 
@@ -74,11 +74,11 @@
         """The proxy's number among all."""
         return self.table.number
 
-    def move(self, endpoint: CoordinatorEndpoint, silently: bool = False) -> None:
+    def move(self, endpoint: CoordinatorEndpoint, leave_open: bool = False) -> None:
         """Goes to another coordinator; `silently` leaves the old stream open, as a cut does."""
         self.loop.end(self.task)
-        if silently and self.sock is not None:
-            self.silent.append(self.sock)
+        if leave_open and self.sock is not None:
+            self.half_open.append(self.sock)
         elif self.sock is not None:
             self.sock.close()
         self.sock = None
@@ -87,8 +87,8 @@
 
     def heal(self) -> None:
         """Resets the streams that a cut had left open."""
-        while self.silent:
-            self.silent.pop().close()
+        while self.half_open:
+            self.half_open.pop().close()
 
     def close(self) -> None:
         """Ends the proxy."""
@@ -139,7 +139,7 @@
     def _stream(self, endpoint: CoordinatorEndpoint) -> Wait:
         self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         yield from dial(sock, endpoint.address, self.loop.now + DIAL_TIMEOUT)
-        joining = self._joining()
+        joining = self._joined_message()
         yield from send(sock, joining, self.loop.now + DIAL_TIMEOUT)
         endpoint.recorder.count(endpoint.name, "in", "joined", len(joining))
         self._record_table()
@@ -151,7 +151,7 @@
         finally:
             reader.close()
 
-    def _joining(self) -> bytes:
+    def _joined_message(self) -> bytes:
         return frame(
             {
                 "type": "joined",
@@ -233,7 +233,7 @@
         )
         received = UpdateReceived(at=now, proxy=self.number, parts=tuple(message.sizes))
         self.recorder.add_update(endpoint.name, received)
-        return _Arrival(endpoint.channel.enter(now, message.entries) + APPLY_TIME, now, message)
+        return _Arrival(endpoint.channel.enqueue(now, message.entries) + APPLY_TIME, now, message)
 
     def _apply(self, sock: socket.socket, endpoint: CoordinatorEndpoint, arrival: _Arrival) -> Wait:
         message = arrival.message
@@ -244,17 +244,17 @@
         if message.changes_table:
             self._record_table()
             self.on_applied(self)
-        if message.ticket is not None:
+        if message.barrier is not None:
             latency = (self.loop.clock() - arrival.received_at) / MILLISECOND
-            yield from self._acknowledge(sock, endpoint, message.ticket, latency)
+            yield from self._acknowledge(sock, endpoint, message.barrier, latency)
 
     def _acknowledge(
-        self, sock: socket.socket, endpoint: CoordinatorEndpoint, ticket: int, latency_ms: float
+        self, sock: socket.socket, endpoint: CoordinatorEndpoint, barrier: int, latency_ms: float
     ) -> Wait:
         fields: dict[str, Any] = {
             "type": "applied",
             "node": self.number,
-            "nonce": ticket,
+            "nonce": barrier,
             "latency": latency_ms,
         }
         acknowledgement = frame(fields)
--- a/granitespool/scale/questions.py
+++ b/granitespool/scale/queries.py
@@ -13,7 +13,7 @@
     return frame({"type": "ping"})
 
 
-def settings_question(proxy: int) -> bytes:
+def settings_query(proxy: int) -> bytes:
     """A joining that every coordinator rejects, which shows the settings in force and joins nobody.
 
     It is rejected for the proxy's number where the settings in force do not allow it, else for its zone."""
--- a/granitespool/scale/report.py
+++ b/granitespool/scale/report.py
@@ -10,8 +10,8 @@
 from granitespool.scale.checker import Violation
 from granitespool.units import MILLISECOND
 
-VIOLATIONS_KEPT = 20  # in a report
-VIOLATIONS_PRINTED = 5
+VIOLATIONS_MAX = 20  # in a report
+PRINTED_VIOLATIONS_MAX = 5
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True):
@@ -245,7 +245,7 @@
         f"streams reset by proxies {report.stream_resets}"
     ]
     lines += [f"rule {rule} broken {count} times" for rule, count in sorted(report.broken.items())]
-    lines += [f"  {violation.text}" for violation in report.violations[:VIOLATIONS_PRINTED]]
+    lines += [f"  {violation.text}" for violation in report.violations[:PRINTED_VIOLATIONS_MAX]]
     lines += [f"failed: {failure}" for failure in report.failures]
     lines.append("passed" if report.passed else "NOT PASSED")
     return lines
--- a/granitespool/scale/run.py
+++ b/granitespool/scale/run.py
@@ -13,7 +13,7 @@
 from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
 from granitespool.scale.events import EventPlayer
-from granitespool.scale.fleet import MadeFleet, Network
+from granitespool.scale.fleet import GeneratedFleet, Network
 from granitespool.scale.hollow_fleet import HollowFleet
 from granitespool.scale.plan import Plan, plan_digest
 from granitespool.scale.processes import close_all
@@ -26,9 +26,9 @@
 from granitespool.units import SECOND
 
 NETWORKS = range(64, 254)  # numbers of loopback networks that a run draws its own from
-TIME_TO_SPARE = 60 * SECOND  # ns beyond the planned time after which a run is given up
+TIMEOUT_MARGIN = 60 * SECOND  # ns beyond the planned time after which a run is given up
 FAILURES_LIMIT = 50  # failures of stand-ins after which a run is given up
-STARTS_TOGETHER = 4  # coordinators that are expected to start in the time that one may take
+CONCURRENT_STARTS = 4  # coordinators that are expected to start in the time that one may take
 
 Progress = Callable[[str], None]
 
@@ -45,8 +45,8 @@
         self.loop = Loop(self._coroutine_failed)
         self.load_before = os.getloadavg()[0]
         self.network = Network(NETWORKS.start + secrets.randbelow(len(NETWORKS)))
-        self.made = MadeFleet(scenario, self.network, Random(scenario.scale.seed))
-        self.plan = Plan(scenario, self.made, Random(scenario.scale.seed)).planned
+        self.fleet = GeneratedFleet(scenario, self.network, Random(scenario.scale.seed))
+        self.plan = Plan(scenario, self.fleet, Random(scenario.scale.seed)).planned
         self.digest = plan_digest(self.plan)
         self.environment: Environment
         self.events: EventPlayer
@@ -70,13 +70,13 @@
                 self._close()
 
     def _start(self, folder: Path) -> None:
-        self.environment = Environment(self.scenario, self.made, self.network, self.loop, folder)
+        self.environment = Environment(self.scenario, self.fleet, self.network, self.loop, folder)
         self._started = True
         if self.scenario.coordinators.hollow:
             self.hollow = HollowFleet(self.environment, folder)
         self.events = EventPlayer(self.loop, self.environment, self.hollow, self.failures)
         self.loop.spawn(self._timeline())
-        self.loop.spawn(self._give_up())
+        self.loop.spawn(self._stop_after_timeout())
 
     def _coroutine_failed(self, error: Exception) -> None:
         self.failures.append(f"a stand-in failed: {error!r:.200}")
@@ -90,13 +90,13 @@
             return
         real = [each.child for each in self.environment.coordinators if each.child]
         close_all([*real, *hollow])
-        self._note_exit_codes()
+        self._record_exit_codes()
         self.environment.close()
         if self.hollow:
             self.hollow.close()
         self.loop.close()
 
-    def _note_exit_codes(self) -> None:
+    def _record_exit_codes(self) -> None:
         for coordinator in self.environment.coordinators:
             if coordinator.child:
                 code = coordinator.child.process.returncode
@@ -106,13 +106,13 @@
 
     # Phases
 
-    def _give_up(self) -> Wait:
+    def _stop_after_timeout(self) -> Wait:
         """Ends the run where it takes much longer than planned."""
         times = self.scenario.times
         seconds = times.warm_s + times.idle_s + times.reports_s + times.events_s + times.settle_s
-        starts = times.ready_s * (1 + self.scenario.coordinators.real / STARTS_TOGETHER)
+        starts = times.ready_s * (1 + self.scenario.coordinators.real / CONCURRENT_STARTS)
         last = self.plan[-1].at if self.plan else 0
-        yield None, 0, self.loop.now + int((seconds + starts) * SECOND) + last + TIME_TO_SPARE
+        yield None, 0, self.loop.now + int((seconds + starts) * SECOND) + last + TIMEOUT_MARGIN
         if not self._done:
             self.failures.append("the run's time ran out")
             self.loop.stop()
@@ -154,12 +154,12 @@
 
     def _measure_reports(self) -> Wait:
         if self.hollow:
-            self.environment.show_change(back=False)
+            self.environment.change_one_backend(ready=False)
         yield from self._measure_span(self.reported, self.scenario.times.reports_s)
 
     def _start_hollow(self, hollow: HollowFleet) -> Wait:
         self.progress("hollow coordinators")
-        self.environment.show_change(back=True)
+        self.environment.change_one_backend(ready=True)
         yield from self._sleep(1)
         yield from hollow.start(self.environment.coordinators[0])
 
@@ -211,7 +211,7 @@
             yield from self._sleep(1)
             for coordinator in self.environment.coordinators:
                 if coordinator.serves:
-                    yield from coordinator.has_settings(coordinator.in_force)
+                    yield from coordinator.has_settings(coordinator.applied_version)
 
     def _check_end(self) -> Wait:
         """Notes which coordinators lack the newest settings or the newest list at the end."""
--- a/granitespool/scale/run_report.py
+++ b/granitespool/scale/run_report.py
@@ -13,7 +13,7 @@
 from granitespool.scale.processes import MEGABYTE
 from granitespool.scale.recorder import TrafficKey
 from granitespool.scale.report import (
-    VIOLATIONS_KEPT,
+    VIOLATIONS_MAX,
     CoordinatorRow,
     CutRow,
     KindTraffic,
@@ -26,7 +26,7 @@
 from granitespool.scale.schema import Scenario
 from granitespool.units import MILLISECOND, SECOND
 
-INTERNAL_ERRORS_KEPT = 3  # of each coordinator
+INTERNAL_ERRORS_MAX = 3  # of each coordinator
 
 
 class _Identity(TypedDict):
@@ -63,7 +63,7 @@
         list_to_last_proxy=times(propagation.durations, propagation.unfinished(during_cut=False)),
         list_to_last_proxy_cut=times(propagation.durations_cut, propagation.unfinished(during_cut=True)),
         list_to_last_watch=times(environment.list_to_watches()),
-        settings_to_last=times(events.settings.in_force_after, events.settings.unfinished),
+        settings_to_last=times(events.settings.apply_times, events.settings.unfinished),
         settings_refused=events.settings.rejected,
         settings_refusal_kept=events.settings.rejection_kept,
         ready=times(events.ready_times),
@@ -73,7 +73,7 @@
         stream_resets=sum(stream.resets for stream in environment.streams),
         trace_events=len(environment.recorder.events),
         broken=_count_rules(violations),
-        violations=violations[:VIOLATIONS_KEPT],
+        violations=violations[:VIOLATIONS_MAX],
         failures=_failures(run),
     )
 
@@ -130,7 +130,7 @@
     internal_errors = [
         error
         for coordinator in run.environment.coordinators
-        for error in coordinator.log.internal_errors[:INTERNAL_ERRORS_KEPT]
+        for error in coordinator.log.internal_errors[:INTERNAL_ERRORS_MAX]
     ]
     return [*run.failures, *hollow, *internal_errors]
 
--- a/granitespool/scale/samples.py
+++ b/granitespool/scale/samples.py
@@ -7,9 +7,9 @@
 from granitespool.scale.processes import Sample
 from granitespool.units import SECOND
 
-SPAN_LEAST = SECOND // 2  # ns: a shorter span gives no share
-SECOND_PART = 0.9  # part of a second that two samples have to be apart, to show one
-EDGE = SECOND // 10  # ns by which a sample may lie outside a span that it counts for
+SPAN_MIN = SECOND // 2  # ns: a shorter span gives no share
+WORST_SECOND_SPAN_MIN = 0.9  # part of a second that two samples have to be apart, to show one
+SPAN_TOLERANCE = SECOND // 10  # ns by which a sample may lie outside a span that it counts for
 
 
 class Span(msgspec.Struct):
@@ -22,7 +22,7 @@
 def share_between(first_ns: int, last_ns: int, processor_ns: int) -> float | None:
     """The share of a core that so much processor time is of a span; None where there is no span."""
     span = last_ns - first_ns
-    return round(processor_ns / span, 4) if span > SPAN_LEAST else None
+    return round(processor_ns / span, 4) if span > SPAN_MIN else None
 
 
 def share_of(first: Sample, last: Sample) -> float | None:
@@ -32,7 +32,9 @@
 
 def share_in(samples: Sequence[Sample], span: Span) -> float | None:
     """The share of a core that a process used in a phase."""
-    inside = [sample for sample in samples if span.begin - EDGE <= sample.at <= span.end + EDGE]
+    inside = [
+        sample for sample in samples if span.begin - SPAN_TOLERANCE <= sample.at <= span.end + SPAN_TOLERANCE
+    ]
     return share_of(inside[0], inside[-1]) if len(inside) >= 2 else None
 
 
@@ -51,5 +53,5 @@
 
 def _second_later(samples: Sequence[Sample]) -> Sample | None:
     """The first sample that is about a second after the first of all."""
-    first, least = samples[0], SECOND * SECOND_PART
+    first, least = samples[0], SECOND * WORST_SECOND_SPAN_MIN
     return next((sample for sample in samples if sample.at - first.at >= least), None)
--- a/granitespool/scale/schema.py
+++ b/granitespool/scale/schema.py
@@ -13,7 +13,7 @@
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
-EVENT = "event."  # what the name of an event's section begins with
+EVENT_PREFIX = "event."  # what the name of an event's section begins with
 PACKAGE = "granitespool.scale"  # whose folder holds the scenarios that come with the program
 
 
@@ -175,11 +175,11 @@
     path, text = ini_files.read(PACKAGE, name, "scenario")
     for change in changes:
         text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
-    sections: dict[str, Any] = {**ini.parse(path, text, {**SECTIONS, f"{EVENT}*": Event})}
+    sections: dict[str, Any] = {**ini.parse(path, text, {**SECTIONS, f"{EVENT_PREFIX}*": Event})}
     if "scale" not in sections:
         raise InvalidInputError(f"{path}: it lacks the section [scale]")
-    event_sections = [section for section in sections if section.startswith(EVENT)]
-    events = {section.removeprefix(EVENT): sections.pop(section) for section in event_sections}
+    event_sections = [section for section in sections if section.startswith(EVENT_PREFIX)]
+    events = {section.removeprefix(EVENT_PREFIX): sections.pop(section) for section in event_sections}
     return Scenario(name=Path(name).name.removesuffix(ini_files.SUFFIX), **sections, events=events)
 
 
@@ -187,8 +187,10 @@
     """The change with the section that alone has its key."""
     if change.section:
         return change
-    having = ini_files.sections_with(change.key, SECTIONS)
-    if len(having) == 1:
-        return change._replace(section=having[0])
-    problem = f"sections {', '.join(having)} have it" if having else "no section has this key"
+    matching_sections = ini_files.sections_with(change.key, SECTIONS)
+    if len(matching_sections) == 1:
+        return change._replace(section=matching_sections[0])
+    problem = (
+        f"sections {', '.join(matching_sections)} have it" if matching_sections else "no section has this key"
+    )
     raise InvalidInputError(f"--set {change.key!r:.60}: {problem}; name one as SECTION.KEY")
--- a/granitespool/scale/size_check.py
+++ b/granitespool/scale/size_check.py
@@ -17,9 +17,9 @@
     processes = coordinators.real + coordinators.hollow_processes + 1
     if processes > PROCESSES_LIMIT:
         raise InvalidInputError(f"the scenario asks for {processes} processes, of {PROCESSES_LIMIT} at most")
-    wanted = coordinators.real * coordinators.memory_mb + RUNNER_MB
+    required_mb = coordinators.real * coordinators.memory_mb + RUNNER_MB
     limit = MEMORY_SHARE * os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / MEGABYTE
-    if wanted > limit:
+    if required_mb > limit:
         raise InvalidInputError(
-            f"the scenario may take {wanted} MB, of {limit:.0f} MB: half of the machine's memory"
+            f"the scenario may take {required_mb} MB, of {limit:.0f} MB: half of the machine's memory"
         )
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -17,7 +17,9 @@
 from granitespool.units import SECOND
 
 TICK = SECOND // 4  # ns between two looks at the work of backends
-NEVER_RAN = 1  # the manner of retrying that allows only what provably never ran; higher ones allow more
+RETRY_IF_NOT_EXECUTED = (
+    1  # the manner of retrying that allows only what provably never ran; higher ones allow more
+)
 ANSWER_LOST_SHARE = 0.05  # of the attempts that a backend carried out, those whose answer does not arrive
 
 
@@ -57,7 +59,7 @@
 
     def _record_loads(self) -> None:
         now = self.loop.clock()
-        warming_up = {name for name in self.backends.living if self._is_warming_up(name, now)}
+        warming_up = {name for name in self.backends.running if self._is_warming_up(name, now)}
         if warming_up:
             work, informed = self._work(warming_up)
             capacity = self._capacity()
@@ -65,7 +67,7 @@
                 load = BackendLoad(
                     at=self.loop.clock(),
                     backend=name,
-                    multiple=work[name] / (capacity * self._share_able(name, now)),
+                    multiple=work[name] / (capacity * self._capacity_share(name, now)),
                     warming_up=True,
                     informed_share=informed[name] / work[name] if work[name] else 1.0,
                 )
@@ -84,7 +86,7 @@
         started = self.backends.started[name]
         return started > 0 and now - started < self._warm_up_time
 
-    def _share_able(self, name: str, now: int) -> float:
+    def _capacity_share(self, name: str, now: int) -> float:
         """The share of its warm work that a backend which warms up can do now (ns)."""
         share = self.scenario.rules.cold_share
         age = (now - self.backends.started[name]) / self._warm_up_time
@@ -93,7 +95,7 @@
     def _capacity(self) -> float:
         """Requests a second that a warm backend can do."""
         rate = sum(stream.rate for stream in self.streams)
-        return rate / self.scenario.traffic.load / max(1, len(self.backends.living))
+        return rate / self.scenario.traffic.load / max(1, len(self.backends.running))
 
     def _work(self, backends: Set[str]) -> tuple[dict[str, float], dict[str, float]]:
         """Requests a second that reach each of the backends; of those, from proxies told since its start."""
@@ -101,11 +103,11 @@
         informed: dict[str, float] = dict.fromkeys(backends, 0.0)
         for stream in self.streams:
             table = stream.table
-            mine = (backends & table.weights.keys()) - table.excluded
-            if not mine:
+            used_backends = (backends & table.weights.keys()) - table.excluded
+            if not used_backends:
                 continue
             total = sum(weight for name, weight in table.weights.items() if name not in table.excluded)
-            for name in mine:
+            for name in used_backends:
                 rate = stream.rate * table.weights[name] / total if total else 0.0
                 work[name] += rate
                 if stream.weighted_at.get(name, 0) >= self.backends.started[name]:
@@ -144,7 +146,7 @@
         """Attempts a request, and again in this manner of retrying; True where an answer arrived."""
         for _ in range(2 if retries else 1):
             name = stream.table.pick(self.random)
-            if name is None or name not in self.backends.living:
+            if name is None or name not in self.backends.running:
                 continue  # it provably never ran, so every manner but none allows a retry
             executed = RequestExecuted(
                 at=self.loop.clock(), request=self.requests, backend=name, effect=effect
@@ -152,6 +154,6 @@
             self.recorder.add(executed)
             if self.random.random() >= ANSWER_LOST_SHARE:
                 return True
-            if retries <= NEVER_RAN:
+            if retries <= RETRY_IF_NOT_EXECUTED:
                 return False
         return False
--- a/tests/support/external_names.py
+++ b/tests/support/external_names.py
@@ -72,7 +72,7 @@
             _schema_keys, emulator_schema.SECTIONS, {emulator_schema.CLASS_SECTIONS: emulator_schema.Class}
         ),
         "scenarios of the scale run": partial(
-            _schema_keys, scale_schema.SECTIONS, {scale_schema.EVENT: scale_schema.Event}
+            _schema_keys, scale_schema.SECTIONS, {scale_schema.EVENT_PREFIX: scale_schema.Event}
         ),
         "flags and sub-commands": _command_line_words,
         "log events": lambda: set(written()),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -37,7 +37,7 @@
     ],
 )
 def test_the_chosen_form_recovers_known_slopes(form, cost, coefficients):
-    chosen = fits.choose(samples(cost), FORMS)
+    chosen = fits.choose_fit(samples(cost), FORMS)
     assert chosen.form.name == form
     assert chosen.coefficients == pytest.approx(coefficients, rel=1e-6)
     assert chosen.residual < 1e-9
@@ -47,7 +47,7 @@
 def test_noise_of_some_percent_moves_a_slope_by_no_more_and_adds_no_parameter(seed):
     chance = Random(seed)
     noisy = samples(lambda s: 0.5 * s["backends"] * s["zones"] * chance.gauss(1, 0.03))
-    chosen = fits.choose(noisy, FORMS)
+    chosen = fits.choose_fit(noisy, FORMS)
     assert chosen.form.name == "product of backends and zones"
     assert chosen.coefficients[0] == pytest.approx(0.5, rel=0.05)
 
@@ -55,7 +55,7 @@
 def test_a_wrong_form_is_refused_with_its_residual():
     product = samples(lambda s: 0.5 * s["backends"] * s["zones"])
     with pytest.raises(fits.FormRejectedError) as refused:
-        fits.choose(product, [fits.constant(), fits.linear("backends")])
+        fits.choose_fit(product, [fits.constant(), fits.linear("backends")])
     assert refused.value.best.residual > refused.value.limit
     assert "linear in backends" in str(refused.value) or "constant" in str(refused.value)
 
@@ -63,7 +63,7 @@
 def test_a_cost_that_falls_with_its_size_is_no_form_of_a_cost():
     falling = samples(lambda s: 1000 - s["backends"])
     with pytest.raises(fits.FormRejectedError):
-        fits.choose(falling, FORMS)
+        fits.choose_fit(falling, FORMS)
 
 
 def test_a_size_that_does_not_vary_cannot_be_told_from_the_constant():
@@ -78,20 +78,20 @@
 
 
 def test_a_held_out_point_is_named_as_off_only_past_the_limit():
-    chosen = fits.choose(samples(lambda s: 0.25 * s["backends"]), FORMS)
+    chosen = fits.choose_fit(samples(lambda s: 0.25 * s["backends"]), FORMS)
     larger = {"backends": 3200.0, "zones": 4.0}
     near = fits.check_held_out(chosen, fits.Sample(larger, 900.0), limit=0.2)
     far = fits.check_held_out(chosen, fits.Sample(larger, 1600.0), limit=0.2)
     assert near.predicted == pytest.approx(800.0)
     assert near.error == pytest.approx(-1 / 9)
-    assert not near.is_off
+    assert not near.exceeds_limit
     assert far.error == pytest.approx(-0.5)
-    assert far.is_off
+    assert far.exceeds_limit
 
 
 def test_a_held_out_point_that_costs_nothing_is_off_unless_nothing_was_predicted():
-    chosen = fits.choose(samples(lambda s: 0.25 * s["backends"]), FORMS)
-    assert fits.check_held_out(chosen, fits.Sample(POINTS[0], 0.0)).is_off
+    chosen = fits.choose_fit(samples(lambda s: 0.25 * s["backends"]), FORMS)
+    assert fits.check_held_out(chosen, fits.Sample(POINTS[0], 0.0)).exceeds_limit
 
 
 TINY = Sizes(backends=12, zones=2, proxies=4, classes=2, tenants=2, requests=40.0, planners=2)
@@ -213,7 +213,7 @@
 def test_rows_stand_by_the_factor_over_their_limit_and_those_without_one_last():
     found = [row("free", 900.0, None), row("within", 10.0, 29.0), row("over", 290.0, 29.0)]
     assert [each.cost for each in budget.by_factor(found, ["plan"])] == ["over", "within", "free"]
-    assert found[2].worst(["plan", "unknown"]) == pytest.approx(10.0)
+    assert found[2].worst_factor(["plan", "unknown"]) == pytest.approx(10.0)
 
 
 def test_what_no_form_carries_to_3100_routes_is_left_open_and_not_made_up():
@@ -243,7 +243,7 @@
     monkeypatch.setattr(process, "IDLE", 0.2)
     found = process.measure(TINY)
     assert found.answer_s < process.ANSWER_TIMEOUT
-    assert found.reload_s < budget.Budget().in_force_s
+    assert found.reload_s < budget.Budget().configuration_s
     assert found.descriptors >= 4  # standard streams, the loop, the listener
     assert found.log_lines >= 3  # serving, reloaded, stopped
     assert found.start_ms > 0
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -19,7 +19,7 @@
 from granitespool.scale.hollow.coordinator import HollowCoordinator
 from granitespool.scale.hollow.counts import Traffic
 from granitespool.scale.hollow.measurement import measure_profile
-from granitespool.scale.hollow.messages import update_of
+from granitespool.scale.hollow.messages import update_message
 from granitespool.scale.trace import BackendListed, ProxyJoined, ProxyLeft, UpdateReceived
 from granitespool.settings import RequestClass, Settings
 
@@ -464,7 +464,7 @@
 
 def test_its_messages_are_the_protocols_and_have_the_size_asked_for():
     lines = [[f"s{number}", 1.0] for number in range(500)]
-    data = update_of((900, 400, 300), lines, True, 7)
+    data = update_message((900, 400, 300), lines, True, 7)
     assert len(data) == 1600
     reader = Reader(BufferPool(4), MESSAGE_MAX)
     reader.free_space()[: len(data)] = data
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,11 +20,11 @@
 from granitespool.scale import fleet, report, runner, schema
 from granitespool.scale.coordinator_endpoint import ChannelQueue
 from granitespool.scale.discovery import Agent, BackendList
-from granitespool.scale.fleet import ListedBackend, MadeFleet, Network
+from granitespool.scale.fleet import GeneratedFleet, ListedBackend, Network
 from granitespool.scale.plan import Plan, coordinator_zones, plan_digest
 from granitespool.scale.processes import Child, Sample
 from granitespool.scale.proxy_message import IncomingMessage
-from granitespool.scale.questions import proxy_allowed
+from granitespool.scale.queries import proxy_allowed
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.run import Run
 from granitespool.scale.samples import worst_second
@@ -37,7 +37,7 @@
 
 
 def planned(scenario, seed=1):
-    made = MadeFleet(scenario, NETWORK, Random(seed))
+    made = GeneratedFleet(scenario, NETWORK, Random(seed))
     return Plan(scenario, made, Random(seed)).planned
 
 
@@ -73,7 +73,7 @@
 
 def test_the_fleet_is_that_of_the_plan_in_uneven_services():
     scenario = schema.load("steady")
-    made = MadeFleet(scenario, NETWORK, Random(1))
+    made = GeneratedFleet(scenario, NETWORK, Random(1))
     services = [backend.type for backend in made.backends]
     sizes = sorted(services.count(each) for each in set(services))
     assert len(made.backends) == 2900
@@ -114,7 +114,7 @@
         parse_configuration({**told, "settings": fleet.settings(scenario, "r0-z0", 0, version)})["settings"]
         for version in (0, 1)
     ]
-    assert read[1].proxies_expected == read[0].proxies_expected + 1 == fleet.proxy_base(scenario) + 1
+    assert read[1].proxies_expected == read[0].proxies_expected + 1 == fleet.expected_proxies(scenario) + 1
     assert read[0].drain_grace == fleet.limits(scenario).drain_grace == 4 * SECOND
     assert read[0].backlog_limit == fleet.limits(scenario).backlog_limit
 
@@ -128,7 +128,7 @@
     message.add({"type": "update", "level": 0.5, "retry": 1, "out": ["c"], "back": ["d"], "ticket": 7}, 70)
     assert message.entries == 1 + 2 + 1 + 1 + 1 + 1
     assert message.sizes == [90, 70]
-    assert message.ticket == 7
+    assert message.barrier == 7
     assert message.backends() == ["a", "b", "c", "d"]
     with pytest.raises(InvalidInputError):
         message.add({"type": "update", "lines": [["a"]]}, 30)
@@ -139,8 +139,8 @@
 def test_a_channel_carries_its_pace_and_tells_what_waits():
     recorder = Recorder(lambda: 0)
     channel = ChannelQueue(recorder, "c", Channel(lines_per_s=1000.0, head_lines=4, delay_ms=30))
-    assert channel.enter(0, 96) == 100 * MILLISECOND + 30 * MILLISECOND
-    assert channel.enter(50 * MILLISECOND, 96) == 200 * MILLISECOND + 30 * MILLISECOND
+    assert channel.enqueue(0, 96) == 100 * MILLISECOND + 30 * MILLISECOND
+    assert channel.enqueue(50 * MILLISECOND, 96) == 200 * MILLISECOND + 30 * MILLISECOND
     assert [event.entries for event in recorder.events] == pytest.approx([100, 150])
     assert all(isinstance(event, ChannelBacklog) for event in recorder.events)
 
@@ -233,7 +233,7 @@
         [ListedBackend(name="s-2", address="127.0.0.1:9", zone="z", type="m", group=0, status="gone")],
         notify=False,
     )
-    watched.agent.known_index = watched.list.index
+    watched.agent.list_index = watched.list.index
     watched.agent.push([second, first])
     assert watched.run(2, lambda: "stale_endpoint_list" in watched.log)
     assert watched.news == [{"s-2": "gone"}]
@@ -312,7 +312,7 @@
     child = Child(["-c", code], 256, 100)
     os.set_blocking(child.process.stdout.fileno(), True)
     assert child.process.stdout.readline().split() == [b"100", b"268435456"]
-    assert child.close(limit=0.2) == -signal.SIGKILL
+    assert child.close(timeout=0.2) == -signal.SIGKILL
     child.process.stdout.close()
 
 
@@ -392,7 +392,7 @@
     assert played.result.settings_refusal_kept
     assert played.result.settings_to_last.count == 6
     assert played.result.settings_to_last.unfinished == 0
-    assert [each.in_force for each in played.environment.coordinators] == [6, 6, 6]
+    assert [coordinator.applied_version for coordinator in played.environment.coordinators] == [6, 6, 6]
 
 
 def test_who_was_cut_off_held_what_it_had_and_was_right_soon_after(played):
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -17,7 +17,7 @@
 from granitespool.scale import fleet, report, schema
 from granitespool.scale.checker import check
 from granitespool.scale.collector import Collector
-from granitespool.scale.fleet import MadeFleet, Network
+from granitespool.scale.fleet import GeneratedFleet, Network
 from granitespool.scale.plan import Plan, coordinator_name, coordinator_zones, plan_digest
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.run_report import sizes
@@ -32,7 +32,7 @@
 
 def planned(scenario):
     seed = scenario.scale.seed
-    made = MadeFleet(scenario, NETWORK, Random(seed))
+    made = GeneratedFleet(scenario, NETWORK, Random(seed))
     return made, Plan(scenario, made, Random(seed))
 
 
@@ -68,11 +68,11 @@
     scenario = scenario_of(name)
     return recordings.as_recorded(
         {
-            "first": msgspec.to_builtins(MadeFleet(scenario, NETWORK, Random(5)).backends[:8]),
+            "first": msgspec.to_builtins(GeneratedFleet(scenario, NETWORK, Random(5)).backends[:8]),
             "zones": coordinator_zones(scenario),
             "names": [coordinator_name(index) for index in range(3)],
             "addresses": [NETWORK.coordinator(251), NETWORK.agent(251), NETWORK.backend(1751)],
-            "proxies": fleet.proxy_base(scenario),
+            "proxies": fleet.expected_proxies(scenario),
             "settings": [fleet.settings(scenario, "r0-z0", 1, version) for version in (0, 13)],
             "limits": msgspec.structs.astuple(fleet.limits(scenario)),
         }
@@ -102,11 +102,11 @@
             self.waiting[0] = (next(coroutine)[2], number, coroutine)
 
 
-class LivingBackends:
+class RunningBackends:
     """Stands in for the backends: who lives, and since when."""
 
     def __init__(self, names):
-        self.living, self.started = dict.fromkeys(names), dict.fromkeys(names, 0)
+        self.running, self.started = dict.fromkeys(names), dict.fromkeys(names, 0)
 
 
 class Stream:
@@ -123,7 +123,7 @@
     loop = VirtualLoop()
     recorder = Recorder(loop.clock)
     names = [f"s{number}" for number in range(6)]
-    backends = LivingBackends(names)
+    backends = RunningBackends(names)
     streams = [
         Stream(number, scenario.zones[number % 2], dict.fromkeys(names[number:], 1.0 + number))
         for number in range(4)
@@ -142,7 +142,7 @@
             backends.started["s4"] = loop.now
             streams[1].weighted_at["s4"] = loop.now
         if second == 2:
-            del backends.living["s5"]
+            del backends.running["s5"]
             streams[0].table.apply(TableUpdate(excluded=["s5"]))
     return recordings.as_recorded(
         {
@@ -209,7 +209,7 @@
 
 
 def keys():
-    sections = {**schema.SECTIONS, schema.EVENT + "*": schema.Event}
+    sections = {**schema.SECTIONS, schema.EVENT_PREFIX + "*": schema.Event}
     return recordings.as_recorded(
         {
             section: {
