--- a/granitespool/scale/__init__.py
+++ b/granitespool/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Proof at scale on one machine: hollow and real coordinators, stand-ins, a rule checker, cost fits."""
+"""Scale tests on one machine: real and hollow coordinators, stand-ins, a checker of the rules, cost fits."""
--- a/granitespool/scale/backends.py
+++ b/granitespool/scale/backends.py
@@ -1,4 +1,4 @@
-"""Stand-ins of backends: a listener each, which answers `/alive` and `/metrics/load` while it lives."""
+"""Stand-ins of backends: one listener each, which answers `/alive` and `/metrics/load` while it runs."""
 
 import socket
 from collections.abc import Iterable
@@ -12,14 +12,14 @@
 from granitespool.scale.fleet import ListedBackend
 from granitespool.units import SECOND
 
-REQUEST_TIMEOUT = 2 * SECOND  # ns within which a request has to be there
+REQUEST_TIMEOUT = 2 * SECOND  # ns to receive a request, and to send its answer
 BACKLOG = 64
 BODY = b"inflight=7,queue=2,util=0.5"
 ANSWER = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
 
 
 class HealthCheckCounts(msgspec.Struct):
-    """Health checks that backends have answered, and their bytes."""
+    """Number and bytes of the health checks that the backends have answered."""
 
     number: int = 0
     request_bytes: int = 0
@@ -27,26 +27,26 @@
 
 
 class Backends:
-    """All backends that live; one that ended refuses connections."""
+    """All running backends; a stopped one refuses connections."""
 
     def __init__(self, loop: Loop, entries: Iterable[ListedBackend]) -> None:
-        """The backends of these entries listen from now on, warm ones."""
+        """Start a backend for each of these entries, already warmed up."""
         self.loop = loop
         self.running: dict[str, Task] = {}
-        self.started: dict[str, int] = {}  # backend -> when it began, ns; 0: long ago
+        self.started: dict[str, int] = {}  # backend -> ns of its start; 0: long ago
         self.health_checks = HealthCheckCounts()
         for entry in entries:
             self.start(entry)
 
     def start(self, entry: ListedBackend, started: int = 0) -> None:
-        """A backend begins to listen at its address; `started` in ns of Unix time."""
+        """Start a backend, which listens at its address; `started` is in ns of Unix time."""
         listener = socket.create_server(parse_address(entry.address), backlog=BACKLOG)
         listener.setblocking(False)
         self.running[entry.name] = self.loop.spawn(self._accept(listener))
         self.started[entry.name] = started
 
     def stop(self, name: str) -> None:
-        """A backend ends without a word."""
+        """Stop a backend as a crash does: discovery is not notified."""
         task = self.running.pop(name, None)
         if task is not None:
             self.loop.end(task)
@@ -58,7 +58,7 @@
                 try:
                     sock, _ = listener.accept()
                 except OSError:
-                    continue  # it has gone already
+                    continue  # the client has closed the connection already
                 sock.setblocking(False)
                 self.loop.spawn(self._answer(sock))
 
@@ -73,7 +73,7 @@
                     request += data
                 yield from send(sock, ANSWER, self.loop.now + REQUEST_TIMEOUT)
             except OSError:
-                return  # the other side has gone
+                return  # the client has closed the connection
             self.health_checks.number += 1
             self.health_checks.request_bytes += len(request)
             self.health_checks.answer_bytes += len(ANSWER)
--- a/granitespool/scale/checker/channel.py
+++ b/granitespool/scale/checker/channel.py
@@ -1,4 +1,4 @@
-"""The limits of each coordinator's channel: `channel`."""
+"""The rule `channel`: the limits of each coordinator's channel."""
 
 from collections import deque
 
@@ -9,16 +9,16 @@
 
 
 class ChannelRule:
-    """Counts what each coordinator writes to each proxy."""
+    """Checks the queue and the messages of each coordinator's channel."""
 
     def __init__(self, limits: Limits, violations: list[Violation]) -> None:
-        """What is found is added to `violations`."""
+        """Create the rule; violations are appended to `violations`."""
         self.limits = limits
         self.violations = violations
-        self.over_backlog_limit: set[str] = set()  # coordinators with more entries waiting than may be
-        self.written: dict[Stream, deque[int]] = {}  # times of the messages in the span, ns
-        self.over_message_limit: set[Stream] = set()  # with more messages in the span than may be
-        self.ended: set[Stream] = set()  # that the coordinator itself has ended
+        self.over_backlog_limit: set[str] = set()  # coordinators with too many queued entries
+        self.written: dict[Stream, deque[int]] = {}  # ns of each message within the span
+        self.over_message_limit: set[Stream] = set()  # streams with too many messages within the span
+        self.ended: set[Stream] = set()  # streams that the coordinator itself has closed
         self.handlers: Handlers = {
             ChannelBacklog: self.backlog,
             MessageWritten: self.message_written,
@@ -30,7 +30,7 @@
         self.violations.append(Violation(rule="channel", at=at, subject=subject, text=text))
 
     def backlog(self, event: ChannelBacklog) -> None:
-        """Reported once for each time that too many entries wait."""
+        """Check the queued entries; an overrun is reported once until it is over."""
         if event.entries <= self.limits.backlog_limit:
             self.over_backlog_limit.discard(event.coordinator)
         elif event.coordinator not in self.over_backlog_limit:
@@ -39,7 +39,7 @@
             self._report(event.at, f"coordinator {event.coordinator}", text)
 
     def joined(self, event: ProxyJoined) -> None:
-        """Messages are counted from a proxy's joining, unless the coordinator had ended its stream."""
+        """Reset the count of messages when a proxy joins, unless the coordinator had closed its stream."""
         stream = (event.coordinator, event.proxy)
         if stream in self.ended:
             self.ended.discard(stream)
@@ -48,7 +48,7 @@
             self.over_message_limit.discard(stream)
 
     def left(self, event: ProxyLeft) -> None:
-        """Remembers which streams the coordinator itself has ended."""
+        """Record whether the coordinator itself has closed the stream."""
         stream = (event.coordinator, event.proxy)
         if event.by_coordinator:
             self.ended.add(stream)
@@ -56,7 +56,7 @@
             self.ended.discard(stream)
 
     def message_written(self, event: MessageWritten) -> None:
-        """One complete message: its parts, the bytes of its largest part, and how many came before it."""
+        """Check one complete message: its parts, the size of the largest part, and the message rate."""
         subject = f"coordinator {event.coordinator}, proxy {event.proxy}"
         if event.parts > self.limits.parts_limit:
             text = f"A message has {event.parts} parts, over {self.limits.parts_limit}."
--- a/granitespool/scale/checker/check.py
+++ b/granitespool/scale/checker/check.py
@@ -1,4 +1,4 @@
-"""Runs all rules over one trace."""
+"""Applies all rules to one trace."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -13,9 +13,11 @@
 
 
 def check(events: Iterable[AnyEvent], limits: Limits) -> list[Violation]:
-    """All violations in order of time; raises EventOrderError and UnknownEventError.
+    """Return all violations in order of time.
 
-    A time limit that is still running at the last event is judged as of that event."""
+    A time limit that is still running at the last event is checked at the time of that event. Raises
+    EventOrderError and UnknownEventError.
+    """
     checker = _Checker(limits)
     for index, event in enumerate(events):
         checker.observe(index, event)
@@ -23,12 +25,12 @@
 
 
 class _Checker:
-    """All rules over one trace, event by event."""
+    """Applies all rules to one trace, event by event."""
 
     def __init__(self, limits: Limits) -> None:
         self.violations: list[Violation] = []
         self.deadlines = Deadlines(self.violations)
-        self.now: int | None = None  # ns of the latest event
+        self.now: int | None = None  # ns of the last event
         self.handlers: dict[type, list[Callable[[Any], None]]] = {}
         rules = (
             TableRules(limits, self.deadlines),
@@ -41,7 +43,7 @@
                 self.handlers.setdefault(kind, []).append(handler)
 
     def observe(self, index: int, event: AnyEvent) -> None:
-        """Lets time pass up to the event, then takes it; raises EventOrderError, UnknownEventError."""
+        """Advance the time to that of the event and handle it; raise EventOrderError, UnknownEventError."""
         handlers = self.handlers.get(type(event))
         if handlers is None:
             raise UnknownEventError(index, type(event))
@@ -53,7 +55,7 @@
             handle(event)
 
     def violations_in_order(self) -> list[Violation]:
-        """All violations in order of time, up to the latest event."""
+        """Return all violations in order of time, up to the last event."""
         if self.now is not None:
             self.deadlines.advance(self.now)
         return sorted(self.violations, key=lambda violation: violation.at)
--- a/granitespool/scale/checker/cold_backends.py
+++ b/granitespool/scale/checker/cold_backends.py
@@ -1,21 +1,22 @@
-"""The rule on backends that warm up: `cold_overload`."""
+"""The rule `cold_overload`: the load of backends that warm up."""
 
 from granitespool.scale.checker.deadlines import Deadlines
 from granitespool.scale.checker.violation import Handlers, Violation, as_seconds
 from granitespool.scale.trace import BackendLoad, CoordinatorEnded, CoordinatorStarted, Limits
 
-INFORMED_SHARE = 2 / 3  # of a backend's work, what must come from proxies that could know of its start
+# Share of a backend's load that has to come from proxies with a weight from after its start, for a violation
+INFORMED_SHARE = 2 / 3
 
 
 class ColdBackendRule:
-    """Starts and stops a time limit for each backend that gets more than it can do at its age."""
+    """Runs a time limit for each backend that gets more than its capacity at its age."""
 
     def __init__(self, limits: Limits, deadlines: Deadlines) -> None:
         self.limits = limits
         self.deadlines = deadlines
         self.overloaded_since: dict[str, int] = {}  # ns, by backend
-        self.latest: dict[str, BackendLoad] = {}  # of those overloaded
-        self.answered: dict[str, int] = {}  # running coordinators' first answers, ns
+        self.latest: dict[str, BackendLoad] = {}  # the last load of each overloaded backend
+        self.answered: dict[str, int] = {}  # ns of the first answer of each running coordinator
         self.any_answered = False
         self.handlers: Handlers = {
             BackendLoad: self.load,
@@ -24,7 +25,7 @@
         }
 
     def load(self, event: BackendLoad) -> None:
-        """The work that reaches a backend changes."""
+        """Handle a change of a backend's load."""
         if self._is_overload(event):
             self.overloaded_since.setdefault(event.backend, event.at)
             self.latest[event.backend] = event
@@ -37,13 +38,13 @@
         return event.warming_up and event.multiple > self.limits.overload_multiple and informed
 
     def started(self, event: CoordinatorStarted) -> None:
-        """A coordinator has a second from its first answer on, as long as no other runs."""
+        """Handle a coordinator's start; time limits begin a second later, unless another one runs."""
         self.answered[event.coordinator] = event.at
         self.any_answered = True
         self._refresh_all(event.at)
 
     def ended(self, event: CoordinatorEnded) -> None:
-        """Where no coordinator runs, nobody is held to the rule."""
+        """Handle a coordinator's end; while none runs, no time limit runs."""
         self.answered.pop(event.coordinator, None)
         self._refresh_all(event.at)
 
@@ -69,6 +70,6 @@
         self.deadlines.start(began, began + allowed, violation)
 
     def _began(self, since: int) -> int:
-        """When (ns) the time limit of an overload since then starts to run."""
+        """Return when (ns) the time limit of an overload that began at `since` starts to run."""
         first_answer = min(self.answered.values(), default=None)
         return since if first_answer is None else max(since, first_answer + self.limits.start_grace)
--- a/granitespool/scale/checker/deadlines.py
+++ b/granitespool/scale/checker/deadlines.py
@@ -1,4 +1,4 @@
-"""Time limits that run: each is a violation unless it is stopped in time."""
+"""Running time limits; one that is not stopped before it expires is a violation."""
 
 import heapq
 
@@ -10,26 +10,26 @@
 
 
 class _Deadline(msgspec.Struct, frozen=True):
-    """A time limit that runs: `violation` is reported unless it is stopped by `due`."""
+    """A running time limit: `violation` is reported unless it is stopped by `due`."""
 
     began: int  # ns
-    due: int  # ns: the last instant that is allowed
+    due: int  # ns of the last allowed instant
     violation: Violation
 
 
 class Deadlines:
-    """The time limits that run, at most one of each rule and subject."""
+    """The running time limits, at most one for each rule and subject."""
 
     def __init__(self, violations: list[Violation]) -> None:
-        """What is found is added to `violations`."""
+        """Create an empty set of time limits; violations are appended to `violations`."""
         self.violations = violations
         self._running: dict[Key, _Deadline] = {}
-        self._reported: dict[Key, int] = {}  # when (ns) the time limit began that was reported last
+        self._reported: dict[Key, int] = {}  # ns of the beginning of the last reported time limit
         self._queue: list[tuple[int, int, _Deadline]] = []
         self._sequence = 0
 
     def start(self, began: int, due: int, violation: Violation) -> None:
-        """Starts or keeps a time limit (ns); one that was reported is not reported again."""
+        """Start a time limit (ns), or keep it if it runs; one that was reported is not reported again."""
         key = (violation.rule, violation.subject)
         if self._reported.get(key) == began:
             return
@@ -42,11 +42,11 @@
         heapq.heappush(self._queue, (due, self._sequence, deadline))
 
     def stop(self, rule: Rule, subject: str) -> None:
-        """Stops a time limit, if it runs."""
+        """Stop a time limit, if it runs."""
         self._running.pop((rule, subject), None)
 
     def advance(self, now: int) -> None:
-        """Reports each time limit whose last allowed instant lies before `now` (ns)."""
+        """Report each time limit whose last allowed instant is before `now` (ns)."""
         while self._queue and self._queue[0][0] < now:
             deadline = heapq.heappop(self._queue)[2]
             key = (deadline.violation.rule, deadline.violation.subject)
--- a/granitespool/scale/checker/effects.py
+++ b/granitespool/scale/checker/effects.py
@@ -1,20 +1,20 @@
-"""The rule on effects that must happen once: `double_effect`."""
+"""The rule `double_effect`: requests whose effect must happen once."""
 
 from granitespool.scale.checker.violation import Handlers, Violation
 from granitespool.scale.trace import RequestExecuted
 
 
 class EffectRule:
-    """Remembers which backend carried out each request first."""
+    """Checks that no such request is executed twice."""
 
     def __init__(self, violations: list[Violation]) -> None:
-        """What is found is added to `violations`."""
+        """Create the rule; violations are appended to `violations`."""
         self.violations = violations
-        self.executed: dict[int, str] = {}  # request -> the backend that carried it out first
+        self.executed: dict[int, str] = {}  # request -> the backend that executed it first
         self.handlers: Handlers = {RequestExecuted: self.request_executed}
 
     def request_executed(self, event: RequestExecuted) -> None:
-        """A backend has carried out an attempt."""
+        """Check an attempt that a backend has executed."""
         if event.effect != "single_shot":
             return
         if event.request not in self.executed:
--- a/granitespool/scale/checker/endpoint_list.py
+++ b/granitespool/scale/checker/endpoint_list.py
@@ -1,4 +1,4 @@
-"""What discovery has told each coordinator of the backends."""
+"""The endpoint list that each coordinator has received from discovery."""
 
 import msgspec
 
@@ -6,23 +6,23 @@
 
 
 class _Listing(msgspec.Struct, frozen=True):
-    """A backend as one coordinator was told of it last."""
+    """The last entry of a backend that one coordinator has received."""
 
     ready: bool
-    started: int  # ns; 0: long ago
+    started: int  # ns of the backend's start; 0: long ago
 
 
 class EndpointList:
-    """What one incarnation of a coordinator was told."""
+    """The endpoint list that one process of a coordinator has received."""
 
     def __init__(self, only_draining_binds: bool) -> None:
-        """`only_draining_binds` as in Limits."""
+        """Create an empty list; `only_draining_binds` is that of `Limits`."""
         self.only_draining_binds = only_draining_binds
-        self.unready: dict[str, int] = {}  # backend that no proxy may hold open for long -> told when, ns
+        self.unready: dict[str, int] = {}  # backend to remove from tables -> ns when that was received
         self._listings: dict[str, _Listing] = {}
 
     def update(self, event: BackendListed) -> None:
-        """Takes one entry."""
+        """Apply one entry."""
         ready = event.phase == "ready"
         self._listings[event.backend] = _Listing(ready, event.started)
         if ready:
@@ -31,33 +31,33 @@
             self.unready.setdefault(event.backend, event.at)
 
     def first_warm_at(self, warm_up_time: int) -> int | None:
-        """When (ns) the first of the ready backends is or was warm; None where none is ready."""
+        """Return when (ns) the first ready backend is or was warmed up; None if no backend is ready."""
         ready = (listing.started for listing in self._listings.values() if listing.ready)
         return min((started + warm_up_time if started else 0 for started in ready), default=None)
 
 
 class CoordinatorView:
-    """One coordinator from outside: its first answer, its proxies and its list."""
+    """A coordinator as seen from outside: its first answer, its proxies and its endpoint list."""
 
     def __init__(self, only_draining_binds: bool) -> None:
-        """`only_draining_binds` as in Limits."""
+        """Create a coordinator without proxies; `only_draining_binds` is that of `Limits`."""
         self.only_draining_binds = only_draining_binds
-        self.answered_at: int | None = None  # ns of the first answer of its present incarnation
+        self.answered_at: int | None = None  # ns of the first answer of its current process
         self.proxies: dict[int, None] = {}  # in order of joining
         self.listed = EndpointList(only_draining_binds)
-        self._next_listed = self.listed  # what the next incarnation knows
+        self._next_listed = self.listed  # the list of the next process
 
     def update(self, event: BackendListed) -> None:
-        """Takes one entry of its list."""
+        """Apply one entry of its endpoint list."""
         self.listed.update(event)
         if self._next_listed is not self.listed:
             self._next_listed.update(event)
 
     def end(self) -> None:
-        """What is told from now on may be known to a new incarnation only; that shows at its answer."""
+        """Collect further entries for a new process too; its first answer shows that there is one."""
         self._next_listed = EndpointList(self.only_draining_binds)
 
     def answer(self, now: int) -> None:
-        """A new incarnation answers for the first time: it knows only what was told since the end."""
+        """Switch to a new process, whose list has only the entries since the end of the former one."""
         self.answered_at = now
         self.listed = self._next_listed
--- a/granitespool/scale/checker/tables.py
+++ b/granitespool/scale/checker/tables.py
@@ -1,4 +1,4 @@
-"""The rules on what proxies hold: `no_backend` and `drain`."""
+"""The rules `no_backend` and `drain`: the tables of proxies."""
 
 from granitespool.scale.checker.deadlines import Deadlines
 from granitespool.scale.checker.endpoint_list import CoordinatorView
@@ -15,20 +15,20 @@
 
 
 class _Proxy:
-    """One proxy: its stream and the table that it holds, which outlives its streams."""
+    """One proxy: its stream, and its table, which it keeps when the stream ends."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.coordinator: CoordinatorView | None = None
         self.coordinator_name = ""
         self.joined_at = 0  # ns
-        self.ended_by: str | None = None  # the coordinator that ended its last stream
-        self.open: frozenset[str] = frozenset()  # backends that it may pick
-        self.empty_since: int | None = 0  # ns; None: it has a backend to pick
-        self.drain_timed: set[str] = set()  # backends whose drain's time runs
+        self.ended_by: str | None = None  # the coordinator that closed its last stream
+        self.open: frozenset[str] = frozenset()  # backends that it may use
+        self.empty_since: int | None = 0  # ns; None: it may use a backend
+        self.drain_timed: set[str] = set()  # backends with a running time limit of the rule `drain`
 
     def hold(self, event: TableHeld) -> None:
-        """Takes the table that it holds from now on."""
+        """Set the table that the proxy uses from now on."""
         weighted = (backend for backend, weight in event.weights.items() if weight > 0)
         self.open = frozenset(weighted) - event.excluded
         if self.open:
@@ -37,13 +37,13 @@
             self.empty_since = event.at
 
     def since(self, began: int, start_grace: int) -> int:
-        """When (ns) a time limit on something that began at `began` starts to run for this proxy."""
+        """Return when (ns) a time limit on a state since `began` starts to run for this proxy."""
         assert self.coordinator is not None and self.coordinator.answered_at is not None  # noqa: PT018
         return max(began, self.joined_at, self.coordinator.answered_at + start_grace)
 
 
 class TableRules:
-    """Starts and stops a time limit for each empty table and each draining backend that is held."""
+    """Runs a time limit for each empty table and for each draining backend in a table."""
 
     def __init__(self, limits: Limits, deadlines: Deadlines) -> None:
         self.limits = limits
@@ -70,7 +70,7 @@
         return self.proxies[number]
 
     def backend_listed(self, event: BackendListed) -> None:
-        """The list of one coordinator changes, and with it what its proxies may hold."""
+        """Handle a change of a coordinator's endpoint list, which affects the tables of its proxies."""
         coordinator = self._coordinator(event.coordinator)
         coordinator.update(event)
         for number in coordinator.proxies:
@@ -81,21 +81,24 @@
                 self._refresh_drain(proxy, event.backend, event.at)
 
     def started(self, event: CoordinatorStarted) -> None:
-        """A new incarnation answers; time limits of its proxies begin no sooner than that."""
+        """Handle the first answer of a new process; time limits of its proxies begin no sooner."""
         coordinator = self._coordinator(event.coordinator)
         coordinator.answer(event.at)
         for number in coordinator.proxies:
             self._refresh(self.proxies[number], event.at)
 
     def ended(self, event: CoordinatorEnded) -> None:
-        """Its proxies have left it. It may be cut off alone, so its list is kept until a new one answers."""
+        """Handle a coordinator's end: its proxies leave it.
+
+        It may only be cut off, so its endpoint list is kept until a new process answers.
+        """
         coordinator = self._coordinator(event.coordinator)
         coordinator.end()
         for number in list(coordinator.proxies):
             self._leave(self.proxies[number], event.at)
 
     def joined(self, event: ProxyJoined) -> None:
-        """A proxy's time limits begin anew, unless its coordinator had ended its stream itself."""
+        """Handle a join; time limits start again, unless the same coordinator had closed the stream."""
         proxy = self._proxy(event.proxy)
         joined_again = proxy.ended_by == event.coordinator
         if proxy.coordinator is not None:
@@ -103,7 +106,7 @@
         coordinator = self._coordinator(event.coordinator)
         coordinator.proxies[event.proxy] = None
         if coordinator.answered_at is None:
-            coordinator.answered_at = event.at  # to take a joining is to answer
+            coordinator.answered_at = event.at  # accepting a proxy counts as an answer
         proxy.coordinator = coordinator
         proxy.coordinator_name = event.coordinator
         if not joined_again:
@@ -111,7 +114,7 @@
         self._refresh(proxy, event.at)
 
     def left(self, event: ProxyLeft) -> None:
-        """A stream ended. Where its coordinator ended it, the time limits run until the next joining."""
+        """Handle the end of a stream; if its coordinator closed it, time limits run until the next join."""
         proxy = self.proxies.get(event.proxy)
         if proxy is None or proxy.coordinator is None or proxy.coordinator_name != event.coordinator:
             return  # the end of a former stream
@@ -128,13 +131,13 @@
         self._refresh(proxy, now)
 
     def table_held(self, event: TableHeld) -> None:
-        """A proxy holds another table."""
+        """Handle a change of a proxy's table."""
         proxy = self._proxy(event.proxy)
         proxy.hold(event)
         self._refresh(proxy, event.at)
 
     def _refresh(self, proxy: _Proxy, now: int) -> None:
-        """Starts, keeps and stops this proxy's time limits by what holds from `now` (ns) on."""
+        """Start, keep or stop this proxy's time limits by its state from `now` (ns) on."""
         self._refresh_empty(proxy, now)
         unready = proxy.coordinator.listed.unready.keys() & proxy.open if proxy.coordinator else set()
         for backend in sorted(proxy.drain_timed | unready):
--- a/granitespool/scale/collector.py
+++ b/granitespool/scale/collector.py
@@ -1,4 +1,4 @@
-"""Stand-ins of collectors: a zone's connection to each coordinator, and the load reports on it."""
+"""Stand-ins of collectors, which send the load reports of a zone to each coordinator."""
 
 import socket
 from collections.abc import Sequence
@@ -16,16 +16,16 @@
 from granitespool.scale.schema import Scenario
 from granitespool.units import MILLISECOND, SECOND
 
-REPORT_INTERVAL = SECOND  # ns between a collector's reports
-RECONNECT_DELAY = SECOND // 2  # ns between a collector's diallings
-DIAL_TIMEOUT = SECOND  # ns for a connection to come up
+REPORT_INTERVAL = SECOND  # ns between the reports of a collector
+RECONNECT_DELAY = SECOND // 2  # ns from the end of a connection to the next attempt to connect
+DIAL_TIMEOUT = SECOND  # ns for a connection to be established
 READ_SIZE = 4096
-ROUND_TRIP_MIN = 0.8  # of the mean service time
-ROUND_TRIP_RANGE = 0.4
+ROUND_TRIP_MIN = 0.8  # lowest reported round trip, as a multiple of the mean service time
+ROUND_TRIP_RANGE = 0.4  # width of the range of reported round trips, in the same unit
 
 
 class Collector:
-    """A zone's collector: what the zone's proxies met, reported to each coordinator."""
+    """The collector of one zone; it reports the load of the zone's links to each coordinator."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         backends: Backends,
         random: Random,
     ) -> None:
-        """`streams` may grow."""
+        """Create the collector of `zone`; the caller may add to `streams` later."""
         self.loop = loop
         self.recorder = recorder
         self.scenario = scenario
@@ -45,16 +45,16 @@
         self.streams = streams
         self.backends = backends
         self.random = random
-        self.unreachable: set[str] = set()  # coordinators that a cut keeps it from
+        self.unreachable: set[str] = set()  # coordinators on the other side of a network partition
         self.down = False
 
     @property
     def region(self) -> str:
-        """The region of its zone."""
+        """The region of the collector's zone."""
         return region_of(self.zone)
 
     def report_to(self, endpoint: CoordinatorEndpoint) -> None:
-        """Connects to a coordinator from now on."""
+        """Connect to a coordinator, and reconnect until the run ends."""
         self.loop.spawn(self._run(endpoint))
 
     def _run(self, endpoint: CoordinatorEndpoint) -> Wait:
@@ -62,7 +62,7 @@
         while True:
             if not endpoint.down and not self.down:
                 with (
-                    suppress(OSError),  # dialled again
+                    suppress(OSError),  # the loop connects again
                     socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock,
                 ):
                     yield from self._stream(sock, endpoint)
@@ -88,7 +88,7 @@
                 endpoint.recorder.count(endpoint.name, "in", "heard", len(data), len(reports))
 
     def load_reports(self) -> list[bytes]:
-        """Frames of what a second brought, on links of this zone drawn from what its proxies hold."""
+        """Return a second's load reports as frames, on links drawn from the tables of the zone's proxies."""
         expected = self.scenario.traffic.links_per_s / len(self.scenario.zones)
         count = int(expected) + (self.random.random() < expected % 1)
         zone_streams = [
--- a/granitespool/scale/coordinator_log.py
+++ b/granitespool/scale/coordinator_log.py
@@ -1,4 +1,4 @@
-"""What a real coordinator's log tells a run: the border to the log's own event names."""
+"""Evaluates the log of a real coordinator; the only module of the run with the log's event names."""
 
 from collections import Counter
 from typing import Any
@@ -7,7 +7,7 @@
 
 from granitespool.units import MILLISECOND
 
-FAULT_EVENTS = (  # that tell of a fault around the coordinator, which it has met
+FAULT_EVENTS = (  # faults around the coordinator, which it handled
     "watch_ended",
     "stale_endpoint_list",
     "endpoint_skipped",
@@ -17,33 +17,33 @@
     "message_dropped",
     "log_dropped",
 )
-INTERNAL_ERROR_EVENTS = ("task_failed", "internal_error")  # that tell of a fault of the program
+INTERNAL_ERROR_EVENTS = ("task_failed", "internal_error")  # defects of the coordinator itself
 RELOADED, RELOAD_REJECTED = "reloaded", "reload_rejected"
-ERROR_TEXT_LENGTH = 400  # characters of a line that tells of an internal error
+ERROR_TEXT_LENGTH = 400  # characters kept of the log line of an internal error
 
 
 class Reload(msgspec.Struct, frozen=True):
-    """A line that answers a SIGHUP."""
+    """A log line with the outcome of a SIGHUP."""
 
     at: int  # ns
     rejected: bool
 
 
 class CoordinatorLog:
-    """Takes a coordinator's log line by line, over all its incarnations."""
+    """Counts of a coordinator's log lines over all its processes."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.lines = 0  # since the measuring began
+        self.lines = 0  # since the measurement began
         self.reloads: list[Reload] = []
-        self.list_index = 0  # version of the list that was told last
-        self.older_lists = 0  # lists that were taken though they were older than the one before
+        self.list_index = 0  # version of the endpoint list applied last
+        self.older_lists = 0  # endpoint lists that were applied although older than the one before
         self.health_checks = 0
         self.fault_events: Counter[str] = Counter()
         self.internal_errors: list[str] = []
 
     def add_line(self, line: dict[str, Any]) -> None:
-        """Takes one line."""
+        """Evaluate one decoded log line."""
         self.lines += 1
         event = line.get("event")
         if event in FAULT_EVENTS:
--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -1,4 +1,4 @@
-"""A real coordinator: a process of `granitespool serve`, its configuration, and questions to it."""
+"""A real coordinator: a process of `granitespool serve`, its configuration, and queries to it."""
 
 import signal
 import socket
@@ -21,13 +21,13 @@
 from granitespool.scale.trace import CoordinatorEnded, CoordinatorStarted
 from granitespool.units import SECOND
 
-ANSWER_TIMEOUT = 2 * SECOND  # ns that an answer is waited for
-EXIT_TIMEOUT = 5 * SECOND  # ns that the end of a process is waited for
-POLL_INTERVAL = SECOND // 100  # ns between two looks
+ANSWER_TIMEOUT = 2 * SECOND  # ns until the answer to a query has to be received
+EXIT_TIMEOUT = 5 * SECOND  # ns from a signal until the process is stopped by force
+POLL_INTERVAL = SECOND // 100  # ns between checks of a process
 
 
 class RealCoordinator:
-    """One process at a time; it may be ended and started again at the same address."""
+    """A coordinator of the run; its process may be stopped and started again at the same address."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         index: int,
         folder: Path,
     ) -> None:
-        """`agent` is its discovery agent; its configuration is written to `folder`."""
+        """Create the coordinator; `agent` is its discovery agent, `folder` is for its configuration file."""
         self.loop = loop
         self.recorder = recorder
         self.scenario = scenario
@@ -49,10 +49,10 @@
         self.path = folder / f"{endpoint.name}.json"
         self.child: Child | None = None
         self.log = CoordinatorLog(endpoint.name)
-        self.written_version = 0  # of the settings in its file
-        self.applied_version = 0  # newest version of the settings that it was seen to have
-        self.older_settings = 0  # looks at which it had older settings than before
-        self.samples: list[Sample] = []  # of all its processes
+        self.written_version = 0  # of the settings in its configuration file
+        self.applied_version = 0  # newest settings version observed as active
+        self.older_settings = 0  # queries that found older settings than an earlier one
+        self.samples: list[Sample] = []  # resource usage of all its processes
         self.ready_times: list[int] = []  # ns from each start to the first answer
         self.exit_codes: list[int] = []
 
@@ -63,11 +63,11 @@
 
     @property
     def serves(self) -> bool:
-        """Whether its process runs and has answered."""
+        """Whether the process runs and is ready."""
         return not self.endpoint.down and self.child is not None and not self.child.ended
 
     def write_configuration(self, version: int, valid: bool = True) -> None:
-        """Writes its configuration; one that is not usable lacks what every configuration must have."""
+        """Write the configuration file; an invalid one lacks the required settings."""
         configuration = self._configuration(version)
         if valid:
             self.written_version = version
@@ -94,7 +94,7 @@
         }
 
     def start(self, entries: list[ListedBackend]) -> Wait:
-        """Starts its process and waits until it is ready; True where it was in time."""
+        """Start the process and wait until it is ready; return whether that was before the timeout."""
         self.write_configuration(self.written_version)
         self.agent.record_initial_list(entries)
         coordinators = self.scenario.coordinators
@@ -119,12 +119,12 @@
         self.applied_version = self.written_version
 
     def request(self, question: bytes) -> Wait:
-        """The answer to one message on a connection of its own; b"" where none came."""
+        """Send a message on a new connection and return the answer; b"" if none was received."""
         try:
             answer = yield from self._request(question)
         except OSError:
             answer = b""
-        yield None, 0, self.loop.now  # the descriptor is closed before another is opened
+        yield None, 0, self.loop.now  # close the descriptor before another one is opened
         return answer
 
     def _request(self, question: bytes) -> Wait:
@@ -143,7 +143,7 @@
             return answer
 
     def has_settings(self, version: int) -> Wait:
-        """Whether settings of this version or a later one are in force; None where no answer came."""
+        """Return whether settings of this version or a later one are active; None without an answer."""
         if version < 1:
             return True
         answer = yield from self.request(settings_query(fleet.expected_proxies(self.scenario) + version - 1))
@@ -157,19 +157,19 @@
         return allowed
 
     def reload(self) -> None:
-        """SIGHUP: its configuration is to be read anew."""
+        """Send SIGHUP, so that the process reads its configuration again."""
         assert self.child is not None
         self.child.signal(signal.SIGHUP)
 
     def stop(self, signal_number: signal.Signals) -> None:
-        """Sends the signal that ends it; its proxies go elsewhere from then on."""
+        """Send the signal that stops the process; its proxies connect elsewhere from then on."""
         assert self.child is not None
         self.endpoint.down = True
         self.recorder.add(CoordinatorEnded(at=self.loop.clock(), coordinator=self.name))
         self.child.signal(signal_number)
 
     def wait_for_exit(self) -> Wait:
-        """Waits until its process has ended, and ends it where it does not."""
+        """Wait until the process has exited; stop it after EXIT_TIMEOUT."""
         assert self.child is not None
         until = self.loop.now + EXIT_TIMEOUT
         while not self.child.ended and self.loop.now < until:
@@ -177,14 +177,14 @@
         self.exit_codes.append(self.child.close())
 
     def take_sample(self) -> None:
-        """Notes what its process has used."""
+        """Record the resource usage of the process."""
         found = sample(self.child.pid, self.loop.clock()) if self.child else None
         if found:
             self.samples.append(found)
 
 
 def _is_complete(frame: bytes) -> bool:
-    """Whether a frame has come to its end."""
+    """Return whether a frame is complete."""
     return len(frame) >= LENGTH_SIZE and len(frame) >= LENGTH_SIZE + int.from_bytes(
         frame[:LENGTH_SIZE], "little"
     )
--- a/granitespool/scale/cut_recovery.py
+++ b/granitespool/scale/cut_recovery.py
@@ -1,4 +1,8 @@
-"""Coordinators that were cut off: what they held when the cut ended, and when they were up to date again."""
+"""Recovery of coordinators after a network partition ("cut") between regions.
+
+Records which versions of the endpoint list and the settings a coordinator had when the cut ended, and when it
+was up to date again.
+"""
 
 from collections.abc import Sequence
 
@@ -13,16 +17,16 @@
 from granitespool.scale.settings_changes import SettingsChanges
 from granitespool.units import SECOND
 
-RECOVERY_TIMEOUT = 60 * SECOND  # ns after the end of a cut for which coordinators are looked at
-POLL_INTERVAL = SECOND // 20  # ns between two looks
+RECOVERY_TIMEOUT = 60 * SECOND  # ns after the end of a cut
+POLL_INTERVAL = SECOND // 20  # ns between checks of a coordinator
 
 
 class Recovery(msgspec.Struct):
-    """A coordinator after a cut."""
+    """One coordinator's versions at the end of a cut and its time to recover."""
 
     coordinator: RealCoordinator
     healed_at: int  # ns
-    list_held: int  # version when the cut ended
+    list_held: int  # version of its endpoint list when the cut ended
     list_newest: int
     settings_held: int
     settings_newest: int
@@ -31,12 +35,12 @@
 
     @property
     def complete(self) -> bool:
-        """Whether both list and settings are the newest."""
+        """Whether both the endpoint list and the settings are up to date."""
         return self.list_recovered_after is not None and self.settings_recovered_after is not None
 
 
 class CutRecovery:
-    """Ends cuts and follows the coordinators that were cut off."""
+    """Ends cuts and measures how long the coordinators that were cut off take to recover."""
 
     def __init__(
         self,
@@ -46,7 +50,7 @@
         settings: SettingsChanges,
         failures: list[str],
     ) -> None:
-        """What goes wrong is added to `failures`."""
+        """Create the recorder; failures of the run are appended to `failures`."""
         self.loop = loop
         self.environment = environment
         self.faults = faults
@@ -55,7 +59,7 @@
         self.recoveries: list[Recovery] = []
 
     def heal(self, planned: PlannedEvent) -> Wait:
-        """Ends a cut as planned."""
+        """End a cut as planned."""
         cut_off, now = self.environment.cut_coordinators(), self.loop.clock()
         recoveries = []
         for coordinator in cut_off:
@@ -68,7 +72,7 @@
     def _check_still_isolated(self, coordinator: RealCoordinator) -> Wait:
         newer = yield from coordinator.has_settings(coordinator.written_version + 1)
         if newer is True:
-            self.failures.append(f"{coordinator.name} had settings that it could not have been told")
+            self.failures.append(f"{coordinator.name} had settings that were published while it was cut off")
 
     def _recovery(self, coordinator: RealCoordinator, now: int) -> Recovery:
         return Recovery(
@@ -88,13 +92,13 @@
             self.loop.spawn(self._wait_for_recovery(recovery))
 
     def _wait_for_recovery(self, recovery: Recovery) -> Wait:
-        """Looks when a coordinator has the newest list and settings."""
+        """Poll a coordinator until its endpoint list and settings are up to date."""
         coordinator = recovery.coordinator
         until = recovery.healed_at + RECOVERY_TIMEOUT
         while self.loop.now < until and not recovery.complete:
             if recovery.settings_recovered_after is None:
-                in_force = yield from coordinator.has_settings(recovery.settings_newest)
-                if in_force:
+                applied = yield from coordinator.has_settings(recovery.settings_newest)
+                if applied:
                     recovery.settings_recovered_after = self.loop.clock() - recovery.healed_at
             if recovery.list_recovered_after is None and coordinator.log.list_index >= recovery.list_newest:
                 recovery.list_recovered_after = self.loop.clock() - recovery.healed_at
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -1,7 +1,8 @@
-"""Stand-in of discovery: one list, and an agent for each coordinator that tells it and can be made to fail.
+"""Stand-in of discovery: one endpoint list, and an agent for each coordinator, which can be made to fail.
 
-An agent speaks HTTP/1.1: the whole list, and watches with an empty line each 2 s. It knows
-the list up to a version; while it is cut off it answers with that and stays silent."""
+An agent serves HTTP/1.1: the complete list, and watches with an empty line as heartbeat each 2 s. It has the
+list up to some version; while it is cut off it serves that version and sends nothing on its watches.
+"""
 
 import socket
 from collections import deque
@@ -19,18 +20,18 @@
 from granitespool.scale.trace import BackendListed
 from granitespool.units import MILLISECOND, SECOND
 
-HEARTBEAT_INTERVAL = 2 * SECOND  # ns between empty lines of a watch
-REQUEST_TIMEOUT = 5 * SECOND  # ns within which a request has to be there
+HEARTBEAT_INTERVAL = 2 * SECOND  # ns between the empty lines on an idle watch
+REQUEST_TIMEOUT = 5 * SECOND  # ns to receive a request
 REQUEST_LIMIT = 4096  # bytes of a request
 BACKLOG = 1024
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 
 
 class Change:
-    """One version of the list: the entries that it changed."""
+    """One version of the endpoint list: the entries that it changed, and its line on a watch."""
 
     def __init__(self, index: int, entries: list[ListedBackend], at: int) -> None:
-        """`at`: when it was published, ns."""
+        """Create the version that was published at `at` (ns)."""
         self.index = index
         self.entries = entries
         self.at = at
@@ -39,25 +40,25 @@
 
 
 def as_row(entry: ListedBackend) -> dict[str, str | int | float]:
-    """An entry as the wire has it."""
+    """Return an entry with the field names of the wire."""
     return {name: getattr(entry, name) for name in entry.__struct_fields__}
 
 
 class BackendList:
-    """The list with all its versions; agents know each change at once unless they are cut off."""
+    """The endpoint list with all its versions; agents receive each change at once unless they are cut off."""
 
     def __init__(self, entries: Iterable[ListedBackend], clock: Callable[[], int]) -> None:
-        """`clock` gives ns."""
+        """Create version 1 of the list; `clock` returns ns."""
         self.index = 1  # newest version
         self.clock = clock
         self.entries = {entry.name: entry for entry in entries}
         self.changes: list[Change] = []
         self.agents: list[Agent] = []
-        self._snapshot_index = 0  # version of the cached line
+        self._snapshot_index = 0  # version of the cached snapshot line
         self._snapshot_line = b""
 
     def publish(self, entries: list[ListedBackend], notify: bool = True) -> Change:
-        """Makes a version of changed entries; `notify` False leaves it to the caller to tell the agents."""
+        """Publish changed entries as a new version; without `notify` the caller has to update the agents."""
         self.index += 1
         change = Change(self.index, entries, self.clock())
         self.changes.append(change)
@@ -71,16 +72,16 @@
         return change
 
     def update_agents(self) -> None:
-        """Brings every agent that is not cut off up to date."""
+        """Bring every agent that is not cut off up to date."""
         for agent in self.agents:
             agent.update()
 
     def since(self, after: int, upto: int) -> list[Change]:
-        """The changes after one version up to another."""
+        """Return the changes after version `after` up to and including version `upto`."""
         return [change for change in self.changes if after < change.index <= upto]
 
     def snapshot_line(self) -> bytes:
-        """The whole list as one line."""
+        """Return the complete list as one line."""
         if self._snapshot_index != self.index:
             rows = [as_row(entry) for entry in self.entries.values()]
             body = {"index": self.index, "snapshot": True, "endpoints": rows}
@@ -90,43 +91,41 @@
 
 
 class PendingLine(NamedTuple):
-    """A line of a watch that waits to be written."""
+    """A line that is to be written to a watch."""
 
     line: bytes
-    change: Change | None  # None: the whole list
+    change: Change | None  # None: the complete list
 
 
 class Watch:
-    """One open watch: lines that wait to be written."""
+    """One open watch with the lines that are to be written."""
 
     def __init__(self, opened_at: int) -> None:
-        """`opened_at` in ns."""
+        """Create a watch; `opened_at` is in ns."""
         self.opened_at = opened_at
         self.pending: deque[PendingLine] = deque()
         self.task: Task | None = None
-        self.waiting = False  # whether its coroutine waits
+        self.waiting = False  # whether its coroutine waits, so that it can be resumed
 
 
 class Agent:
-    """The agent on one coordinator's machine (or that of all hollow ones of a process)."""
+    """The discovery agent of one coordinator, or of all hollow coordinators of one process."""
 
     def __init__(
         self, loop: Loop, backend_list: BackendList, recorder: Recorder, name: str, address: tuple[str, int]
     ) -> None:
-        """Listens at `address` from now on."""
+        """Start to listen at `address`."""
         self.loop = loop
         self.list = backend_list
         self.recorder = recorder
         self.name = name
-        self.recorded = True  # whether what it writes goes into the trace
-        self.list_index = backend_list.index  # newest version that the agent knows
+        self.recorded = True  # whether the entries that it writes are added to the trace
+        self.list_index = backend_list.index  # newest version that the agent has received
         self.cut = False
-        self.stalled_until = 0  # ns; until then a line breaks off in its middle and nothing is answered
+        self.stalled_until = 0  # ns; until then a line stops in its middle and no request is answered
         self.watches: set[Watch] = set()
-        self.written_index: dict[
-            str, int
-        ] = {}  # backend -> newest version that was written to the coordinator
-        self.written_at: dict[int, int] = {}  # version -> when the last watch that was open had it whole, ns
+        self.written_index: dict[str, int] = {}  # backend -> newest version written to the coordinator
+        self.written_at: dict[int, int] = {}  # version -> ns when the last open watch had received it
         self.listener_address = address
         self.listener = socket.create_server(address, backlog=BACKLOG)
         self.listener.setblocking(False)
@@ -134,7 +133,7 @@
         backend_list.agents.append(self)
 
     def update(self) -> None:
-        """Takes what the list has, unless it is cut off, and passes it on."""
+        """Send the changes of the list to the watches, unless the agent is cut off."""
         if self.cut or self.list_index == self.list.index:
             return
         changes = self.list.since(self.list_index, self.list.index)
@@ -142,7 +141,7 @@
         self.push(changes)
 
     def push(self, changes: Iterable[Change]) -> None:
-        """Writes changes to every watch in this order, whatever their versions."""
+        """Send changes to every watch in this order, whatever their versions."""
         lines = [PendingLine(change.line, change) for change in changes]
         for watch in list(self.watches):
             watch.pending += lines
@@ -150,29 +149,29 @@
                 self.loop.resume(watch.task)
 
     def set_cut(self, cut: bool) -> None:
-        """Cuts the agent off from the list, or connects it again."""
+        """Cut the agent off from the list, or connect it again."""
         self.cut = cut
         self.update()
 
     def stall(self, until: int) -> None:
-        """Breaks the next line off in its middle, and stays silent until then (ns)."""
+        """Stop the next line in its middle, and send nothing until then (ns)."""
         self.stalled_until = until
 
     def end_watches(self) -> None:
-        """Resets every open watch."""
+        """Close every open watch."""
         for watch in list(self.watches):
             if watch.task:
                 self.loop.end(watch.task)
 
     def record_initial_list(self, entries: Iterable[ListedBackend]) -> None:
-        """Records the list that the coordinator's configuration holds as told."""
+        """Record the endpoint list of the coordinator's configuration as written to it."""
         now = self.loop.clock()
         for entry in entries:
             self._record(entry, self.list_index, now)
 
     def _record(self, entry: ListedBackend, index: int, now: int) -> None:
         if self.written_index.get(entry.name, 0) > index or not self.recorded:
-            return  # a late older version tells nothing
+            return  # a newer version of the entry was written before
         self.written_index[entry.name] = index
         self.recorder.add(
             BackendListed(
@@ -191,7 +190,7 @@
                 try:
                     sock, _ = self.listener.accept()
                 except OSError:
-                    continue  # it has gone already
+                    continue  # the client has closed the connection already
                 sock.setblocking(False)
                 watch = Watch(self.loop.now)
                 watch.task = self.loop.spawn(self._serve(sock, watch))
@@ -201,7 +200,7 @@
             try:
                 yield from self._answer(sock, watch)
             except (OSError, ValueError):
-                pass  # the coordinator has ended the watch, or cannot be understood
+                pass  # the coordinator has closed the watch, or the request is malformed
             finally:
                 self.watches.discard(watch)
 
@@ -226,12 +225,12 @@
         yield from self._watch(sock, watch)
 
     def _open_watch(self, watch: Watch, after: int) -> None:
-        """Begins with the changes after a version, or with the whole list."""
+        """Queue the changes after a version, or the complete list if `after` is below 1."""
         changes = self.list.since(after, self.list_index)
         watch.pending = deque(PendingLine(change.line, change) for change in changes)
         self.watches.add(watch)
         if after < 1:
-            # a cut agent would answer with an older list; coordinators begin with one, so none polls it
+            # A cut agent would answer with an older list. Coordinators start with one, so none asks.
             watch.pending = deque([PendingLine(self.list.snapshot_line(), None)])
 
     def _watch(self, sock: socket.socket, watch: Watch) -> Wait:
@@ -255,7 +254,7 @@
                 return
 
     def _write_heartbeat(self, sock: socket.socket) -> Wait:
-        """An empty line, unless the agent is to be silent."""
+        """Write an empty line, unless the agent is cut off or stalled."""
         if not self.cut and self.loop.now >= self.stalled_until:
             yield from self._write_line(sock, b"\n")
             self.recorder.count(self.name, "in", "discovery beat", len(b"\n"))
@@ -268,9 +267,7 @@
             while self.loop.now < self.stalled_until:
                 events = yield sock.fileno(), IN, self.stalled_until
                 if events and is_closed_by_peer(sock):
-                    raise ConnectionAbortedError(
-                        "the coordinator has ended the watch in the middle of a line"
-                    )
+                    raise ConnectionAbortedError("the coordinator closed the watch while a line was written")
             chunk = chunk[half:]
         yield from send(sock, chunk, None)
 
@@ -290,7 +287,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the other side has ended the connection, so that nothing more is to be written."""
+    """Return whether the peer has closed the connection, so that nothing more can be written."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/granitespool/scale/environment.py
+++ b/granitespool/scale/environment.py
@@ -1,4 +1,4 @@
-"""Everyone around the coordinators of a run, on one loop and one clock."""
+"""The stand-ins around the coordinators of a run, on one event loop and one clock."""
 
 from collections.abc import Generator
 from pathlib import Path
@@ -26,12 +26,12 @@
 
 
 class Environment:
-    """The stand-ins of a run: discovery, backends, proxies, collectors, and the coordinators' processes."""
+    """Discovery, backends, proxies, collectors and the processes of real coordinators of one run."""
 
     def __init__(
         self, scenario: Scenario, made: GeneratedFleet, network: Network, loop: Loop, folder: Path
     ) -> None:
-        """Backends and discovery listen from now on; `folder` takes the coordinators' configurations."""
+        """Start backends and discovery; the coordinators' configurations are written to `folder`."""
         self.scenario = scenario
         self.fleet = made
         self.network = network
@@ -49,17 +49,17 @@
             self._make_hollow_agent(number) for number in range(scenario.coordinators.hollow_processes)
         ]
         self.streams: list[ProxyStream] = []
-        self.homes: dict[int, CoordinatorEndpoint] = {}  # proxy -> the coordinator that it belongs to
+        self.homes: dict[int, CoordinatorEndpoint] = {}  # proxy -> its preferred coordinator
         self.collectors = [self._make_collector(zone) for zone in scenario.zones]
         self.traffic = Traffic(
             loop, self.recorder, scenario, self.streams, self.backends, Random(scenario.scale.seed + 1)
         )
         self.cut_regions: set[str] = set()
-        self.batch: list[ListedBackend] = []  # changed entries that are not published yet
+        self.batch: list[ListedBackend] = []  # changed endpoint list entries that are not published yet
         self.propagation = PropagationTracker(loop.clock, self.streams)
         loop.spawn(self._publish_batches())
 
-    # Making
+    # Creation of the stand-ins
 
     def _make_coordinator(self, index: int, zone: str, folder: Path) -> RealCoordinator:
         name = coordinator_name(index)
@@ -86,9 +86,9 @@
         return collector
 
     def join_proxies(self, coordinator: RealCoordinator) -> None:
-        """Makes the proxies of a coordinator, which dial at once."""
+        """Create the proxies of a coordinator, which connect at once."""
         count, endpoint = self.scenario.proxies.per_coordinator, coordinator.endpoint
-        endpoint.others = [each.endpoint for each in self.coordinators if each is not coordinator]
+        endpoint.others = [other.endpoint for other in self.coordinators if other is not coordinator]
         for offset in range(count):
             self._make_proxy(coordinator.index * count + offset, endpoint)
 
@@ -103,7 +103,7 @@
         self.streams.append(stream)
 
     def _first_table(self, number: int, region: str, random: Random) -> ProxyTable:
-        """A proxy in a zone drawn by chance, mostly of this region, which knows some backends."""
+        """Return a proxy's bootstrap table, in a random zone that is mostly one of this region."""
         zones, settings = self.scenario.zones, self.scenario.proxies
         same = [zone for zone in zones if region_of(zone) == region]
         other = [zone for zone in zones if zone not in same]
@@ -113,26 +113,26 @@
         zone = random.choice(other if elsewhere else same)
         return ProxyTable(number, zone, dict.fromkeys(known, 1.0))
 
-    # Reports and proxies
+    # Load reports and proxies
 
     def send_reports(self, on: bool) -> None:
-        """Whether proxies and collectors send load reports."""
+        """Turn the load reports of proxies and collectors on or off."""
         for coordinator in self.coordinators:
             coordinator.endpoint.wants_reports = on
 
     def change_one_backend(self, ready: bool) -> None:
-        """A change before the events, to measure what it costs: a backend drains, or is ready again."""
+        """Publish a change before the events, to measure its cost: a backend drains, or is ready again."""
         status = "ready" if ready else "draining"
         self.batch.append(msgspec.structs.replace(self.fleet.backends[0], status=status))
 
     def return_proxies(self, coordinator: RealCoordinator) -> None:
-        """Its proxies come back to a coordinator that serves again."""
+        """Move a coordinator's proxies back to it after its restart."""
         for stream in self.streams:
             home = self.homes[stream.number]
             if home is coordinator.endpoint and stream.endpoint is not home:
                 stream.move(home)
 
-    # The list
+    # Endpoint list
 
     def _publish_batches(self) -> Generator[tuple[None, int, int], int, None]:
         while True:
@@ -142,14 +142,14 @@
                 self.publish(entries)
 
     def publish(self, entries: list[ListedBackend], notify: bool = True) -> Change:
-        """Publishes changed entries; `notify` False leaves it to the caller to tell the agents."""
+        """Publish changed entries; without `notify` the caller has to update the agents."""
         change = self.list.publish(entries, notify)
         self.ever_listed.update(entry.name for entry in change.entries)
         self.propagation.published(change, bool(self.cut_regions))
         return change
 
     def list_to_watches(self) -> list[int]:
-        """For each version, ns until it was written complete to the last agent's coordinators."""
+        """Return for each version the ns from its publication until the last agent had written it."""
         real = [coordinator.agent for coordinator in self.coordinators]
         found = []
         for change in self.list.changes:
@@ -161,14 +161,18 @@
     # Cuts
 
     def are_cut_apart(self, one: str, other: str) -> bool:
-        """Whether two regions are cut from each other."""
+        """Return whether two regions are cut off from each other."""
         return one != other and one in self.cut_regions and other in self.cut_regions
 
     def cut_coordinators(self) -> list[RealCoordinator]:
-        """Those in a region that is cut off just now."""
-        return [each for each in self.coordinators if each.endpoint.region in self.cut_regions]
+        """Return the coordinators in a region that is cut off."""
+        return [
+            coordinator
+            for coordinator in self.coordinators
+            if coordinator.endpoint.region in self.cut_regions
+        ]
 
     def close(self) -> None:
-        """Ends the proxies; the loop ends the others."""
+        """Stop the proxies; closing the loop stops everything else."""
         for stream in self.streams:
             stream.close()
--- a/granitespool/scale/events.py
+++ b/granitespool/scale/events.py
@@ -1,4 +1,4 @@
-"""Plays a run's planned events, each at its time."""
+"""Executes the planned events of a run, each at its time."""
 
 import signal
 from collections.abc import Callable, Sequence
@@ -14,16 +14,16 @@
 from granitespool.scale.settings_changes import SettingsChanges
 from granitespool.units import SECOND
 
-POLL_INTERVAL = SECOND // 10  # ns between two looks at whether restarts have come to an end
+POLL_INTERVAL = SECOND // 10  # ns between checks whether restarts have finished
 
 
 class EventPlayer:
-    """Does what the plan says, to processes itself and to stand-ins by a `FaultInjector`."""
+    """Executes planned events: those on processes itself, those on stand-ins by a `FaultInjector`."""
 
     def __init__(
         self, loop: Loop, environment: Environment, hollow: HollowFleet | None, failures: list[str]
     ) -> None:
-        """What goes wrong is added to `failures`."""
+        """Create the player; failures of the run are appended to `failures`."""
         self.loop = loop
         self.environment = environment
         self.hollow = hollow
@@ -31,8 +31,8 @@
         self.faults = FaultInjector(environment)
         self.settings = SettingsChanges(loop, environment, failures)
         self.cuts = CutRecovery(loop, environment, self.faults, self.settings, failures)
-        self.ready_times: list[int] = []  # ns, of restarts
-        self._restarting = 0  # coordinators
+        self.ready_times: list[int] = []  # ns of each restart until the first answer
+        self._restarting = 0  # coordinators whose restart has not finished
         self._actions: dict[Action, Callable[[PlannedEvent], Wait]] = {
             "configure": self._configure,
             "configure_badly": self._configure_badly,
@@ -44,7 +44,7 @@
         }
 
     def play(self, plan: Sequence[PlannedEvent], duration: int) -> Wait:
-        """Plays the events and waits until `lasting` ns have passed and restarts have come to an end."""
+        """Execute the events; wait until `duration` ns have passed and all restarts have finished."""
         begin = self.loop.now
         for planned in plan:
             yield from self._sleep_until(begin + planned.at)
@@ -92,7 +92,9 @@
         yield from ()
 
     def _planned_coordinators(self, planned: PlannedEvent) -> list[RealCoordinator]:
-        return [each for each in self.environment.coordinators if each.name in planned.names]
+        return [
+            coordinator for coordinator in self.environment.coordinators if coordinator.name in planned.names
+        ]
 
     def _restart(self, coordinator: RealCoordinator) -> Wait:
         try:
--- a/granitespool/scale/faults.py
+++ b/granitespool/scale/faults.py
@@ -1,4 +1,4 @@
-"""What the plan does to the stand-ins: everything that needs no process of a coordinator."""
+"""Planned events on the stand-ins, that is, all that need no process of a coordinator."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class FaultInjector:
-    """Does what is planned to backends, discovery, collectors and the network."""
+    """Applies planned events to backends, discovery, collectors and the network."""
 
     def __init__(self, environment: Environment) -> None:
         self.environment = environment
@@ -31,7 +31,12 @@
         }
 
     def perform(self, planned: PlannedEvent) -> None:
-        """Does one planned thing; raises KeyError for one that needs a process."""
+        """Apply one planned event.
+
+        Raises:
+            KeyError: The event needs a coordinator's process.
+
+        """
         self.actions[planned.action](planned)
 
     # Backends
@@ -88,7 +93,7 @@
         for collector in self.environment.collectors:
             collector.down = collector.down and collector.zone not in planned.names
 
-    # Cuts
+    # Network partitions
 
     def _cut(self, planned: PlannedEvent) -> None:
         environment = self.environment
@@ -97,9 +102,9 @@
             coordinator.agent.set_cut(True)
         for collector in environment.collectors:
             collector.unreachable = {
-                each.name
-                for each in environment.coordinators
-                if environment.are_cut_apart(collector.region, each.endpoint.region)
+                coordinator.name
+                for coordinator in environment.coordinators
+                if environment.are_cut_apart(collector.region, coordinator.endpoint.region)
             }
         for stream in environment.streams:
             region = region_of(stream.table.zone)
@@ -107,12 +112,12 @@
                 stream.move(self._reachable_coordinator(region, stream.endpoint), leave_open=True)
 
     def _reachable_coordinator(self, region: str, default: CoordinatorEndpoint) -> CoordinatorEndpoint:
-        """A coordinator that a proxy of this region can reach during the cut."""
+        """Return a coordinator that a proxy of this region can reach during the cut."""
         environment = self.environment
         reached = [
-            each.endpoint
-            for each in environment.coordinators
-            if not environment.are_cut_apart(region, each.endpoint.region)
+            coordinator.endpoint
+            for coordinator in environment.coordinators
+            if not environment.are_cut_apart(region, coordinator.endpoint.region)
         ]
         same = [endpoint for endpoint in reached if endpoint.region == region]
         return environment.random.choice(same or reached or [default])
--- a/granitespool/scale/fits.py
+++ b/granitespool/scale/fits.py
@@ -1,7 +1,7 @@
-"""Least-squares fits of measured costs against the sizes that drive them, without I/O.
+"""Least-squares fits of measured costs against the sizes that they depend on, without I/O.
 
-The form of a fit (constant, proportional, linear, product of two sizes) is chosen by its residual and not
-assumed: a further term, or a further size of a term, must lower the residual by more than
+The form of a fit (constant, proportional, linear, product of two sizes) is selected by its residual and not
+assumed: a further term, or a further size in a term, must lower the residual by more than the factor
 `PARAMETER_PENALTY`. All residuals are relative to the measured cost, so that the small points of a sweep
 count as much as the large ones.
 """
@@ -14,33 +14,35 @@
 
 from granitespool.errors import GranitespoolError
 
-NOISE_FLOOR = 0.02  # relative residual below which a better fit is no evidence for a further parameter
-PARAMETER_PENALTY = 1.5  # factor by which a further term, or size of a term, must lower the residual
+NOISE_FLOOR = 0.02  # relative residual below which a lower one does not justify a further parameter
+PARAMETER_PENALTY = 1.5  # factor by which a further term, or size in a term, must lower the residual
 RESIDUAL_LIMIT = 0.25  # relative residual above which a form does not describe the samples
-ERROR_LIMIT = 0.25  # relative error above which the prediction of a held-out sample counts as off
+ERROR_LIMIT = 0.25  # relative error above which the prediction of a held-out sample is a miss
 PIVOT_MIN = 1e-12  # scaled pivot below which the normal equations are singular
-NEGATIVE_MIN = -1e-9  # part of the mean cost below which a negative coefficient is more than rounding
+NEGATIVE_MIN = -1e-9  # share of the mean cost below which a negative coefficient is more than rounding
 
-Term = tuple[str, ...]  # names of the sizes that are multiplied; the empty term is the constant 1
+Term = tuple[str, ...]  # names of the sizes to multiply; the empty term is the constant 1
 
 
 class FitError(GranitespoolError):
-    """The samples do not allow the fit that was asked for."""
+    """The samples do not allow the requested fit."""
 
 
 class TooFewSamplesError(FitError):
-    """There are fewer samples than a fit and a judgement of it need."""
+    """There are too few samples to fit the coefficients and to assess the fit."""
 
 
 class SingularFitError(FitError):
-    """The samples do not determine the coefficients: a size of the form does not vary, or is always zero."""
+    """The samples do not determine the coefficients: a size does not vary, or is always zero."""
 
 
 class FormRejectedError(FitError):
-    """No form describes the samples within the limit of the residual."""
+    """No form describes the samples with a residual within the limit."""
 
     def __init__(self, best: "Fit", limit: float) -> None:
-        super().__init__(f"{best.form.name} leaves a residual of {best.residual:.3f}, over {limit:.3f}")
+        super().__init__(
+            f"{best.form.name} leaves a residual of {best.residual:.3f}, over the limit of {limit:.3f}"
+        )
         self.best = best
         self.limit = limit
 
@@ -67,7 +69,7 @@
     residual: float
 
     def predict(self, sizes: Mapping[str, float]) -> float:
-        """The cost at these sizes, in the unit of the samples."""
+        """Return the cost at these sizes, in the unit of the samples."""
         return sum(
             coefficient * _value(term, sizes)
             for coefficient, term in zip(self.coefficients, self.form.terms, strict=True)
@@ -75,7 +77,7 @@
 
     @property
     def text(self) -> str:
-        """The formula, as `0.12 + 3.4e-05 backends x zones`."""
+        """The formula, such as `0.12 + 3.4e-05 backends x zones`."""
         pieces = [
             f"{coefficient:.3g} {' x '.join(term)}".rstrip()
             for coefficient, term in zip(self.coefficients, self.form.terms, strict=True)
@@ -84,7 +86,7 @@
 
 
 class HeldOut(msgspec.Struct, frozen=True):
-    """A sample that the fit has not seen, with what the fit predicts for it."""
+    """A sample that the fit was not made from, with the prediction of the fit for it."""
 
     sample: Sample
     predicted: float
@@ -93,37 +95,37 @@
 
     @property
     def exceeds_limit(self) -> bool:
-        """Whether the prediction misses by more than the limit."""
+        """Whether the error of the prediction exceeds the limit."""
         return not abs(self.error) <= self.limit
 
 
 def constant() -> Form:
-    """A cost that no size drives."""
+    """Return the form of a cost that depends on no size."""
     return Form("constant", ((),))
 
 
 def proportional(size: str) -> Form:
-    """A cost that is a multiple of one size."""
+    """Return the form of a cost that is a multiple of one size."""
     return Form(f"proportional to {size}", ((size,),))
 
 
 def linear(size: str) -> Form:
-    """A fixed cost and a multiple of one size."""
+    """Return the form of a fixed cost and a multiple of one size."""
     return Form(f"linear in {size}", ((), (size,)))
 
 
 def product(first: str, second: str) -> Form:
-    """A multiple of the product of two sizes, which may be the same."""
+    """Return the form of a multiple of the product of two sizes, which may be the same."""
     return Form(f"product of {first} and {second}", ((first, second),))
 
 
 def product_with_base(first: str, second: str) -> Form:
-    """A fixed cost and a multiple of the product of two sizes, which may be the same."""
+    """Return the form of a fixed cost and a multiple of the product of two sizes, which may be the same."""
     return Form(f"base and product of {first} and {second}", ((), (first, second)))
 
 
 def forms_of(sizes: Iterable[str]) -> list[Form]:
-    """Every form over these sizes that a cost may have."""
+    """Return all forms over these sizes."""
     names = list(sizes)
     forms = [constant()]
     for name in names:
@@ -134,9 +136,10 @@
 
 
 def fit(samples: Sequence[Sample], form: Form) -> Fit:
-    """The coefficients that leave the least relative residual.
+    """Fit the coefficients of a form, with the lowest relative residual.
 
-    Raises TooFewSamplesError or SingularFitError."""
+    Raises TooFewSamplesError or SingularFitError.
+    """
     if len(samples) <= len(form.terms):
         raise TooFewSamplesError(f"{len(samples)} samples for the {len(form.terms)} terms of {form.name}")
     weights = _weights(samples)
@@ -155,10 +158,10 @@
 
 
 def choose_fit(samples: Sequence[Sample], forms: Iterable[Form], limit: float = RESIDUAL_LIMIT) -> Fit:
-    """The form with the least residual after the penalty for parameters.
+    """Return the fit with the lowest residual after the penalty for parameters.
 
     Costs do not fall as a size grows, so a form with a negative coefficient is no candidate. Raises
-    FormRejectedError where the best leaves more than `limit`, TooFewSamplesError where nothing can be fitted.
+    FormRejectedError if the best residual exceeds `limit`, TooFewSamplesError if no form can be fitted.
     """
     fits = []
     for form in forms:
@@ -177,7 +180,7 @@
 
 
 def check_held_out(chosen: Fit, sample: Sample, limit: float = ERROR_LIMIT) -> HeldOut:
-    """The prediction for a sample that the fit has not seen, beside its measurement."""
+    """Compare the prediction for a sample that the fit was not made from with its measurement."""
     predicted = chosen.predict(sample.sizes)
     if sample.cost:
         error = (predicted - sample.cost) / sample.cost
@@ -191,13 +194,13 @@
 
 
 def _weights(samples: Sequence[Sample]) -> list[float]:
-    """One over each cost; a cost of zero weighs like the least that is above zero."""
+    """Return the inverse of each cost; a cost of zero weighs like the smallest cost above zero."""
     smallest = min((abs(sample.cost) for sample in samples if sample.cost), default=1.0)
     return [1 / (abs(sample.cost) or smallest) for sample in samples]
 
 
 def _penalized(candidate: Fit) -> float:
-    """The residual times the penalty for each term, twice for a product of two sizes."""
+    """Return the residual times the penalty for each term, twice for a product of two sizes."""
     complexity = sum(max(1, len(term)) for term in candidate.form.terms)
     return max(candidate.residual, NOISE_FLOOR) * PARAMETER_PENALTY**complexity
 
@@ -212,7 +215,7 @@
 
 
 def _least_squares(rows: list[list[float]], targets: list[float]) -> list[float]:
-    """Solves the normal equations after each column is scaled to length one."""
+    """Solve the normal equations after scaling each column to length one."""
     columns = list(zip(*rows, strict=True))
     lengths = [math.sqrt(math.fsum(value * value for value in column)) for column in columns]
     if not all(lengths):
@@ -228,12 +231,15 @@
 
 
 def _solve(matrix: list[list[float]]) -> list[float]:
-    """Gaussian elimination with partial pivoting of a square matrix with its right side as last column."""
+    """Solve linear equations by Gaussian elimination with partial pivoting.
+
+    The last column of `matrix` is the right-hand side.
+    """
     size = len(matrix)
     for column in range(size):
         pivot = max(range(column, size), key=lambda row: abs(matrix[row][column]))
         if abs(matrix[pivot][column]) < PIVOT_MIN:
-            raise SingularFitError("the samples do not tell the terms apart")
+            raise SingularFitError("the samples do not distinguish the terms")
         matrix[column], matrix[pivot] = matrix[pivot], matrix[column]
         for row in range(column + 1, size):
             factor = matrix[row][column] / matrix[column][column]
--- a/granitespool/scale/fleet.py
+++ b/granitespool/scale/fleet.py
@@ -1,4 +1,4 @@
-"""A made-up fleet of backends, and the configuration that a coordinator of it is started with."""
+"""The generated fleet of backends, and the configuration of its coordinators."""
 
 from random import Random
 from typing import Any
@@ -14,14 +14,15 @@
 COORDINATOR_PORT = 7400
 DISCOVERY_PORT = 7500
 HOSTS_PER_BLOCK = 250  # addresses used of each block of 256
-COORDINATOR_BLOCK = 0  # third byte of the loopback addresses of coordinators, and so on
+# Third byte of the loopback addresses of coordinators, of discovery agents and of backends
+COORDINATOR_BLOCK = 0
 AGENT_BLOCK = 4
 BACKEND_BLOCK = 8
-EFFECTS: tuple[Effect, ...] = ("single_shot", "guarded", "free")  # of the classes in turn
+EFFECTS: tuple[Effect, ...] = ("single_shot", "guarded", "free")  # assigned to the request classes in turn
 
 
 class ListedBackend(msgspec.Struct, kw_only=True):
-    """An entry of discovery's list, with the protocol's names; `since_ms` is Unix time."""
+    """An endpoint list entry with the protocol's field names; `since_ms` is Unix time."""
 
     name: str
     address: str
@@ -34,20 +35,20 @@
 
 
 class Network(msgspec.Struct, frozen=True):
-    """Loopback addresses of one run, in a network of its own: `127.NUMBER.x.y`."""
+    """The loopback addresses of one run, in a network of its own: `127.NUMBER.x.y`."""
 
     number: int
 
     def coordinator(self, index: int) -> tuple[str, int]:
-        """Where a real coordinator listens."""
+        """Return the listen address of a real coordinator."""
         return self._address(COORDINATOR_BLOCK, index), COORDINATOR_PORT
 
     def agent(self, index: int) -> tuple[str, int]:
-        """Where the discovery agent of a coordinator, or of a process of hollow ones, listens."""
+        """Return the listen address of a discovery agent, of a coordinator or of a hollow process."""
         return self._address(AGENT_BLOCK, index), DISCOVERY_PORT
 
     def backend(self, index: int) -> tuple[str, int]:
-        """Where a backend listens."""
+        """Return the listen address of a backend."""
         return self._address(BACKEND_BLOCK, index), BACKEND_PORT
 
     def _address(self, block: int, index: int) -> str:
@@ -55,28 +56,28 @@
 
 
 class GeneratedFleet:
-    """The backends of a scenario: uneven services, their backends spread over all zones, in racks."""
+    """The backends of a scenario: services of uneven size, spread over all zones and racks."""
 
     def __init__(self, scenario: Scenario, network: Network, random: Random) -> None:
-        """`random` draws how large each service is."""
+        """Create the backends; `random` draws the size of each service."""
         self.scenario = scenario
         self.network = network
         self.zones = scenario.zones
-        self.backend_count = 0  # backends so far
+        self.backend_count = 0  # backends created so far
         self.backends = [
             self.add_backend(service, place) for place, service in enumerate(self._draw_services(random))
         ]
 
     def _draw_services(self, random: Random) -> list[int]:
-        """The service of each backend; the k-th service has a share of about 1/k."""
+        """Return the service of each backend; the k-th service has a share of about 1/k."""
         fleet = self.scenario.fleet
         shares = [1 / (service + 1) for service in range(fleet.services)]
-        first = list(range(min(fleet.services, fleet.backends)))  # none without a backend
+        first = list(range(min(fleet.services, fleet.backends)))  # every service has a backend
         rest = random.choices(range(fleet.services), shares, k=fleet.backends - len(first))
         return first + sorted(rest)
 
     def add_backend(self, service: int, place: int) -> ListedBackend:
-        """A further backend; `place` tells its zone and its rack."""
+        """Create a further backend; `place` determines its zone and its rack."""
         host, port = self.network.backend(self.backend_count)
         zone = place % len(self.zones)
         rack = place // len(self.zones) // self.scenario.fleet.rack_backends
@@ -91,7 +92,7 @@
         return backend
 
     def replacement_for(self, former: ListedBackend) -> ListedBackend:
-        """A further backend in the place of a former one."""
+        """Create a further backend in the zone and rack of a former one."""
         host, port = self.network.backend(self.backend_count)
         service = former.name.partition("-")[0]
         backend = msgspec.structs.replace(
@@ -102,16 +103,18 @@
 
 
 def expected_proxies(scenario: Scenario) -> int:
-    """Proxies of the whole fleet of coordinators: the number that version 0 of the settings tells."""
+    """Return the proxies of all coordinators: the number in version 0 of the settings."""
     coordinators = scenario.coordinators.real + scenario.coordinators.hollow
     return coordinators * scenario.proxies.per_coordinator
 
 
 def settings(scenario: Scenario, zone: str, index: int, version: int) -> dict[str, Any]:
-    """The settings of one coordinator on the wire.
+    """Return the settings of one coordinator with the field names of the wire.
 
-    Their version is in the number of proxies, which shows from outside which are in force (a coordinator
-    rejects a joining with a higher number), and in a class's benefit, which acts."""
+    The version shows in the number of proxies, so that a client can find out which version is active: a
+    coordinator rejects a joining proxy with a higher number. It also changes the priority weight of a class,
+    which takes effect on the coordinator's decisions.
+    """
     rules = scenario.rules
     return {
         "balancers": scenario.coordinators.real + scenario.coordinators.hollow,
@@ -161,7 +164,7 @@
 
 
 def limits(scenario: Scenario) -> Limits:
-    """The rules' figures for the checker."""
+    """Return the limits of the rules, for the checker."""
     rules, channel = scenario.rules, scenario.channel
     return Limits(
         drain_grace=int(rules.drain_grace_s * SECOND),
--- a/granitespool/scale/hollow/__init__.py
+++ b/granitespool/scale/hollow/__init__.py
@@ -1,10 +1,11 @@
-"""Hollow coordinators: the outer work of one, without its decisions, so that many fit into one process.
+"""Hollow coordinators: the input and output of a coordinator without its decisions, many in one process.
 
-profile       what a coordinator writes to its proxies: rates and sizes
-measurement   a profile from what was seen of a real coordinator
+profile       rates and sizes of the messages that a coordinator writes to its proxies
+measurement   computes a profile from the trace of a real coordinator
 counts        messages and bytes by kind
-endpoints     what is known of the backends
+endpoints     the state of each backend
 messages      the frames of a message of a given size
-connection    one connection, its reader and what is not sent yet
+connection    one connection with its reader and its unsent data
 coordinator   the hollow coordinator
-process       a process of many: `python -m granitespool.scale.hollow.process SPEC`"""
+process       a process of many: `python -m granitespool.scale.hollow.process SPEC`
+"""
--- a/granitespool/scale/hollow/coordinator.py
+++ b/granitespool/scale/hollow/coordinator.py
@@ -1,15 +1,15 @@
-"""A hollow coordinator: the outer work of one, without its decisions.
+"""A hollow coordinator: the input and output of a coordinator, without its decisions.
 
-It watches discovery's list as a real one does (`granitespool.net.discovery`), listens for proxies and
-collectors, reads and counts what they send, and writes its proxies messages of the sizes and at the rates of
-a `Profile`, which was measured from a real coordinator. Its messages are the protocol's: a proxy can read,
-apply and acknowledge them; spaces after the JSON object fill a message up.
+It watches the endpoint list as a real one does (`granitespool.net.discovery`), listens for proxies and
+collectors, reads and counts their messages, and writes messages to its proxies with the sizes and at the
+rates of a `Profile`, which was measured from a real coordinator. Its messages follow the protocol: a proxy
+can read, apply and acknowledge them; spaces after the JSON object pad a message to its size.
 
-What it never does: it checks no backend's health, sends no datagrams, weighs no backend and drops
-no unauthenticated peer.
+It sends no health checks and no gossip, computes no weights, and closes no unauthenticated connection.
 
-Each socket has one owner: the listener and each connection their coroutine, which closes it in its `finally`,
-the watch's socket `Discovery`. Times are whole nanoseconds on the loop's clock."""
+Each socket has one owner: the listener and each connection belong to their coroutine, which closes it in its
+`finally`, the watch's socket to `Discovery`. Times are whole nanoseconds on the loop's clock.
+"""
 
 import errno
 import socket
@@ -35,33 +35,33 @@
 from granitespool.units import SECOND
 
 LOOPBACK = "127.0.0.1"
-BACKLOG = 4096  # connections that the system holds for one coordinator
+BACKLOG = 4096  # pending connections of one listener
 ACCEPTS_PER_TURN = 64
-BUFFERS = 1024  # receive buffers of one coordinator at most: 16 MiB
+BUFFERS = 1024  # maximum of receive buffers of one coordinator: 16 MiB
 ACCEPT_RETRY_DELAY = SECOND // 50  # ns between accepts while no descriptor is free
-ENTRY_SIZE_MIN = 8  # bytes of a table entry at least
-BARRIER_LIMIT = 65536  # acknowledgement tickets are whole numbers under this
+ENTRY_SIZE_MIN = 8  # bytes of the smallest table entry
+BARRIER_LIMIT = 65536  # acknowledgement barriers are numbered below this
 READ_KINDS = frozenset(("ping", "joined", "collector", "heard", "usage", "applied"))
 RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-ANY_ADDRESS = ""  # stands for all names in a watch that keeps none
-EMPTY_LIST: dict[str, Any] = {"index": 0, "endpoints": []}  # the list of a configuration that names nobody
+ANY_ADDRESS = ""  # key for the addresses of all backends in a watch that stores none
+EMPTY_LIST: dict[str, Any] = {"index": 0, "endpoints": []}  # the endpoint list of a configuration without one
 
 
 class _WatchLog:
-    """Stands in for the log of a watch: it only counts the ends."""
+    """Stand-in for the log of a watch, which only counts the ends of watches."""
 
     def __init__(self, counts: Counts) -> None:
         self.counts = counts
 
     def event(self, event: str, /, **_: object) -> None:
-        """Takes one line of the log."""
+        """Count the event if it is the end of a watch."""
         self.counts.watches_ended += event == "watch_ended"
 
     rate_limited_event = event
 
 
 class _Watch(Discovery):
-    """Discovery's watch, which keeps no addresses and counts the lines."""
+    """A watch of the endpoint list that stores no addresses and counts the lines."""
 
     def __init__(self, coordinator: "HollowCoordinator", discovery: tuple[str, int], seed: str) -> None:
         self.counts = coordinator.counts
@@ -74,14 +74,20 @@
         super()._handle_line(line)
 
     def _update_address(self, _backend: str, _address: str | None) -> None:
-        self.addresses[ANY_ADDRESS] = None  # no health check: what counts is whether any was named
+        # Addresses are for health checks only, but `Discovery` tests whether there is any.
+        self.addresses[ANY_ADDRESS] = None
 
 
 class HollowCoordinator:
-    """Listens at `address` from its making until `close`; the loop is its user's to turn."""
+    """A coordinator that listens at `address` until `close`; the caller runs the loop."""
 
     def __init__(self, loop: Loop, name: str, discovery: tuple[str, int], profile: Profile) -> None:
-        """Raises OSError where no listening socket can be had."""
+        """Start to listen and to watch the endpoint list.
+
+        Raises:
+            OSError: No listening socket can be created.
+
+        """
         self.loop = loop
         self.name = name
         self.profile = profile
@@ -94,24 +100,24 @@
         self.joinings_played = 0
         self.changes_played = 0
         self.flushes_played = 0
-        self.barrier = 0  # the latest
-        self.barrier_at = -1  # ns: the turn that the latest ticket is of
+        self.barrier = 0  # the last one
+        self.barrier_at = -1  # ns of the turn in which the last barrier was made
         listener = _listen()
         self.address: tuple[str, int] = listener.getsockname()
         self.tasks = [loop.spawn(self._accept(listener))]
-        self.refreshing = False  # whether its refreshing runs: from the first joining on
+        self.refreshing = False  # whether `_refresh` runs, which starts with the first joined proxy
         self.watch = _Watch(self, discovery, name)
 
     def close(self) -> None:
-        """Ends the watch, the listening and all connections."""
-        tasks = [self.watch.task, *self.tasks, *(each.current_task for each in self.connections)]
+        """Stop the watch and close the listener and all connections."""
+        tasks = [self.watch.task, *self.tasks, *(connection.current_task for connection in self.connections)]
         for task in tasks:
             self.loop.end(task)
 
-    # The list
+    # Endpoint list
 
     def report(self, _now: int, update: EndpointListUpdate) -> None:
-        """Takes an endpoint list from the watch, as `Coordinator.report` does."""
+        """Apply an endpoint list from the watch, as `Coordinator.report` does."""
         listed = {entry.name: EndpointState(entry.phase, entry.started_at) for entry in update.entries}
         if update.form != ListForm.CHANGES:
             absent = [backend for backend in self.states if backend not in listed]
@@ -125,7 +131,7 @@
         if self.awaiting_list and self.states.any_ready():
             self._write_first_tables()
 
-    # What is written
+    # Messages to proxies
 
     def _write_first_tables(self) -> None:
         awaiting, self.awaiting_list = self.awaiting_list, {}
@@ -158,16 +164,16 @@
             self.flushes_played += 1
 
     def _ready_entries(self, parts: Parts) -> list[Entry]:
-        """Entries of ready backends, as many as may fit into these parts."""
+        """Return entries of ready backends, at least as many as fit into these parts."""
         return [[name, 1.0] for name in islice(self.states.ready(), sum(parts) // ENTRY_SIZE_MIN)]
 
     def _write_update(
         self, connection: Connection, parts: Parts, entries: list[Entry], complete: bool = False
     ) -> None:
-        """Writes one message, unless the one before was not taken: then a real one would merge the two."""
+        """Write one message, unless the previous one is not sent yet: a real one would merge the two."""
         if connection.unsent:
             return
-        if self.barrier_at != self.loop.now:  # all messages of one turn have one ticket
+        if self.barrier_at != self.loop.now:  # all messages of one turn share a barrier
             self.barrier = (self.barrier + 1) % BARRIER_LIMIT
             self.barrier_at = self.loop.now
         data = update_message(parts, entries, complete, self.barrier)
@@ -184,7 +190,7 @@
                     yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
 
     def _accept_some(self, listener: socket.socket) -> bool:
-        """Accepts what waits; False where no descriptor is free for it."""
+        """Accept pending connections; return False if no descriptor is free for one."""
         for _ in range(ACCEPTS_PER_TURN):
             try:
                 sock = listener.accept()[0]
@@ -216,7 +222,7 @@
         except InvalidInputError:
             self.counts.add_received("unreadable", connection.reader.available)
         except OSError:
-            pass  # reset by the other side
+            pass  # reset by the peer
         finally:
             self._end(connection)
 
@@ -228,7 +234,7 @@
             self.awaiting_list.pop(connection.proxy, None)
 
     def _handle(self, connection: Connection) -> None:
-        """Takes the complete messages of what was read; raises InvalidInputError where one cannot be read."""
+        """Handle the complete messages in the reader; raise InvalidInputError if one is malformed."""
         reader = connection.reader
         before = reader.available
         for message in reader.messages():
--- a/granitespool/scale/hollow/endpoints.py
+++ b/granitespool/scale/hollow/endpoints.py
@@ -1,4 +1,4 @@
-"""What is known of the backends: enough to see what a message of the endpoint list changes."""
+"""The state of each backend, to find out whether an entry of the endpoint list changes it."""
 
 import sys
 from collections.abc import Iterator
@@ -6,10 +6,10 @@
 
 
 class EndpointState(NamedTuple):
-    """A backend that is not gone."""
+    """The state of a backend that is not gone."""
 
     phase: str
-    started: int  # ns; 0: long ago
+    started: int  # ns of the backend's start; 0: long ago
 
 
 class EndpointStates:
@@ -17,13 +17,15 @@
 
     def __init__(self) -> None:
         self._states: dict[str, EndpointState] = {}
-        self._shared: dict[EndpointState, EndpointState] = {}  # most backends are in the same state
+        self._shared: dict[
+            EndpointState, EndpointState
+        ] = {}  # one object per state, as most backends share it
 
     def __iter__(self) -> Iterator[str]:
         return iter(self._states)
 
     def update(self, backend: str, phase: str, started: int) -> bool:
-        """Takes one entry of the list; True where it differs from what was known."""
+        """Apply one entry of the endpoint list; return whether it changes the backend's state."""
         state = None if phase == "gone" else EndpointState(phase, started)
         if self._states.get(backend) == state:
             return False
@@ -34,9 +36,9 @@
         return True
 
     def ready(self) -> Iterator[str]:
-        """The backends that may be in a table."""
+        """Return the backends that may be in a table."""
         return (backend for backend, state in self._states.items() if state.phase == "ready")
 
     def any_ready(self) -> bool:
-        """Whether any backend may be in a table."""
+        """Return whether any backend may be in a table."""
         return any(state.phase == "ready" for state in self._states.values())
--- a/granitespool/scale/hollow/measurement.py
+++ b/granitespool/scale/hollow/measurement.py
@@ -1,4 +1,4 @@
-"""Measures the profile of a real coordinator from what the stand-ins before it saw."""
+"""Measures the profile of a real coordinator from the events that the stand-ins recorded."""
 
 from collections.abc import Iterable
 
@@ -16,8 +16,8 @@
 from granitespool.scale.trace import BackendListed, Event, ProxyJoined, ProxyLeft, UpdateReceived
 from granitespool.units import SECOND
 
-FLUSH_TIME = SECOND // 20  # ns from the first message of a flush to its last
-CHANGE_TIME = SECOND  # ns after a change of the list in which a proxy's next message belongs to it
+FLUSH_TIME = SECOND // 20  # ns from the first to the last message of a flush
+CHANGE_TIME = SECOND  # ns after a change of the endpoint list in which a proxy's next message belongs to it
 
 MeasuredEvent = ProxyJoined | ProxyLeft | BackendListed | UpdateReceived
 
@@ -30,23 +30,24 @@
     """An event is not older than the end of the measurement."""
 
     def __init__(self, at: int, until: int) -> None:
-        """Both in ns."""
-        super().__init__(f"an event is of {at} ns, and the measuring ended at {until} ns")
+        """Create the error; both times are in ns."""
+        super().__init__(f"an event has the time {at} ns, but the measurement ended at {until} ns")
 
 
 class UnmeasuredEventError(MeasurementError, TypeError):
-    """An event says nothing of a coordinator's messages."""
+    """An event has a type that a profile cannot be measured from."""
 
     def __init__(self, kind: type) -> None:
-        """`kind` is the event's type."""
-        super().__init__(f"a {kind.__name__} says nothing of a coordinator's messages")
+        """Create the error; `kind` is the event's type."""
+        super().__init__(f"no profile can be measured from an event of type {kind.__name__}")
 
 
 def measure_profile(events: Iterable[MeasuredEvent], until: int) -> Profile:
-    """The profile of one coordinator from events in order of time, up to `until` (ns).
+    """Measure the profile of one coordinator from events in order of time, up to `until` (ns).
 
-    Entries that were told at the same time are one change; a change before anyone joined is none. Raises
-    LateEventError and UnmeasuredEventError."""
+    Endpoint list entries of the same time are one change; a change before any proxy has joined is ignored.
+    Raises LateEventError and UnmeasuredEventError.
+    """
     measurement = _Measurement()
     for event in events:
         measurement.observe(event)
@@ -56,19 +57,19 @@
 
 
 class _Written(msgspec.Struct):
-    """A change of the list or a flush, and what each proxy was written for it."""
+    """A change of the endpoint list or a flush, and the message to each proxy for it."""
 
-    at: int  # ns; of a flush: of its first message
-    messages: dict[int, Parts | None]  # by proxy, in order of joining
+    at: int  # ns of the change, or of the first message of the flush
+    messages: dict[int, Parts | None]  # by proxy, in order of joining; None: no message yet
 
 
 class _Measurement:
-    """Tells the messages of one coordinator apart: for a joining, for a change, or by time."""
+    """Classifies the messages of one coordinator by their cause: a join, a change of the list, or time."""
 
     def __init__(self) -> None:
-        self.joined: dict[int, int] = {}  # proxy -> joined when, ns; in order of joining
+        self.joined: dict[int, int] = {}  # proxy -> ns when it joined; in order of joining
         self.joinings: list[Parts | None] = []
-        self.awaiting: dict[int, int] = {}  # proxy without its first table -> its place in `joinings`
+        self.awaiting: dict[int, int] = {}  # proxy without its first table -> its index in `joinings`
         self.changes: list[_Written] = []
         self.states = EndpointStates()
         self.flushes: list[_Written] = []
@@ -76,7 +77,7 @@
         self.proxy_time = 0  # ns, summed over streams that have ended
 
     def observe(self, event: Event) -> None:
-        """Takes one event; raises UnmeasuredEventError."""
+        """Handle one event; raise UnmeasuredEventError if its type is not supported."""
         match event:
             case ProxyJoined():
                 self._joined(event)
@@ -117,14 +118,14 @@
             self._flush_of(event).messages[event.proxy] = event.parts
 
     def _change_of(self, event: UpdateReceived) -> _Written | None:
-        """The latest change, where this message can belong to it."""
+        """Return the last change if this message can belong to it."""
         change = self.changes[-1] if self.changes else None
         if change is None or event.at - change.at > CHANGE_TIME or not _lacks_message(change, event):
             return None
         return change
 
     def _flush_of(self, event: UpdateReceived) -> _Written:
-        """The latest flush, where this message can belong to it, or a new one."""
+        """Return the last flush if this message can belong to it, else a new one."""
         flush = self.flushes[-1] if self.flushes else None
         if flush is None or event.at - flush.at > FLUSH_TIME or not _lacks_message(flush, event):
             flush = _Written(event.at, dict.fromkeys(self.joined))
@@ -132,7 +133,7 @@
         return flush
 
     def profile(self, until: int) -> Profile:
-        """What was seen up to then (ns)."""
+        """Return the profile of the events up to `until` (ns)."""
         proxy_time = self.proxy_time + sum(until - joined_at for joined_at in self.joined.values())
         first = until if self.first_joined_at is None else self.first_joined_at
         changes = [parts for change in self.changes for parts in change.messages.values()]
@@ -147,5 +148,5 @@
 
 
 def _lacks_message(written: _Written, event: UpdateReceived) -> bool:
-    """Whether the event's proxy is one of those written to and was not written anything yet."""
+    """Return whether the event's proxy is to get a message of this occasion and has none yet."""
     return event.proxy in written.messages and written.messages[event.proxy] is None
--- a/granitespool/scale/hollow/messages.py
+++ b/granitespool/scale/hollow/messages.py
@@ -1,4 +1,4 @@
-"""Messages to proxies of a given size: valid frames of the protocol, filled up with spaces."""
+"""Messages to proxies of a given size: valid frames of the protocol, padded with spaces."""
 
 from collections.abc import Sequence
 
@@ -7,13 +7,14 @@
 from granitespool.net.frames import LENGTH_SIZE
 from granitespool.scale.hollow.profile import Parts
 
-Entry = list[str | float]  # backend and weight, as the wire has it
+Entry = list[str | float]  # backend and weight, in the order of the wire
 
 
 def update_message(parts: Parts, entries: Sequence[Entry], complete: bool, barrier: int) -> bytes:
-    """The frames of one message: valid parts of exactly these bytes each, with as many entries as fit.
+    """Return the frames of one message: valid parts of exactly these sizes, with as many entries as fit.
 
-    A part that is too small for the least of a message is longer than asked for."""
+    A part whose size is too small even for the required fields becomes longer.
+    """
     frames = []
     rest = entries
     for number, size in enumerate(parts):
@@ -30,7 +31,7 @@
 
 
 def _fill(size: int, fields: dict[str, object], entries: Sequence[Entry]) -> tuple[bytes, Sequence[Entry]]:
-    """A body of `size` bytes with the first entries that fit into it; and the entries that are left."""
+    """Return a body of `size` bytes with the first entries that fit into it, and the remaining entries."""
     number = len(entries)
     body = orjson.dumps({**fields, "lines": entries})
     while number and len(body) > size:
--- a/granitespool/scale/hollow/process.py
+++ b/granitespool/scale/hollow/process.py
@@ -1,7 +1,8 @@
 """A process of many hollow coordinators: `python -m granitespool.scale.hollow.process SPEC`.
 
-SPEC is a JSON file that the runner writes (`Spec`). Each line on standard output is a `ProcessStatus`: the
-first once all listen, then one each second, and a last one when SIGTERM ends the process."""
+SPEC is a JSON file that the run writes (`Spec`). Each line on standard output is a `ProcessStatus`: the
+first once all coordinators listen, then one each second, and a last one when SIGTERM ends the process.
+"""
 
 import os
 import signal
@@ -17,11 +18,11 @@
 from granitespool.scale.hollow.profile import Profile
 from granitespool.units import SECOND
 
-STATUS_INTERVAL = SECOND  # ns between lines
+STATUS_INTERVAL = SECOND  # ns between status lines
 
 
 class Spec(msgspec.Struct, frozen=True, kw_only=True):
-    """What one process is to do."""
+    """The input of one process: its coordinators, their discovery agent and their profile."""
 
     names: list[str]
     discovery: tuple[str, int]
@@ -29,12 +30,12 @@
 
 
 class ProcessStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What all coordinators of the process have done so far."""
+    """The counts of all coordinators of the process so far."""
 
     addresses: list[tuple[str, int]]
-    traffic: dict[str, Traffic]  # "in joined" -> what came
+    traffic: dict[str, Traffic]  # by direction and kind, such as "in joined"
     watches_ended: int
-    listed: int  # coordinators that hold a list
+    listed: int  # coordinators that have an endpoint list
     failures: int  # coroutines that failed
 
 
@@ -50,7 +51,7 @@
         self.loop.spawn(self._write_regularly())
 
     def run(self) -> None:
-        """Runs until SIGTERM."""
+        """Run until SIGTERM."""
         signal.signal(signal.SIGTERM, lambda *_: self.loop.stop())
         try:
             self.loop.run(lambda _: None)
@@ -69,10 +70,10 @@
 
     def _write(self) -> None:
         status = ProcessStatus(
-            addresses=[each.address for each in self.coordinators],
+            addresses=[coordinator.address for coordinator in self.coordinators],
             traffic=self._traffic(),
-            watches_ended=sum(each.counts.watches_ended for each in self.coordinators),
-            listed=sum(each.states.any_ready() for each in self.coordinators),
+            watches_ended=sum(coordinator.counts.watches_ended for coordinator in self.coordinators),
+            listed=sum(coordinator.states.any_ready() for coordinator in self.coordinators),
             failures=self.failures,
         )
         os.write(sys.stdout.fileno(), msgspec.json.encode(status) + b"\n")
@@ -86,7 +87,7 @@
 
 
 def _by_direction(coordinator: HollowCoordinator) -> Iterator[tuple[str, Traffic]]:
-    """What a coordinator has counted, by direction and kind, as "in joined"."""
+    """Return a coordinator's counts by direction and kind, such as "in joined"."""
     for received, traffic in coordinator.counts.received.items():
         yield f"in {received}", traffic
     for sent, traffic in coordinator.counts.sent.items():
@@ -94,7 +95,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Reads the spec and runs; the exit code is 1 where a coroutine failed."""
+    """Run the process of a spec; return the exit code, which is 1 if a coroutine failed."""
     spec = msgspec.json.decode(Path(arguments[0]).read_bytes(), type=Spec)
     process = HollowProcess(spec)
     process.run()
--- a/granitespool/scale/hollow/profile.py
+++ b/granitespool/scale/hollow/profile.py
@@ -1,7 +1,8 @@
-"""What a coordinator writes to its proxies: for each kind of message a rate and sizes.
+"""The profile of the messages that a coordinator writes to its proxies: rates and sizes by kind.
 
-A profile is measured from a real coordinator (`measurement`) and played by hollow ones. Sizes are bytes of a
-message's parts, the length before each counted; None stands for an occasion that brought no message."""
+A profile is measured from a real coordinator (`measurement`) and replayed by hollow ones. Sizes are bytes of
+a message's parts with their length prefixes; None stands for an occasion without a message.
+"""
 
 import msgspec
 
@@ -11,34 +12,35 @@
 
 
 class MessageProfile(msgspec.Struct, frozen=True, kw_only=True):
-    """Messages of one kind: what each occasion brought, in order; played round and round.
+    """The messages of one kind, one for each occasion, in order; they are replayed in a loop.
 
-    An occasion is a joining, or a change of the list for one proxy."""
+    An occasion is a joining proxy, or a change of the endpoint list for one proxy.
+    """
 
     occasions: tuple[Parts | None, ...] = ()
 
     @property
     def rate(self) -> float:
-        """Messages an occasion."""
+        """Messages per occasion."""
         written = sum(parts is not None for parts in self.occasions)
         return written / len(self.occasions) if self.occasions else 0.0
 
     def parts(self, occasion: int) -> Parts | None:
-        """The parts that this occasion (counted from 0) brings; None: no message."""
+        """Return the parts of the message of this occasion (counted from 0); None: no message."""
         return self.occasions[occasion % len(self.occasions)] if self.occasions else None
 
 
 class Flush(msgspec.Struct, frozen=True, kw_only=True):
-    """One time at which a coordinator wrote its proxies what had changed with time."""
+    """The messages that a coordinator wrote at one time without a join or a change of the endpoint list."""
 
     offset: int  # ns after the first joining
-    messages: tuple[Parts | None, ...]  # by proxies in order of joining
+    messages: tuple[Parts | None, ...]  # of the proxies in order of joining
 
 
 class RefreshProfile(msgspec.Struct, frozen=True, kw_only=True):
-    """Messages that come without a joining or a change of the list: by time alone, played round and round."""
+    """The flushes of a measured period, which are replayed in a loop."""
 
-    period: int = 0  # ns that the flushes are of
+    period: int = 0  # ns from the first joined proxy to the end of the measurement
     proxy_time: int = 0  # ns of the period, summed over joined proxies
     flushes: tuple[Flush, ...] = ()
 
@@ -49,19 +51,19 @@
         return written * SECOND / self.proxy_time if self.proxy_time else 0.0
 
     def due(self, number: int) -> int:
-        """When this flush (counted from 0) is due, in ns after the first joining."""
+        """Return when this flush (counted from 0) is due, in ns after the first joined proxy."""
         rounds, position = divmod(number, len(self.flushes))
         return rounds * self.period + self.flushes[position].offset
 
     def parts(self, number: int, position: int) -> Parts | None:
-        """The parts that this flush brings to the proxy at this position; None: no message."""
+        """Return the parts of this flush's message to the proxy at this position; None: no message."""
         messages = self.flushes[number % len(self.flushes)].messages
         return messages[position % len(messages)]
 
 
 class Profile(msgspec.Struct, frozen=True, kw_only=True):
-    """All that a coordinator writes to its proxies."""
+    """All messages that a coordinator writes to its proxies."""
 
-    joining: MessageProfile = MessageProfile()  # the first table; an occasion is a joining
-    change: MessageProfile = MessageProfile()  # after the list changed; an occasion is a change and a proxy
+    joining: MessageProfile = MessageProfile()  # the first table; an occasion is a joining proxy
+    change: MessageProfile = MessageProfile()  # after a change; an occasion is a change and a proxy
     refresh: RefreshProfile = RefreshProfile()
--- a/granitespool/scale/hollow_fleet.py
+++ b/granitespool/scale/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of hollow coordinators in a run, and the proxies that keep streams to them."""
+"""The processes of hollow coordinators in a run, and the proxies that are connected to them."""
 
 from pathlib import Path
 from random import Random
@@ -24,13 +24,13 @@
 from granitespool.simulation.proxy_table import ProxyTable
 from granitespool.units import SECOND
 
-POLL_INTERVAL = SECOND // 20  # ns between two looks
-SOCKETS_PER_COORDINATOR = 8  # descriptors of one hollow coordinator: its listener, its watch, some streams
-SOCKETS_BASE = 64  # descriptors of a process beside those
+POLL_INTERVAL = SECOND // 20  # ns between checks whether the processes are ready
+SOCKETS_PER_COORDINATOR = 8  # descriptors of one hollow coordinator: a listener, a watch, some streams
+SOCKETS_BASE = 64  # further descriptors of a process
 
 
 def profile_of(recorder: Recorder, coordinator: RealCoordinator, until: int) -> Profile:
-    """What a real coordinator has written to its proxies up to a time (ns)."""
+    """Return the profile of what a real coordinator has written to its proxies before `until` (ns)."""
     name = coordinator.name
     events = [
         event
@@ -42,34 +42,34 @@
 
 
 class HollowProcess:
-    """One process of hollow coordinators, as its parent sees it."""
+    """One process of hollow coordinators, as the run controls it."""
 
     def __init__(self, names: list[str], path: Path, agent_index: int) -> None:
-        """Its spec is written to `path`; its agent is that of this index."""
+        """Create the process without starting it; its spec is written to `path`."""
         self.names = names
         self.path = path
         self.agent_index = agent_index
         self.child: Child | None = None
-        self.status: ProcessStatus | None = None  # the latest
+        self.status: ProcessStatus | None = None  # the most recent one
         self.samples: list[Sample] = []
         self.endpoints: list[CoordinatorEndpoint] = []
         self.killed = False
 
     @property
     def ready(self) -> bool:
-        """Whether all its coordinators hold a list."""
+        """Whether all its coordinators have an endpoint list."""
         return self.status is not None and self.status.listed == len(self.names)
 
     def take_line(self, line: dict[str, Any]) -> None:
-        """Takes a line of its output."""
+        """Evaluate a line of the process's output."""
         self.status = msgspec.convert(line, ProcessStatus)
 
 
 class HollowFleet:
-    """All hollow coordinators; they are started once a real one was measured."""
+    """All hollow coordinators of a run; they start after a real one has been measured."""
 
     def __init__(self, environment: Environment, folder: Path) -> None:
-        """The processes' specs are written to `folder`."""
+        """Create the processes without starting them; their specs are written to `folder`."""
         self.environment = environment
         self.scenario = environment.scenario
         self.loop = environment.loop
@@ -86,11 +86,11 @@
 
     @property
     def children(self) -> list[Child]:
-        """The processes that were started."""
-        return [each.child for each in self.processes if each.child]
+        """The child processes that were started."""
+        return [process.child for process in self.processes if process.child]
 
     def start(self, measured: RealCoordinator) -> Wait:
-        """Starts them with the profile of a real coordinator, and waits until all hold a list."""
+        """Start them with the profile of a real coordinator; wait until all have an endpoint list."""
         profile = profile_of(
             self.environment.recorder, measured, self.loop.clock() + 1
         )  # after all that was seen
@@ -114,20 +114,21 @@
         self.loop.spawn(read_lines(process.child, process.take_line))
 
     def _connect_proxies(self, process: HollowProcess, status: ProcessStatus) -> None:
-        process.samples.clear()  # what the start took is not what it costs
+        process.samples.clear()  # the cost of the start is not the cost of operation
         for name, address in zip(process.names, status.addresses, strict=True):
             channel = ChannelQueue(self.recorder, name, self.scenario.channel)
             endpoint = CoordinatorEndpoint(self.recorder, name, self.scenario.zones[0], address, channel)
             process.endpoints.append(endpoint)
             self._make_proxies(endpoint)
-        endpoints = [endpoint for each in self.processes for endpoint in each.endpoints]
+        endpoints = [endpoint for process in self.processes for endpoint in process.endpoints]
         for endpoint in endpoints:
             endpoint.others = endpoints
 
     def _make_proxies(self, endpoint: CoordinatorEndpoint) -> None:
         scenario, environment = self.scenario, self.environment
         for _ in range(scenario.proxies.per_hollow):
-            number = expected_proxies(scenario) - 1 - len(self.streams)  # real ones' proxies count from 0
+            # The proxies of real coordinators are numbered from 0 up
+            number = expected_proxies(scenario) - 1 - len(self.streams)
             table = ProxyTable(number, scenario.zones[number % len(scenario.zones)], {})
             random = Random(f"{scenario.scale.seed} proxy {number}")
             stream = ProxyStream(self.loop, self.recorder, table, endpoint, environment.ever_listed, random)
@@ -135,7 +136,7 @@
             self.streams.append(stream)
 
     def kill_one(self) -> None:
-        """The last process dies at once; its proxies go to the coordinators of the others."""
+        """Kill the last process; its proxies move to the coordinators of the other processes."""
         process = self.processes[-1]
         assert process.child is not None
         process.killed = True
@@ -144,7 +145,7 @@
             endpoint.down = True
 
     def take_samples(self) -> None:
-        """Notes what the processes have used."""
+        """Record the resource usage of the processes."""
         for process in self.processes:
             if not process.child or process.killed:
                 continue
@@ -155,7 +156,7 @@
                 process.samples.append(found)
 
     def check(self) -> None:
-        """Notes what is not as it should be at the end of a run, before the processes are ended."""
+        """Record closed watches and streams at the end of a run, before the processes are stopped."""
         for process in self.processes:
             if process.status is not None:
                 self._check_process(process, process.status)
@@ -171,13 +172,15 @@
             self.failures.append(f"hollow process {process.agent_index}: {status.failures} failures")
 
     def close(self) -> None:
-        """Ends the proxies; the processes are ended with the others."""
+        """Stop the proxies; the run stops the processes."""
         for stream in self.streams:
             stream.close()
 
     def row(self) -> HollowRow:
-        """Their part of the report."""
-        shares = [share_of(each.samples[0], each.samples[-1]) for each in self.processes if each.samples]
+        """Return the report's row on the hollow coordinators."""
+        shares = [
+            share_of(process.samples[0], process.samples[-1]) for process in self.processes if process.samples
+        ]
         known = [share for share in shares if share is not None]
         resident = sum(
             max((used.resident for used in process.samples), default=0) for process in self.processes
@@ -193,12 +196,13 @@
         )
 
     def _traffic(self) -> dict[str, KindTraffic]:
-        """Messages and bytes of all of them, by direction and kind."""
+        """Return the messages and bytes of all processes, by direction and kind."""
         sums: dict[str, Traffic] = {}
         for process in self.processes:
             if process.status is not None:
                 for kind, traffic in process.status.traffic.items():
                     sums.setdefault(kind, Traffic()).add_all(traffic)
         return {
-            kind: KindTraffic(messages=each.messages, bytes=each.bytes) for kind, each in sorted(sums.items())
+            kind: KindTraffic(messages=traffic.messages, bytes=traffic.bytes)
+            for kind, traffic in sorted(sums.items())
         }
--- a/granitespool/scale/plan.py
+++ b/granitespool/scale/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a scenario and when, drawn once from the seed before anything is started."""
+"""The events of a scenario and their times, drawn from the seed before anything is started."""
 
 import hashlib
 from collections.abc import Callable, Iterable, Sequence
@@ -13,36 +13,36 @@
 from granitespool.units import SECOND
 
 Action = Literal[
-    "drain",  # discovery tells that backends drain
-    "remove",  # backends end, and discovery tells that they are gone
-    "crash",  # backends end without a word
-    "add",  # backends begin cold, and discovery tells of them
+    "drain",  # discovery reports backends as draining
+    "remove",  # backends stop, and discovery reports them as gone
+    "crash",  # backends stop, and discovery reports nothing
+    "add",  # backends start, need to warm up, and discovery reports them
     "configure",  # a new configuration for every coordinator that can be reached
-    "configure_badly",  # one that cannot be used
+    "configure_badly",  # an invalid configuration for each of them
     "kill",  # coordinators are killed
-    "terminate",  # coordinators are asked to end
+    "terminate",  # coordinators receive SIGTERM
     "start",  # coordinators are started again
     "collectors_down",
     "collectors_up",
-    "cut",  # regions are cut from each other and from discovery
+    "cut",  # regions are cut off from each other and from discovery
     "heal",
-    "stall",  # discovery breaks off in the middle of its next line
-    "duplicate",  # a change arrives twice
-    "reorder",  # two changes of one backend arrive the later one first
+    "stall",  # discovery stops in the middle of its next line
+    "duplicate",  # a change of the endpoint list is sent twice
+    "reorder",  # two changes of one backend are sent, the later one first
     "end_watches",
     "kill_hollow",
 ]
-STALL_LEAD = SECOND // 20  # ns from a stall to the change that it breaks off
-PARTITION_CHANGE = 0.4  # part of a cut after which a change is made on the other side of it
+STALL_LEAD = SECOND // 20  # ns from a stall to the change whose line it interrupts
+PARTITION_CHANGE = 0.4  # share of a cut's duration after which the list and the configuration change
 PARTITION_DRAINS = 4  # backends that drain during a cut
-RENAMED_SHARE = 1 / 2  # of the replaced backends, those that come back under another name
-DIGEST_LENGTH = 16  # characters
+RENAMED_SHARE = 1 / 2  # share of the replaced backends that return under another name
+DIGEST_LENGTH = 16  # hexadecimal digits
 
 
 class PlannedEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """One thing that is to happen."""
+    """One event of the plan; the digest covers the names of its fields."""
 
-    at: int  # ns after the beginning of the events
+    at: int  # ns after the events have begun
     action: Action
     entries: tuple[ListedBackend, ...] = ()
     names: tuple[str, ...] = ()  # coordinators, zones or regions
@@ -50,7 +50,7 @@
 
 
 def plan_digest(plan: Iterable[PlannedEvent]) -> str:
-    """A short text that is the same for the same planned events, whatever the run's addresses are."""
+    """Return a digest of the planned events that does not depend on the run's addresses."""
     without_addresses = [
         msgspec.structs.replace(
             planned,
@@ -62,7 +62,7 @@
 
 
 def coordinator_zones(scenario: Scenario) -> list[str]:
-    """The zone of each real coordinator: regions in turn."""
+    """Return the zone of each real coordinator; the regions take turns."""
     regions, zones = scenario.fleet.regions, scenario.fleet.zones_per_region
     return [
         scenario.zones[(index % regions) * zones + index // regions % zones]
@@ -71,19 +71,19 @@
 
 
 def coordinator_name(index: int) -> str:
-    """The name of a real coordinator."""
+    """Return the name of a real coordinator."""
     return f"c{index:03}"
 
 
 class Plan:
-    """Draws the events of a scenario; `planned` has them in order of time."""
+    """The events of a scenario; `planned` has them in order of time."""
 
     def __init__(self, scenario: Scenario, fleet: GeneratedFleet, random: Random) -> None:
-        """`random` is used from here on: one order of calls gives one plan."""
+        """Draw the events from `random`; the order of the calls determines the plan."""
         self.scenario = scenario
         self.fleet = fleet
         self.random = random
-        self.unused_backends = list(fleet.backends)  # backends that no event has yet
+        self.unused_backends = list(fleet.backends)  # backends that no event affects yet
         random.shuffle(self.unused_backends)
         self.events: list[PlannedEvent] = []
         planners = self._planners()
@@ -92,7 +92,7 @@
         self.planned = sorted(self.events, key=lambda planned: planned.at)
 
     def _planners(self) -> dict[str, Callable[[Event], None]]:
-        """What plans the events of each kind."""
+        """Return the method that plans the events of each kind."""
         return {
             "replace": self._replace,
             "fail": self._fail,
@@ -110,7 +110,7 @@
 
     @property
     def end(self) -> int:
-        """When the last of them happens, in ns."""
+        """Time of the last event, in ns."""
         return self.planned[-1].at if self.planned else 0
 
     def _add(
@@ -137,7 +137,7 @@
         return taken
 
     def _times(self, event: Event) -> list[float]:
-        """Times (s) at which each of an event's things happens."""
+        """Return the time (s) of each repetition of an event."""
         return [event.at_s + event.for_s * number / event.count for number in range(event.count)]
 
     def _replace(self, event: Event) -> None:
@@ -158,7 +158,7 @@
     def _fail_and_restore(
         self, event: Event, at: float, backends: Sequence[ListedBackend], back_s: float
     ) -> None:
-        """Backends end without a word, discovery notices, and they come back cold."""
+        """Plan a crash of backends, its detection by discovery, and their restart, with warm-up."""
         self._add(at, "crash", [_with_status(backend, "gone") for backend in backends])
         noticed = at + event.noticed_s
         self._add(noticed, "remove", [_with_status(backend, "gone") for backend in backends])
@@ -182,7 +182,7 @@
         for zone in self.random.sample(coordinator_zone_names, min(event.count, len(coordinator_zone_names))):
             inside = [backend for backend in self.unused_backends if backend.zone == zone]
             self.unused_backends = [backend for backend in self.unused_backends if backend.zone != zone]
-            names = [coordinator_name(index) for index, each in enumerate(zones) if each == zone]
+            names = [coordinator_name(index) for index, name in enumerate(zones) if name == zone]
             self._add(event.at_s, "kill", names=names)
             self._add(event.at_s, "collectors_down", names=[zone])
             self._fail_and_restore(event, event.at_s, inside, event.for_s)
--- a/granitespool/scale/plot.py
+++ b/granitespool/scale/plot.py
@@ -1,4 +1,4 @@
-"""Plots of runs: what a coordinator costs, against the size of the fleet."""
+"""Plots of the costs of a coordinator against the size of the fleet."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -10,9 +10,14 @@
 
 
 def plot(reports: Sequence[Report], path: str) -> None:
-    """Writes a plot (PNG, SVG or PDF); raises InvalidInputError where matplotlib is not there.
+    """Write a plot as PNG, SVG or PDF.
 
-    Each point is one real coordinator of one run, at the run's number of backends."""
+    Each point is one real coordinator of one run, at the run's number of backends.
+
+    Raises:
+        InvalidInputError: matplotlib is not installed.
+
+    """
     pyplot = load_pyplot()
     points = [(report.sizes["backends"], row) for report in reports for row in report.coordinators]
     figure, (processor, memory, traffic) = pyplot.subplots(1, 3, figsize=(13, 3.8))
@@ -34,7 +39,7 @@
 
 
 def _scatter(
-    axis: Any,  # noqa: ANN401 of matplotlib
+    axis: Any,  # noqa: ANN401 matplotlib has no type for it
     points: Sequence[tuple[int, float | None]],
     factor: float,
     label: str,
--- a/granitespool/scale/processes.py
+++ b/granitespool/scale/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a run: coordinators and hollow ones, each started, measured and ended by its parent."""
+"""Child processes of a run (real and hollow coordinators): start, resource usage and termination."""
 
 import ctypes
 import os
@@ -20,10 +20,10 @@
 from granitespool.scale.coroutines import Wait
 from granitespool.units import SECOND
 
-PAGE = resource.getpagesize()
-TICK = SECOND // os.sysconf("SC_CLK_TCK")  # ns of one tick of /proc/PID/stat
-PR_SET_PDEATHSIG = 1  # prctl: the signal that a child gets when its parent ends
-ENDING_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)  # that end a run in good order
+PAGE = resource.getpagesize()  # bytes
+TICK = SECOND // os.sysconf("SC_CLK_TCK")  # ns of one clock tick of /proc/PID/stat
+PR_SET_PDEATHSIG = 1  # prctl option: the signal that a child receives when its parent ends
+ENDING_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)  # signals that end a run with cleanup
 EXIT_TIMEOUT = 5.0  # s from SIGTERM to SIGKILL
 READ_SIZE = 65_536
 MEGABYTE = 1 << 20
@@ -32,16 +32,16 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What a process had used at one time."""
+    """The resource usage of a process at one time."""
 
     at: int  # ns
     processor: int  # ns of processor time since its start
-    resident: int  # bytes
-    descriptors: int = 0  # that are open
+    resident: int  # bytes of resident memory
+    descriptors: int = 0  # open file descriptors
 
 
 def sample(pid: int, now: int) -> Sample | None:
-    """What a process has used by now (ns); None where it has ended."""
+    """Return the resource usage of a process at `now` (ns); None if it has exited."""
     try:
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         return Sample(now, _processor(pid), pages * PAGE, len(list(Path(f"/proc/{pid}/fd").iterdir())))
@@ -57,11 +57,11 @@
 
 
 class Child:
-    """One process; it is ended with its parent, also where the parent is killed."""
+    """One child process; it ends with its parent, even if the parent is killed."""
 
     def __init__(self, command: list[str], memory_mb: int | None, sockets: int | None) -> None:
-        """Starts Python with these arguments; `memory_mb` and `sockets` limit it, None: no limit."""
-        # A signal that ends the parent waits until the child is known, or nobody would end that in good order
+        """Start Python with these arguments; `memory_mb` and `sockets` are limits, None for no limit."""
+        # A signal that ends the parent is blocked until `process` is set, else the child would run on
         former = signal.pthread_sigmask(signal.SIG_BLOCK, ENDING_SIGNALS)
         root = str(Path(granitespool.__file__).parent.parent)
         try:
@@ -77,7 +77,7 @@
             self._unblock(former)
 
     def _unblock(self, former: SignalMask) -> None:
-        """Lets signals come again; one that ends the parent now ends the child first."""
+        """Unblock signals; if one ends the parent now, stop the child first."""
         try:
             signal.pthread_sigmask(signal.SIG_SETMASK, former)
         except BaseException:
@@ -87,27 +87,27 @@
 
     @property
     def output(self) -> IO[bytes]:
-        """Its standard output."""
+        """The process's standard output."""
         assert self.process.stdout is not None
         return self.process.stdout
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """The process id."""
         return self.process.pid
 
     @property
     def ended(self) -> bool:
-        """Whether it has ended."""
+        """Whether the process has exited."""
         return self.process.poll() is not None
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal, if it still runs."""
+        """Send a signal unless the process has exited."""
         if not self.ended:
             self.process.send_signal(number)
 
     def close(self, timeout: float = EXIT_TIMEOUT) -> int:
-        """Ends it, by SIGKILL after `limit` s at the latest; returns its exit code."""
+        """Stop the process, with SIGKILL after `timeout` s; return its exit code."""
         self.signal(signal.SIGTERM)
         try:
             self.process.wait(timeout)
@@ -118,7 +118,7 @@
 
 
 def _child_setup(signal_mask: SignalMask, memory_mb: int | None, sockets: int | None) -> Callable[[], None]:
-    """What a child does before it becomes another program: it dies with its parent and keeps its limits."""
+    """Return a function that a child runs before exec: it sets the limits and the parent-death signal."""
     parent = os.getpid()
     prctl = ctypes.CDLL(None, use_errno=True).prctl
 
@@ -136,7 +136,7 @@
 
 
 def close_all(children: Sequence[Child]) -> None:
-    """Ends several at once: all are asked before any is waited for."""
+    """Stop several children at the same time: send SIGTERM to all before waiting for any."""
     for child in children:
         child.signal(signal.SIGTERM)
     until = time.monotonic() + EXIT_TIMEOUT
@@ -148,7 +148,7 @@
 
 
 def read_lines(child: Child, handle: Callable[[dict[str, Any]], None]) -> Wait:
-    """A coroutine that reads a child's JSON lines until its output ends; it owns that end of the pipe."""
+    """Read a child's JSON lines until its output ends, then close the reading end of the pipe."""
     fd = child.output.fileno()
     waiting = b""
     try:
@@ -169,7 +169,7 @@
 
 
 def write_json(path: Path, value: dict[str, Any]) -> int:
-    """Writes a file at once, so that a reader has the former or this one; returns its bytes."""
+    """Write a file atomically, so that a reader finds either the old or the new one; return its size."""
     data = orjson.dumps(value)
     new = path.with_suffix(".new")
     new.write_bytes(data)
--- a/granitespool/scale/propagation.py
+++ b/granitespool/scale/propagation.py
@@ -1,4 +1,4 @@
-"""How long it takes until no proxy holds a backend open that drains or is gone."""
+"""Measures how long proxies may still use a backend after it drains or is gone."""
 
 from collections.abc import Callable, Sequence
 
@@ -9,7 +9,7 @@
 
 
 class _Pending(msgspec.Struct, frozen=True):
-    """A backend that no proxy is to hold open any more, and the proxies that still do."""
+    """The removal of a backend, and the proxies whose tables still allow it."""
 
     since: int  # ns
     holders: set[int]  # proxies
@@ -17,18 +17,18 @@
 
 
 class PropagationTracker:
-    """Follows each removal of a backend from the list until the last proxy has applied it."""
+    """Tracks each removal of a backend from the endpoint list until the last proxy has applied it."""
 
     def __init__(self, clock: Callable[[], int], streams: Sequence[ProxyStream]) -> None:
-        """`clock` gives ns; `streams` may grow."""
+        """Create the tracker; `clock` returns ns, and the caller may add to `streams` later."""
         self.clock = clock
         self.streams = streams
-        self.durations: list[int] = []  # ns, of removals that reached the last proxy
-        self.durations_cut: list[int] = []  # the same of those made during a cut
+        self.durations: list[int] = []  # ns until the last proxy had applied a removal
+        self.durations_cut: list[int] = []  # the same for removals published during a cut
         self._pending: dict[str, _Pending] = {}
 
     def published(self, change: Change, during_cut: bool) -> None:
-        """Discovery has published a change."""
+        """Start to track the removals in a change that discovery has published."""
         for entry in change.entries:
             if entry.status == "ready":
                 self._pending.pop(entry.name, None)
@@ -41,7 +41,7 @@
             self._pending[backend] = _Pending(self.clock(), holders, during_cut)
 
     def applied(self, stream: ProxyStream) -> None:
-        """A proxy has applied a message."""
+        """Update the pending removals after a proxy has applied a message."""
         now = self.clock()
         for backend, pending in list(self._pending.items()):
             if stream.number in pending.holders and not stream.table.may_use(backend):
@@ -55,5 +55,5 @@
         durations.append(now - pending.since)
 
     def unfinished(self, during_cut: bool) -> int:
-        """Removals that some proxy has not applied yet."""
+        """Return the number of removals that some proxy has not applied yet."""
         return sum(pending.during_cut == during_cut for pending in self._pending.values())
--- a/granitespool/scale/proxy_message.py
+++ b/granitespool/scale/proxy_message.py
@@ -1,4 +1,4 @@
-"""One message to a proxy, put together from its parts on the wire."""
+"""Reassembly of a message to a proxy from its parts on the wire."""
 
 from typing import Any
 
@@ -7,11 +7,11 @@
 
 
 class IncomingMessage:
-    """A message of which some parts may still be missing."""
+    """A message whose later parts may still be missing."""
 
     def __init__(self) -> None:
-        self.sizes: list[int] = []  # bytes of each part, the length before it counted
-        self.entries = 0  # as the protocol page counts them, without the head
+        self.sizes: list[int] = []  # bytes of each part with its length prefix
+        self.entries = 0  # entries as the protocol counts them, without the header
         self.weights: list[WeightUpdate] = []
         self.admission: list[AdmissionUpdate] = []
         self.excluded: list[str] = []
@@ -19,11 +19,11 @@
         self.barrier: int | None = None
 
     def add(self, part: dict[str, Any], size: int) -> None:
-        """Takes one part of so many bytes, its length with them; raises InvalidInputError."""
+        """Add one part of `size` bytes, length prefix included; raise InvalidInputError if malformed."""
         try:
             self._add(part)
         except (TypeError, ValueError, KeyError) as error:
-            raise InvalidInputError(f"a part of a message cannot be used: {error!r:.80}") from None
+            raise InvalidInputError(f"a part of a message is malformed: {error!r:.80}") from None
         self.sizes.append(size)
 
     def _add(self, part: dict[str, Any]) -> None:
@@ -42,7 +42,7 @@
         self.entries += len(weights) + len(excluded) + len(readmitted) + sum(fields)
 
     def update(self) -> TableUpdate:
-        """What it changes in the proxy's table."""
+        """Return the changes to the proxy's table."""
         return TableUpdate(
             weights=self.weights,
             admission=self.admission,
@@ -51,14 +51,14 @@
         )
 
     def weighted_backends(self) -> list[str]:
-        """The backends that it gives a weight."""
+        """Return the backends that the message contains a weight for."""
         return [name for change in self.weights for name, _ in change.weights]
 
     def backends(self) -> list[str]:
-        """All backends that it names."""
+        """Return all backends that the message contains."""
         return [*self.weighted_backends(), *self.excluded, *self.readmitted]
 
     @property
     def changes_table(self) -> bool:
-        """Whether it changes which backends the proxy may use."""
+        """Whether the message changes which backends the proxy may use."""
         return bool(self.weights or self.excluded or self.readmitted)
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -1,7 +1,8 @@
 """Stand-ins of proxies: each keeps a stream to a coordinator, applies its messages and acknowledges them.
 
-A coordinator's messages pass a stand-in of the platform's channel; a message acts on the proxy once the
-channel has carried it."""
+A coordinator's messages pass a stand-in of the channel; the proxy applies a message once the channel has
+delivered it.
+"""
 
 import socket
 from collections import deque
@@ -24,23 +25,25 @@
 from granitespool.simulation.proxy_table import ProxyTable
 from granitespool.units import MILLISECOND, SECOND
 
-DIAL_TIMEOUT = SECOND  # ns for a connection to come up
-RECONNECT_DELAY = SECOND // 5  # ns from a stream's end to the next dialling, by chance half less or more
-USAGE_INTERVAL = SECOND  # ns between reports of usage
-APPLY_TIME = 5 * MILLISECOND  # ns in which a proxy applies a message that has arrived
-BUFFERS = 1 << 16  # of a stream's reader
+DIAL_TIMEOUT = SECOND  # ns for a connection to be established
+RECONNECT_DELAY = (
+    SECOND // 5
+)  # ns from a stream's end to the next attempt to connect, by chance up to half less or more
+USAGE_INTERVAL = SECOND  # ns between usage reports
+APPLY_TIME = 5 * MILLISECOND  # ns that a proxy needs to apply a delivered message
+BUFFERS = 1 << 16  # buffers of a stream's reader
 
 
 class _Arrival(msgspec.Struct, frozen=True):
-    """A complete message that the channel still carries."""
+    """A complete message that the channel has not delivered yet."""
 
-    acts_at: int  # ns
+    acts_at: int  # ns when the proxy applies it
     received_at: int  # ns
     message: IncomingMessage
 
 
 class ProxyStream:
-    """One proxy, on the stream that it has just now."""
+    """One proxy and its current stream."""
 
     def __init__(
         self,
@@ -51,7 +54,10 @@
         known_backends: Container[str],
         random: Random,
     ) -> None:
-        """`known_backends`: all that discovery has ever listed; a message that names another is an error."""
+        """Create a proxy, which connects to `home`.
+
+        `known_backends` are all that discovery has ever listed; a message with another one is an error.
+        """
         self.loop = loop
         self.recorder = recorder
         self.table = table
@@ -60,22 +66,22 @@
         self.random = random
         self.rate = 0.0  # requests a second
         self.classes: tuple[str, ...] = ()
-        self.without_table = True  # it holds no table that a coordinator gave it
-        self.resets = 0  # streams that it ended because it could not use what came
+        self.without_table = True  # it has received no table yet
+        self.resets = 0  # streams that the proxy closed because of a malformed message
         self.joined = False
-        self.weighted_at: dict[str, int] = {}  # backend -> when a message gave it its weight last, ns
+        self.weighted_at: dict[str, int] = {}  # backend -> ns when it last received a weight for it
         self.on_applied: Callable[[ProxyStream], None] = _ignore
-        self.half_open: list[socket.socket] = []  # streams that a cut has left open
+        self.half_open: list[socket.socket] = []  # sockets that a cut has left open
         self.sock: socket.socket | None = None
         self.task: Task = loop.spawn(self._run())
 
     @property
     def number(self) -> int:
-        """The proxy's number among all."""
+        """The number that identifies the proxy."""
         return self.table.number
 
     def move(self, endpoint: CoordinatorEndpoint, leave_open: bool = False) -> None:
-        """Goes to another coordinator; `silently` leaves the old stream open, as a cut does."""
+        """Connect to another coordinator; `leave_open` keeps the old socket open, as a network cut does."""
         self.loop.end(self.task)
         if leave_open and self.sock is not None:
             self.half_open.append(self.sock)
@@ -86,12 +92,12 @@
         self.task = self.loop.spawn(self._run())
 
     def heal(self) -> None:
-        """Resets the streams that a cut had left open."""
+        """Close the sockets that a cut had left open."""
         while self.half_open:
             self.half_open.pop().close()
 
     def close(self) -> None:
-        """Ends the proxy."""
+        """Stop the proxy."""
         self.loop.end(self.task)
         self.heal()
         if self.sock is not None:
@@ -111,11 +117,11 @@
             yield None, 0, self.loop.now + int(RECONNECT_DELAY * (0.5 + self.random.random()))
 
     def _connect(self, endpoint: CoordinatorEndpoint) -> Wait:
-        """Keeps one stream until it ends, and records its end."""
+        """Run one stream until it ends, and record its end."""
         by_coordinator = False
         try:
             yield from self._stream(endpoint)
-            by_coordinator = True  # its end came from the other side
+            by_coordinator = True  # the coordinator has closed the stream
         except InvalidInputError:
             self.resets += 1
             by_coordinator = True
@@ -185,7 +191,7 @@
             if not events:
                 continue
             view = reader.free_space()
-            assert view is not None, "the pool is as large as any message"
+            assert view is not None, "the pool has to hold the largest message"
             size = sock.recv_into(view)
             if not size:
                 return
@@ -201,7 +207,7 @@
         message: IncomingMessage,
         arrivals: deque[_Arrival],
     ) -> IncomingMessage:
-        """Takes the parts that were read; returns the message that the next part belongs to."""
+        """Add the parts that were read; return the message that the next part belongs to."""
         before = reader.available
         for part in reader.messages():
             size = before - reader.available
@@ -216,10 +222,10 @@
         return message
 
     def _complete(self, endpoint: CoordinatorEndpoint, message: IncomingMessage) -> _Arrival:
-        """Records a complete message and has the channel carry it."""
+        """Record a complete message and queue it in the channel."""
         for name in message.backends():
             if name not in self.known_backends:
-                raise InvalidInputError(f"a message names the unknown backend {name!r:.40}")
+                raise InvalidInputError(f"a message contains the unknown backend {name!r:.40}")
         now = self.loop.clock()
         self.recorder.add(
             MessageWritten(
@@ -283,4 +289,4 @@
 
 
 def _ignore(_: ProxyStream) -> None:
-    """Takes a message that nobody follows."""
+    """Ignore an applied message; the default of `on_applied`."""
--- a/granitespool/scale/queries.py
+++ b/granitespool/scale/queries.py
@@ -1,30 +1,34 @@
-"""Questions to a coordinator on a connection of their own, and what their answers show."""
+"""Queries to a coordinator, each on a connection of its own, and the evaluation of the answers."""
 
 import orjson
 
 from granitespool.errors import InvalidInputError
 from granitespool.net.frames import LENGTH_SIZE, frame
 
-NO_ZONE = "-"  # a zone that no coordinator knows
+NO_ZONE = "-"  # a zone that no coordinator is configured with
 
 
 def ping() -> bytes:
-    """The frame that asks a coordinator whether it is ready."""
+    """Return the frame that checks whether a coordinator is ready."""
     return frame({"type": "ping"})
 
 
 def settings_query(proxy: int) -> bytes:
-    """A joining that every coordinator rejects, which shows the settings in force and joins nobody.
+    """Return a `joined` message that every coordinator rejects, so that it shows the active settings.
 
-    It is rejected for the proxy's number where the settings in force do not allow it, else for its zone."""
+    It is rejected for the proxy's number if the active settings do not allow that, else for its zone.
+    """
     return frame({"type": "joined", "node": proxy, "locality": NO_ZONE, "w": 0, "cold": True})
 
 
 def proxy_allowed(answer: bytes) -> bool:
-    """Whether the rejection shows that the proxy's number was allowed.
+    """Return whether the rejection shows that the proxy's number was allowed.
 
-    Raises InvalidInputError where it is no rejection."""
+    Raises:
+        InvalidInputError: The answer is no rejection.
+
+    """
     message = orjson.loads(answer[LENGTH_SIZE:])
     if message.get("type") != "refused":
-        raise InvalidInputError(f"the answer to a settings question is {message!r:.60}")
+        raise InvalidInputError(f"the answer to a settings query is no rejection: {message!r:.60}")
     return "unknown proxy" not in message["why"]
--- a/granitespool/scale/report.py
+++ b/granitespool/scale/report.py
@@ -1,6 +1,7 @@
-"""The result of a run: typed, as a table for a terminal and as JSON.
+"""The report of a run: as typed records, as a table for a terminal and as JSON.
 
-The fields' names are the keys of the JSON, which docs hold figures of."""
+The names of the fields are the keys of the JSON document, and published figures refer to them.
+"""
 
 import statistics
 from collections.abc import Sequence
@@ -10,21 +11,21 @@
 from granitespool.scale.checker import Violation
 from granitespool.units import MILLISECOND
 
-VIOLATIONS_MAX = 20  # in a report
+VIOLATIONS_MAX = 20  # stored in a report
 PRINTED_VIOLATIONS_MAX = 5
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True):
-    """Durations of one kind, in ms; all None where there were none."""
+    """Statistics of durations of one kind, in ms; median and worst are None without any duration."""
 
     count: int
     median_ms: float | None = None
     worst_ms: float | None = None
-    unfinished: int = 0  # that had not come to an end when the run ended
+    unfinished: int = 0  # not finished when the run ended
 
 
 def times(durations: Sequence[int], unfinished: int = 0) -> Times:
-    """Sums durations (ns) up; `unfinished` had not come to an end."""
+    """Return the statistics of durations (ns); `unfinished` further ones had not ended."""
     if not durations:
         return Times(count=0, unfinished=unfinished)
     return Times(
@@ -36,15 +37,15 @@
 
 
 class KindTraffic(msgspec.Struct, frozen=True, kw_only=True):
-    """Messages of one kind between a coordinator and the others."""
+    """Messages of one kind between a coordinator and its clients and servers."""
 
-    messages: int  # of the whole run
+    messages: int  # in the whole run
     bytes: int
-    bytes_per_s: float = 0.0  # while it was measured: without the start
+    bytes_per_s: float = 0.0  # during the measurement, that is, without the start
 
 
 class CoordinatorRow(msgspec.Struct, frozen=True, kw_only=True):
-    """One real coordinator. Shares are of one core; the rates are means over the phases of measuring."""
+    """One real coordinator; shares are of one core, rates are means over the whole measurement."""
 
     name: str
     zone: str
@@ -52,14 +53,14 @@
     reports_share: float | None
     worst_second_share: float | None
     resident_mb: float
-    descriptors: int  # most that were open at once
+    descriptors: int  # maximum of open file descriptors
     log_lines_per_s: float
     in_bytes_per_s: float
     out_bytes_per_s: float
-    traffic: dict[str, KindTraffic]  # "in heard" -> what came
-    ready_ms: list[float]  # of each of its starts
+    traffic: dict[str, KindTraffic]  # by direction and kind, such as "in heard"
+    ready_ms: list[float]  # from each start to the first answer
     exit_codes: list[int]
-    log_events: dict[str, int]  # lines of its log that tell of faults it met
+    log_events: dict[str, int]  # log lines on faults around the coordinator, by event
 
 
 class HollowRow(msgspec.Struct, frozen=True, kw_only=True):
@@ -68,67 +69,67 @@
     coordinators: int
     processes: int
     resident_mb: float
-    share: float | None  # of one core, all together
-    connected: int  # watches of theirs that are open at the end
-    streams: int  # proxies with a stream to one of them at the end
+    share: float | None  # of one core, for all processes together
+    connected: int  # watches open at the end
+    streams: int  # proxies connected at the end
     traffic: dict[str, KindTraffic]
 
 
 class CutRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What a coordinator held that was cut off, and when it was right again."""
+    """A coordinator that was cut off: its versions when the cut ended, and the time until it was current."""
 
     coordinator: str
-    list_held: int  # version when the cut ended
+    list_held: int  # version of its endpoint list when the cut ended
     list_newest: int
     settings_held: int
     settings_newest: int
-    list_right_ms: float | None  # after the end of the cut; None: never
+    list_right_ms: float | None  # ms after the end of the cut; None: never
     settings_right_ms: float | None
 
 
 class Machine(msgspec.Struct, frozen=True, kw_only=True):
-    """The machine's load while the run was on it."""
+    """The cores and the load of the machine."""
 
     cores: int
-    load_before: float  # processes that wait or run, a mean of one minute
+    load_before: float  # load average over one minute
     load_after: float
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole run."""
+    """The report of one run."""
 
     scenario: str
     title: str
     seed: int
     sizes: dict[str, int]
-    planned: int  # events
-    plan_digest: str  # the same for the same seed and scenario
+    planned: int  # number of planned events
+    plan_digest: str  # equal for equal seed and scenario
     machine: Machine
     coordinators: list[CoordinatorRow]
     hollow: HollowRow | None
-    list_to_last_proxy: Times  # a backend drains or is gone, until no proxy with a stream holds it open
-    list_to_last_proxy_cut: Times  # the same of changes that were made during a cut
-    list_to_last_watch: Times  # until the change was written to the last coordinator, hollow ones too
-    settings_to_last: Times  # a configuration change until it is in force at the last coordinator
-    settings_refused: int  # changes that were refused, as they should be
-    settings_refusal_kept: bool  # whether the settings before them stayed in force
-    ready: Times  # a restart, until the first answer
+    list_to_last_proxy: Times  # from a backend's drain or removal until no joined proxy may use it
+    list_to_last_proxy_cut: Times  # the same for changes published during a cut
+    list_to_last_watch: Times  # until the change was written to the last coordinator, including hollow ones
+    settings_to_last: Times  # from a configuration change until it is active at the last coordinator
+    settings_refused: int  # invalid changes that were rejected, as expected
+    settings_refusal_kept: bool  # whether the previous settings stayed active after a rejection
+    ready: Times  # from a restart until the first answer
     cut: list[CutRow]
-    older_settings: int  # looks at which a coordinator had older settings than before
-    older_lists: int  # lists that a coordinator took though they were older than what it had
-    stream_resets: int  # streams that proxies ended because they could not use what came
-    backends_used: int  # at the end, by proxies of real coordinators
-    load_largest: float | None  # work of the most laden backend over the mean of those used
+    older_settings: int  # queries that found older settings than an earlier one
+    older_lists: int  # endpoint lists that a coordinator applied although it had a newer one
+    stream_resets: int  # streams that proxies closed because of a malformed message
+    backends_used: int  # backends in the tables of real coordinators' proxies at the end
+    load_largest: float | None  # load of the most loaded backend divided by the mean of those used
     requests: int
     requests_unserved: int
     trace_events: int
-    broken: dict[str, int]  # how often each rule was broken
-    violations: list[Violation]  # the first of them
-    failures: list[str]  # of the run itself: a stand-in that failed, a process that ended, time run out
+    broken: dict[str, int]  # number of violations of each rule
+    violations: list[Violation]  # the first VIOLATIONS_MAX
+    failures: list[str]  # of the run itself: a failed stand-in, a process that exited, a timeout
 
     @property
     def passed(self) -> bool:
-        """Whether every rule was kept, and the run itself went as planned."""
+        """Whether no rule was violated and the run itself had no failure."""
         return not (
             self.broken
             or self.failures
@@ -140,18 +141,23 @@
 
 
 def of_json(data: bytes) -> Report:
-    """What `as_json` gave; ends in msgspec.DecodeError where it is something else."""
+    """Parse the output of `as_json`.
+
+    Raises:
+        msgspec.DecodeError: The data is no report.
+
+    """
     return msgspec.json.decode(data, type=Report)
 
 
 def as_json(report: Report) -> str:
-    """The report as indented JSON, with its verdict."""
+    """Return the report as indented JSON, with the verdict in `passed`."""
     verdict = {"passed": report.passed, **msgspec.to_builtins(report)}
     return msgspec.json.format(msgspec.json.encode(verdict), indent=1).decode() + "\n"
 
 
 def table(report: Report) -> list[str]:
-    """The report as lines for a terminal."""
+    """Return the report as lines for a terminal."""
     head = ["coordinator", "zone", "idle", "reports", "worst s", "memory", "fds", "in", "out", "ready"]
     sizes = ", ".join(f"{count} {what}" for what, count in report.sizes.items())
     machine = report.machine
@@ -182,7 +188,7 @@
 
 
 def _kinds(report: Report, direction: str) -> str:
-    """One line: bytes a second by kind, means over the real coordinators, the largest first."""
+    """Return a line with the bytes a second by kind, as means over the real coordinators, largest first."""
     sums: dict[str, float] = {}
     for row in report.coordinators:
         for kind, traffic in row.traffic.items():
--- a/granitespool/scale/run.py
+++ b/granitespool/scale/run.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: starts the processes, goes through the phases, measures, and ends everything."""
+"""One run of a scenario: it starts the processes, goes through the phases, measures, and stops everything."""
 
 import os
 import secrets
@@ -25,19 +25,24 @@
 from granitespool.scale.size_check import check_size
 from granitespool.units import SECOND
 
-NETWORKS = range(64, 254)  # numbers of loopback networks that a run draws its own from
-TIMEOUT_MARGIN = 60 * SECOND  # ns beyond the planned time after which a run is given up
-FAILURES_LIMIT = 50  # failures of stand-ins after which a run is given up
-CONCURRENT_STARTS = 4  # coordinators that are expected to start in the time that one may take
+NETWORKS = range(64, 254)  # second bytes of the loopback networks that a run draws its own from
+TIMEOUT_MARGIN = 60 * SECOND  # ns beyond the planned time after which a run is aborted
+FAILURES_LIMIT = 50  # failures after which a run is aborted
+CONCURRENT_STARTS = 4  # coordinators expected to start within the start timeout of one
 
 Progress = Callable[[str], None]
 
 
 class Run:
-    """Plays a scenario once, by `play`, and leaves no process behind; then holds all that was measured."""
+    """One run of a scenario by `play`, which stops all its processes; afterwards it has the measurements."""
 
     def __init__(self, scenario: Scenario, progress: Progress) -> None:
-        """Plans the events. Raises InvalidInputError where the scenario does not fit the machine."""
+        """Plan the events.
+
+        Raises:
+            InvalidInputError: The scenario needs too many processes or too much memory.
+
+        """
         check_size(scenario)
         self.scenario = scenario
         self.progress = progress
@@ -51,16 +56,16 @@
         self.environment: Environment
         self.events: EventPlayer
         self.hollow: HollowFleet | None = None
-        self.hollow_row: HollowRow | None = None  # as it was before the processes were ended
+        self.hollow_row: HollowRow | None = None  # taken before the processes were stopped
         self.idle = Span()
         self.reported = Span()
         self.measured = Span()
-        self.bytes_before: Counter[TrafficKey] = Counter()  # before the measuring began
+        self.bytes_before: Counter[TrafficKey] = Counter()  # bytes sent before the measurement began
         self._started = False
         self._done = False
 
     def play(self) -> None:
-        """Plays it to its end."""
+        """Run the scenario to its end."""
         with tempfile.TemporaryDirectory(prefix="granitespool-scale-") as folder, exit_on_signals():
             try:
                 self._start(Path(folder))
@@ -88,7 +93,7 @@
         if not self._started:
             self.loop.close()
             return
-        real = [each.child for each in self.environment.coordinators if each.child]
+        real = [coordinator.child for coordinator in self.environment.coordinators if coordinator.child]
         close_all([*real, *hollow])
         self._record_exit_codes()
         self.environment.close()
@@ -102,19 +107,19 @@
                 code = coordinator.child.process.returncode
                 coordinator.exit_codes.append(code)
                 if code and not coordinator.endpoint.down:
-                    self.failures.append(f"{coordinator.name} ended with {code}")
+                    self.failures.append(f"{coordinator.name} exited with code {code}")
 
     # Phases
 
     def _stop_after_timeout(self) -> Wait:
-        """Ends the run where it takes much longer than planned."""
+        """Abort the run if it takes much longer than planned."""
         times = self.scenario.times
         seconds = times.warm_s + times.idle_s + times.reports_s + times.events_s + times.settle_s
         starts = times.ready_s * (1 + self.scenario.coordinators.real / CONCURRENT_STARTS)
         last = self.plan[-1].at if self.plan else 0
         yield None, 0, self.loop.now + int((seconds + starts) * SECOND) + last + TIMEOUT_MARGIN
         if not self._done:
-            self.failures.append("the run's time ran out")
+            self.failures.append("the run did not end within its time limit")
             self.loop.stop()
 
     def _timeline(self) -> Wait:
@@ -180,12 +185,14 @@
             entries = list(self.environment.list.entries.values())
             ready = yield from coordinator.start(entries)
             if not ready:
-                raise InvalidInputError(f"{coordinator.name} was not ready in time")
+                raise InvalidInputError(
+                    f"{coordinator.name} was not ready within {self.scenario.times.ready_s:g} s"
+                )
             self.progress(f"{coordinator.name} is ready")
         for coordinator in self.environment.coordinators:
             self.environment.join_proxies(coordinator)
 
-    # Looks
+    # Sampling and checks
 
     def _take_samples(self) -> Wait:
         due = self.loop.now
@@ -200,13 +207,13 @@
             child = coordinator.child
             if child and child.ended and not coordinator.endpoint.down:
                 code = child.process.returncode
-                self.failures.append(f"{coordinator.name} ended by itself with {code}")
+                self.failures.append(f"{coordinator.name} exited unexpectedly with code {code}")
                 coordinator.endpoint.down = True
         if self.hollow:
             self.hollow.take_samples()
 
     def _watch_settings(self) -> Wait:
-        """Looks each second whether a coordinator has older settings than it was seen to have."""
+        """Check every second that no coordinator has gone back to older settings."""
         while True:
             yield from self._sleep(1)
             for coordinator in self.environment.coordinators:
@@ -214,16 +221,18 @@
                     yield from coordinator.has_settings(coordinator.applied_version)
 
     def _check_end(self) -> Wait:
-        """Notes which coordinators lack the newest settings or the newest list at the end."""
+        """Record which coordinators lack the newest settings or the newest endpoint list at the end."""
         newest = self.environment.list.index
         for coordinator in self.environment.coordinators:
             if not coordinator.serves:
                 continue
-            in_force = yield from coordinator.has_settings(self.events.settings.version)
-            if in_force is not True:
-                self.failures.append(f"{coordinator.name} has not the newest settings at the end")
-            held = coordinator.log.list_index
-            if held < newest:
-                self.failures.append(f"{coordinator.name} has the list {held} at the end, not {newest}")
+            applied = yield from coordinator.has_settings(self.events.settings.version)
+            if applied is not True:
+                self.failures.append(f"{coordinator.name} lacks the newest settings at the end")
+            index = coordinator.log.list_index
+            if index < newest:
+                self.failures.append(
+                    f"{coordinator.name} has version {index} of the endpoint list at the end, not {newest}"
+                )
         if self.hollow:
             self.hollow.check()
--- a/granitespool/scale/run_report.py
+++ b/granitespool/scale/run_report.py
@@ -1,4 +1,4 @@
-"""Makes the report of a run that was played."""
+"""Creates the report of a finished run."""
 
 import os
 from collections import Counter
@@ -30,7 +30,7 @@
 
 
 class _Identity(TypedDict):
-    """The fields of the report that tell which run it was."""
+    """The fields of the report that identify the run."""
 
     scenario: str
     title: str
@@ -41,7 +41,7 @@
 
 
 class _Work(TypedDict):
-    """The fields of the report on the work of backends and the requests that were followed."""
+    """The fields of the report on the load of backends and on the simulated requests."""
 
     backends_used: int
     load_largest: float | None
@@ -50,7 +50,7 @@
 
 
 def make_report(run: Run) -> Report:
-    """The report of a run that has come to its end."""
+    """Return the report of a finished run."""
     environment, events = run.environment, run.events
     propagation = environment.propagation
     violations = checker.check(environment.recorder.events, fleet.limits(run.scenario))
@@ -58,7 +58,7 @@
         **_identity(run),
         **_work(environment),
         machine=_machine(run.load_before),
-        coordinators=[_coordinator_row(run, each) for each in environment.coordinators],
+        coordinators=[_coordinator_row(run, coordinator) for coordinator in environment.coordinators],
         hollow=run.hollow_row,
         list_to_last_proxy=times(propagation.durations, propagation.unfinished(during_cut=False)),
         list_to_last_proxy_cut=times(propagation.durations_cut, propagation.unfinished(during_cut=True)),
@@ -67,9 +67,9 @@
         settings_refused=events.settings.rejected,
         settings_refusal_kept=events.settings.rejection_kept,
         ready=times(events.ready_times),
-        cut=[_cut_row(each) for each in events.cuts.recoveries],
-        older_settings=sum(each.older_settings for each in environment.coordinators),
-        older_lists=sum(each.log.older_lists for each in environment.coordinators),
+        cut=[_cut_row(recovery) for recovery in events.cuts.recoveries],
+        older_settings=sum(coordinator.older_settings for coordinator in environment.coordinators),
+        older_lists=sum(coordinator.log.older_lists for coordinator in environment.coordinators),
         stream_resets=sum(stream.resets for stream in environment.streams),
         trace_events=len(environment.recorder.events),
         broken=_count_rules(violations),
@@ -100,7 +100,7 @@
 
 
 def sizes(scenario: Scenario) -> dict[str, int]:
-    """How large the scenario is."""
+    """Return the sizes of a scenario by their label in the report."""
     return {
         "backends": scenario.fleet.backends,
         "services": scenario.fleet.services,
@@ -125,7 +125,7 @@
 
 
 def _failures(run: Run) -> list[str]:
-    """What went wrong with the run itself."""
+    """Return the failures of the run itself."""
     hollow = run.hollow.failures if run.hollow else []
     internal_errors = [
         error
@@ -145,22 +145,23 @@
         idle_share=share_in(samples, run.idle),
         reports_share=share_in(samples, run.reported),
         worst_second_share=worst_second(samples, run.measured.begin),
-        resident_mb=round(max((each.resident for each in samples), default=0) / MEGABYTE, 1),
-        descriptors=max((each.descriptors for each in samples), default=0),
+        resident_mb=round(max((sample.resident for sample in samples), default=0) / MEGABYTE, 1),
+        descriptors=max((sample.descriptors for sample in samples), default=0),
         log_lines_per_s=round(_per_second(run, coordinator.log.lines), 2),
         in_bytes_per_s=_rate(traffic, "in"),
         out_bytes_per_s=_rate(traffic, "out"),
         traffic=traffic,
-        ready_ms=[round(each / MILLISECOND, 1) for each in coordinator.ready_times],
+        ready_ms=[round(duration / MILLISECOND, 1) for duration in coordinator.ready_times],
         exit_codes=coordinator.exit_codes,
         log_events=dict(sorted(coordinator.log.fault_events.items())),
     )
 
 
 def _count_health_checks(run: Run, coordinator: RealCoordinator) -> None:
-    """Counts a coordinator's health checks with the mean bytes of all.
+    """Count a coordinator's health checks, with the mean bytes of all health checks.
 
-    A health check's connection does not tell who asks, so the number is that of the log."""
+    A health check does not identify the coordinator that sent it, so their number is taken from the log.
+    """
     counts, number = run.environment.backends.health_checks, coordinator.log.health_checks
     if counts.number:
         recorder, name = run.environment.recorder, coordinator.name
@@ -169,7 +170,7 @@
 
 
 def _traffic(run: Run, name: str) -> dict[str, KindTraffic]:
-    """A coordinator's messages and bytes, by direction and kind."""
+    """Return a coordinator's messages and bytes, by direction and kind."""
     recorder = run.environment.recorder
     return {
         f"{key.direction} {key.kind}": KindTraffic(
@@ -181,14 +182,14 @@
 
 
 def _bytes_per_s(run: Run, key: TrafficKey) -> float:
-    """Bytes a second of one kind of message of a coordinator while it was measured."""
+    """Return the bytes a second of one kind of message during the measurement."""
     moved = run.environment.recorder.bytes[key] - run.bytes_before[key]
     return round(_per_second(run, moved), 1)
 
 
 def _rate(traffic: dict[str, KindTraffic], direction: str) -> float:
-    """Bytes a second of all kinds in one direction."""
-    rates = [each.bytes_per_s for kind, each in traffic.items() if kind.split()[0] == direction]
+    """Return the bytes a second of all kinds in one direction."""
+    rates = [row.bytes_per_s for kind, row in traffic.items() if kind.split()[0] == direction]
     return round(sum(rates), 1)
 
 
--- a/granitespool/scale/runner.py
+++ b/granitespool/scale/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario and reports on it."""
+"""Runs a scenario and returns its report."""
 
 from granitespool.scale.report import Report
 from granitespool.scale.run import Progress, Run
@@ -7,17 +7,20 @@
 
 
 def _ignore(_: str) -> None:
-    """Takes progress that nobody wants to see."""
+    """Discard a progress message."""
 
 
 def play(scenario: Scenario, progress: Progress = _ignore) -> Report:
-    """Plays a scenario; `progress` is told what it does.
+    """Run a scenario; `progress` is called with the name of each phase.
 
-    Raises InvalidInputError where it cannot be played."""
+    Raises:
+        InvalidInputError: The scenario needs too many processes or too much memory.
+
+    """
     return play_run(Run(scenario, progress))
 
 
 def play_run(run: Run) -> Report:
-    """Plays a run that was made; it still holds all that was measured afterwards."""
+    """Execute a run and return its report; the run keeps its measurements."""
     run.play()
     return make_report(run)
--- a/granitespool/scale/samples.py
+++ b/granitespool/scale/samples.py
@@ -1,4 +1,4 @@
-"""What processes used over time, and the shares of a core that follow from it."""
+"""Shares of a core that processes used, computed from samples of their resource usage."""
 
 from collections.abc import Sequence
 
@@ -7,9 +7,9 @@
 from granitespool.scale.processes import Sample
 from granitespool.units import SECOND
 
-SPAN_MIN = SECOND // 2  # ns: a shorter span gives no share
-WORST_SECOND_SPAN_MIN = 0.9  # part of a second that two samples have to be apart, to show one
-SPAN_TOLERANCE = SECOND // 10  # ns by which a sample may lie outside a span that it counts for
+SPAN_MIN = SECOND // 2  # ns; no share is computed over a shorter span
+WORST_SECOND_SPAN_MIN = 0.9  # s between two samples that count as a second apart
+SPAN_TOLERANCE = SECOND // 10  # ns by which a sample of a span may lie outside it
 
 
 class Span(msgspec.Struct):
@@ -20,18 +20,18 @@
 
 
 def share_between(first_ns: int, last_ns: int, processor_ns: int) -> float | None:
-    """The share of a core that so much processor time is of a span; None where there is no span."""
+    """Return processor time as a share of a core over a span; None if the span is too short."""
     span = last_ns - first_ns
     return round(processor_ns / span, 4) if span > SPAN_MIN else None
 
 
 def share_of(first: Sample, last: Sample) -> float | None:
-    """The share of a core that a process used between two samples."""
+    """Return the share of a core that a process used between two samples."""
     return share_between(first.at, last.at, last.processor - first.processor)
 
 
 def share_in(samples: Sequence[Sample], span: Span) -> float | None:
-    """The share of a core that a process used in a phase."""
+    """Return the share of a core that a process used in a phase."""
     inside = [
         sample for sample in samples if span.begin - SPAN_TOLERANCE <= sample.at <= span.end + SPAN_TOLERANCE
     ]
@@ -39,19 +39,20 @@
 
 
 def worst_second(samples: Sequence[Sample], begin: int) -> float | None:
-    """The largest share of a core of one process in a second (the shortest span of samples over one).
+    """Return the largest share of a core that one process used between samples about a second apart.
 
-    Samples from before `begin` (ns) do not count."""
+    Samples from before `begin` (ns) are ignored.
+    """
     worst = None
     for position, first in enumerate(samples):
         last = _second_later(samples[position:])
         if first.at < begin or last is None or last.processor < first.processor:
-            continue  # before the measuring, at its end, or of two processes
+            continue  # before the measurement, at its end, or of two processes
         worst = max(worst or 0.0, share_of(first, last) or 0.0)
     return worst
 
 
 def _second_later(samples: Sequence[Sample]) -> Sample | None:
-    """The first sample that is about a second after the first of all."""
+    """Return the first sample that is about a second after the first of all."""
     first, least = samples[0], SECOND * WORST_SECOND_SPAN_MIN
     return next((sample for sample in samples if sample.at - first.at >= least), None)
--- a/granitespool/scale/schema.py
+++ b/granitespool/scale/schema.py
@@ -1,4 +1,4 @@
-"""What a scenario's INI file may say; every key has its unit in its name."""
+"""The sections and keys of a scenario's INI file; every key has its unit in its name."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -13,30 +13,30 @@
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
-EVENT_PREFIX = "event."  # what the name of an event's section begins with
-PACKAGE = "granitespool.scale"  # whose folder holds the scenarios that come with the program
+EVENT_PREFIX = "event."  # prefix of the names of event sections
+PACKAGE = "granitespool.scale"  # package with the included scenarios
 
 
 class Scale(msgspec.Struct, frozen=True, kw_only=True):
-    """[scale]"""
+    """The section [scale]."""
 
     title: Annotated[str, Meta(min_length=1)]
     seed: Annotated[int, Meta(ge=0, le=10**9)] = 1
 
 
 class Fleet(msgspec.Struct, frozen=True, kw_only=True):
-    """[fleet]"""
+    """The section [fleet]."""
 
     backends: Annotated[int, Meta(ge=10, le=20_000)] = 2_900
     services: Annotated[int, Meta(ge=1, le=1_000)] = 49
     regions: Annotated[int, Meta(ge=1, le=64)] = 5
     zones_per_region: Annotated[int, Meta(ge=1, le=64)] = 4
     rack_backends: Annotated[int, Meta(ge=1, le=1_000)] = 20
-    batch_ms: Annotated[float, Meta(ge=1, le=60_000)] = 200.0  # discovery tells changes together so often
+    batch_ms: Annotated[float, Meta(ge=1, le=60_000)] = 200.0  # interval at which discovery publishes changes
 
 
 class Coordinators(msgspec.Struct, frozen=True, kw_only=True):
-    """[coordinators]"""
+    """The section [coordinators]."""
 
     real: Annotated[int, Meta(ge=1, le=64)] = 8
     hollow: Annotated[int, Meta(ge=0, le=5_000)] = 672
@@ -46,40 +46,40 @@
 
 
 class Proxies(msgspec.Struct, frozen=True, kw_only=True):
-    """[proxies]"""
+    """The section [proxies]."""
 
     per_coordinator: Annotated[int, Meta(ge=1, le=10_000)] = 70
-    per_hollow: Annotated[int, Meta(ge=0, le=1_000)] = 1  # streams to each hollow coordinator
-    first_table_lines: Annotated[int, Meta(ge=1, le=1_000)] = 20  # backends that a new proxy knows
-    other_region_share: Share = 0.25  # of the proxies of each coordinator, those of another region
+    per_hollow: Annotated[int, Meta(ge=0, le=1_000)] = 1  # proxies connected to each hollow coordinator
+    first_table_lines: Annotated[int, Meta(ge=1, le=1_000)] = 20  # backends in a proxy's bootstrap table
+    other_region_share: Share = 0.25  # share of a coordinator's proxies that are in another region
 
 
 class Traffic(msgspec.Struct, frozen=True, kw_only=True):
-    """[traffic]"""
+    """The section [traffic]."""
 
-    links_per_s: Annotated[float, Meta(ge=0, le=1e6)] = 500.0  # `heard` reports to each real coordinator
-    tries_per_report: Annotated[float, Meta(ge=1, le=1e6)] = 2.0  # mean of a `heard`
-    proxy_requests_per_s: Annotated[float, Meta(ge=0.01, le=1e6)] = 1.0  # 47,000 of 680 x 70 proxies
-    sampled_per_s: Annotated[float, Meta(ge=0, le=1_000)] = 0.5  # requests of each proxy that are followed
-    load: Annotated[float, Meta(ge=0.01, le=5)] = 0.5  # work asked for over what all backends can do
+    links_per_s: Annotated[float, Meta(ge=0, le=1e6)] = 500.0  # load reports to a real coordinator
+    tries_per_report: Annotated[float, Meta(ge=1, le=1e6)] = 2.0  # mean attempts of a load report (`heard`)
+    proxy_requests_per_s: Annotated[float, Meta(ge=0.01, le=1e6)] = 1.0  # 680 x 70 proxies: about 47,000
+    sampled_per_s: Annotated[float, Meta(ge=0, le=1_000)] = 0.5  # simulated requests of each proxy
+    load: Annotated[float, Meta(ge=0.01, le=5)] = 0.5  # requests over the capacity of all backends
     service_ms: Annotated[float, Meta(ge=0.1, le=60_000)] = 40.0
-    failing_share: Share = 0.002  # of the tries at a backend that is well
+    failing_share: Share = 0.002  # of the attempts at a healthy backend
     classes: Annotated[int, Meta(ge=1, le=5_000)] = 3
 
 
 class Channel(msgspec.Struct, frozen=True, kw_only=True):
-    """[channel]"""
+    """The section [channel]."""
 
     lines_per_s: Annotated[float, Meta(ge=1, le=1e9)] = 4_000.0
     backlog_lines: Annotated[float, Meta(ge=1, le=1e9)] = 8_000.0
     head_lines: Annotated[int, Meta(ge=0, le=1_000)] = 3
     delay_ms: Annotated[float, Meta(ge=0, le=60_000)] = 30.0
-    messages: Annotated[int, Meta(ge=1, le=100_000)] = 30  # to one proxy in `messages_span_s` at most
+    messages: Annotated[int, Meta(ge=1, le=100_000)] = 30  # maximum to one proxy in `messages_span_s`
     messages_span_s: Annotated[float, Meta(ge=0.1, le=3_600)] = 10.0
 
 
 class Rules(msgspec.Struct, frozen=True, kw_only=True):
-    """[rules]"""
+    """The section [rules]."""
 
     drain_grace_s: Seconds = 6.2
     empty_limit_s: Seconds = 4.0
@@ -90,18 +90,18 @@
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True):
-    """[times]"""
+    """The section [times]."""
 
-    ready_s: Seconds = 60.0  # within which all coordinators have to answer
-    warm_s: Seconds = 5.0  # after the last is ready, before anything is measured
-    idle_s: Seconds = 10.0  # without reports
-    reports_s: Seconds = 10.0  # with reports, before the events
-    events_s: Seconds = 0.0  # from the first second of the events
-    settle_s: Seconds = 10.0  # after the events, for what is still on its way
+    ready_s: Seconds = 60.0  # timeout for a coordinator to be ready
+    warm_s: Seconds = 5.0  # from the last coordinator's readiness to the measurement
+    idle_s: Seconds = 10.0  # measurement without load reports
+    reports_s: Seconds = 10.0  # measurement with load reports, before the events
+    events_s: Seconds = 0.0  # minimum duration of the events
+    settle_s: Seconds = 10.0  # after the events, until pending updates have reached the proxies
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """[event.NAME]"""
+    """A section [event.NAME]."""
 
     kind: Literal[
         "replace",
@@ -120,10 +120,10 @@
     at_s: Seconds = 0.0
     for_s: Seconds = 1.0
     count: Annotated[int, Meta(ge=1, le=100_000)] = 1
-    refused: Annotated[int, Meta(ge=0, le=1_000)] = 0  # of the configurations, those that cannot be used
+    refused: Annotated[int, Meta(ge=0, le=1_000)] = 0  # number of the configurations that are invalid
     drain_s: Seconds = 7.0  # from a backend's drain until it is gone
-    noticed_s: Seconds = 2.0  # from a backend's failure until discovery tells of it
-    back_s: Seconds = 2.0  # from a backend's end until it is back, or another is there in its place
+    noticed_s: Seconds = 2.0  # from a backend's failure until discovery reports it
+    back_s: Seconds = 2.0  # from a backend's end until it or its replacement is back
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
@@ -139,7 +139,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole scenario, as it is played."""
+    """A complete scenario."""
 
     name: str
     scale: Scale
@@ -154,7 +154,7 @@
 
     @property
     def zones(self) -> list[str]:
-        """All zones, those of one region after those of another."""
+        """All zones, grouped by region."""
         return [
             f"r{region}-z{zone}"
             for region in range(self.fleet.regions)
@@ -163,34 +163,40 @@
 
 
 def names() -> list[str]:
-    """The scenarios that come with the program."""
+    """Return the names of the included scenarios."""
     return ini_files.names(PACKAGE)
 
 
 def load(name: str, changes: Iterable[str] = ()) -> Scenario:
-    """The scenario of a file or of a name that `names` has, with other values for some keys.
+    """Load a scenario from a file or by a name of `names`, and change the values of some keys.
 
-    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` where one section alone has the key. Raises
-    InvalidInputError."""
+    A change is `SECTION.KEY=VALUE`, or `KEY=VALUE` if exactly one section has the key.
+
+    Raises:
+        InvalidInputError: The file, a key or a value is invalid.
+
+    """
     path, text = ini_files.read(PACKAGE, name, "scenario")
     for change in changes:
         text = ini_files.apply_change(text, _with_section(ini_files.parse_change(change)))
     sections: dict[str, Any] = {**ini.parse(path, text, {**SECTIONS, f"{EVENT_PREFIX}*": Event})}
     if "scale" not in sections:
-        raise InvalidInputError(f"{path}: it lacks the section [scale]")
+        raise InvalidInputError(f"{path}: the section [scale] is missing")
     event_sections = [section for section in sections if section.startswith(EVENT_PREFIX)]
     events = {section.removeprefix(EVENT_PREFIX): sections.pop(section) for section in event_sections}
     return Scenario(name=Path(name).name.removesuffix(ini_files.SUFFIX), **sections, events=events)
 
 
 def _with_section(change: ini_files.Change) -> ini_files.Change:
-    """The change with the section that alone has its key."""
+    """Return the change with the only section that has its key, if it has none."""
     if change.section:
         return change
     matching_sections = ini_files.sections_with(change.key, SECTIONS)
     if len(matching_sections) == 1:
         return change._replace(section=matching_sections[0])
     problem = (
-        f"sections {', '.join(matching_sections)} have it" if matching_sections else "no section has this key"
+        f"sections {', '.join(matching_sections)} have this key"
+        if matching_sections
+        else "no section has this key"
     )
-    raise InvalidInputError(f"--set {change.key!r:.60}: {problem}; name one as SECTION.KEY")
+    raise InvalidInputError(f"--set {change.key!r:.60}: {problem}; write it as SECTION.KEY")
--- a/granitespool/scale/signals.py
+++ b/granitespool/scale/signals.py
@@ -1,22 +1,22 @@
-"""Ends a run in good order where the program is asked to end."""
+"""Turns the termination signals into exceptions, so that a run cleans up."""
 
 import signal
 from collections.abc import Generator
 from contextlib import contextmanager, suppress
 
-EXIT_BASE = 128  # of the exit code after a signal, as shells have it
+EXIT_BASE = 128  # added to the signal's number for the exit code, as shells do
 ENDING_SIGNALS = (signal.SIGTERM, signal.SIGHUP)
 
 
 @contextmanager
 def exit_on_signals() -> Generator[None, None, None]:
-    """Within it SIGTERM and SIGHUP raise SystemExit, as Ctrl-C raises KeyboardInterrupt."""
+    """Return a context in which SIGTERM and SIGHUP raise SystemExit, as Ctrl-C raises KeyboardInterrupt."""
 
     def end(number: int, _: object) -> None:
         raise SystemExit(EXIT_BASE + number)
 
     former = {}
-    with suppress(ValueError):  # not in the main thread
+    with suppress(ValueError):  # only the main thread may set signal handlers
         former = {number: signal.signal(number, end) for number in ENDING_SIGNALS}
     try:
         yield
--- a/granitespool/scale/trace.py
+++ b/granitespool/scale/trace.py
@@ -1,30 +1,32 @@
-"""What the stand-ins of a run observe of coordinators and of each other, as typed events in order of time.
+"""The trace of a run: typed events that the stand-ins observe of coordinators and of each other.
 
-A trace is the only input of the checker of the rules (`granitespool.scale.checker`). It holds what was seen
-from outside, never what a coordinator believes, and shares no code with the planner. Times are whole
-nanoseconds of one clock that all stand-ins read; weights have the unit of the tables on the wire."""
+A trace is the only input of the checker of the rules (`granitespool.scale.checker`). It contains only what
+is visible from outside, never a coordinator's own state, and shares no code with the planner. Events are in
+order of time. Times are whole nanoseconds of one clock that all stand-ins read; weights have the unit of the
+tables on the wire.
+"""
 
 from typing import Literal
 
 import msgspec
 
 Phase = Literal["ready", "draining", "gone"]
-Effect = Literal["free", "guarded", "single_shot"]  # as the settings on the wire have it
+Effect = Literal["free", "guarded", "single_shot"]  # the values of the settings on the wire
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Anything that was observed at one time."""
+    """The base class of all events."""
 
     at: int  # ns
 
 
 class BackendListed(Event, frozen=True, kw_only=True):
-    """Discovery has written a backend's phase to one coordinator."""
+    """Discovery has written an entry of the endpoint list to one coordinator."""
 
     coordinator: str
     backend: str
     phase: Phase
-    started: int = 0  # ns; 0: long ago
+    started: int = 0  # ns of the backend's start; 0: long ago
 
 
 class CoordinatorStarted(Event, frozen=True, kw_only=True):
@@ -34,36 +36,36 @@
 
 
 class CoordinatorEnded(Event, frozen=True, kw_only=True):
-    """A coordinator was asked to end, was killed, or was cut off from its proxies."""
+    """A coordinator received SIGTERM, was killed, or was cut off from its proxies."""
 
     coordinator: str
 
 
 class ProxyJoined(Event, frozen=True, kw_only=True):
-    """A proxy has sent its joining to a coordinator."""
+    """A proxy has sent its `joined` message to a coordinator."""
 
     proxy: int
     coordinator: str
 
 
 class ProxyLeft(Event, frozen=True, kw_only=True):
-    """A proxy's stream broke, went silent or was closed."""
+    """A proxy's stream was reset, was cut off or was closed."""
 
     proxy: int
     coordinator: str
-    by_coordinator: bool = False  # it ended the stream, or lost it by what it wrote: no leaving by the rules
+    by_coordinator: bool = False  # it closed the stream or wrote a malformed message: no leave by the rules
 
 
 class TableHeld(Event, frozen=True, kw_only=True):
-    """What a proxy holds from now on, after it has applied a message."""
+    """The table that a proxy uses from now on, after it has applied a message."""
 
     proxy: int
-    weights: dict[str, float]  # by backend, above 0
+    weights: dict[str, float]  # by backend; only those above 0
     excluded: frozenset[str] = frozenset()
 
 
 class RequestExecuted(Event, frozen=True, kw_only=True):
-    """A backend has carried out one attempt of a request."""
+    """A backend has executed one attempt of a request."""
 
     request: int
     backend: str
@@ -71,12 +73,12 @@
 
 
 class BackendLoad(Event, frozen=True, kw_only=True):
-    """The work that reaches a backend from now on."""
+    """The load of a backend from now on."""
 
     backend: str
-    multiple: float  # of what it can do at its present age
+    multiple: float  # load divided by the backend's capacity at its age
     warming_up: bool
-    informed_share: float = 1.0  # of the work, that from proxies whose tables were made knowing of its start
+    informed_share: float = 1.0  # share of the load from proxies that received a weight after its start
 
 
 class MessageWritten(Event, frozen=True, kw_only=True):
@@ -84,13 +86,13 @@
 
     coordinator: str
     proxy: int
-    entries: int  # as the protocol page counts them, without the head
+    entries: int  # entries as the protocol counts them, without the header
     parts: int
-    largest_part: int  # bytes
+    largest_part: int  # bytes, without the length prefix
 
 
 class ChannelBacklog(Event, frozen=True, kw_only=True):
-    """Table entries that wait in a coordinator's channel from now on, heads counted."""
+    """The table entries in the queue of a coordinator's channel from now on, headers included."""
 
     coordinator: str
     entries: float
@@ -111,25 +113,25 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """The rules' figures, as the settings give them; times in ns."""
+    """The limits of the rules, by the settings; times are in ns."""
 
     drain_grace: int
     empty_limit: int
-    overload_multiple: float  # of what a backend that warms up can do at its age
+    overload_multiple: float  # of the capacity that a warming-up backend has at its age
     overload_time: int
-    backlog_limit: float  # table entries, heads counted
-    messages_limit: int  # to one proxy in `messages_span`; 0: any number
+    backlog_limit: float  # table entries, headers included
+    messages_limit: int  # to one proxy in `messages_span`; 0: no limit
     messages_span: int
-    slack: int = 300_000_000  # added to the drain's, the empty table's and the overloaded backend's time
-    start_grace: int = 1_000_000_000  # no time limit begins sooner after a coordinator's first answer
+    slack: int = 300_000_000  # added to the time limits of drains, empty tables and overloaded backends
+    start_grace: int = 1_000_000_000  # from a coordinator's first answer until a time limit may begin
     parts_limit: int = 64
     part_bytes: int = 1 << 20
-    warm_up_time: int = 0  # from a backend's start on; only a warm one must be in every table
-    only_draining_binds: bool = False  # a backend that is gone without having drained may still be held
+    warm_up_time: int = 0  # from a backend's start; only a warmed-up backend makes an empty table a violation
+    only_draining_binds: bool = False  # a backend that is gone without a drain may stay in tables
 
 
 class UpdateReceived(Event, frozen=True, kw_only=True):
-    """A proxy has received one complete message; for the measurement of a profile, not for the checker."""
+    """A proxy has received one complete message; for measuring a profile, not for the checker."""
 
     proxy: int
-    parts: tuple[int, ...]  # bytes of each part, the length before it counted
+    parts: tuple[int, ...]  # bytes of each part with its length prefix
