--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -1,7 +1,8 @@
-"""Made-up requests: the work that tables bring to backends, and requests that are followed one by one.
+"""Simulated requests: the load of backends that follows from the tables, and single requests with retries.
 
-No request is sent on a socket. The work of a backend follows from the tables that proxies hold; a few
-requests of each proxy are followed, with their retries. All chance comes from one seed."""
+No request is sent on a socket. The load of a backend is computed from the tables of the proxies; a sample of
+each proxy's requests is simulated one by one, with their retries. All random numbers come from one seed.
+"""
 
 from collections.abc import Sequence, Set
 from random import Random
@@ -16,15 +17,14 @@
 from granitespool.scale.trace import BackendLoad, Effect, RequestExecuted
 from granitespool.units import SECOND
 
-TICK = SECOND // 4  # ns between two looks at the work of backends
-RETRY_IF_NOT_EXECUTED = (
-    1  # the manner of retrying that allows only what provably never ran; higher ones allow more
-)
-ANSWER_LOST_SHARE = 0.05  # of the attempts that a backend carried out, those whose answer does not arrive
+TICK = SECOND // 4  # ns between computations of the load of backends
+# Retry policy that allows a retry only if the attempt was certainly not executed; higher values allow more
+RETRY_IF_NOT_EXECUTED = 1
+ANSWER_LOST_SHARE = 0.05  # share of the executed attempts whose answer is lost
 
 
 class Traffic:
-    """The work of all proxies with streams."""
+    """The simulated requests of all proxies."""
 
     def __init__(
         self,
@@ -35,16 +35,16 @@
         backends: Backends,
         random: Random,
     ) -> None:
-        """`streams` may grow."""
+        """Start the simulation; the caller may add to `streams` later."""
         self.loop = loop
         self.recorder = recorder
         self.scenario = scenario
         self.streams = streams
         self.backends = backends
         self.random = random
-        self.requests = 0  # that were followed
-        self.unserved = 0  # of those, without an answer
-        self.warming_up: set[str] = set()  # backends whose last load was recorded as such
+        self.requests = 0  # simulated one by one
+        self.unserved = 0  # of those, the ones without an answer
+        self.warming_up: set[str] = set()  # backends that warmed up at the last tick
         loop.spawn(self._ticks())
 
     def _ticks(self) -> Wait:
@@ -55,7 +55,7 @@
             self._record_loads()
             self._follow_requests()
 
-    # The work of backends that warm up
+    # Load of backends that warm up
 
     def _record_loads(self) -> None:
         now = self.loop.clock()
@@ -79,7 +79,7 @@
 
     @property
     def _warm_up_time(self) -> int:
-        """From a backend's start until it is warm, in ns."""
+        """Time from a backend's start until it is warmed up, in ns."""
         return int(self.scenario.rules.cold_s * SECOND)
 
     def _is_warming_up(self, name: str, now: int) -> bool:
@@ -87,18 +87,21 @@
         return started > 0 and now - started < self._warm_up_time
 
     def _capacity_share(self, name: str, now: int) -> float:
-        """The share of its warm work that a backend which warms up can do now (ns)."""
+        """Return the share of its full capacity that a warming-up backend has at `now` (ns)."""
         share = self.scenario.rules.cold_share
         age = (now - self.backends.started[name]) / self._warm_up_time
         return share + (1 - share) * age
 
     def _capacity(self) -> float:
-        """Requests a second that a warm backend can do."""
+        """Return the requests a second that a warmed-up backend can execute."""
         rate = sum(stream.rate for stream in self.streams)
         return rate / self.scenario.traffic.load / max(1, len(self.backends.running))
 
     def _work(self, backends: Set[str]) -> tuple[dict[str, float], dict[str, float]]:
-        """Requests a second that reach each of the backends; of those, from proxies told since its start."""
+        """Return the requests a second by backend.
+
+        The second result counts only proxies that have received a weight of the backend since its start.
+        """
         work: dict[str, float] = dict.fromkeys(backends, 0.0)
         informed: dict[str, float] = dict.fromkeys(backends, 0.0)
         for stream in self.streams:
@@ -115,7 +118,7 @@
         return work, informed
 
     def spread(self) -> dict[str, float]:
-        """Requests a second that the tables bring to each backend that gets any."""
+        """Return the requests a second of each backend that the tables contain."""
         work: dict[str, float] = {}
         for stream in self.streams:
             weights = stream.table.open_weights()
@@ -124,7 +127,7 @@
                 work[name] = work.get(name, 0.0) + stream.rate * weight / total
         return work
 
-    # Requests that are followed
+    # Requests simulated one by one
 
     def _follow_requests(self) -> None:
         share = self.scenario.traffic.sampled_per_s * TICK / SECOND
@@ -133,7 +136,7 @@
                 self._follow_request(stream)
 
     def _follow_request(self, stream: ProxyStream) -> None:
-        """Follows one request with its retries, all at one time."""
+        """Simulate one request with its retries, all at the same time."""
         number = self.random.randrange(self.scenario.traffic.classes)
         level = stream.table.admission_level(f"class{number}")
         if self.random.random() >= level.share:
@@ -143,11 +146,11 @@
             self.unserved += 1
 
     def _attempt(self, stream: ProxyStream, effect: Effect, retries: int) -> bool:
-        """Attempts a request, and again in this manner of retrying; True where an answer arrived."""
+        """Attempt a request, with a retry if `retries` allows it; return whether an answer was received."""
         for _ in range(2 if retries else 1):
             name = stream.table.pick(self.random)
             if name is None or name not in self.backends.running:
-                continue  # it provably never ran, so every manner but none allows a retry
+                continue  # certainly not executed, so every policy with retries allows one
             executed = RequestExecuted(
                 at=self.loop.clock(), request=self.requests, backend=name, effect=effect
             )
