--- a/granitespool/scale/checker/tables.py
+++ b/granitespool/scale/checker/tables.py
@@ -23,15 +23,15 @@
         self.coordinator_name = ""
         self.joined_at = 0  # ns
         self.ended_by: str | None = None  # the coordinator that closed its last stream
-        self.open: frozenset[str] = frozenset()  # backends that it may use
+        self.usable: frozenset[str] = frozenset()  # backends that it may use
         self.empty_since: int | None = 0  # ns; None: it may use a backend
         self.drain_timed: set[str] = set()  # backends with a running time limit of the rule `drain`
 
-    def hold(self, event: TableHeld) -> None:
+    def set_table(self, event: TableHeld) -> None:
         """Set the table that the proxy uses from now on."""
         weighted = (backend for backend, weight in event.weights.items() if weight > 0)
-        self.open = frozenset(weighted) - event.excluded
-        if self.open:
+        self.usable = frozenset(weighted) - event.excluded
+        if self.usable:
             self.empty_since = None
         elif self.empty_since is None:
             self.empty_since = event.at
@@ -77,7 +77,7 @@
             proxy = self.proxies[number]
             if proxy.empty_since is not None:
                 self._refresh_empty(proxy, event.at)
-            if event.backend in proxy.open:
+            if event.backend in proxy.usable:
                 self._refresh_drain(proxy, event.backend, event.at)
 
     def started(self, event: CoordinatorStarted) -> None:
@@ -133,13 +133,13 @@
     def table_held(self, event: TableHeld) -> None:
         """Handle a change of a proxy's table."""
         proxy = self._proxy(event.proxy)
-        proxy.hold(event)
+        proxy.set_table(event)
         self._refresh(proxy, event.at)
 
     def _refresh(self, proxy: _Proxy, now: int) -> None:
         """Start, keep or stop this proxy's time limits by its state from `now` (ns) on."""
         self._refresh_empty(proxy, now)
-        unready = proxy.coordinator.listed.unready.keys() & proxy.open if proxy.coordinator else set()
+        unready = proxy.coordinator.listed.unready.keys() & proxy.usable if proxy.coordinator else set()
         for backend in sorted(proxy.drain_timed | unready):
             self._refresh_drain(proxy, backend, now)
 
@@ -164,7 +164,7 @@
 
     def _refresh_drain(self, proxy: _Proxy, backend: str, now: int) -> None:
         unready_since = None
-        if proxy.coordinator is not None and backend in proxy.open:
+        if proxy.coordinator is not None and backend in proxy.usable:
             unready_since = proxy.coordinator.listed.unready.get(backend)
         if unready_since is None:
             proxy.drain_timed.discard(backend)
--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -12,7 +12,7 @@
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint
 from granitespool.scale.coordinator_log import CoordinatorLog
 from granitespool.scale.coroutines import Wait
-from granitespool.scale.discovery import Agent, as_row
+from granitespool.scale.discovery import DiscoveryAgent, as_row
 from granitespool.scale.fleet import ListedBackend
 from granitespool.scale.processes import Child, Sample, read_lines, sample, write_json
 from granitespool.scale.queries import ping, proxy_allowed, settings_query
@@ -35,7 +35,7 @@
         recorder: Recorder,
         scenario: Scenario,
         endpoint: CoordinatorEndpoint,
-        agent: Agent,
+        agent: DiscoveryAgent,
         index: int,
         folder: Path,
     ) -> None:
@@ -64,7 +64,7 @@
     @property
     def serves(self) -> bool:
         """Whether the process runs and is ready."""
-        return not self.endpoint.down and self.child is not None and not self.child.ended
+        return not self.endpoint.down and self.child is not None and not self.child.exited
 
     def write_configuration(self, version: int, valid: bool = True) -> None:
         """Write the configuration file; an invalid one lacks the required settings."""
@@ -99,46 +99,46 @@
         self.agent.record_initial_list(entries)
         coordinators = self.scenario.coordinators
         command = ["-m", "granitespool", "serve", "--config", str(self.path)]
-        began = self.loop.clock()
+        started_at = self.loop.clock()
         self.log.list_index = self.agent.list_index
         self.child = Child(command, coordinators.memory_mb, coordinators.sockets)
         self.loop.spawn(read_lines(self.child, self.log.add_line))
-        until = began + int(self.scenario.times.ready_s * SECOND)
-        while self.loop.now < until and not self.child.ended:
+        deadline = started_at + int(self.scenario.times.ready_s * SECOND)
+        while self.loop.now < deadline and not self.child.exited:
             if (yield from self.request(ping())):
-                self._record_ready(began)
+                self._record_ready(started_at)
                 return True
             yield None, 0, self.loop.now + POLL_INTERVAL
         return False
 
-    def _record_ready(self, began: int) -> None:
+    def _record_ready(self, started_at: int) -> None:
         now = self.loop.clock()
-        self.ready_times.append(now - began)
+        self.ready_times.append(now - started_at)
         self.recorder.add(CoordinatorStarted(at=now, coordinator=self.name))
         self.endpoint.down = False
         self.applied_version = self.written_version
 
-    def request(self, question: bytes) -> Wait:
+    def request(self, message: bytes) -> Wait:
         """Send a message on a new connection and return the answer; b"" if none was received."""
         try:
-            answer = yield from self._request(question)
+            answer = yield from self._request(message)
         except OSError:
             answer = b""
         yield None, 0, self.loop.now  # close the descriptor before another one is opened
         return answer
 
-    def _request(self, question: bytes) -> Wait:
+    def _request(self, message: bytes) -> Wait:
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
-            until = self.loop.now + ANSWER_TIMEOUT
-            yield from dial(sock, self.endpoint.address, until)
-            yield from send(sock, question, until)
+            deadline = self.loop.now + ANSWER_TIMEOUT
+            yield from dial(sock, self.endpoint.address, deadline)
+            yield from send(sock, message, deadline)
             answer = b""
             while not _is_complete(answer):
-                data = yield from receive(sock, until)
+                data = yield from receive(sock, deadline)
                 if not data:
                     return b""
                 answer += data
-            self.recorder.count(self.name, "in", "question", len(question))
+            self.recorder.count(self.name, "in", "question", len(message))
             self.recorder.count(self.name, "out", "answer", len(answer))
             return answer
 
@@ -171,16 +171,16 @@
     def wait_for_exit(self) -> Wait:
         """Wait until the process has exited; stop it after EXIT_TIMEOUT."""
         assert self.child is not None
-        until = self.loop.now + EXIT_TIMEOUT
-        while not self.child.ended and self.loop.now < until:
+        deadline = self.loop.now + EXIT_TIMEOUT
+        while not self.child.exited and self.loop.now < deadline:
             yield None, 0, self.loop.now + POLL_INTERVAL
         self.exit_codes.append(self.child.close())
 
     def take_sample(self) -> None:
         """Record the resource usage of the process."""
-        found = sample(self.child.pid, self.loop.clock()) if self.child else None
-        if found:
-            self.samples.append(found)
+        current = sample(self.child.pid, self.loop.clock()) if self.child else None
+        if current:
+            self.samples.append(current)
 
 
 def _is_complete(frame: bytes) -> bool:
--- a/granitespool/scale/cut_recovery.py
+++ b/granitespool/scale/cut_recovery.py
@@ -94,8 +94,8 @@
     def _wait_for_recovery(self, recovery: Recovery) -> Wait:
         """Poll a coordinator until its endpoint list and settings are up to date."""
         coordinator = recovery.coordinator
-        until = recovery.healed_at + RECOVERY_TIMEOUT
-        while self.loop.now < until and not recovery.complete:
+        deadline = recovery.healed_at + RECOVERY_TIMEOUT
+        while self.loop.now < deadline and not recovery.complete:
             if recovery.settings_recovered_after is None:
                 applied = yield from coordinator.has_settings(recovery.settings_newest)
                 if applied:
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -53,7 +53,7 @@
         self.clock = clock
         self.entries = {entry.name: entry for entry in entries}
         self.changes: list[Change] = []
-        self.agents: list[Agent] = []
+        self.agents: list[DiscoveryAgent] = []
         self._snapshot_index = 0  # version of the cached snapshot line
         self._snapshot_line = b""
 
@@ -108,7 +108,7 @@
         self.waiting = False  # whether its coroutine waits, so that it can be resumed
 
 
-class Agent:
+class DiscoveryAgent:
     """The discovery agent of one coordinator, or of all hollow coordinators of one process."""
 
     def __init__(
--- a/granitespool/scale/environment.py
+++ b/granitespool/scale/environment.py
@@ -11,7 +11,7 @@
 from granitespool.scale.collector import Collector
 from granitespool.scale.coordinator_endpoint import ChannelQueue, CoordinatorEndpoint, region_of
 from granitespool.scale.coordinators import RealCoordinator
-from granitespool.scale.discovery import Agent, BackendList, Change
+from granitespool.scale.discovery import BackendList, Change, DiscoveryAgent
 from granitespool.scale.fleet import GeneratedFleet, ListedBackend, Network
 from granitespool.scale.plan import coordinator_name, coordinator_zones
 from granitespool.scale.propagation import PropagationTracker
@@ -55,7 +55,7 @@
             loop, self.recorder, scenario, self.streams, self.backends, Random(scenario.scale.seed + 1)
         )
         self.cut_regions: set[str] = set()
-        self.batch: list[ListedBackend] = []  # changed endpoint list entries that are not published yet
+        self.pending_entries: list[ListedBackend] = []  # changed entries that are not published yet
         self.propagation = PropagationTracker(loop.clock, self.streams)
         loop.spawn(self._publish_batches())
 
@@ -67,12 +67,12 @@
         address = self.network.coordinator(index)
         endpoint = CoordinatorEndpoint(self.recorder, name, zone, address, channel)
         endpoint.down = True  # until it has answered
-        agent = Agent(self.loop, self.list, self.recorder, name, self.network.agent(index))
+        agent = DiscoveryAgent(self.loop, self.list, self.recorder, name, self.network.agent(index))
         return RealCoordinator(self.loop, self.recorder, self.scenario, endpoint, agent, index, folder)
 
-    def _make_hollow_agent(self, number: int) -> Agent:
+    def _make_hollow_agent(self, number: int) -> DiscoveryAgent:
         address = self.network.agent(HOLLOW_AGENT + number)
-        agent = Agent(self.loop, self.list, self.recorder, f"hollow{number}", address)
+        agent = DiscoveryAgent(self.loop, self.list, self.recorder, f"hollow{number}", address)
         agent.recorded = False
         return agent
 
@@ -123,7 +123,7 @@
     def change_one_backend(self, ready: bool) -> None:
         """Publish a change before the events, to measure its cost: a backend drains, or is ready again."""
         status = "ready" if ready else "draining"
-        self.batch.append(msgspec.structs.replace(self.fleet.backends[0], status=status))
+        self.pending_entries.append(msgspec.structs.replace(self.fleet.backends[0], status=status))
 
     def return_proxies(self, coordinator: RealCoordinator) -> None:
         """Move a coordinator's proxies back to it after its restart."""
@@ -137,8 +137,8 @@
     def _publish_batches(self) -> Generator[tuple[None, int, int], int, None]:
         while True:
             yield None, 0, self.loop.now + int(self.scenario.fleet.batch_ms * MILLISECOND)
-            if self.batch:
-                entries, self.batch = self.batch, []
+            if self.pending_entries:
+                entries, self.pending_entries = self.pending_entries, []
                 self.publish(entries)
 
     def publish(self, entries: list[ListedBackend], notify: bool = True) -> Change:
@@ -151,12 +151,12 @@
     def list_to_watches(self) -> list[int]:
         """Return for each version the ns from its publication until the last agent had written it."""
         real = [coordinator.agent for coordinator in self.coordinators]
-        found = []
+        durations = []
         for change in self.list.changes:
             if all(change.index in agent.written_at for agent in real):
                 written = [agent.written_at.get(change.index, 0) for agent in self.list.agents]
-                found.append(max(written) - change.at)
-        return found
+                durations.append(max(written) - change.at)
+        return durations
 
     # Cuts
 
--- a/granitespool/scale/faults.py
+++ b/granitespool/scale/faults.py
@@ -42,7 +42,7 @@
     # Backends
 
     def _drain(self, planned: PlannedEvent) -> None:
-        self.environment.batch += planned.entries
+        self.environment.pending_entries += planned.entries
 
     def _crash(self, planned: PlannedEvent) -> None:
         for entry in planned.entries:
@@ -50,14 +50,14 @@
 
     def _remove(self, planned: PlannedEvent) -> None:
         self._crash(planned)
-        self.environment.batch += planned.entries
+        self.environment.pending_entries += planned.entries
 
     def _add(self, planned: PlannedEvent) -> None:
         now = self.environment.loop.clock()
         for entry in planned.entries:
             started = msgspec.structs.replace(entry, since_ms=now // MILLISECOND)
             self.environment.backends.start(started, started.since_ms * MILLISECOND)
-            self.environment.batch.append(started)
+            self.environment.pending_entries.append(started)
 
     # Discovery
 
--- a/granitespool/scale/hollow/coordinator.py
+++ b/granitespool/scale/hollow/coordinator.py
@@ -97,9 +97,9 @@
         self.proxies: dict[int, Connection] = {}  # in order of joining
         self.awaiting_list: dict[int, None] = {}  # proxies that joined before the first list
         self.states = EndpointStates()
-        self.joinings_played = 0
-        self.changes_played = 0
-        self.flushes_played = 0
+        self.joins_replayed = 0
+        self.changes_replayed = 0
+        self.flushes_replayed = 0
         self.barrier = 0  # the last one
         self.barrier_at = -1  # ns of the turn in which the last barrier was made
         listener = _listen()
@@ -139,8 +139,8 @@
             self._write_first_table(self.proxies[proxy])
 
     def _write_first_table(self, connection: Connection) -> None:
-        parts = self.profile.joining.parts(self.joinings_played)
-        self.joinings_played += 1
+        parts = self.profile.joining.parts(self.joins_replayed)
+        self.joins_replayed += 1
         if parts:
             self._write_update(connection, parts, self._ready_entries(parts), complete=True)
 
@@ -148,20 +148,20 @@
         for proxy, connection in list(self.proxies.items()):
             if proxy in self.awaiting_list:
                 continue
-            parts = self.profile.change.parts(self.changes_played)
-            self.changes_played += 1
+            parts = self.profile.change.parts(self.changes_replayed)
+            self.changes_replayed += 1
             if parts:
                 self._write_update(connection, parts, entries)
 
     def _refresh(self) -> Wait:
         refresh, first = self.profile.refresh, self.loop.now
         while True:
-            yield None, 0, first + refresh.due(self.flushes_played)
+            yield None, 0, first + refresh.due(self.flushes_replayed)
             for position, connection in enumerate(list(self.proxies.values())):
-                parts = refresh.parts(self.flushes_played, position)
+                parts = refresh.parts(self.flushes_replayed, position)
                 if parts and connection.proxy not in self.awaiting_list:
                     self._write_update(connection, parts, self._ready_entries(parts))
-            self.flushes_played += 1
+            self.flushes_replayed += 1
 
     def _ready_entries(self, parts: Parts) -> list[Entry]:
         """Return entries of ready backends, at least as many as fit into these parts."""
--- a/granitespool/scale/hollow/measurement.py
+++ b/granitespool/scale/hollow/measurement.py
@@ -69,7 +69,7 @@
     def __init__(self) -> None:
         self.joined: dict[int, int] = {}  # proxy -> ns when it joined; in order of joining
         self.joinings: list[Parts | None] = []
-        self.awaiting: dict[int, int] = {}  # proxy without its first table -> its index in `joinings`
+        self.awaiting_table: dict[int, int] = {}  # proxy without its first table -> its index in `joinings`
         self.changes: list[_Written] = []
         self.states = EndpointStates()
         self.flushes: list[_Written] = []
@@ -95,23 +95,23 @@
         if self.first_joined_at is None:
             self.first_joined_at = event.at
         self.joined[event.proxy] = event.at
-        self.awaiting[event.proxy] = len(self.joinings)
+        self.awaiting_table[event.proxy] = len(self.joinings)
         self.joinings.append(None)
 
     def _left(self, proxy: int, at: int) -> None:
         joined_at = self.joined.pop(proxy, at)
         self.proxy_time += at - joined_at
-        self.awaiting.pop(proxy, None)
+        self.awaiting_table.pop(proxy, None)
 
     def _listed(self, event: BackendListed) -> None:
         same_time = bool(self.changes) and self.changes[-1].at == event.at
         if self.states.update(event.backend, event.phase, event.started) and not same_time:
-            served = (proxy for proxy in self.joined if proxy not in self.awaiting)
+            served = (proxy for proxy in self.joined if proxy not in self.awaiting_table)
             self.changes.append(_Written(event.at, dict.fromkeys(served)))
 
     def _received(self, event: UpdateReceived) -> None:
-        if event.proxy in self.awaiting:
-            self.joinings[self.awaiting.pop(event.proxy)] = event.parts
+        if event.proxy in self.awaiting_table:
+            self.joinings[self.awaiting_table.pop(event.proxy)] = event.parts
         elif change := self._change_of(event):
             change.messages[event.proxy] = event.parts
         else:
--- a/granitespool/scale/hollow/process.py
+++ b/granitespool/scale/hollow/process.py
@@ -43,7 +43,7 @@
     """The coordinators of one process, on one loop."""
 
     def __init__(self, spec: Spec) -> None:
-        self.loop = Loop(self._failed)
+        self.loop = Loop(self._coroutine_failed)
         self.failures = 0
         self.coordinators = [
             HollowCoordinator(self.loop, name, spec.discovery, spec.profile) for name in spec.names
@@ -59,7 +59,7 @@
         finally:
             self.loop.close()
 
-    def _failed(self, error: Exception) -> None:
+    def _coroutine_failed(self, error: Exception) -> None:
         self.failures += 1
         print(f"hollow: {error!r}", file=sys.stderr)
 
@@ -79,11 +79,11 @@
         os.write(sys.stdout.fileno(), msgspec.json.encode(status) + b"\n")
 
     def _traffic(self) -> dict[str, Traffic]:
-        found: dict[str, Traffic] = {}
+        totals: dict[str, Traffic] = {}
         for coordinator in self.coordinators:
             for kind, traffic in _by_direction(coordinator):
-                found.setdefault(kind, Traffic()).add_all(traffic)
-        return found
+                totals.setdefault(kind, Traffic()).add_all(traffic)
+        return totals
 
 
 def _by_direction(coordinator: HollowCoordinator) -> Iterator[tuple[str, Traffic]]:
--- a/granitespool/scale/hollow_fleet.py
+++ b/granitespool/scale/hollow_fleet.py
@@ -96,8 +96,8 @@
         )  # after all that was seen
         for process in self.processes:
             self._start(process, profile)
-        until = self.loop.now + int(self.scenario.times.ready_s * SECOND)
-        while self.loop.now < until and not all(process.ready for process in self.processes):
+        deadline = self.loop.now + int(self.scenario.times.ready_s * SECOND)
+        while self.loop.now < deadline and not all(process.ready for process in self.processes):
             yield None, 0, self.loop.now + POLL_INTERVAL
         for process in self.processes:
             if process.ready and process.status:
@@ -149,7 +149,7 @@
         for process in self.processes:
             if not process.child or process.killed:
                 continue
-            if process.child.ended:
+            if process.child.exited:
                 process.killed = True
                 self.failures.append(f"hollow process {process.agent_index} ended by itself")
             elif found := sample(process.child.pid, self.loop.clock()):
@@ -181,7 +181,7 @@
         shares = [
             share_of(process.samples[0], process.samples[-1]) for process in self.processes if process.samples
         ]
-        known = [share for share in shares if share is not None]
+        known_shares = [share for share in shares if share is not None]
         resident = sum(
             max((used.resident for used in process.samples), default=0) for process in self.processes
         )
@@ -189,7 +189,7 @@
             coordinators=self.scenario.coordinators.hollow,
             processes=len(self.processes),
             resident_mb=round(resident / MEGABYTE, 1),
-            share=round(sum(known), 4) if known else None,
+            share=round(sum(known_shares), 4) if known_shares else None,
             connected=sum(len(agent.watches) for agent in self.environment.hollow_agents),
             streams=sum(stream.joined for stream in self.streams),
             traffic=self._traffic(),
--- a/granitespool/scale/processes.py
+++ b/granitespool/scale/processes.py
@@ -62,24 +62,24 @@
     def __init__(self, command: list[str], memory_mb: int | None, sockets: int | None) -> None:
         """Start Python with these arguments; `memory_mb` and `sockets` are limits, None for no limit."""
         # A signal that ends the parent is blocked until `process` is set, else the child would run on
-        former = signal.pthread_sigmask(signal.SIG_BLOCK, ENDING_SIGNALS)
+        previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, ENDING_SIGNALS)
         root = str(Path(granitespool.__file__).parent.parent)
         try:
             self.process = subprocess.Popen(
                 [sys.executable, *command],
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
-                preexec_fn=_child_setup(former, memory_mb, sockets),  # noqa: PLW1509 one thread runs
+                preexec_fn=_child_setup(previous_mask, memory_mb, sockets),  # noqa: PLW1509 one thread runs
                 env={**os.environ, "PYTHONPATH": root},
             )
             os.set_blocking(self.output.fileno(), False)
         finally:
-            self._unblock(former)
+            self._unblock(previous_mask)
 
-    def _unblock(self, former: SignalMask) -> None:
+    def _unblock(self, previous_mask: SignalMask) -> None:
         """Unblock signals; if one ends the parent now, stop the child first."""
         try:
-            signal.pthread_sigmask(signal.SIG_SETMASK, former)
+            signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
         except BaseException:
             if hasattr(self, "process"):
                 self.close(0)
@@ -97,13 +97,13 @@
         return self.process.pid
 
     @property
-    def ended(self) -> bool:
+    def exited(self) -> bool:
         """Whether the process has exited."""
         return self.process.poll() is not None
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal unless the process has exited."""
-        if not self.ended:
+        if not self.exited:
             self.process.send_signal(number)
 
     def close(self, timeout: float = EXIT_TIMEOUT) -> int:
@@ -139,10 +139,10 @@
     """Stop several children at the same time: send SIGTERM to all before waiting for any."""
     for child in children:
         child.signal(signal.SIGTERM)
-    until = time.monotonic() + EXIT_TIMEOUT
+    deadline = time.monotonic() + EXIT_TIMEOUT
     for child in children:
         with suppress(subprocess.TimeoutExpired):
-            child.process.wait(max(0.0, until - time.monotonic()))
+            child.process.wait(max(0.0, deadline - time.monotonic()))
     for child in children:
         child.close()
 
@@ -150,7 +150,7 @@
 def read_lines(child: Child, handle: Callable[[dict[str, Any]], None]) -> Wait:
     """Read a child's JSON lines until its output ends, then close the reading end of the pipe."""
     fd = child.output.fileno()
-    waiting = b""
+    incomplete = b""
     try:
         while True:
             yield fd, IN, None
@@ -160,7 +160,7 @@
                 continue
             if not data:
                 return
-            *lines, waiting = (waiting + data).split(b"\n")
+            *lines, incomplete = (incomplete + data).split(b"\n")
             for line in lines:
                 with suppress(ValueError):
                     handle(orjson.loads(line))
--- a/granitespool/scale/report.py
+++ b/granitespool/scale/report.py
@@ -202,15 +202,15 @@
 def _fleet(report: Report) -> list[str]:
     lines = [_hollow(report.hollow)] if report.hollow else []
     lines += [
-        _duration(what, found)
-        for what, found in (
+        _duration(label, durations)
+        for label, durations in (
             ("list to last proxy", report.list_to_last_proxy),
             ("list to last proxy, cut", report.list_to_last_proxy_cut),
             ("list to last watch", report.list_to_last_watch),
             ("settings to last coordinator", report.settings_to_last),
             ("ready after a restart", report.ready),
         )
-        if found.count or found.unfinished
+        if durations.count or durations.unfinished
     ]
     largest = (
         "no work" if report.load_largest is None else f"{report.load_largest:.1f} times the mean of them"
@@ -229,10 +229,10 @@
     )
 
 
-def _duration(what: str, found: Times) -> str:
-    worst = "none ended" if found.worst_ms is None else f"{found.worst_ms / 1000:.3f} s worst"
-    median = "" if found.median_ms is None else f", {found.median_ms / 1000:.3f} s median"
-    return f"{what}: {worst}{median}, {found.count} changes, {found.unfinished} unfinished"
+def _duration(label: str, durations: Times) -> str:
+    worst = "none ended" if durations.worst_ms is None else f"{durations.worst_ms / 1000:.3f} s worst"
+    median = "" if durations.median_ms is None else f", {durations.median_ms / 1000:.3f} s median"
+    return f"{label}: {worst}{median}, {durations.count} changes, {durations.unfinished} unfinished"
 
 
 def _cut(row: CutRow) -> str:
--- a/granitespool/scale/run.py
+++ b/granitespool/scale/run.py
@@ -57,9 +57,9 @@
         self.events: EventPlayer
         self.hollow: HollowFleet | None = None
         self.hollow_row: HollowRow | None = None  # taken before the processes were stopped
-        self.idle = Span()
-        self.reported = Span()
-        self.measured = Span()
+        self.idle_span = Span()
+        self.reports_span = Span()
+        self.measured_span = Span()
         self.bytes_before: Counter[TrafficKey] = Counter()  # bytes sent before the measurement began
         self._started = False
         self._done = False
@@ -138,7 +138,7 @@
         yield from self._sleep(times.warm_s)
         self._begin_measuring()
         self.progress("idle")
-        yield from self._measure_span(self.idle, times.idle_s)
+        yield from self._measure_span(self.idle_span, times.idle_s)
         self.environment.send_reports(True)
         self.progress("reports")
         yield from self._measure_reports()
@@ -149,10 +149,10 @@
         yield from self.events.play(self.plan, int(times.events_s * SECOND))
         yield from self._sleep(times.settle_s)
         yield from self._check_end()
-        self.measured.end = self.loop.clock()
+        self.measured_span.end = self.loop.clock()
 
     def _begin_measuring(self) -> None:
-        self.measured.begin = self.loop.clock()
+        self.measured_span.begin = self.loop.clock()
         self.bytes_before = Counter(self.environment.recorder.bytes)
         for coordinator in self.environment.coordinators:
             coordinator.log.lines = 0
@@ -160,7 +160,7 @@
     def _measure_reports(self) -> Wait:
         if self.hollow:
             self.environment.change_one_backend(ready=False)
-        yield from self._measure_span(self.reported, self.scenario.times.reports_s)
+        yield from self._measure_span(self.reports_span, self.scenario.times.reports_s)
 
     def _start_hollow(self, hollow: HollowFleet) -> Wait:
         self.progress("hollow coordinators")
@@ -169,9 +169,9 @@
         yield from hollow.start(self.environment.coordinators[0])
 
     def _sleep(self, seconds: float) -> Wait:
-        until = self.loop.now + int(seconds * SECOND)
-        while self.loop.now < until:
-            yield None, 0, until
+        wake_at = self.loop.now + int(seconds * SECOND)
+        while self.loop.now < wake_at:
+            yield None, 0, wake_at
 
     def _measure_span(self, span: Span, seconds: float) -> Wait:
         self._take_sample()
@@ -205,7 +205,7 @@
         for coordinator in self.environment.coordinators:
             coordinator.take_sample()
             child = coordinator.child
-            if child and child.ended and not coordinator.endpoint.down:
+            if child and child.exited and not coordinator.endpoint.down:
                 code = child.process.returncode
                 self.failures.append(f"{coordinator.name} exited unexpectedly with code {code}")
                 coordinator.endpoint.down = True
--- a/granitespool/scale/run_report.py
+++ b/granitespool/scale/run_report.py
@@ -72,7 +72,7 @@
         older_lists=sum(coordinator.log.older_lists for coordinator in environment.coordinators),
         stream_resets=sum(stream.resets for stream in environment.streams),
         trace_events=len(environment.recorder.events),
-        broken=_count_rules(violations),
+        broken=_count_by_rule(violations),
         violations=violations[:VIOLATIONS_MAX],
         failures=_failures(run),
     )
@@ -90,7 +90,7 @@
 
 
 def _work(environment: Environment) -> _Work:
-    work = list(environment.traffic.spread().values())
+    work = list(environment.traffic.load_by_backend().values())
     return _Work(
         backends_used=len(work),
         load_largest=round(max(work) * len(work) / sum(work), 2) if work else None,
@@ -119,7 +119,7 @@
     )
 
 
-def _count_rules(violations: Sequence[Violation]) -> dict[str, int]:
+def _count_by_rule(violations: Sequence[Violation]) -> dict[str, int]:
     counts: Counter[str] = Counter(violation.rule for violation in violations)
     return dict(sorted(counts.items()))
 
@@ -142,9 +142,9 @@
     return CoordinatorRow(
         name=coordinator.name,
         zone=coordinator.endpoint.zone,
-        idle_share=share_in(samples, run.idle),
-        reports_share=share_in(samples, run.reported),
-        worst_second_share=worst_second(samples, run.measured.begin),
+        idle_share=share_in(samples, run.idle_span),
+        reports_share=share_in(samples, run.reports_span),
+        worst_second_share=worst_second(samples, run.measured_span.begin),
         resident_mb=round(max((sample.resident for sample in samples), default=0) / MEGABYTE, 1),
         descriptors=max((sample.descriptors for sample in samples), default=0),
         log_lines_per_s=round(_per_second(run, coordinator.log.lines), 2),
@@ -194,7 +194,7 @@
 
 
 def _per_second(run: Run, number: float) -> float:
-    span = run.measured.end - run.measured.begin
+    span = run.measured_span.end - run.measured_span.begin
     return number * SECOND / span if span > 0 else 0.0
 
 
--- a/granitespool/scale/settings_changes.py
+++ b/granitespool/scale/settings_changes.py
@@ -33,8 +33,8 @@
         for coordinator in reached:
             coordinator.write_configuration(self.version, valid)
             coordinator.reload()
-        until = self.loop.now + APPLY_TIMEOUT
-        while self.loop.now < until and any(
+        deadline = self.loop.now + APPLY_TIMEOUT
+        while self.loop.now < deadline and any(
             len(coordinator.log.reloads) == before[coordinator.name] for coordinator in reached
         ):
             yield None, 0, self.loop.now + POLL_INTERVAL
--- a/granitespool/scale/signals.py
+++ b/granitespool/scale/signals.py
@@ -15,11 +15,11 @@
     def end(number: int, _: object) -> None:
         raise SystemExit(EXIT_BASE + number)
 
-    former = {}
+    previous_handlers = {}
     with suppress(ValueError):  # only the main thread may set signal handlers
-        former = {number: signal.signal(number, end) for number in ENDING_SIGNALS}
+        previous_handlers = {number: signal.signal(number, end) for number in ENDING_SIGNALS}
     try:
         yield
     finally:
-        for number, handler in former.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -45,15 +45,15 @@
         self.requests = 0  # simulated one by one
         self.unserved = 0  # of those, the ones without an answer
         self.warming_up: set[str] = set()  # backends that warmed up at the last tick
-        loop.spawn(self._ticks())
+        loop.spawn(self._run())
 
-    def _ticks(self) -> Wait:
+    def _run(self) -> Wait:
         tick = self.loop.now
         while True:
             tick += TICK
             yield None, 0, tick
             self._record_loads()
-            self._follow_requests()
+            self._simulate_requests()
 
     # Load of backends that warm up
 
@@ -61,7 +61,7 @@
         now = self.loop.clock()
         warming_up = {name for name in self.backends.running if self._is_warming_up(name, now)}
         if warming_up:
-            work, informed = self._work(warming_up)
+            work, informed = self._requests_by_backend(warming_up)
             capacity = self._capacity()
             for name in sorted(warming_up):
                 load = BackendLoad(
@@ -97,7 +97,7 @@
         rate = sum(stream.rate for stream in self.streams)
         return rate / self.scenario.traffic.load / max(1, len(self.backends.running))
 
-    def _work(self, backends: Set[str]) -> tuple[dict[str, float], dict[str, float]]:
+    def _requests_by_backend(self, backends: Set[str]) -> tuple[dict[str, float], dict[str, float]]:
         """Return the requests a second by backend.
 
         The second result counts only proxies that have received a weight of the backend since its start.
@@ -117,7 +117,7 @@
                     informed[name] += rate
         return work, informed
 
-    def spread(self) -> dict[str, float]:
+    def load_by_backend(self) -> dict[str, float]:
         """Return the requests a second of each backend that the tables contain."""
         work: dict[str, float] = {}
         for stream in self.streams:
@@ -129,13 +129,13 @@
 
     # Requests simulated one by one
 
-    def _follow_requests(self) -> None:
+    def _simulate_requests(self) -> None:
         share = self.scenario.traffic.sampled_per_s * TICK / SECOND
         for stream in self.streams:
             if stream.joined and self.random.random() < share:
-                self._follow_request(stream)
+                self._simulate_request(stream)
 
-    def _follow_request(self, stream: ProxyStream) -> None:
+    def _simulate_request(self, stream: ProxyStream) -> None:
         """Simulate one request with its retries, all at the same time."""
         number = self.random.randrange(self.scenario.traffic.classes)
         level = stream.table.admission_level(f"class{number}")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 from granitespool.net.loop import Loop
 from granitespool.scale import fleet, report, runner, schema
 from granitespool.scale.coordinator_endpoint import ChannelQueue
-from granitespool.scale.discovery import Agent, BackendList
+from granitespool.scale.discovery import BackendList, DiscoveryAgent
 from granitespool.scale.fleet import GeneratedFleet, ListedBackend, Network
 from granitespool.scale.plan import Plan, coordinator_zones, plan_digest
 from granitespool.scale.processes import Child, Sample
@@ -167,7 +167,7 @@
         ]
         self.list = BackendList(self.entries, self.loop.clock)
         address = Network(64 + os.getpid() % 190).agent(240)
-        self.agent = Agent(self.loop, self.list, self.recorder, "c", address)
+        self.agent = DiscoveryAgent(self.loop, self.list, self.recorder, "c", address)
         known = {"index": 1, "snapshot": True, "endpoints": []}
         self.watch = Discovery(
             self.loop, self, self, {"discovery": address, "known": known}, Random(1).uniform
@@ -347,9 +347,9 @@
     assert played.result.passed, (played.result.failures, played.result.violations[:3])
     assert played.result.planned == len(played.plan) > 20
     for coordinator in played.environment.coordinators:
-        assert coordinator.child.ended
+        assert coordinator.child.exited
         assert coordinator.exit_codes[-1] == 0
-    assert all(child.ended for child in played.hollow.children)
+    assert all(child.exited for child in played.hollow.children)
 
 
 def test_every_real_coordinator_is_measured(played):
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -148,7 +148,7 @@
         {
             "events": [[type(each).__name__, *msgspec.structs.astuple(each)] for each in recorder.events],
             "requests": [traffic.requests, traffic.unserved],
-            "spread": traffic.spread(),
+            "spread": traffic.load_by_backend(),
             "reports": reports,
         }
     )
