--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,6 +1,7 @@
-"""The checker of the rules: each rule broken in a made-up trace is found, and a clean trace has none.
+"""Tests of the checker with constructed traces: violations are found, and a clean trace has none.
 
-Each rule is tried in several ways, with its limit met exactly and passed by one nanosecond."""
+Limits are tested at their exact value and one nanosecond beyond it.
+"""
 
 import ast
 from pathlib import Path
@@ -38,7 +39,7 @@
     messages_span=10 * SECOND,
     warm_up_time=20 * SECOND,
 )
-BEGIN = 100 * SECOND  # the first answer; time limits run from a second later on
+BEGIN = 100 * SECOND  # of the first answer; time limits begin a second later
 
 
 def started(at=BEGIN, coordinator="c0"):
@@ -87,12 +88,12 @@
 
 
 def until(at):
-    """Something that breaks nothing, so that the trace lasts until `at`."""
+    """Return an event without any violation, so that the trace ends at `at`."""
     return waiting(at, 0, "clock")
 
 
 def opening(coordinator="c0"):
-    """A coordinator that was told of two backends, with one proxy that holds both."""
+    """Return the events of a coordinator with two listed backends, and of one proxy that may use both."""
     return [
         listed(BEGIN, "s1", coordinator=coordinator),
         listed(BEGIN, "s2", coordinator=coordinator),
@@ -103,7 +104,8 @@
 
 
 def found(*events, limits=LIMITS):
-    return [(each.rule, each.subject, each.at) for each in check(events, limits)]
+    """Return the violations as tuples of rule, subject and time."""
+    return [(violation.rule, violation.subject, violation.at) for violation in check(events, limits)]
 
 
 NONE = []
@@ -113,7 +115,7 @@
 LATER = BEGIN + 60 * SECOND
 
 
-def test_a_clean_day_breaks_no_rule():
+def test_a_clean_trace_has_no_violation():
     trace = [
         *opening(),
         executed(BEGIN + 1, 1),
@@ -134,66 +136,66 @@
     assert check(trace, LIMITS) == []
 
 
-def test_an_empty_trace_breaks_nothing():
+def test_an_empty_trace_has_no_violation():
     assert check([], LIMITS) == []
 
 
-# Nobody without a backend
+# The rule no_backend
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_an_empty_table_is_found_just_past_its_limit(over):
+def test_an_empty_table_is_a_violation_just_beyond_the_limit(over):
     trace = [*opening(), held(LATER), until(LATER + EMPTY + over)]
     assert found(*trace) == ([("no_backend", "proxy 1", LATER + EMPTY)] if over else NONE)
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_a_table_that_is_filled_in_time_is_none(over):
+def test_a_table_that_gets_a_backend_within_the_limit_is_no_violation(over):
     trace = [*opening(), held(LATER), held(LATER + EMPTY + over, "s2"), until(LATER + 90 * SECOND)]
     assert found(*trace) == ([("no_backend", "proxy 1", LATER + EMPTY)] if over else NONE)
 
 
 def test_a_table_whose_backends_are_all_excluded_or_without_weight_is_empty():
-    shut = [*opening(), held(LATER, "s1", "s2", excluded=("s1", "s2")), until(LATER + EMPTY + 1)]
+    all_excluded = [*opening(), held(LATER, "s1", "s2", excluded=("s1", "s2")), until(LATER + EMPTY + 1)]
     weightless = TableHeld(at=LATER, proxy=1, weights={"s1": 0.0})
-    assert found(*shut) == [("no_backend", "proxy 1", LATER + EMPTY)]
-    assert found(*opening(), weightless, until(LATER + EMPTY + 1)) == found(*shut)
+    assert found(*all_excluded) == [("no_backend", "proxy 1", LATER + EMPTY)]
+    assert found(*opening(), weightless, until(LATER + EMPTY + 1)) == found(*all_excluded)
 
 
-def test_a_proxy_that_never_held_a_table_is_empty_from_its_joining():
+def test_a_proxy_without_any_table_counts_as_empty_from_its_join():
     trace = [*opening(), joined(LATER, proxy=2), until(LATER + EMPTY + 1)]
     assert found(*trace) == [("no_backend", "proxy 2", LATER + EMPTY)]
 
 
-def test_an_empty_table_is_told_once_and_again_when_it_is_empty_anew():
+def test_an_empty_table_is_reported_once_until_it_is_empty_again():
     again = LATER + 30 * SECOND
     trace = [*opening(), held(LATER), held(LATER + 9 * SECOND), held(again - 1, "s1"), held(again)]
     expected = [("no_backend", "proxy 1", LATER + EMPTY), ("no_backend", "proxy 1", again + EMPTY)]
     assert found(*trace, until(again + 2 * EMPTY)) == expected
 
 
-def test_who_is_empty_while_nothing_is_listed_breaks_nothing_until_something_is():
-    nothing = [listed(LATER, "s1", "gone"), listed(LATER, "s2", "draining"), held(LATER)]
+def test_an_empty_table_is_no_violation_while_no_backend_is_listed_as_ready():
+    none_ready = [listed(LATER, "s1", "gone"), listed(LATER, "s2", "draining"), held(LATER)]
     back = LATER + 30 * SECOND
-    assert found(*opening(), *nothing, until(LATER + 90 * SECOND)) == NONE
-    late = [*opening(), *nothing, listed(back, "s1"), until(back + 1)]
-    assert found(*late) == [("no_backend", "proxy 1", back)]
+    assert found(*opening(), *none_ready, until(LATER + 90 * SECOND)) == NONE
+    listed_late = [*opening(), *none_ready, listed(back, "s1"), until(back + 1)]
+    assert found(*listed_late) == [("no_backend", "proxy 1", back)]
 
 
-def test_only_a_warm_backend_in_the_list_counts():
-    cold = [listed(LATER, "s2", "gone"), listed(LATER, "s1", start=LATER), held(LATER)]
-    warm = LATER + LIMITS.warm_up_time
-    assert found(*opening(), *cold, until(warm)) == NONE
-    assert found(*opening(), *cold, until(warm + 1)) == [("no_backend", "proxy 1", warm)]
+def test_an_empty_table_is_no_violation_until_a_listed_backend_is_warmed_up():
+    warming_up = [listed(LATER, "s2", "gone"), listed(LATER, "s1", start=LATER), held(LATER)]
+    warm_at = LATER + LIMITS.warm_up_time
+    assert found(*opening(), *warming_up, until(warm_at)) == NONE
+    assert found(*opening(), *warming_up, until(warm_at + 1)) == [("no_backend", "proxy 1", warm_at)]
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_an_empty_table_at_the_start_has_a_second_more(over):
+def test_the_limit_of_an_empty_table_begins_a_second_after_the_first_answer(over):
     trace = [listed(BEGIN, "s1"), started(), joined(BEGIN), until(BEGIN + SECOND + EMPTY + over)]
     assert found(*trace) == ([("no_backend", "proxy 1", BEGIN + SECOND + EMPTY)] if over else NONE)
 
 
-def test_who_left_may_be_empty_and_counts_anew_from_its_next_joining():
+def test_the_limit_of_an_empty_table_ends_when_the_proxy_leaves_and_starts_again_when_it_joins():
     there = [listed(BEGIN, "s1", coordinator="c1"), started(coordinator="c1")]
     away = [*there, *opening(), held(LATER), left(LATER + EMPTY)]
     assert found(*away, until(LATER + 90 * SECOND)) == NONE
@@ -202,73 +204,73 @@
     assert found(*trace) == [("no_backend", "proxy 1", back + EMPTY)]
 
 
-def test_who_was_sent_away_by_its_coordinator_is_still_its_own():
-    sent_away = left(LATER + SECOND, by_coordinator=True)
-    trace = [*opening(), held(LATER), sent_away, joined(LATER + 2 * SECOND), until(LATER + EMPTY + 1)]
+def test_a_proxy_whose_coordinator_closed_the_stream_still_counts_for_that_coordinator():
+    closed = left(LATER + SECOND, by_coordinator=True)
+    trace = [*opening(), held(LATER), closed, joined(LATER + 2 * SECOND), until(LATER + EMPTY + 1)]
     assert found(*trace) == [("no_backend", "proxy 1", LATER + EMPTY)]
     there = [listed(BEGIN, "s1", coordinator="c1"), started(coordinator="c1"), *opening()]
-    elsewhere = [*there, held(LATER), sent_away, joined(LATER + 2 * SECOND, coordinator="c1")]
+    elsewhere = [*there, held(LATER), closed, joined(LATER + 2 * SECOND, coordinator="c1")]
     assert found(*elsewhere, until(LATER + 2 * SECOND + EMPTY)) == NONE
 
 
-# No effect twice
+# The rule double_effect: no effect twice
 
 
-def test_an_effect_that_must_happen_once_is_found_each_further_time():
+def test_each_repeated_execution_of_a_single_shot_request_is_a_violation():
     trace = [executed(5, 1), executed(6, 2), executed(9, 1, "s2"), executed(11, 1, "s1")]
     expected = [("double_effect", "request 1", 9), ("double_effect", "request 1", 11)]
     assert found(*trace) == expected
 
 
-def test_an_effect_twice_at_the_same_backend_in_the_same_instant_is_found():
+def test_two_executions_at_the_same_backend_and_time_are_a_violation():
     assert found(executed(5, 1), executed(5, 1)) == [("double_effect", "request 1", 5)]
 
 
-def test_other_effects_may_be_repeated():
+def test_requests_with_other_effects_may_be_executed_repeatedly():
     trace = [executed(at, 1, effect="free") for at in (1, 2)] + [
         executed(at, 2, effect="guarded") for at in (3, 4)
     ]
     assert found(*trace) == NONE
 
 
-# Drains
+# The rule drain
 
 
 @pytest.mark.parametrize("over", [0, 1])
 @pytest.mark.parametrize("phase", ["draining", "gone"])
-def test_a_drained_backend_that_is_held_is_found_just_past_the_grace(phase, over):
+def test_a_drained_backend_in_a_table_is_a_violation_just_beyond_the_grace(phase, over):
     trace = [*opening(), listed(LATER, "s1", phase), until(LATER + GRACE + over)]
     assert found(*trace) == ([("drain", "proxy 1, backend s1", LATER + GRACE)] if over else NONE)
 
 
 @pytest.mark.parametrize("over", [0, 1])
 @pytest.mark.parametrize("excluded", [(), ("s1",)])
-def test_who_lets_go_of_it_in_time_keeps_the_rule(excluded, over):
-    lets_go = held(LATER + GRACE + over, *excluded, "s2", excluded=excluded)
-    trace = [*opening(), listed(LATER, "s1", "draining"), lets_go, until(LATER + 90 * SECOND)]
+def test_a_proxy_that_stops_using_a_drained_backend_within_the_grace_is_no_violation(excluded, over):
+    removed = held(LATER + GRACE + over, *excluded, "s2", excluded=excluded)
+    trace = [*opening(), listed(LATER, "s1", "draining"), removed, until(LATER + 90 * SECOND)]
     assert found(*trace) == ([("drain", "proxy 1, backend s1", LATER + GRACE)] if over else NONE)
 
 
-def test_a_drain_is_told_once_and_counts_from_when_it_was_told_first():
+def test_a_drain_is_reported_once_and_its_grace_begins_with_the_first_report():
     again = [listed(LATER + 5 * SECOND, "s1", "draining"), listed(LATER + 6 * SECOND, "s1", "gone")]
     trace = [*opening(), listed(LATER, "s1", "draining"), *again, held(LATER + 7 * SECOND, "s1", "s2")]
     assert found(*trace, until(LATER + 90 * SECOND)) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
 
 
-def test_a_backend_that_is_taken_up_again_past_the_grace_is_found_at_once():
+def test_a_drained_backend_that_returns_to_a_table_after_the_grace_is_a_violation_at_once():
     back = LATER + 30 * SECOND
     drain = [listed(LATER, "s1", "draining"), held(LATER + SECOND, "s2"), held(back, "s1", "s2")]
     assert found(*opening(), *drain) == [("drain", "proxy 1, backend s1", back)]
-    let_back = [
+    readmitted = [
         listed(LATER, "s1", "draining"),
         held(LATER + SECOND, "s1", "s2", excluded=("s1",)),
         held(back, "s1", "s2"),
         held(back, "s2"),
     ]
-    assert found(*opening(), *let_back) == [("drain", "proxy 1, backend s1", back)]
+    assert found(*opening(), *readmitted) == [("drain", "proxy 1, backend s1", back)]
 
 
-def test_a_backend_that_is_ready_again_may_be_held_and_its_next_drain_counts_anew():
+def test_a_backend_that_is_ready_again_may_be_used_and_its_next_drain_has_a_new_grace():
     ready = LATER + GRACE
     trace = [
         *opening(),
@@ -282,7 +284,7 @@
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_who_joins_after_the_drain_was_told_has_the_grace_from_its_joining(over):
+def test_a_proxy_that_joins_after_a_drain_began_has_the_grace_from_its_join(over):
     late = LATER + 50 * SECOND
     drain = [*opening(), listed(LATER, "s1", "draining"), held(LATER + SECOND, "s2")]
     trace = [*drain, held(late, "s1", proxy=2), joined(late, proxy=2), until(late + GRACE + over)]
@@ -290,27 +292,27 @@
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_no_drain_counts_sooner_than_a_second_after_the_first_answer(over):
+def test_the_grace_of_a_drain_begins_a_second_after_the_first_answer(over):
     first = [listed(BEGIN, "s1", "draining"), listed(BEGIN, "s2"), started()]
     trace = [*first, joined(BEGIN), held(BEGIN, "s1"), until(BEGIN + SECOND + GRACE + over)]
     assert found(*trace) == ([("drain", "proxy 1, backend s1", BEGIN + SECOND + GRACE)] if over else NONE)
 
 
-def test_a_drain_binds_only_proxies_of_a_coordinator_that_was_told():
+def test_a_drain_applies_only_to_proxies_of_a_coordinator_that_received_it():
     other = [listed(BEGIN, "s1", coordinator="c1"), started(coordinator="c1"), joined(BEGIN, 2, "c1")]
     trace = [*other, held(BEGIN, "s1", "s2", proxy=2), *opening(), listed(LATER, "s1", "draining")]
     assert found(*trace, until(LATER + 90 * SECOND)) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
     late = LATER + 20 * SECOND
-    told_too = [*trace, held(LATER + 1, "s2"), listed(late, "s1", "gone", "c1"), until(late + GRACE + 1)]
-    assert found(*told_too) == [("drain", "proxy 2, backend s1", late + GRACE)]
+    both_received = [*trace, held(LATER + 1, "s2"), listed(late, "s1", "gone", "c1"), until(late + GRACE + 1)]
+    assert found(*both_received) == [("drain", "proxy 2, backend s1", late + GRACE)]
 
 
-def test_a_stream_that_was_lost_counts_as_left():
+def test_a_lost_stream_counts_as_a_leave():
     drain = [*opening(), listed(LATER, "s1", "draining"), left(LATER + GRACE)]
     assert found(*drain, until(LATER + 90 * SECOND)) == NONE
 
 
-def test_a_coordinator_that_ended_has_no_proxies_and_its_successor_only_what_it_was_told():
+def test_a_restarted_coordinator_has_no_proxies_and_only_newly_received_entries():
     down = [*opening(), listed(LATER, "s1", "draining"), ended(LATER + SECOND)]
     assert found(*down, until(LATER + 90 * SECOND)) == NONE
     up = LATER + 3 * SECOND
@@ -321,50 +323,50 @@
     assert found(*aware, until(up + SECOND + GRACE + 1)) == expected
 
 
-def test_a_coordinator_that_was_only_cut_off_still_knows_its_list():
+def test_a_coordinator_that_was_only_cut_off_keeps_its_endpoint_list():
     back = LATER + 30 * SECOND
     trace = [*opening(), listed(LATER, "s1", "draining"), ended(LATER + SECOND), joined(back)]
     assert found(*trace, until(back + GRACE + 1)) == [("drain", "proxy 1, backend s1", back + GRACE)]
 
 
-def test_the_late_end_of_a_former_stream_is_no_leaving():
+def test_the_late_end_of_a_former_stream_is_no_leave():
     there = [listed(BEGIN, "s1", "draining", "c1"), started(coordinator="c1"), *opening()]
     trace = [*there, joined(LATER, coordinator="c1"), left(LATER + SECOND), until(LATER + GRACE + 1)]
     assert found(*trace) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
 
 
-def test_who_was_sent_away_has_no_grace_anew_where_it_was_before():
-    sent_away = left(LATER + SECOND, by_coordinator=True)
-    trace = [*opening(), listed(LATER, "s1", "draining"), sent_away, joined(LATER + 2 * SECOND)]
+def test_a_proxy_whose_coordinator_closed_the_stream_has_no_new_grace_there():
+    closed = left(LATER + SECOND, by_coordinator=True)
+    trace = [*opening(), listed(LATER, "s1", "draining"), closed, joined(LATER + 2 * SECOND)]
     assert found(*trace, until(LATER + GRACE + 1)) == [("drain", "proxy 1, backend s1", LATER + GRACE)]
     lost = [*opening(), listed(LATER, "s1", "draining"), left(LATER + SECOND), joined(LATER + 2 * SECOND)]
     assert found(*lost, until(LATER + 2 * SECOND + GRACE)) == NONE
 
 
-def test_where_only_drains_bind_a_backend_that_is_merely_gone_may_be_held():
-    soft = msgspec.structs.replace(LIMITS, only_draining_binds=True)
+def test_with_only_draining_binds_a_backend_that_is_gone_without_a_drain_may_be_used():
+    limits = msgspec.structs.replace(LIMITS, only_draining_binds=True)
     gone = [*opening(), listed(LATER, "s1", "gone")]
-    assert found(*gone, until(LATER + 90 * SECOND), limits=soft) == NONE
+    assert found(*gone, until(LATER + 90 * SECOND), limits=limits) == NONE
     drained = [*gone, listed(LATER + SECOND, "s1", "draining"), listed(LATER + 2 * SECOND, "s1", "gone")]
     expected = [("drain", "proxy 1, backend s1", LATER + SECOND + GRACE)]
-    assert found(*drained, until(LATER + 90 * SECOND), limits=soft) == expected
+    assert found(*drained, until(LATER + 90 * SECOND), limits=limits) == expected
 
 
-# Cold backends
+# The rule cold_overload
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_a_cold_backend_over_its_multiple_is_found_just_past_the_time(over):
+def test_an_overloaded_warming_up_backend_is_a_violation_just_beyond_the_limit(over):
     trace = [*opening(), load(LATER, 4.1), load(LATER + SECOND, 9.0), until(LATER + FALL + over)]
     assert found(*trace) == ([("cold_overload", "backend s1", LATER + FALL)] if over else NONE)
 
 
 @pytest.mark.parametrize("relief", [load(LATER + FALL, 4.0), load(LATER + FALL, 9.0, warming_up=False)])
-def test_a_cold_backend_that_is_relieved_or_warm_in_time_is_none(relief):
+def test_an_overload_that_ends_within_the_limit_is_no_violation(relief):
     assert found(*opening(), load(LATER, 4.1), relief, until(LATER + 90 * SECOND)) == NONE
 
 
-def test_what_is_just_at_the_multiple_or_warm_or_made_by_who_could_not_know_is_none():
+def test_a_load_at_the_multiple_of_a_warm_backend_or_of_uninformed_proxies_is_no_violation():
     for harmless in (
         load(LATER, 4.0),
         load(LATER, 40.0, warming_up=False),
@@ -373,7 +375,7 @@
         assert found(*opening(), harmless, until(LATER + 90 * SECOND)) == NONE
 
 
-def test_a_cold_backend_over_again_is_told_again_and_each_backend_alone():
+def test_each_overload_of_each_warming_up_backend_is_reported():
     second = LATER + 20 * SECOND
     trace = [*opening(), load(LATER, 5.0), load(LATER, 5.0, backend="s2"), load(second - SECOND, 1.0)]
     expected = [
@@ -385,12 +387,12 @@
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_cold_backends_have_a_second_more_after_the_first_answer(over):
+def test_the_limit_of_an_overload_begins_a_second_after_the_first_answer(over):
     trace = [started(), load(BEGIN, 5.0), until(BEGIN + SECOND + FALL + over)]
     assert found(*trace) == ([("cold_overload", "backend s1", BEGIN + SECOND + FALL)] if over else NONE)
 
 
-def test_while_no_coordinator_runs_nobody_pushes_a_cold_backend_over():
+def test_an_overload_is_no_violation_while_no_coordinator_runs():
     down = [started(), load(LATER, 5.0), ended(LATER + FALL)]
     assert found(*down, until(LATER + 90 * SECOND)) == NONE
     up = LATER + 20 * SECOND
@@ -398,15 +400,15 @@
     assert found(*down, started(up), until(up + SECOND + FALL + 1)) == expected
 
 
-def test_the_restart_of_one_coordinator_of_two_gives_no_time():
+def test_the_restart_of_one_of_two_coordinators_does_not_extend_the_limit():
     trace = [started(), started(coordinator="c1"), load(LATER, 5.0), ended(LATER + 1), started(LATER + 2)]
     assert found(*trace, until(LATER + FALL + 1)) == [("cold_overload", "backend s1", LATER + FALL)]
 
 
-# The channel
+# The rule channel
 
 
-def test_lines_over_the_limit_are_found_once_each_time():
+def test_each_overrun_of_the_queued_entries_is_reported_once():
     trace = [waiting(1, 1000.0), waiting(2, 1000.5), waiting(3, 1200.0), waiting(4, 1000.0), waiting(5, 1001)]
     expected = [("channel", "coordinator c0", 2), ("channel", "coordinator c0", 5)]
     assert found(*trace) == expected
@@ -418,14 +420,14 @@
     ]
 
 
-def test_messages_to_one_proxy_in_the_span_are_counted():
+def test_too_many_messages_to_one_proxy_within_the_span_are_a_violation():
     span = LIMITS.messages_span
     three = [joined(0), written(0), written(1), written(2)]
     assert found(*three, written(span), written(span + 1)) == NONE
     assert found(*three, written(span - 1)) == [("channel", "coordinator c0, proxy 1", span - 1)]
 
 
-def test_messages_to_others_by_others_or_before_a_joining_are_not_counted():
+def test_messages_to_other_proxies_of_other_coordinators_or_before_a_join_are_not_counted():
     three = [joined(0), written(0), written(1), written(2)]
     assert found(*three, written(3, proxy=2), written(3, coordinator="c1")) == NONE
     assert found(*three, left(3), joined(4), written(5)) == NONE
@@ -436,32 +438,32 @@
     assert found(*three, written(5)) == [("channel", "coordinator c0, proxy 1", 5)]
 
 
-def test_without_a_limit_of_messages_they_are_not_counted():
-    without = msgspec.structs.replace(LIMITS, messages_limit=0)
-    assert found(*[written(5)] * 99, limits=without) == NONE
+def test_messages_are_not_counted_without_a_limit():
+    unlimited = msgspec.structs.replace(LIMITS, messages_limit=0)
+    assert found(*[written(5)] * 99, limits=unlimited) == NONE
 
 
-def test_a_message_of_too_many_parts_or_too_large_a_part_is_found():
+def test_too_many_parts_or_too_large_a_part_are_a_violation():
     assert found(written(1, parts=64), written(2, largest_part=1 << 20)) == NONE
     assert found(written(1, parts=65)) == [("channel", "coordinator c0, proxy 1", 1)]
     assert found(written(1, largest_part=(1 << 20) + 1)) == [("channel", "coordinator c0, proxy 1", 1)]
 
 
-# The trace itself
+# Invalid traces, order and text of violations
 
 
-def test_events_out_of_order_are_a_typed_error_with_their_place():
+def test_an_event_out_of_order_raises_an_error_with_its_index_and_times():
     with pytest.raises(EventOrderError) as caught:
         check([waiting(5, 1), waiting(5, 1), waiting(4, 1)], LIMITS)
     assert (caught.value.index, caught.value.at, caught.value.previous) == (2, 4, 5)
 
 
-def test_what_is_no_event_is_a_typed_error():
+def test_an_item_that_is_no_event_raises_an_error():
     with pytest.raises(UnknownEventError):
         check([waiting(5, 1), "an event"], LIMITS)
 
 
-def test_violations_come_in_order_of_time_with_one_sentence_and_figures():
+def test_violations_are_in_order_of_time_and_have_a_sentence_with_figures():
     trace = [
         *opening(),
         listed(LATER, "s1", "draining"),
@@ -469,7 +471,7 @@
         executed(LATER + SECOND, 7),
     ]
     violations = check([*trace, executed(LATER + 9 * SECOND, 7), until(LATER + 90 * SECOND)], LIMITS)
-    assert [each.rule for each in violations] == ["no_backend", "double_effect"]
+    assert [violation.rule for violation in violations] == ["no_backend", "double_effect"]
     assert violations[0].text == (
         "Proxy 1 of c0 has no backend to pick for over 5.300 s from 161.000 s on,"
         " while its coordinator's list shows a warm one."
@@ -477,7 +479,7 @@
 
 
 def imported_by(path):
-    """Modules of granitespool that a file imports, as written, names with them."""
+    """Return the modules of granitespool that a file imports."""
     return {
         module
         for node in ast.walk(ast.parse(path.read_text()))
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -1,8 +1,9 @@
-"""The scale run's seeded parts and the checker's verdicts are those of the recordings.
+"""Tests that the seeded parts of the scale run and the checker's verdicts match the recordings.
 
-The plan, the fleet, the settings and the made-up traffic follow from the scenario's seed, the traces from a
-virtual clock, so nothing here depends on real time and nothing is left out. The number of the loopback
-network, which a run draws anew, is fixed."""
+The plan, the fleet, the settings and the simulated traffic follow from the scenario's seed, the traces from a
+virtual clock, so nothing here depends on real time and the recordings are complete. The number of the
+loopback network, which a run draws at random, is fixed.
+"""
 
 import hashlib
 import json
@@ -26,14 +27,18 @@
 from granitespool.simulation.proxy_table import AdmissionLevel, AdmissionUpdate, ProxyTable, TableUpdate
 
 NETWORK = Network(77)
-WHOLE = "ci", "partition", "zone"  # scenarios whose plans are recorded whole; of the others a digest
+FULLY_RECORDED = (
+    "ci",
+    "partition",
+    "zone",
+)  # scenarios with a complete recorded plan; the others have a digest
 SMALL_ZONE = ["backends=60", "hollow=0", "real=8"]
 
 
 def planned(scenario):
     seed = scenario.scale.seed
-    made = GeneratedFleet(scenario, NETWORK, Random(seed))
-    return made, Plan(scenario, made, Random(seed))
+    generated = GeneratedFleet(scenario, NETWORK, Random(seed))
+    return generated, Plan(scenario, generated, Random(seed))
 
 
 def scenario_of(name):
@@ -42,24 +47,24 @@
 
 def plan_of(name):
     scenario = scenario_of(name)
-    made, plan = planned(scenario)
+    generated, plan = planned(scenario)
     found = {
         "end": plan.end,
         "events": len(plan.planned),
         "digest": plan_digest(plan.planned),
-        "backends": hashlib.sha256(msgspec.json.encode(made.backends)).hexdigest(),
+        "backends": hashlib.sha256(msgspec.json.encode(generated.backends)).hexdigest(),
         "sizes": sizes(scenario),
     }
-    if name in WHOLE:
+    if name in FULLY_RECORDED:
         found["planned"] = [
             [
-                each.at,
-                each.action,
-                [(entry.name, entry.zone, entry.status, entry.group) for entry in each.entries],
-                each.names,
-                each.lasting,
+                event.at,
+                event.action,
+                [(entry.name, entry.zone, entry.status, entry.group) for entry in event.entries],
+                event.names,
+                event.lasting,
             ]
-            for each in plan.planned
+            for event in plan.planned
         ]
     return recordings.as_recorded(found)
 
@@ -80,7 +85,7 @@
 
 
 class VirtualLoop:
-    """Stands in for the loop: coroutines that wait for time alone, in virtual time."""
+    """Stand-in for the event loop, for coroutines that only wait for a time; time is virtual."""
 
     def __init__(self):
         self.now, self.waiting = 1000 * SECOND, []
@@ -103,14 +108,14 @@
 
 
 class RunningBackends:
-    """Stands in for the backends: who lives, and since when."""
+    """Stand-in for the backends: the running ones and their start times."""
 
     def __init__(self, names):
         self.running, self.started = dict.fromkeys(names), dict.fromkeys(names, 0)
 
 
-class Stream:
-    """Stands in for a proxy's stream: the table that it holds."""
+class StreamWithTable:
+    """Stand-in for a proxy's stream: only its table and its rate of requests."""
 
     def __init__(self, number, zone, table):
         self.number, self.joined, self.rate, self.weighted_at = number, True, 1.0 + number, {}
@@ -118,14 +123,14 @@
 
 
 def traffic_of():
-    """Everything that made-up requests record in some seconds in which backends begin cold and end."""
+    """Return all that simulated requests record in 8 s in which a backend starts and another one stops."""
     scenario = schema.load("ci", ["sampled_per_s=4"])
     loop = VirtualLoop()
     recorder = Recorder(loop.clock)
     names = [f"s{number}" for number in range(6)]
     backends = RunningBackends(names)
     streams = [
-        Stream(number, scenario.zones[number % 2], dict.fromkeys(names[number:], 1.0 + number))
+        StreamWithTable(number, scenario.zones[number % 2], dict.fromkeys(names[number:], 1.0 + number))
         for number in range(4)
     ]
     for number, stream in enumerate(streams):
@@ -137,7 +142,7 @@
     reports = []
     for second in range(8):
         loop.run(loop.now + SECOND)
-        reports.append([json.loads(each[4:]) for each in collector.load_reports()])
+        reports.append([json.loads(report_frame[4:]) for report_frame in collector.load_reports()])
         if second == 1:
             backends.started["s4"] = loop.now
             streams[1].weighted_at["s4"] = loop.now
@@ -146,7 +151,7 @@
             streams[0].table.apply(TableUpdate(excluded=["s5"]))
     return recordings.as_recorded(
         {
-            "events": [[type(each).__name__, *msgspec.structs.astuple(each)] for each in recorder.events],
+            "events": [[type(event).__name__, *msgspec.structs.astuple(event)] for event in recorder.events],
             "requests": [traffic.requests, traffic.unserved],
             "spread": traffic.load_by_backend(),
             "reports": reports,
@@ -154,7 +159,7 @@
     )
 
 
-STRICT = {  # limits so strict that an innocent trace breaks them
+STRICT_LIMITS = {  # changes of the limits that make a clean trace violate them; the first one changes nothing
     "as told": {},
     "drain": {"drain_grace": SECOND // 10, "slack": 0, "start_grace": 0},
     "drain needs entry": {"drain_grace": SECOND // 10, "slack": 0, "only_draining_binds": True},
@@ -165,45 +170,50 @@
 
 
 def values(event):
-    """The event's values without names; what has no order is sorted."""
-    return [sorted(each) if isinstance(each, frozenset) else each for each in msgspec.structs.astuple(event)]
+    """Return the values of an event's fields; sets are sorted."""
+    return [
+        sorted(value) if isinstance(value, frozenset) else value for value in msgspec.structs.astuple(event)
+    ]
 
 
 def verdicts_of():
-    """The verdicts on the trace of a busy day, under the limits as told and under stricter ones.
+    """Return the violations in the trace of a busy run, with the configured limits and with stricter ones.
 
-    Further traces are the same day with some requests executed twice, with some tables empty, and with the
-    work of cold backends coming from proxies that know little of their starts."""
+    Further traces are those of the same run with some requests executed twice, with some tables empty, and
+    with warming-up backends whose load comes mostly from proxies that were not informed of their start.
+    """
     day = played(BUSY, fitting(3, 6, 18))
     trace = day.events()
-    doubled = sorted([*trace, *(each for each in trace[::97] if hasattr(each, "effect"))], key=lambda e: e.at)
+    doubled = sorted(
+        [*trace, *(event for event in trace[::97] if hasattr(event, "effect"))], key=lambda event: event.at
+    )
     emptied = [
-        msgspec.structs.replace(each, weights={})
-        if isinstance(each, TableHeld) and number % 11 == 0
-        else each
-        for number, each in enumerate(trace)
+        msgspec.structs.replace(event, weights={})
+        if isinstance(event, TableHeld) and number % 11 == 0
+        else event
+        for number, event in enumerate(trace)
     ]
     short = msgspec.structs.replace(day.limits(), empty_limit=SECOND)
-    known_late = [
-        msgspec.structs.replace(each, informed_share=(each.at // 10**8 // 7 % 10) / 10)
-        if isinstance(each, BackendLoad)
-        else each
-        for each in trace
+    uninformed = [
+        msgspec.structs.replace(event, informed_share=(event.at // 10**8 // 7 % 10) / 10)
+        if isinstance(event, BackendLoad)
+        else event
+        for event in trace
     ]
-    pressed = msgspec.structs.replace(day.limits(), overload_multiple=0.1, overload_time=SECOND // 2, slack=0)
+    strict = msgspec.structs.replace(day.limits(), overload_multiple=0.1, overload_time=SECOND // 2, slack=0)
     found = {
         name: [
-            msgspec.to_builtins(each)
-            for each in check(trace, msgspec.structs.replace(day.limits(), **change))
+            msgspec.to_builtins(violation)
+            for violation in check(trace, msgspec.structs.replace(day.limits(), **change))
         ]
-        for name, change in STRICT.items()
+        for name, change in STRICT_LIMITS.items()
     }
-    found["doubled"] = [msgspec.to_builtins(each) for each in check(doubled, day.limits())]
-    found["emptied"] = [msgspec.to_builtins(each) for each in check(emptied, short)]
-    found["known late"] = [msgspec.to_builtins(each) for each in check(known_late, pressed)]
+    found["doubled"] = [msgspec.to_builtins(violation) for violation in check(doubled, day.limits())]
+    found["emptied"] = [msgspec.to_builtins(violation) for violation in check(emptied, short)]
+    found["known late"] = [msgspec.to_builtins(violation) for violation in check(uninformed, strict)]
     found["trace"] = [
         len(trace),
-        hashlib.sha256(json.dumps([values(each) for each in trace]).encode()).hexdigest(),
+        hashlib.sha256(json.dumps([values(event) for event in trace]).encode()).hexdigest(),
     ]
     return recordings.as_recorded(found)
 
@@ -222,7 +232,7 @@
 
 
 @pytest.mark.parametrize("name", schema.names())
-def test_a_scenario_gives_the_recorded_plan(name):
+def test_each_scenario_gives_the_recorded_plan(name):
     assert plan_of(name) == recordings.read(f"scale/plan-{name}")
 
 
@@ -231,27 +241,27 @@
     assert fleet_of(name) == recordings.read(f"scale/fleet-{name}")
 
 
-def test_made_up_requests_record_the_same_events_and_reports():
+def test_simulated_requests_give_the_recorded_events_and_reports():
     assert traffic_of() == recordings.read("scale/traffic")
 
 
-def test_the_checker_gives_the_recorded_verdicts_on_the_recorded_day():
+def test_the_checker_gives_the_recorded_violations_of_the_recorded_trace():
     found, recorded = verdicts_of(), recordings.read("scale/verdicts")
-    assert {name: len(each) for name, each in found.items()} == {
-        name: len(each) for name, each in recorded.items()
+    assert {name: len(violations) for name, violations in found.items()} == {
+        name: len(violations) for name, violations in recorded.items()
     }
     assert found == recorded
 
 
-def test_scenarios_have_the_recorded_keys_and_defaults():
+def test_scenario_files_have_the_recorded_keys_and_defaults():
     assert keys() == recordings.read("scale/keys")
 
 
-def test_a_report_is_read_and_written_with_the_recorded_keys_and_gives_the_recorded_table():
+def test_a_recorded_report_is_parsed_and_written_unchanged_and_gives_the_recorded_table():
     recorded = recordings.read("scale/report")
-    read = report.of_json(json.dumps(recorded).encode())
-    assert json.loads(report.as_json(read)) == recorded
-    assert report.table(read) == recordings.read("scale/report-table")
+    parsed = report.of_json(json.dumps(recorded).encode())
+    assert json.loads(report.as_json(parsed)) == recorded
+    assert report.table(parsed) == recordings.read("scale/report-table")
 
 
 if __name__ == "__main__":
@@ -259,10 +269,10 @@
         "scale/report-table",
         report.table(report.of_json(json.dumps(recordings.read("scale/report")).encode())),
     )
-    for each in schema.names():
-        recordings.write(f"scale/plan-{each}", plan_of(each))
-    for each in ("ci", "steady"):
-        recordings.write(f"scale/fleet-{each}", fleet_of(each))
+    for scenario_name in schema.names():
+        recordings.write(f"scale/plan-{scenario_name}", plan_of(scenario_name))
+    for scenario_name in ("ci", "steady"):
+        recordings.write(f"scale/fleet-{scenario_name}", fleet_of(scenario_name))
     recordings.write("scale/traffic", traffic_of())
     recordings.write("scale/verdicts", verdicts_of())
     recordings.write("scale/keys", keys())
