--- a/granitespool/scale/checker/tables.py
+++ b/granitespool/scale/checker/tables.py
@@ -29,8 +29,8 @@
 
     def set_table(self, event: TableHeld) -> None:
         """Set the table that the proxy uses from now on."""
-        weighted = (backend for backend, weight in event.weights.items() if weight > 0)
-        self.usable = frozenset(weighted) - event.excluded
+        weighted_backends = (backend for backend, weight in event.weights.items() if weight > 0)
+        self.usable = frozenset(weighted_backends) - event.excluded
         if self.usable:
             self.empty_since = None
         elif self.empty_since is None:
--- a/granitespool/scale/collector.py
+++ b/granitespool/scale/collector.py
@@ -81,7 +81,7 @@
             if self.loop.now < due:
                 continue
             due += REPORT_INTERVAL
-            if endpoint.wants_reports and endpoint.name not in self.unreachable:
+            if endpoint.reports_enabled and endpoint.name not in self.unreachable:
                 reports = self.load_reports()
                 data = b"".join(reports)
                 yield from send(sock, data, None)
--- a/granitespool/scale/coordinator_endpoint.py
+++ b/granitespool/scale/coordinator_endpoint.py
@@ -13,15 +13,17 @@
         self.recorder = recorder
         self.coordinator = coordinator
         self.entries_per_s = settings.lines_per_s
-        self.head = settings.head_lines  # entries that the header of a message counts as
+        self.header_entries = settings.head_lines  # entries that the header of a message counts as
         self.delay = int(settings.delay_ms * MILLISECOND)  # ns
         self.free_at = 0  # ns when the channel has carried everything in its queue
 
     def enqueue(self, now: int, entries: int) -> int:
         """Queue a message of `entries` entries; return when (ns) the channel has delivered it."""
-        self.free_at = max(now, self.free_at) + int((entries + self.head) / self.entries_per_s * SECOND)
-        waiting = (self.free_at - now) / SECOND * self.entries_per_s
-        self.recorder.add(ChannelBacklog(at=now, coordinator=self.coordinator, entries=waiting))
+        self.free_at = max(now, self.free_at) + int(
+            (entries + self.header_entries) / self.entries_per_s * SECOND
+        )
+        queued = (self.free_at - now) / SECOND * self.entries_per_s
+        self.recorder.add(ChannelBacklog(at=now, coordinator=self.coordinator, entries=queued))
         return self.free_at + self.delay
 
 
@@ -38,7 +40,7 @@
         self.address = address
         self.channel = channel
         self.down = False  # stopped, killed or not reachable
-        self.wants_reports = False  # whether load reports are sent to it
+        self.reports_enabled = False  # whether load reports are sent to it
         self.others: list[CoordinatorEndpoint] = []  # where its proxies connect once it has stopped
         self._next_other = 0
 
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -230,7 +230,7 @@
         watch.pending = deque(PendingLine(change.line, change) for change in changes)
         self.watches.add(watch)
         if after < 1:
-            # A cut agent would answer with an older list. Coordinators start with one, so none asks.
+            # A cut agent would answer with an older list, but coordinators start with a list and skip this.
             watch.pending = deque([PendingLine(self.list.snapshot_line(), None)])
 
     def _watch(self, sock: socket.socket, watch: Watch) -> Wait:
--- a/granitespool/scale/environment.py
+++ b/granitespool/scale/environment.py
@@ -109,16 +109,16 @@
         other = [zone for zone in zones if zone not in same]
         elsewhere = bool(other) and random.random() < settings.other_region_share
         count = min(settings.first_table_lines, len(self.fleet.backends))
-        known = random.sample([entry.name for entry in self.fleet.backends], count)
+        names = random.sample([entry.name for entry in self.fleet.backends], count)
         zone = random.choice(other if elsewhere else same)
-        return ProxyTable(number, zone, dict.fromkeys(known, 1.0))
+        return ProxyTable(number, zone, dict.fromkeys(names, 1.0))
 
     # Load reports and proxies
 
     def send_reports(self, on: bool) -> None:
         """Turn the load reports of proxies and collectors on or off."""
         for coordinator in self.coordinators:
-            coordinator.endpoint.wants_reports = on
+            coordinator.endpoint.reports_enabled = on
 
     def change_one_backend(self, ready: bool) -> None:
         """Publish a change before the events, to measure its cost: a backend drains, or is ready again."""
--- a/granitespool/scale/fits.py
+++ b/granitespool/scale/fits.py
@@ -247,6 +247,6 @@
                 matrix[row][at] -= factor * matrix[column][at]
     solution = [0.0] * size
     for row in reversed(range(size)):
-        known = sum(matrix[row][at] * solution[at] for at in range(row + 1, size))
-        solution[row] = (matrix[row][size] - known) / matrix[row][row]
+        solved_part = sum(matrix[row][at] * solution[at] for at in range(row + 1, size))
+        solution[row] = (matrix[row][size] - solved_part) / matrix[row][row]
     return solution
--- a/granitespool/scale/hollow/measurement.py
+++ b/granitespool/scale/hollow/measurement.py
@@ -68,8 +68,8 @@
 
     def __init__(self) -> None:
         self.joined: dict[int, int] = {}  # proxy -> ns when it joined; in order of joining
-        self.joinings: list[Parts | None] = []
-        self.awaiting_table: dict[int, int] = {}  # proxy without its first table -> its index in `joinings`
+        self.first_tables: list[Parts | None] = []
+        self.awaiting_table: dict[int, int] = {}  # proxy without a table -> its index in `first_tables`
         self.changes: list[_Written] = []
         self.states = EndpointStates()
         self.flushes: list[_Written] = []
@@ -95,8 +95,8 @@
         if self.first_joined_at is None:
             self.first_joined_at = event.at
         self.joined[event.proxy] = event.at
-        self.awaiting_table[event.proxy] = len(self.joinings)
-        self.joinings.append(None)
+        self.awaiting_table[event.proxy] = len(self.first_tables)
+        self.first_tables.append(None)
 
     def _left(self, proxy: int, at: int) -> None:
         joined_at = self.joined.pop(proxy, at)
@@ -111,7 +111,7 @@
 
     def _received(self, event: UpdateReceived) -> None:
         if event.proxy in self.awaiting_table:
-            self.joinings[self.awaiting_table.pop(event.proxy)] = event.parts
+            self.first_tables[self.awaiting_table.pop(event.proxy)] = event.parts
         elif change := self._change_of(event):
             change.messages[event.proxy] = event.parts
         else:
@@ -141,7 +141,7 @@
             Flush(offset=flush.at - first, messages=tuple(flush.messages.values())) for flush in self.flushes
         ]
         return Profile(
-            joining=MessageProfile(occasions=tuple(self.joinings)),
+            joining=MessageProfile(occasions=tuple(self.first_tables)),
             change=MessageProfile(occasions=tuple(changes)),
             refresh=RefreshProfile(period=until - first, proxy_time=proxy_time, flushes=tuple(flushes)),
         )
--- a/granitespool/scale/hollow/profile.py
+++ b/granitespool/scale/hollow/profile.py
@@ -33,7 +33,7 @@
 class Flush(msgspec.Struct, frozen=True, kw_only=True):
     """The messages that a coordinator wrote at one time without a join or a change of the endpoint list."""
 
-    offset: int  # ns after the first joining
+    offset: int  # ns after the first proxy joined
     messages: tuple[Parts | None, ...]  # of the proxies in order of joining
 
 
--- a/granitespool/scale/plan.py
+++ b/granitespool/scale/plan.py
@@ -165,9 +165,9 @@
         self._add(noticed + back_s, "add", [_with_status(backend, "ready") for backend in backends])
 
     def _configure(self, event: Event) -> None:
-        bad = set(self.random.sample(range(event.count), min(event.refused, event.count)))
+        invalid_numbers = set(self.random.sample(range(event.count), min(event.refused, event.count)))
         for number, at in enumerate(self._times(event)):
-            self._add(at, "configure_badly" if number in bad else "configure")
+            self._add(at, "configure_badly" if number in invalid_numbers else "configure")
 
     def _rack(self, event: Event) -> None:
         groups = sorted({backend.group for backend in self.unused_backends})
--- a/granitespool/scale/plot.py
+++ b/granitespool/scale/plot.py
@@ -44,5 +44,5 @@
     factor: float,
     label: str,
 ) -> None:
-    known = [(size, value * factor) for size, value in points if value is not None]
-    axis.scatter([size for size, _ in known], [value for _, value in known], s=14, label=label)
+    measured = [(size, value * factor) for size, value in points if value is not None]
+    axis.scatter([size for size, _ in measured], [value for _, value in measured], s=14, label=label)
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -145,9 +145,9 @@
     def _stream(self, endpoint: CoordinatorEndpoint) -> Wait:
         self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         yield from dial(sock, endpoint.address, self.loop.now + DIAL_TIMEOUT)
-        joining = self._joined_message()
-        yield from send(sock, joining, self.loop.now + DIAL_TIMEOUT)
-        endpoint.recorder.count(endpoint.name, "in", "joined", len(joining))
+        joined_message = self._joined_message()
+        yield from send(sock, joined_message, self.loop.now + DIAL_TIMEOUT)
+        endpoint.recorder.count(endpoint.name, "in", "joined", len(joined_message))
         self._record_table()
         self.joined = True
         self.recorder.add(ProxyJoined(at=self.loop.clock(), proxy=self.number, coordinator=endpoint.name))
@@ -268,7 +268,7 @@
         endpoint.recorder.count(endpoint.name, "in", "applied", len(acknowledgement))
 
     def _report_usage(self, sock: socket.socket, endpoint: CoordinatorEndpoint) -> Wait:
-        if not endpoint.wants_reports or not self.classes:
+        if not endpoint.reports_enabled or not self.classes:
             return
         mean = self.rate / len(self.classes)
         reports = b"".join(self._usage(name, mean) for name in self.classes)
--- a/granitespool/scale/report.py
+++ b/granitespool/scale/report.py
@@ -158,14 +158,14 @@
 
 def table(report: Report) -> list[str]:
     """Return the report as lines for a terminal."""
-    head = ["coordinator", "zone", "idle", "reports", "worst s", "memory", "fds", "in", "out", "ready"]
+    header = ["coordinator", "zone", "idle", "reports", "worst s", "memory", "fds", "in", "out", "ready"]
     sizes = ", ".join(f"{count} {what}" for what, count in report.sizes.items())
     machine = report.machine
     return [
         f"{report.title} (simulated servers and proxies; seed {report.seed}; {sizes})",
         f"machine: {machine.cores} cores, load {machine.load_before:.1f} before and "
         f"{machine.load_after:.1f} after",
-        *_columns([head, *(_coordinator(row) for row in report.coordinators)]),
+        *_columns([header, *(_coordinator(row) for row in report.coordinators)]),
         *(_kinds(report, direction) for direction in ("in", "out")),
         *_fleet(report),
         *_verdict(report),
--- a/granitespool/scale/run_report.py
+++ b/granitespool/scale/run_report.py
@@ -90,10 +90,10 @@
 
 
 def _work(environment: Environment) -> _Work:
-    work = list(environment.traffic.load_by_backend().values())
+    rates = list(environment.traffic.load_by_backend().values())
     return _Work(
-        backends_used=len(work),
-        load_largest=round(max(work) * len(work) / sum(work), 2) if work else None,
+        backends_used=len(rates),
+        load_largest=round(max(rates) * len(rates) / sum(rates), 2) if rates else None,
         requests=environment.traffic.requests,
         requests_unserved=environment.traffic.unserved,
     )
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -61,15 +61,15 @@
         now = self.loop.clock()
         warming_up = {name for name in self.backends.running if self._is_warming_up(name, now)}
         if warming_up:
-            work, informed = self._requests_by_backend(warming_up)
+            rates, informed_rates = self._requests_by_backend(warming_up)
             capacity = self._capacity()
             for name in sorted(warming_up):
                 load = BackendLoad(
                     at=self.loop.clock(),
                     backend=name,
-                    multiple=work[name] / (capacity * self._capacity_share(name, now)),
+                    multiple=rates[name] / (capacity * self._capacity_share(name, now)),
                     warming_up=True,
-                    informed_share=informed[name] / work[name] if work[name] else 1.0,
+                    informed_share=informed_rates[name] / rates[name] if rates[name] else 1.0,
                 )
                 self.recorder.add(load)
         for name in sorted(self.warming_up - warming_up):
@@ -102,8 +102,8 @@
 
         The second result counts only proxies that have received a weight of the backend since its start.
         """
-        work: dict[str, float] = dict.fromkeys(backends, 0.0)
-        informed: dict[str, float] = dict.fromkeys(backends, 0.0)
+        rates: dict[str, float] = dict.fromkeys(backends, 0.0)
+        informed_rates: dict[str, float] = dict.fromkeys(backends, 0.0)
         for stream in self.streams:
             table = stream.table
             used_backends = (backends & table.weights.keys()) - table.excluded
@@ -112,20 +112,20 @@
             total = sum(weight for name, weight in table.weights.items() if name not in table.excluded)
             for name in used_backends:
                 rate = stream.rate * table.weights[name] / total if total else 0.0
-                work[name] += rate
+                rates[name] += rate
                 if stream.weighted_at.get(name, 0) >= self.backends.started[name]:
-                    informed[name] += rate
-        return work, informed
+                    informed_rates[name] += rate
+        return rates, informed_rates
 
     def load_by_backend(self) -> dict[str, float]:
         """Return the requests a second of each backend that the tables contain."""
-        work: dict[str, float] = {}
+        rates: dict[str, float] = {}
         for stream in self.streams:
             weights = stream.table.open_weights()
             total = sum(weights.values())
             for name, weight in weights.items():
-                work[name] = work.get(name, 0.0) + stream.rate * weight / total
-        return work
+                rates[name] = rates.get(name, 0.0) + stream.rate * weight / total
+        return rates
 
     # Requests simulated one by one
 
