--- a/bench/capacity/sweep.py
+++ b/bench/capacity/sweep.py
@@ -154,7 +154,7 @@
     samples = [fits.Sample(point.sizes.variables(), point.costs[cost]) for point in points]
     measured = samples[-1].cost
     try:
-        chosen = fits.choose(samples[:-1], fits.forms_of((size,)))
+        chosen = fits.choose_fit(samples[:-1], fits.forms_of((size,)))
     except fits.FormRejectedError as rejected:
         best = rejected.best
         return Slope(
@@ -173,7 +173,7 @@
         predicted=held_out.predicted,
         measured=measured,
         error=held_out.error,
-        is_off=held_out.is_off,
+        is_off=held_out.exceeds_limit,
     )
 
 
@@ -202,7 +202,7 @@
         fits.Sample({"backends": float(point.backends), "zones": float(point.zones)}, point.bytes_per_s)
         for point in points
     ]
-    chosen = fits.choose(samples[:-1], fits.forms_of(("backends", "zones")))
+    chosen = fits.choose_fit(samples[:-1], fits.forms_of(("backends", "zones")))
     held_out = fits.check_held_out(chosen, samples[-1])
     slope = Slope(
         size="backends x zones",
@@ -214,7 +214,7 @@
         predicted=held_out.predicted,
         measured=held_out.sample.cost,
         error=held_out.error,
-        is_off=held_out.is_off,
+        is_off=held_out.exceeds_limit,
     )
     return points, slope
 
--- a/granitespool/scale/plan.py
+++ b/granitespool/scale/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a scenario and when, drawn once from the seed before anything is started."""
+"""The events of a scenario and their times, drawn from the seed before anything is started."""
 
 import hashlib
 from collections.abc import Callable, Iterable, Sequence
@@ -7,50 +7,50 @@
 
 import msgspec
 
-from granitespool.scale.fleet import ListedBackend, MadeFleet
+from granitespool.scale.fleet import GeneratedFleet, ListedBackend
 from granitespool.scale.schema import Event, Scenario
 from granitespool.scale.trace import Phase
 from granitespool.units import SECOND
 
 Action = Literal[
-    "drain",  # discovery tells that backends drain
-    "remove",  # backends end, and discovery tells that they are gone
-    "crash",  # backends end without a word
-    "add",  # backends begin cold, and discovery tells of them
+    "drain",  # discovery reports backends as draining
+    "remove",  # backends stop, and discovery reports them as gone
+    "crash",  # backends stop, and discovery reports nothing
+    "add",  # backends start, need to warm up, and discovery reports them
     "configure",  # a new configuration for every coordinator that can be reached
-    "configure_badly",  # one that cannot be used
+    "configure_badly",  # an invalid configuration for each of them
     "kill",  # coordinators are killed
-    "terminate",  # coordinators are asked to end
+    "terminate",  # coordinators receive SIGTERM
     "start",  # coordinators are started again
     "collectors_down",
     "collectors_up",
-    "cut",  # regions are cut from each other and from discovery
+    "cut",  # regions are cut off from each other and from discovery
     "heal",
-    "stall",  # discovery breaks off in the middle of its next line
-    "duplicate",  # a change arrives twice
-    "reorder",  # two changes of one backend arrive the later one first
+    "stall",  # discovery stops in the middle of its next line
+    "duplicate",  # a change of the endpoint list is sent twice
+    "reorder",  # two changes of one backend are sent, the later one first
     "end_watches",
     "kill_hollow",
 ]
-STALL_LEAD = SECOND // 20  # ns from a stall to the change that it breaks off
-PARTITION_CHANGE = 0.4  # part of a cut after which a change is made on the other side of it
+STALL_LEAD = SECOND // 20  # ns from a stall to the change whose line it interrupts
+PARTITION_CHANGE = 0.4  # share of a cut's duration after which the list and the configuration change
 PARTITION_DRAINS = 4  # backends that drain during a cut
-RENAMED_SHARE = 1 / 2  # of the replaced backends, those that come back under another name
-DIGEST_LENGTH = 16  # characters
+RENAMED_SHARE = 1 / 2  # share of the replaced backends that return under another name
+DIGEST_LENGTH = 16  # hexadecimal digits
 
 
-class Planned(msgspec.Struct, frozen=True, kw_only=True):
-    """One thing that is to happen."""
+class PlannedEvent(msgspec.Struct, frozen=True, kw_only=True):
+    """One event of the plan; the digest covers the names of its fields."""
 
-    at: int  # ns after the beginning of the events
+    at: int  # ns after the events have begun
     action: Action
     entries: tuple[ListedBackend, ...] = ()
     names: tuple[str, ...] = ()  # coordinators, zones or regions
     lasting: int = 0  # ns
 
 
-def plan_digest(plan: Iterable[Planned]) -> str:
-    """A short text that is the same for the same planned events, whatever the run's addresses are."""
+def plan_digest(plan: Iterable[PlannedEvent]) -> str:
+    """Return a digest of the planned events that does not depend on the run's addresses."""
     without_addresses = [
         msgspec.structs.replace(
             planned,
@@ -62,7 +62,7 @@
 
 
 def coordinator_zones(scenario: Scenario) -> list[str]:
-    """The zone of each real coordinator: regions in turn."""
+    """Return the zone of each real coordinator; the regions take turns."""
     regions, zones = scenario.fleet.regions, scenario.fleet.zones_per_region
     return [
         scenario.zones[(index % regions) * zones + index // regions % zones]
@@ -71,28 +71,28 @@
 
 
 def coordinator_name(index: int) -> str:
-    """The name of a real coordinator."""
+    """Return the name of a real coordinator."""
     return f"c{index:03}"
 
 
 class Plan:
-    """Draws the events of a scenario; `planned` has them in order of time."""
+    """The events of a scenario; `planned` has them in order of time."""
 
-    def __init__(self, scenario: Scenario, fleet: MadeFleet, random: Random) -> None:
-        """`random` is used from here on: one order of calls gives one plan."""
+    def __init__(self, scenario: Scenario, fleet: GeneratedFleet, random: Random) -> None:
+        """Draw the events from `random`; the order of the calls determines the plan."""
         self.scenario = scenario
         self.fleet = fleet
         self.random = random
-        self.untouched = list(fleet.backends)  # backends that no event has yet
-        random.shuffle(self.untouched)
-        self.found: list[Planned] = []
+        self.unused_backends = list(fleet.backends)  # backends that no event affects yet
+        random.shuffle(self.unused_backends)
+        self.events: list[PlannedEvent] = []
         planners = self._planners()
         for _, event in sorted(scenario.events.items()):
             planners[event.kind](event)
-        self.planned = sorted(self.found, key=lambda planned: planned.at)
+        self.planned = sorted(self.events, key=lambda planned: planned.at)
 
     def _planners(self) -> dict[str, Callable[[Event], None]]:
-        """What plans the events of each kind."""
+        """Return the method that plans the events of each kind."""
         return {
             "replace": self._replace,
             "fail": self._fail,
@@ -110,10 +110,10 @@
 
     @property
     def end(self) -> int:
-        """When the last of them happens, in ns."""
+        """Time of the last event, in ns."""
         return self.planned[-1].at if self.planned else 0
 
-    def _at(
+    def _add(
         self,
         at: float,
         action: Action,
@@ -121,8 +121,8 @@
         names: Iterable[str] = (),
         lasting: float = 0.0,
     ) -> None:
-        self.found.append(
-            Planned(
+        self.events.append(
+            PlannedEvent(
                 at=int(at * SECOND),
                 action=action,
                 entries=tuple(entries),
@@ -131,102 +131,104 @@
             )
         )
 
-    def _take(self, count: int) -> list[ListedBackend]:
-        taken = self.untouched[:count]
-        self.untouched = self.untouched[count:]
+    def _take_backends(self, count: int) -> list[ListedBackend]:
+        taken = self.unused_backends[:count]
+        self.unused_backends = self.unused_backends[count:]
         return taken
 
-    def _spread(self, event: Event) -> list[float]:
-        """Times (s) at which each of an event's things happens."""
+    def _times(self, event: Event) -> list[float]:
+        """Return the time (s) of each repetition of an event."""
         return [event.at_s + event.for_s * number / event.count for number in range(event.count)]
 
     def _replace(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
             self._drain_and_remove(at, [backend], event.drain_s)
             renamed = self.random.random() >= RENAMED_SHARE
-            successor = self.fleet.like(backend) if renamed else backend
-            self._at(at + event.drain_s + event.back_s, "add", [_as(successor, "ready")])
+            successor = self.fleet.replacement_for(backend) if renamed else backend
+            self._add(at + event.drain_s + event.back_s, "add", [_with_status(successor, "ready")])
 
     def _drain_and_remove(self, at: float, backends: Sequence[ListedBackend], drain_s: float) -> None:
-        self._at(at, "drain", [_as(backend, "draining") for backend in backends])
-        self._at(at + drain_s, "remove", [_as(backend, "gone") for backend in backends])
+        self._add(at, "drain", [_with_status(backend, "draining") for backend in backends])
+        self._add(at + drain_s, "remove", [_with_status(backend, "gone") for backend in backends])
 
     def _fail(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
-            self._lost(event, at, [backend], event.back_s)
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
+            self._fail_and_restore(event, at, [backend], event.back_s)
 
-    def _lost(self, event: Event, at: float, backends: Sequence[ListedBackend], back_s: float) -> None:
-        """Backends end without a word, discovery notices, and they come back cold."""
-        self._at(at, "crash", [_as(backend, "gone") for backend in backends])
+    def _fail_and_restore(
+        self, event: Event, at: float, backends: Sequence[ListedBackend], back_s: float
+    ) -> None:
+        """Plan a crash of backends, its detection by discovery, and their restart, with warm-up."""
+        self._add(at, "crash", [_with_status(backend, "gone") for backend in backends])
         noticed = at + event.noticed_s
-        self._at(noticed, "remove", [_as(backend, "gone") for backend in backends])
-        self._at(noticed + back_s, "add", [_as(backend, "ready") for backend in backends])
+        self._add(noticed, "remove", [_with_status(backend, "gone") for backend in backends])
+        self._add(noticed + back_s, "add", [_with_status(backend, "ready") for backend in backends])
 
     def _configure(self, event: Event) -> None:
-        bad = set(self.random.sample(range(event.count), min(event.refused, event.count)))
-        for number, at in enumerate(self._spread(event)):
-            self._at(at, "configure_badly" if number in bad else "configure")
+        invalid_numbers = set(self.random.sample(range(event.count), min(event.refused, event.count)))
+        for number, at in enumerate(self._times(event)):
+            self._add(at, "configure_badly" if number in invalid_numbers else "configure")
 
     def _rack(self, event: Event) -> None:
-        groups = sorted({backend.group for backend in self.untouched})
+        groups = sorted({backend.group for backend in self.unused_backends})
         for group in self.random.sample(groups, min(event.count, len(groups))):
-            rack = [backend for backend in self.untouched if backend.group == group]
-            self.untouched = [backend for backend in self.untouched if backend.group != group]
-            self._lost(event, event.at_s, rack, event.for_s)
+            rack = [backend for backend in self.unused_backends if backend.group == group]
+            self.unused_backends = [backend for backend in self.unused_backends if backend.group != group]
+            self._fail_and_restore(event, event.at_s, rack, event.for_s)
 
     def _zone(self, event: Event) -> None:
         zones = coordinator_zones(self.scenario)
-        inhabited = sorted(set(zones))
-        for zone in self.random.sample(inhabited, min(event.count, len(inhabited))):
-            inside = [backend for backend in self.untouched if backend.zone == zone]
-            self.untouched = [backend for backend in self.untouched if backend.zone != zone]
-            names = [coordinator_name(index) for index, each in enumerate(zones) if each == zone]
-            self._at(event.at_s, "kill", names=names)
-            self._at(event.at_s, "collectors_down", names=[zone])
-            self._lost(event, event.at_s, inside, event.for_s)
+        coordinator_zone_names = sorted(set(zones))
+        for zone in self.random.sample(coordinator_zone_names, min(event.count, len(coordinator_zone_names))):
+            inside = [backend for backend in self.unused_backends if backend.zone == zone]
+            self.unused_backends = [backend for backend in self.unused_backends if backend.zone != zone]
+            names = [coordinator_name(index) for index, name in enumerate(zones) if name == zone]
+            self._add(event.at_s, "kill", names=names)
+            self._add(event.at_s, "collectors_down", names=[zone])
+            self._fail_and_restore(event, event.at_s, inside, event.for_s)
             back_at = event.at_s + event.noticed_s + event.for_s
-            self._at(back_at, "collectors_up", names=[zone])
-            self._at(back_at, "start", names=names)
+            self._add(back_at, "collectors_up", names=[zone])
+            self._add(back_at, "start", names=names)
 
     def _partition(self, event: Event) -> None:
         regions = sorted({zone.partition("-")[0] for zone in coordinator_zones(self.scenario)})
         cut = self.random.sample(regions, min(event.count, len(regions)))
-        self._at(event.at_s, "cut", names=cut)
+        self._add(event.at_s, "cut", names=cut)
         change = event.at_s + PARTITION_CHANGE * event.for_s
-        drained = self._take(PARTITION_DRAINS)
-        self._at(change, "drain", [_as(backend, "draining") for backend in drained])
-        self._at(change, "configure")
-        self._at(event.at_s + event.for_s, "heal", names=cut)
+        drained = self._take_backends(PARTITION_DRAINS)
+        self._add(change, "drain", [_with_status(backend, "draining") for backend in drained])
+        self._add(change, "configure")
+        self._add(event.at_s + event.for_s, "heal", names=cut)
         after = event.at_s + event.for_s + event.drain_s
-        self._at(after, "remove", [_as(backend, "gone") for backend in drained])
+        self._add(after, "remove", [_with_status(backend, "gone") for backend in drained])
 
     def _restart(self, event: Event) -> None:
-        for at, index in zip(self._spread(event), range(min(event.count, self.scenario.coordinators.real))):
+        for at, index in zip(self._times(event), range(min(event.count, self.scenario.coordinators.real))):
             name = coordinator_name(index)
-            self._at(at, "terminate", names=[name])
-            self._at(at + event.back_s, "start", names=[name])
+            self._add(at, "terminate", names=[name])
+            self._add(at + event.back_s, "start", names=[name])
 
     def _stall(self, event: Event) -> None:
-        self._at(event.at_s, "stall", lasting=event.for_s)
+        self._add(event.at_s, "stall", lasting=event.for_s)
         lead = STALL_LEAD / SECOND
-        self._drain_and_remove(event.at_s + lead, self._take(event.count), event.drain_s)
+        self._drain_and_remove(event.at_s + lead, self._take_backends(event.count), event.drain_s)
 
     def _duplicate(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
-            self._at(at, "duplicate", [_as(backend, "draining")])
-            self._at(at + event.drain_s, "remove", [_as(backend, "gone")])
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
+            self._add(at, "duplicate", [_with_status(backend, "draining")])
+            self._add(at + event.drain_s, "remove", [_with_status(backend, "gone")])
 
     def _reorder(self, event: Event) -> None:
-        for at, backend in zip(self._spread(event), self._take(event.count), strict=False):
-            self._at(at, "reorder", [_as(backend, "draining"), _as(backend, "gone")])
+        for at, backend in zip(self._times(event), self._take_backends(event.count), strict=False):
+            self._add(at, "reorder", [_with_status(backend, "draining"), _with_status(backend, "gone")])
 
     def _end_watches(self, event: Event) -> None:
-        for at in self._spread(event):
-            self._at(at, "end_watches")
+        for at in self._times(event):
+            self._add(at, "end_watches")
 
     def _kill_hollow(self, event: Event) -> None:
-        self._at(event.at_s, "kill_hollow")
+        self._add(event.at_s, "kill_hollow")
 
 
-def _as(backend: ListedBackend, status: Phase) -> ListedBackend:
+def _with_status(backend: ListedBackend, status: Phase) -> ListedBackend:
     return msgspec.structs.replace(backend, status=status)
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -1,7 +1,8 @@
-"""Made-up requests: the work that tables bring to backends, and requests that are followed one by one.
+"""Simulated requests: the load of backends that follows from the tables, and single requests with retries.
 
-No request is sent on a socket. The work of a backend follows from the tables that proxies hold; a few
-requests of each proxy are followed, with their retries. All chance comes from one seed."""
+No request is sent on a socket. The load of a backend is computed from the tables of the proxies; a sample of
+each proxy's requests is simulated one by one, with their retries. All random numbers come from one seed.
+"""
 
 from collections.abc import Sequence, Set
 from random import Random
@@ -16,13 +17,14 @@
 from granitespool.scale.trace import BackendLoad, Effect, RequestExecuted
 from granitespool.units import SECOND
 
-TICK = SECOND // 4  # ns between two looks at the work of backends
-NEVER_RAN = 1  # the manner of retrying that allows only what provably never ran; higher ones allow more
-ANSWER_LOST_SHARE = 0.05  # of the attempts that a backend carried out, those whose answer does not arrive
+TICK = SECOND // 4  # ns between computations of the load of backends
+# Retry policy that allows a retry only if the attempt was certainly not executed; higher values allow more
+RETRY_IF_NOT_EXECUTED = 1
+ANSWER_LOST_SHARE = 0.05  # share of the executed attempts whose answer is lost
 
 
 class Traffic:
-    """The work of all proxies with streams."""
+    """The simulated requests of all proxies."""
 
     def __init__(
         self,
@@ -33,41 +35,41 @@
         backends: Backends,
         random: Random,
     ) -> None:
-        """`streams` may grow."""
+        """Start the simulation; the caller may add to `streams` later."""
         self.loop = loop
         self.recorder = recorder
         self.scenario = scenario
         self.streams = streams
         self.backends = backends
         self.random = random
-        self.requests = 0  # that were followed
-        self.unserved = 0  # of those, without an answer
-        self.warming_up: set[str] = set()  # backends whose last load was recorded as such
-        loop.spawn(self._ticks())
+        self.requests = 0  # simulated one by one
+        self.unserved = 0  # of those, the ones without an answer
+        self.warming_up: set[str] = set()  # backends that warmed up at the last tick
+        loop.spawn(self._run())
 
-    def _ticks(self) -> Wait:
+    def _run(self) -> Wait:
         tick = self.loop.now
         while True:
             tick += TICK
             yield None, 0, tick
             self._record_loads()
-            self._follow_requests()
+            self._simulate_requests()
 
-    # The work of backends that warm up
+    # Load of backends that warm up
 
     def _record_loads(self) -> None:
         now = self.loop.clock()
-        warming_up = {name for name in self.backends.living if self._is_warming_up(name, now)}
+        warming_up = {name for name in self.backends.running if self._is_warming_up(name, now)}
         if warming_up:
-            work, informed = self._work(warming_up)
+            rates, informed_rates = self._requests_by_backend(warming_up)
             capacity = self._capacity()
             for name in sorted(warming_up):
                 load = BackendLoad(
                     at=self.loop.clock(),
                     backend=name,
-                    multiple=work[name] / (capacity * self._share_able(name, now)),
+                    multiple=rates[name] / (capacity * self._capacity_share(name, now)),
                     warming_up=True,
-                    informed_share=informed[name] / work[name] if work[name] else 1.0,
+                    informed_share=informed_rates[name] / rates[name] if rates[name] else 1.0,
                 )
                 self.recorder.add(load)
         for name in sorted(self.warming_up - warming_up):
@@ -77,61 +79,64 @@
 
     @property
     def _warm_up_time(self) -> int:
-        """From a backend's start until it is warm, in ns."""
+        """Time from a backend's start until it is warmed up, in ns."""
         return int(self.scenario.rules.cold_s * SECOND)
 
     def _is_warming_up(self, name: str, now: int) -> bool:
         started = self.backends.started[name]
         return started > 0 and now - started < self._warm_up_time
 
-    def _share_able(self, name: str, now: int) -> float:
-        """The share of its warm work that a backend which warms up can do now (ns)."""
+    def _capacity_share(self, name: str, now: int) -> float:
+        """Return the share of its full capacity that a warming-up backend has at `now` (ns)."""
         share = self.scenario.rules.cold_share
         age = (now - self.backends.started[name]) / self._warm_up_time
         return share + (1 - share) * age
 
     def _capacity(self) -> float:
-        """Requests a second that a warm backend can do."""
+        """Return the requests a second that a warmed-up backend can execute."""
         rate = sum(stream.rate for stream in self.streams)
-        return rate / self.scenario.traffic.load / max(1, len(self.backends.living))
+        return rate / self.scenario.traffic.load / max(1, len(self.backends.running))
 
-    def _work(self, backends: Set[str]) -> tuple[dict[str, float], dict[str, float]]:
-        """Requests a second that reach each of the backends; of those, from proxies told since its start."""
-        work: dict[str, float] = dict.fromkeys(backends, 0.0)
-        informed: dict[str, float] = dict.fromkeys(backends, 0.0)
+    def _requests_by_backend(self, backends: Set[str]) -> tuple[dict[str, float], dict[str, float]]:
+        """Return the requests a second by backend.
+
+        The second result counts only proxies that have received a weight of the backend since its start.
+        """
+        rates: dict[str, float] = dict.fromkeys(backends, 0.0)
+        informed_rates: dict[str, float] = dict.fromkeys(backends, 0.0)
         for stream in self.streams:
             table = stream.table
-            mine = (backends & table.weights.keys()) - table.excluded
-            if not mine:
+            used_backends = (backends & table.weights.keys()) - table.excluded
+            if not used_backends:
                 continue
             total = sum(weight for name, weight in table.weights.items() if name not in table.excluded)
-            for name in mine:
+            for name in used_backends:
                 rate = stream.rate * table.weights[name] / total if total else 0.0
-                work[name] += rate
+                rates[name] += rate
                 if stream.weighted_at.get(name, 0) >= self.backends.started[name]:
-                    informed[name] += rate
-        return work, informed
+                    informed_rates[name] += rate
+        return rates, informed_rates
 
-    def spread(self) -> dict[str, float]:
-        """Requests a second that the tables bring to each backend that gets any."""
-        work: dict[str, float] = {}
+    def load_by_backend(self) -> dict[str, float]:
+        """Return the requests a second of each backend that the tables contain."""
+        rates: dict[str, float] = {}
         for stream in self.streams:
             weights = stream.table.usable_weights()
             total = sum(weights.values())
             for name, weight in weights.items():
-                work[name] = work.get(name, 0.0) + stream.rate * weight / total
-        return work
+                rates[name] = rates.get(name, 0.0) + stream.rate * weight / total
+        return rates
 
-    # Requests that are followed
+    # Requests simulated one by one
 
-    def _follow_requests(self) -> None:
+    def _simulate_requests(self) -> None:
         share = self.scenario.traffic.sampled_per_s * TICK / SECOND
         for stream in self.streams:
             if stream.joined and self.random.random() < share:
-                self._follow_request(stream)
+                self._simulate_request(stream)
 
-    def _follow_request(self, stream: ProxyStream) -> None:
-        """Follows one request with its retries, all at one time."""
+    def _simulate_request(self, stream: ProxyStream) -> None:
+        """Simulate one request with its retries, all at the same time."""
         number = self.random.randrange(self.scenario.traffic.classes)
         level = stream.table.admission_level(f"class{number}")
         if self.random.random() >= level.share:
@@ -141,17 +146,17 @@
             self.unserved += 1
 
     def _attempt(self, stream: ProxyStream, effect: Effect, retries: int) -> bool:
-        """Attempts a request, and again in this manner of retrying; True where an answer arrived."""
+        """Attempt a request, with a retry if `retries` allows it; return whether an answer was received."""
         for _ in range(2 if retries else 1):
             name = stream.table.pick(self.random)
-            if name is None or name not in self.backends.living:
-                continue  # it provably never ran, so every manner but none allows a retry
+            if name is None or name not in self.backends.running:
+                continue  # certainly not executed, so every policy with retries allows one
             executed = RequestExecuted(
                 at=self.loop.clock(), request=self.requests, backend=name, effect=effect
             )
             self.recorder.add(executed)
             if self.random.random() >= ANSWER_LOST_SHARE:
                 return True
-            if retries <= NEVER_RAN:
+            if retries <= RETRY_IF_NOT_EXECUTED:
                 return False
         return False
