--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -245,7 +245,7 @@
     monkeypatch.setattr(process, "IDLE_TIME", 0.2)
     costs = process.measure(TINY)
     assert costs.answer_s < process.ANSWER_TIMEOUT
-    assert costs.reload_s < budget.Budget().in_force_s
+    assert costs.reload_s < budget.Budget().configuration_s
     assert costs.descriptors >= 4  # standard streams, the loop, the listener
     assert costs.log_lines >= 3  # serving, reloaded, stopped
     assert costs.start_ms > 0
