--- a/granitespool/planner/assignment.py
+++ b/granitespool/planner/assignment.py
@@ -1,4 +1,4 @@
-"""Assignment of joined proxies to tables: who gets one next, as the channel has capacity."""
+"""Assignment of joined proxies to tables, in order of waiting time, as the channel has capacity."""
 
 from typing import NamedTuple
 
@@ -12,21 +12,23 @@
 from granitespool.units import SECOND
 
 QUEUE_SHARE = 0.35  # share of the queue that assignments may fill: drains need the rest
-GRACE_SHARE = 1 / 3  # share of the grace that they may take at the observed rate: a drain waits behind them
-DRAIN_GRACE_SHARE = 0.5  # the same, for proxies that are due before a drain
-GRACES_OUTDATED = 3  # a proxy that waited for the grace divided by this goes first: its table is outdated
-UNKNOWN_GRACE = SECOND  # ns, where the deployment tells no drain grace
+# Share of the drain grace that assignments may take at the observed rate, since a drain queues behind them
+GRACE_SHARE = 1 / 3
+DRAIN_GRACE_SHARE = 0.5  # the same, for proxies that are assigned before a pending drain is published
+# A proxy that has waited for the drain grace divided by this is assigned first: its table is outdated
+OVERDUE_GRACE_DIVISOR = 3
+DEFAULT_DRAIN_GRACE = SECOND  # ns, where none is configured
 
 
 class JoinedProxy(NamedTuple):
-    """A joined proxy's table, and its requests a second (0 where not told)."""
+    """A joined proxy's table, and its requests a second (0 if unknown)."""
 
     table: int
     rate: float
 
 
 class ProxyAssignment:
-    """The joined proxies, and those of them that await a table."""
+    """Tracks joined proxies and assigns a table to those that await one."""
 
     def __init__(
         self,
@@ -47,21 +49,21 @@
         self._outbox = outbox
 
     @property
-    def _grace(self) -> int:
-        return UNKNOWN_GRACE if self.settings.drain_grace is None else self.settings.drain_grace
+    def _drain_grace(self) -> int:
+        return DEFAULT_DRAIN_GRACE if self.settings.drain_grace is None else self.settings.drain_grace
 
     def join(self, proxy: int, zone: str, rate: float) -> int:
-        """A proxy has joined; returns its table."""
+        """Record a proxy that has joined, and return the table chosen for it."""
         table = self._tables.subsets.join(zone, rate, self._budget.account)
         self.proxies[proxy] = JoinedProxy(table, rate)
         return table
 
-    def await_table(self, now: int, proxy: int, known_entries: int) -> None:
-        """A proxy awaits its table; it holds at most so many entries of others' tables."""
-        self.unassigned[proxy] = UnassignedProxy(known_entries, now)
+    def add_unassigned(self, now: int, proxy: int, foreign_entries_max: int) -> None:
+        """Record a proxy as unassigned; it has at most `foreign_entries_max` entries of other tables."""
+        self.unassigned[proxy] = UnassignedProxy(foreign_entries_max, now)
 
     def leave(self, proxy: int) -> None:
-        """A proxy is gone, if it had joined."""
+        """Remove a proxy, if it has joined."""
         joined = self.proxies.pop(proxy, None)
         if joined is not None:
             self._tables.unsubscribe(joined.table, proxy)
@@ -69,34 +71,36 @@
         self.unassigned.pop(proxy, None)
 
     def assign_next(self, now: int, before_drain: int | None = None) -> None:
-        """Assign in turn as there is capacity: the longest waiting first, then those with most requests.
+        """Assign tables while the channel has capacity: overdue proxies first, then by request rate.
 
-        `before_drain`: before a drain that began then (ns) is published, only proxies that wait long and
-        since before it are assigned: they are due first.
+        `before_drain` is the start (ns) of a drain that is about to be published. Only proxies that are
+        overdue and were waiting before it are assigned then, since they go before the drain.
         """
         if self._budget.is_mandatory_waiting or not self.unassigned or self._capacity_left(before_drain) < 0:
-            return  # asked at each acknowledgement: no walk of all that could be assigned none
-        long_since = now - self._grace / GRACES_OUTDATED
+            return  # called at each acknowledgement: do not sort all proxies if none can be assigned
+        overdue_since = now - self._drain_grace / OVERDUE_GRACE_DIVISOR
         order = {
-            proxy: (min(waiting.since, long_since), -self.proxies[proxy].rate)
+            proxy: (min(waiting.since, overdue_since), -self.proxies[proxy].rate)
             for proxy, waiting in self.unassigned.items()
         }
         due = sorted(order, key=order.__getitem__)
         if before_drain is not None:
-            limit = min(before_drain, long_since)
+            limit = min(before_drain, overdue_since)
             due = [proxy for proxy in due if order[proxy][0] < limit]
         for proxy in due:
             if not self.assign(now, proxy, before_drain):
                 break
 
     def assign(self, now: int, proxy: int, before_drain: int | None = None) -> bool:
-        """Assign a proxy to its table; False where the channel has no capacity for it.
+        """Assign a proxy to its table; return False if the channel has no capacity for it.
 
-        A table without entries is never assigned: it would be worse than what the proxy holds.
+        A table without entries is never assigned: it would be worse than the proxy's present one.
         """
         table = self.proxies[proxy].table
         readmitted = self._actions.readmission_cost((proxy,), table)
-        cost = 1 + self._tables.entry_counts[table] + self._levels.entries(table) + sum(readmitted.values())
+        cost = (
+            1 + self._tables.entry_counts[table] + self._levels.entry_count(table) + sum(readmitted.values())
+        )
         capacity = self._capacity_left(before_drain)
         if self._budget.is_mandatory_waiting or cost + self._budget.account.header > capacity:
             return False
@@ -110,5 +114,7 @@
         account = self._budget.account
         grace = self.settings.drain_grace
         if before_drain is not None:
-            return account.capacity_left(MANDATORY_QUEUE_SHARE, DRAIN_GRACE_SHARE * (grace or UNKNOWN_GRACE))
+            return account.capacity_left(
+                MANDATORY_QUEUE_SHARE, DRAIN_GRACE_SHARE * (grace or DEFAULT_DRAIN_GRACE)
+            )
         return account.capacity_left(QUEUE_SHARE, grace and GRACE_SHARE * grace)
--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -10,35 +10,35 @@
 from granitespool.planner.tables import TableDirectory
 from granitespool.planner.weights import EntryWeights
 
-RESEND_SHARE = 0.1  # share that a weight must move by to be published: the design page's tenth
+MIN_CHANGE_SHARE = 0.1  # relative change of a weight that is worth publishing
 
 
 def has_moved(wanted: float, published: float) -> bool:
-    """Whether a weight is far enough from the one published."""
+    """Return whether a weight differs enough from the published one to be sent."""
     if wanted == published:
         return False
-    return not published or abs(wanted - published) > RESEND_SHARE * published
+    return not published or abs(wanted - published) > MIN_CHANGE_SHARE * published
 
 
 class Candidate(NamedTuple):
-    """An update that may be published."""
+    """An entry whose wanted weight differs from the published one, and its priority."""
 
     backend: Backend
     table: int
     weight: float
-    is_mandatory: bool  # asked for by a rule: a drain, a removal, a table without entries
-    is_ordinary: bool  # nothing is wrong: a cost has moved
-    rank: float  # below 0: how much weight it moves; 0 for rules
-    due_since: int  # ns since when a rule asks for it
+    is_mandatory: bool  # a drain, a removal, or a first entry of a table
+    is_ordinary: bool  # only a cost has changed
+    rank: float  # minus the weight that it moves; 0 if mandatory
+    due_since: int  # ns; when it became mandatory; 0 if it is not
 
     @property
     def adds_entry(self) -> bool:
-        """Whether the table gets an entry that it does not have."""
+        """Whether it adds a backend to the table."""
         return bool(self.weight) and not self.backend.published.get(self.table)
 
 
 class CandidateSelection:
-    """Finds the candidates of a publication pass."""
+    """Finds the candidate updates of a publication pass."""
 
     def __init__(
         self,
@@ -55,16 +55,16 @@
         self._slow_start = slow_start
 
     def select(self, now: int, only: Backend | None) -> list[Candidate]:
-        """All candidates, or those of one backend, by priority.
+        """Return all candidates, or those of one backend, by priority.
 
-        Rules come first, by age; then tables by how much weight moves in them, so that the updates of a table
-        share a message.
+        Mandatory updates come first, oldest first; then tables by how much weight moves in them, so that the
+        updates of a table share a message.
         """
         entries = self._entries(now, only)
         self._weights.update_fallback()
         candidates = []
         for entry in entries:
-            weight = self._weights.wanted(now, entry.backend, entry.zone) if entry.is_held else 0.0
+            weight = self._weights.wanted(now, entry.backend, entry.zone) if entry.is_member else 0.0
             if weight == entry.backend.published.get(entry.table, 0.0):
                 continue
             candidate = self._candidate(now, entry, weight, is_single=only is not None)
@@ -73,7 +73,7 @@
         gains: defaultdict[int, float] = defaultdict(int)
         for candidate in candidates:
             gains[candidate.table] += candidate.rank
-        candidates.sort(key=lambda each: _priority(each, gains[each.table]))
+        candidates.sort(key=lambda candidate: _priority(candidate, gains[candidate.table]))
         return candidates
 
     def _entries(self, now: int, only: Backend | None) -> list[TableEntry]:
@@ -86,26 +86,26 @@
         )
 
     def _candidate(self, now: int, entry: TableEntry, weight: float, is_single: bool) -> Candidate | None:
-        """The candidate of an entry whose weight wanted differs, or None where it is not worth an update."""
+        """Return the candidate for an entry whose wanted weight differs; None if it is not worth an update."""
         backend, zone, table, _ = entry
         published = backend.published.get(table, 0.0)
         if backend.phase != READY or not self._tables.entry_counts[table]:
             return Candidate(backend, table, weight, True, False, 0, backend.left_ready_at)
         moved = abs(weight - published)
         is_urgent = self._is_urgent(now, backend, zone, weight, published)
-        if not is_urgent and (is_single or moved <= RESEND_SHARE * published):
+        if not is_urgent and (is_single or moved <= MIN_CHANGE_SHARE * published):
             return None
         if not weight and self._tables.entry_counts[table] <= 1:
-            return None  # the last entry stays: a table without any is worse
-        # A new entry ranks by what it will carry
+            return None  # keep the last entry: an empty table is worse
+        # A new entry ranks by the load that it will carry in the end
         rank = -(moved if published else backend.configured_weight)
         return Candidate(backend, table, weight, False, not is_urgent, rank, 0)
 
     def _is_urgent(self, now: int, backend: Backend, zone: str, weight: float, published: float) -> bool:
-        """Whether an update brings a backend in or out, or takes from one that is ejected or cold."""
+        """Return whether it adds or removes a backend, or lowers the weight of an ejected or cold one."""
         if not weight or not published:
             return True
-        if weight >= published * (1 - RESEND_SHARE):
+        if weight >= published * (1 - MIN_CHANGE_SHARE):
             return False
         link = backend.links.get(zone)
         is_ejected = link is not None and link.is_ejected
--- a/granitespool/planner/dirty_set.py
+++ b/granitespool/planner/dirty_set.py
@@ -33,7 +33,7 @@
     backend: Backend
     zone: str
     table: int
-    is_held: bool  # whether the table is to hold it
+    is_member: bool  # whether the table is to hold it
 
 
 class DirtySet:
--- a/granitespool/planner/exclusion.py
+++ b/granitespool/planner/exclusion.py
@@ -1,7 +1,8 @@
-"""Exclusion: draining and removed backends are kept from proxies that have no table of ours yet.
+"""Exclusion: keeps draining and removed backends from proxies that are unassigned.
 
-Such proxies go on with tables of other coordinators. What drains or is gone is excluded for them too, once
-its entries have left the tables here; again for those that joined since, well within the drain's grace.
+Unassigned proxies still use tables of other coordinators. A backend that drains or is gone is excluded for
+them once its entries have left the tables of this coordinator, and again for proxies that joined since, well
+within the drain grace.
 """
 
 from collections.abc import Mapping
@@ -18,22 +19,25 @@
 from granitespool.settings import Settings
 from granitespool.units import SECOND
 
-GRACE_SHARE = 0.5  # share of the grace: whose table arrives within it needs nothing excluded
-COLLECT_GRACE_SHARE = 1 / 6  # share of the grace that joiners wait for others, to be told at once
-GRACES_KNOWN = 2  # graces after which a drain needs no exclusion: who had the joiners before has kept it
-SMALL_QUEUE_SHARE = 0.25  # share of the queue under which a few exclusions are worth their headers
-UNKNOWN_GRACE = SECOND  # ns, where the deployment tells no drain grace
+GRACE_SHARE = 0.5  # share of the drain grace: proxies that get their table within it need no exclusions
+COLLECT_GRACE_SHARE = (
+    1 / 6
+)  # share of the drain grace that exclusions wait, to reach joining proxies together
+# Drain graces after which a drain needs no exclusion: the proxies' former coordinator has removed the backend
+RECENT_DRAIN_GRACES = 2
+SMALL_QUEUE_SHARE = 0.25  # with less of the queue in flight, a few exclusions are worth their headers
+DEFAULT_DRAIN_GRACE = SECOND  # ns, where none is configured
 
 
 class ExclusionChange(NamedTuple):
-    """A backend that is to be excluded, or readmitted."""
+    """A backend to exclude or to readmit."""
 
     backend: Backend
     excluded: bool
 
 
 class ExclusionControl:
-    """Decides who is excluded for proxies that await a table."""
+    """Decides which backends are excluded for unassigned proxies."""
 
     def __init__(
         self,
@@ -47,7 +51,7 @@
         outbox: Outbox,
     ) -> None:
         self.settings = settings
-        self.exclusions_sent_at = 0  # ns: who joined since then was told nothing
+        self.exclusions_sent_at = 0  # ns; proxies that joined later were sent none
         self._actions = actions
         self._fleet = fleet
         self._dirty = dirty
@@ -57,30 +61,30 @@
         self._outbox = outbox
 
     @property
-    def _grace(self) -> int:
-        return UNKNOWN_GRACE if self.settings.drain_grace is None else self.settings.drain_grace
+    def _drain_grace(self) -> int:
+        return DEFAULT_DRAIN_GRACE if self.settings.drain_grace is None else self.settings.drain_grace
 
     def publish(self, now: int, entries_per_proxy: int) -> None:
-        """Exclude and readmit as far as the channel has capacity.
+        """Exclude and readmit backends as far as the channel has capacity.
 
-        `entries_per_proxy`: what an assignment costs beside its table's entries, without its header.
+        `entries_per_proxy` is the cost of an assignment beside its table's entries and the message header.
         """
         waiting_time = self._longest_wait(now)
-        if waiting_time >= COLLECT_GRACE_SHARE * self._grace:
+        if waiting_time >= COLLECT_GRACE_SHARE * self._drain_grace:
             self.exclusions_sent_at = now
         if not self._dirty.absent:
             return
         assignment_cost = self._assignment_cost(entries_per_proxy)
-        late = self._budget.account.time_to_send(assignment_cost) > GRACE_SHARE * (
+        is_late = self._budget.account.time_to_send(assignment_cost) > GRACE_SHARE * (
             self.settings.drain_grace or 0
         )
-        changes = self._wanted_changes(now, waiting_time, late)
+        changes = self._pending_changes(now, waiting_time, is_late)
         if self._costs_more_than(changes, assignment_cost):
             changes = [change for change in changes if not change.excluded]
         self._order(now, changes)
 
     def _longest_wait(self, now: int) -> int:
-        """ns that the first proxy that was told nothing has waited."""
+        """Return the longest wait (ns) of an unassigned proxy that was sent no exclusions."""
         return max(
             (
                 now - waiting.since
@@ -91,7 +95,7 @@
         )
 
     def _assignment_cost(self, entries_per_proxy: int) -> float:
-        """Entries that bring all proxies that await a table theirs."""
+        """Return the entries that it costs to assign all unassigned proxies."""
         return sum(
             self._tables.entry_counts[self._assignment.proxies[proxy].table]
             + entries_per_proxy
@@ -99,32 +103,32 @@
             for proxy in self._assignment.unassigned
         )
 
-    def _wanted_changes(self, now: int, waiting_time: int, late: bool) -> list[ExclusionChange]:
-        """Changes in the order of their urgency: the longest known first, of those the latest drain."""
+    def _pending_changes(self, now: int, waiting_time: int, is_late: bool) -> list[ExclusionChange]:
+        """Return the changes by urgency: the longest pending first, and of those the latest drain first."""
         changes = []
         by_urgency = sorted(
             self._dirty.absent_in_sequence(),
-            key=lambda each: (max(each.left_ready_at, self.exclusions_sent_at), -each.left_ready_at),
+            key=lambda backend: (max(backend.left_ready_at, self.exclusions_sent_at), -backend.left_ready_at),
         )
         for backend in by_urgency:
             if backend.phase == READY and not backend.exclusion.is_in_force:
                 del self._dirty.absent[backend]
                 continue
-            is_recent = now - backend.left_ready_at < GRACES_KNOWN * self._grace
+            is_recent = now - backend.left_ready_at < RECENT_DRAIN_GRACES * self._drain_grace
             was_excluded = backend.exclusion.is_in_force
-            if was_excluded and is_recent and waiting_time >= COLLECT_GRACE_SHARE * self._grace:
+            if was_excluded and is_recent and waiting_time >= COLLECT_GRACE_SHARE * self._drain_grace:
                 backend.exclusion = Exclusion.PARTIAL
-            excluded = self._should_exclude(backend, is_recent, late)
+            excluded = self._should_exclude(backend, is_recent, is_late)
             if not self._is_in_state(backend, excluded) and not backend.is_in_tables:
                 changes.append(ExclusionChange(backend, excluded))
         return changes
 
-    def _should_exclude(self, backend: Backend, is_recent: bool, late: bool) -> bool:
+    def _should_exclude(self, backend: Backend, is_recent: bool, is_late: bool) -> bool:
         if not self._assignment.unassigned or backend.phase == READY:
             return False
         if backend.exclusion == Exclusion.EXCLUDED:
             return True
-        return is_recent and (late or backend.exclusion != Exclusion.NEVER)
+        return is_recent and (is_late or backend.exclusion != Exclusion.NEVER)
 
     @staticmethod
     def _is_in_state(backend: Backend, excluded: bool) -> bool:
@@ -138,19 +142,19 @@
         )
 
     def _costs_more_than(self, changes: list[ExclusionChange], assignment_cost: float) -> bool:
-        """Whether the exclusions cost more than assigning everyone, which would make them needless."""
+        """Return whether the exclusions cost more than assigning all proxies, which makes them unnecessary."""
         exclusions = [change for change in changes if change.excluded]
-        each = sum(self._cost_of(exclusions[0]).values()) if exclusions else 0
-        headers = self._budget.account.header * min(each, len(self._assignment.unassigned))
-        return each * len(exclusions) + headers > assignment_cost
+        cost_per_exclusion = sum(self._cost_of(exclusions[0]).values()) if exclusions else 0
+        headers = self._budget.account.header * min(cost_per_exclusion, len(self._assignment.unassigned))
+        return cost_per_exclusion * len(exclusions) + headers > assignment_cost
 
     def _order(self, now: int, changes: list[ExclusionChange]) -> None:
         fitting = self._budget.account.fitting(map(self._cost_of, changes), MANDATORY_QUEUE_SHARE)
-        count = fitting.orders
+        count = fitting.order_count
         if count < len(changes):
             self._budget.is_mandatory_waiting = True
         if count * 2 < len(changes) and self._budget.account.capacity_left(SMALL_QUEUE_SHARE) <= 0:
-            return  # most of it would be headers
+            return  # headers would be most of the cost
         ordered = changes[:count]
         for backend, excluded in ordered:
             backend.exclusion = Exclusion.EXCLUDED if excluded else Exclusion.READMITTED
--- a/granitespool/planner/in_flight.py
+++ b/granitespool/planner/in_flight.py
@@ -1,8 +1,8 @@
-"""The account of the control channel: what was sent to each proxy and may still be on its way.
+"""The account of the control channel: the entries in flight to each proxy.
 
-What is sent to one proxy in one turn is a message: a header with an acknowledgement barrier, and its table
-entries. A message leaves the account once the proxy acknowledges its barrier or a later one, or has left, or
-once it is too old to be on its way still. Counting alone: no decision, no I/O.
+Everything sent to one proxy in one turn is one message: a header with an acknowledgement barrier, and table
+entries. A message leaves the account when the proxy acknowledges its barrier or a later one, when the proxy
+leaves, or when the message is too old to be still in flight. This module decides nothing and does no I/O.
 """
 
 from collections import Counter, deque
@@ -13,64 +13,69 @@
 from granitespool.units import SECOND
 
 BARRIER_SEQUENCES = 65536  # barriers are numbered from 0 up to this less 1
-UNKNOWN_DRAIN_TIME = 2 * SECOND  # ns that a full queue takes where no rate or no limit is configured
-UNKNOWN_MESSAGES_SPAN = 10 * SECOND  # ns that messages to a proxy are counted over where it is not configured
-UNLIMITED = 1e9  # entries: stands for a queue, or a rate, without a limit
-LOST_BARRIER_FACTOR = 16  # full queues at the configured rate after which a barrier counts as lost: a channel
-#                           may be ten times slower for a while, and what it holds must not be forgotten
-EMPTY_QUEUE_SHARE = 0.94  # share of an empty queue that one order may take: what was just being sent on a
-#                           stream that left is passed on to its end, and is counted here no more
-RATE_SAMPLES = 64  # acknowledgements that the observed rate is a mean of: about half of a coordinator's
-#                    proxies, since one that stands still tells nothing of the channel
-TRANSIT_TIME = SECOND // 2  # ns that a message may be on its way, and applied, beyond the queue: latencies of
-#                             short queues are mostly that, and no channel counts as slow for it
+DEFAULT_QUEUE_TIME = 2 * SECOND  # ns that a full queue takes, where no rate or no limit is configured
+DEFAULT_MESSAGES_SPAN = 10 * SECOND  # ns that the limit on messages to a proxy counts over, where unset
+UNLIMITED = 1e9  # entries, or entries a second: a queue or a rate without a limit
+# Times of a full queue, at the configured rate, after which a barrier counts as lost. A channel may be ten
+# times slower for a while, and entries that it still holds must stay in the account.
+LOST_BARRIER_FACTOR = 16
+# Share of an empty queue that one order may take. The rest is for a message that was being sent when its
+# stream ended: the channel passes it on to its end, but the account has released it.
+EMPTY_QUEUE_SHARE = 0.94
+# Acknowledgements that the observed rate is averaged over: about half of a coordinator's proxies, since the
+# latency of a single stalled proxy says nothing about the channel
+RATE_SAMPLES = 64
+# ns for transit and application of a message, beside the time in the queue. It dominates the latencies of
+# short queues, so without it a fast channel would look slow.
+TRANSIT_TIME = SECOND // 2
 
 
 class FittingOrders(NamedTuple):
-    """How many of some orders fit into the channel in a row."""
+    """How many orders of a sequence fit into the channel, and their entries."""
 
-    orders: int  # how many fit
-    entries: dict[int, float]  # proxy -> entries of them, the message's header not with them
+    order_count: int
+    entries: dict[int, float]  # proxy -> entries of these orders, without the message header
 
 
 class Batch:
-    """The messages of one turn."""
+    """The messages of one turn, one for each proxy."""
 
-    __slots__ = ("at", "entries", "queued", "sequence")
+    __slots__ = ("entries", "queued", "reserved_at", "sequence")
 
-    def __init__(self, sequence: int, at: int) -> None:
-        self.sequence = sequence  # of its acknowledgement barrier
-        self.at = at  # ns
-        self.entries: dict[int, float] = {}  # proxy -> entries of its message, the header with them
-        self.queued: dict[int, float] = {}  # proxy -> entries of its message and all queued before it
+    def __init__(self, sequence: int, reserved_at: int) -> None:
+        self.sequence = sequence  # number of its acknowledgement barrier
+        self.reserved_at = reserved_at  # ns
+        self.entries: dict[int, float] = {}  # proxy -> entries of its message, with the header
+        self.queued: dict[int, float] = {}  # proxy -> entries in flight once its message was queued
 
 
 class InFlightAccount:
-    """Entries in flight by proxy and batch, and the rate that the channel was observed to carry."""
+    """Entries in flight by proxy and batch, and the observed rate of the channel."""
 
     def __init__(self, settings: Settings) -> None:
         self.in_flight: float = 0  # entries
-        self.sequence = 0  # of the latest barrier
-        self.total_entries: float = 0  # reserved since the start, headers with them
-        self._batches: dict[int, Batch] = {}  # sequence -> Batch, oldest first, while any entry is in flight
+        self.sequence = 0  # number of the latest barrier
+        self.total_entries: float = 0  # reserved since the start, with the headers
+        self._batches: dict[int, Batch] = {}  # sequence -> batch with entries in flight, oldest first
         self._batches_of: dict[int, deque[Batch]] = {}  # proxy -> its batches, oldest first
-        self._mean_latency = 0.0  # ns that messages took
-        self._mean_expected_latency = 0.0  # ns that they would have taken at the configured rate
+        self._mean_latency = 0.0  # ns, of acknowledgements
+        self._mean_expected_latency = 0.0  # ns, of the same messages at the configured rate
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Limits for what is reserved from now on."""
+        """Apply the limits of new settings to what is reserved from now on."""
         self.rate = UNLIMITED if settings.entries_per_s is None else settings.entries_per_s
         self.limit = UNLIMITED if settings.backlog_limit is None else settings.backlog_limit
-        self.header = (
-            1 + settings.effective_message_header
-        )  # entries that a message costs beside its own: the barrier
-        most = settings.messages_limit
-        span = UNKNOWN_MESSAGES_SPAN if settings.messages_span is None else settings.messages_span
-        self.message_gap = span / most if most else 0  # ns between messages to a proxy, by their cap
+        # Entries that a message costs beside its own: the barrier is one of them
+        self.header = 1 + settings.effective_message_header
+        messages_max = settings.messages_limit
+        span = DEFAULT_MESSAGES_SPAN if settings.messages_span is None else settings.messages_span
+        self.message_gap = (
+            span / messages_max if messages_max else 0
+        )  # ns, minimum between messages to a proxy
         is_limited = settings.entries_per_s and settings.backlog_limit
-        # ns that a full queue takes
-        self._drain_time = int(SECOND * self.limit / self.rate) if is_limited else UNKNOWN_DRAIN_TIME
+        # ns
+        self._full_queue_time = int(SECOND * self.limit / self.rate) if is_limited else DEFAULT_QUEUE_TIME
 
     @property
     def observed_rate(self) -> float:
@@ -80,26 +85,26 @@
         return self.rate * min(1.0, self._mean_expected_latency / self._mean_latency)
 
     def capacity_left(self, share: float, within: float | None = None) -> float:
-        """Entries that still fit into this share of the queue.
+        """Return the entries that still fit into a share of the queue; negative if more are in flight.
 
-        `within`: ns that they may take to leave, at the observed rate. An empty queue takes nearly all,
-        whatever the share. Below 0 where more is in flight.
+        `within` limits the time (ns) that the queue takes at the observed rate. An empty queue has capacity
+        for nearly its whole limit, whatever the share.
         """
-        most = share * self.limit
+        capacity = share * self.limit
         if within is not None:
-            most = min(most, self.observed_rate * within / SECOND)
+            capacity = min(capacity, self.observed_rate * within / SECOND)
         if not self.in_flight:
-            most = max(most, EMPTY_QUEUE_SHARE * self.limit)
-        return most - self.in_flight
+            capacity = max(capacity, EMPTY_QUEUE_SHARE * self.limit)
+        return capacity - self.in_flight
 
     def time_to_send(self, entries: float) -> float:
-        """ns until these entries have left as well, at the configured rate."""
+        """Return the time (ns) to send these entries after those in flight, at the configured rate."""
         return (self.in_flight + entries) / self.rate * SECOND
 
     def reserve(self, now: int, proxy: int, entries: float) -> bool:
-        """Add entries to this turn's message to a proxy; True where the turn has no barrier yet."""
+        """Add entries to this turn's message to a proxy; return True if the turn has no barrier yet."""
         batch = self._batches.get(self.sequence)
-        is_first = batch is None or batch.at != now
+        is_first = batch is None or batch.reserved_at != now
         if batch is None or is_first:
             batch = self._new_batch(now)
         if proxy not in batch.entries:
@@ -121,20 +126,20 @@
         return ((self.sequence + 1 + step) % BARRIER_SEQUENCES for step in range(BARRIER_SEQUENCES))
 
     def fitting(self, costs: Iterable[Mapping[int, float]], share: float) -> FittingOrders:
-        """How many of these orders, in a row, fit into a share of the queue with their headers.
+        """Return how many of these orders, from the first on, fit into a share of the queue with headers.
 
-        `costs`: entries by proxy of each order. They may be parts of one, as likely as they are sent:
-        reserved in full, what is never sent would fill the account.
+        `costs` contains the entries by proxy of each order. An entry that may not be sent counts by its
+        probability: reserved in full, entries that are never sent would fill the account.
         """
-        left = self.capacity_left(share)
+        remaining = self.capacity_left(share)
         entries: Counter[int] = Counter()
         count = 0
         for cost in costs:
-            left -= sum(
-                self._message_cost(entries[proxy] + more) - self._message_cost(entries[proxy])
-                for proxy, more in cost.items()
+            remaining -= sum(
+                self._message_cost(entries[proxy] + added) - self._message_cost(entries[proxy])
+                for proxy, added in cost.items()
             )
-            if left < 0:
+            if remaining < 0:
                 break
             entries.update(cost)
             count += 1
@@ -145,13 +150,13 @@
         return min(1, entries) * (self.header + max(1, entries))
 
     def acknowledge(self, now: int, proxy: int, sequence: int | None, latency: int | None = None) -> bool:
-        """A proxy has applied all up to this barrier, or at least its oldest (None); True if any was open."""
+        """Release the messages up to an acknowledged barrier (None: the oldest); return whether any was."""
         batches = self._batches_of.get(proxy, ())
         batch = next((batch for batch in batches if batch.sequence == sequence), None)
         if not batches or (sequence is not None and batch is None):
             return False
         if batch and latency is not None:
-            self._observe_latency(batch, proxy, min(latency, now - batch.at))
+            self._observe_latency(batch, proxy, min(latency, now - batch.reserved_at))
         while self._release_oldest(proxy) not in (sequence, None) and sequence is not None:
             pass
         return True
@@ -162,19 +167,19 @@
         self._mean_expected_latency += (expected - self._mean_expected_latency) / RATE_SAMPLES
 
     def release(self, proxy: int) -> None:
-        """A proxy has left: nothing is on its way to it."""
+        """Release all messages to a proxy that has left."""
         while proxy in self._batches_of:
             self._release_oldest(proxy)
 
     def expire(self, now: int) -> None:
-        """Release what is too old to be on its way still."""
-        before = now - LOST_BARRIER_FACTOR * self._drain_time
-        for batch in [batch for batch in self._batches.values() if batch.at < before]:
+        """Release messages that are too old to be still in flight."""
+        expired_before = now - LOST_BARRIER_FACTOR * self._full_queue_time
+        for batch in [batch for batch in self._batches.values() if batch.reserved_at < expired_before]:
             for proxy in list(batch.entries):
                 self._release_oldest(proxy)
 
     def _release_oldest(self, proxy: int) -> int:
-        """Release the oldest message to a proxy; returns its barrier's sequence number."""
+        """Release the oldest message to a proxy, and return the number of its barrier."""
         batches = self._batches_of[proxy]
         batch = batches.popleft()
         if not batches:
@@ -182,5 +187,5 @@
         self.in_flight -= batch.entries.pop(proxy)
         if not batch.entries:
             del self._batches[batch.sequence]
-            self.in_flight = self.in_flight if self._batches else 0  # no rounding error is carried on
+            self.in_flight = self.in_flight if self._batches else 0  # drops the rounding error
         return batch.sequence
--- a/granitespool/planner/outbox.py
+++ b/granitespool/planner/outbox.py
@@ -1,4 +1,4 @@
-"""Sends orders to proxies, and reserves each in the account of the channel."""
+"""Sends orders to proxies, and reserves their entries in the account of the channel."""
 
 from collections.abc import Collection, Iterable
 
@@ -8,7 +8,7 @@
 
 
 class Outbox:
-    """The actions that cost entries of the channel."""
+    """Takes the planner actions that use the channel, and reserves their entries."""
 
     def __init__(self, actions: PlannerActions, account: InFlightAccount, tables: TableDirectory) -> None:
         self._actions = actions
@@ -18,7 +18,7 @@
     def set_entry(
         self, now: int, table: int, backend: str, weight: float, readmitted: Collection[int] = ()
     ) -> None:
-        """Set an entry of a table for all its subscribers; some have the backend readmitted with it."""
+        """Set an entry for all subscribers of a table; for those in `readmitted`, also readmit the backend."""
         self._actions.set_entry(table, backend, weight)
         for proxy in self._tables.subscribers[table]:
             self.reserve(now, proxy, 2 if proxy in readmitted else 1)
@@ -26,27 +26,27 @@
     def set_owned_entry(
         self, now: int, proxies: Iterable[int], table: int, backend: str, weight: float
     ) -> None:
-        """Set an entry of an owned slice, for all proxies."""
+        """Set an entry of an owned slice for these proxies."""
         self._actions.set_entry(table, backend, weight)
         self._reserve_each(now, proxies)
 
     def exclude(self, now: int, proxies: Iterable[int], backend: str, excluded: bool) -> None:
-        """Exclude a backend for all proxies, one entry each, or readmit it."""
+        """Exclude or readmit a backend, at one entry for each of these proxies."""
         self._actions.exclude(backend, excluded)
         self._reserve_each(now, proxies)
 
     def set_admission(self, now: int, table: int, classes: int, share: float, retries: int) -> None:
-        """Set the level of some classes for all subscribers of a table."""
+        """Set the admission level of some classes for all subscribers of a table."""
         self._actions.set_admission(table, classes, share, retries)
         self._reserve_each(now, self._tables.subscribers[table])
 
     def assign(self, now: int, proxy: int, table: int, entries: int) -> None:
-        """Put a proxy on a table, for all classes, at a cost of these entries."""
+        """Assign a proxy to a table for all classes, at a cost of `entries`."""
         self._actions.assign(proxy, table, 0)
         self.reserve(now, proxy, entries)
 
     def reserve(self, now: int, proxy: int, entries: float) -> None:
-        """Reserve entries of this turn's message to a proxy; the first one asks for an acknowledgement."""
+        """Reserve entries of this turn's message to a proxy; the turn's first requests acknowledgements."""
         if self._account.reserve(now, proxy, entries):
             self._actions.request_acknowledgement(self._account.sequence, False)
 
--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -108,7 +108,9 @@
         fleet, dirty, tables, budget = self.fleet, self.dirty, self.tables, self.budget
         outbox = self.outbox = Outbox(actions, self.in_flight, tables)
         self.admission = AdmissionControl(settings, self.overload, tables, budget, outbox)
-        self.assignment = ProxyAssignment(settings, actions, tables, self.admission.ordered, budget, outbox)
+        self.assignment = ProxyAssignment(
+            settings, actions, tables, self.admission.ordered_levels, budget, outbox
+        )
         self.exclusion = ExclusionControl(
             settings, actions, fleet, dirty, tables, self.assignment, budget, outbox
         )
@@ -245,10 +247,10 @@
         known = len(self.fleet.backends)
         if joined.bootstrap:
             known = min(known, self.settings.bootstrap_entries)
-        self.assignment.await_table(now, joined.proxy, known)
+        self.assignment.add_unassigned(now, joined.proxy, known)
         if not self.tables.entry_counts[table]:
             self._publish(now)
-        self.admission.publish_first(now, table)
+        self.admission.publish_initial_levels(now, table)
         self.assignment.assign(now, joined.proxy)
 
     def _remove_proxy(self, proxy: int, is_unreachable: bool) -> None:
--- a/granitespool/planner/tables.py
+++ b/granitespool/planner/tables.py
@@ -1,4 +1,4 @@
-"""The tables, who is subscribed to each, and how many entries each has."""
+"""The subscribers and the entry count of each table."""
 
 from collections import Counter, defaultdict
 
@@ -6,17 +6,17 @@
 
 
 class TableDirectory:
-    """What publication and assignment know of the tables."""
+    """The tables, with their subscribers and entry counts."""
 
     def __init__(self, subsets: Subsets) -> None:
         self.subsets = subsets
-        self.entry_counts: Counter[int] = Counter()  # table -> its entries
-        self.subscribers: defaultdict[int, dict[int, None]] = defaultdict(dict)  # table -> proxies on it
+        self.entry_counts: Counter[int] = Counter()  # table -> number of its entries
+        self.subscribers: defaultdict[int, dict[int, None]] = defaultdict(dict)  # table -> proxies
 
     def subscribe(self, table: int, proxy: int) -> None:
-        """A proxy is on a table from now on."""
+        """Add a proxy to the subscribers of a table."""
         self.subscribers[table][proxy] = None
 
     def unsubscribe(self, table: int, proxy: int) -> None:
-        """A proxy is on a table no more, if it was."""
+        """Remove a proxy from the subscribers of a table, if it is one."""
         self.subscribers[table].pop(proxy, None)
--- a/granitespool/planner/timers.py
+++ b/granitespool/planner/timers.py
@@ -1,10 +1,10 @@
-"""The planner's timers; their names are also those on the simulator's wire."""
+"""The planner's timers; their values are also the names in the simulator's protocol."""
 
 from enum import StrEnum
 
 
 class Timer(StrEnum):
-    """What a timer is set for."""
+    """The purpose of a timer."""
 
     RECOMPUTE = "round"
     PUBLISH = "flush"
--- a/tests/planner/test_admission_levels.py
+++ b/tests/planner/test_admission_levels.py
@@ -12,8 +12,8 @@
 from granitespool.planner.admission_levels import (
     LEVELS_MAX,
     SHARE_STEP,
-    Admitted,
     OrderedLevels,
+    TargetLevels,
     admission_entries_max,
     admitted_shares,
 )
@@ -50,20 +50,21 @@
 def test_classes_of_one_level_are_one_order_and_come_again_only_where_they_differ():
     levels = OrderedLevels()
     wanted = [1.0, 0.5, 0.5, 1.0, 0.09]
-    assert list(levels.order(7, Admitted(wanted, 1), 1)) == [
+    assert list(levels.order(7, TargetLevels(wanted, 1), 1)) == [
         (0b110, (0.5, 1)),
         (0b10000, (0.09, 1)),
     ]  # 1.0 is usual
-    assert list(levels.order(7, Admitted(wanted, 1), 1)) == [] and levels.entries(7) == 2
-    assert list(levels.order(7, Admitted(wanted, 0), 1)) == [
+    assert list(levels.order(7, TargetLevels(wanted, 1), 1)) == [] and levels.entry_count(7) == 2
+    assert list(levels.order(7, TargetLevels(wanted, 0), 1)) == [
         (0b1001, (1.0, 0)),
         (0b110, (0.5, 0)),
         (0b10000, (0.09, 0)),
     ]
     assert (
-        list(levels.order(7, Admitted([1.0] * 5, 0), 1)) == [(0b10110, (1.0, 0))] and levels.entries(7) == 1
+        list(levels.order(7, TargetLevels([1.0] * 5, 0), 1)) == [(0b10110, (1.0, 0))]
+        and levels.entry_count(7) == 1
     )
-    assert levels.entries(8) == 0 and list(levels.order(8, Admitted([1.0] * 5, 1), 1)) == []
+    assert levels.entry_count(8) == 0 and list(levels.order(8, TargetLevels([1.0] * 5, 1), 1)) == []
 
 
 def told(classes, usual_retry):
@@ -97,7 +98,7 @@
         storm.run(1)
     planner = storm.coordinator.planner
     assert planner.overload.is_overloaded and planner.overload.admitted_share < 1
-    assert planner.admission.ordered.entries(planner.assignment.proxies[0].table) <= LEVELS_MAX
+    assert planner.admission.ordered_levels.entry_count(planner.assignment.proxies[0].table) <= LEVELS_MAX
     assert planner.in_flight.total_entries - before <= 6 * 70 * (60 + LEVELS_MAX + 8)
 
 
--- a/tests/planner/test_in_flight_account.py
+++ b/tests/planner/test_in_flight_account.py
@@ -218,7 +218,7 @@
     channel.reserve(0, 1, 10)
     lost = channel.sequence
     channel.reserve(SECOND, 2, 10)
-    channel.expire((LOST_BARRIER_FACTOR * channel._drain_time) + 1)
+    channel.expire((LOST_BARRIER_FACTOR * channel._full_queue_time) + 1)
     left = channel.in_flight
     assert left == 14 and channel.acknowledge(20 * SECOND, 1, lost) is False and channel.in_flight == left
     channel.reserve(20 * SECOND, 1, 5)
