--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -1,13 +1,13 @@
-"""The way in to the decisions: report what has happened, tick the time, pick what is next for a recipient.
+"""The interface to the planner: report events, advance the time, and get the messages for each recipient.
 
-    coordinator.report(now, LoadReport(...))        # any number of events, all with the turn's one time
-    due = coordinator.tick(now)                     # ends the turn; the time at which it is next due
-    for recipient in coordinator.recipients():      # who has something waiting
-        message = coordinator.next_message(recipient)       # None once there is nothing
+    coordinator.report(now, LoadReport(...))            # any number of events, all with the time of the turn
+    due = coordinator.tick(now)                         # ends the turn; returns the time of the next timer
+    for recipient in coordinator.recipients():          # recipients with pending messages
+        message = coordinator.next_message(recipient)   # None if there is no further one
 
-What is reported in one turn is one batch, and what the planner orders on it is one message for each proxy.
-Messages that were not picked yet merge with later ones: the last weight counts, and the last barrier stands
-for those before. No decision is taken here, and there is no I/O.
+All events of one turn form a batch, and everything that the planner orders in that turn becomes one message
+for each proxy. Pending messages merge with later ones: the last weight and the last barrier replace the
+earlier ones. This module decides nothing and does no I/O.
 """
 
 import heapq
@@ -44,8 +44,9 @@
 from granitespool.proxy_updates import ProxyUpdates
 from granitespool.settings import Settings
 
-# Settings that hold for the life of a coordinator, since what it keeps is built on them
-FIXED_SETTINGS = {  # field -> the name that operators know it by: that of the deployment's settings
+# Settings that change only by a restart, since the coordinator's state depends on them: field -> name in the
+# deployment's settings
+FIXED_SETTINGS = {
     "classes": "classes",
     "slices": "slices",
     "subscribe": "subscribe",
@@ -55,12 +56,12 @@
 
 class _Timer(NamedTuple):
     due: int  # ns
-    number: int  # timers due at one time fire in the order in which they were set
+    number: int  # timers with the same due time expire in the order in which they were set
     cookie: str
 
 
 class Coordinator:
-    """A planner, the actions that it takes, and what waits for each recipient.
+    """A planner, the actions that it takes, and the pending messages of each recipient.
 
     The methods from `set_entry` on are the planner's actions (`granitespool.planner.actions`).
     """
@@ -74,7 +75,7 @@
         self.queues: dict[Queue, deque[OutgoingMessage]] = {queue: deque() for queue in Queue}
         self.timers: list[_Timer] = []  # a heap
         self._timer_count = 0
-        self._barrier: int | None = None  # of the messages of this turn
+        self._barrier: int | None = None  # number of this turn's acknowledgement barrier
         self._on_event: dict[type[Event], Callable[[Any], None]] = {
             LoadReport: self._on_load_report,
             ProxyJoined: self._on_proxy_joined,
@@ -84,12 +85,12 @@
         self.planner = Planner(self, seed, settings)
 
     def report(self, now: int, event: Event) -> None:
-        """Tell what has happened at `now` (ns)."""
+        """Handle an event that happened at `now` (ns)."""
         self.now = max(self.now, now)
-        keep = self._on_event.get(type(event))
-        if keep is not None:
-            keep(event)
-        self._contain(self.planner.handle, event)
+        handler = self._on_event.get(type(event))
+        if handler is not None:
+            handler(event)
+        self._call_planner(self.planner.handle, event)
 
     def _on_load_report(self, _: LoadReport) -> None:
         self.load_reports += 1
@@ -101,12 +102,15 @@
         self.updates.leave(event.proxy)
 
     def _on_endpoint_list(self, event: EndpointListUpdate) -> None:
-        """Note which backends another coordinator may have excluded.
+        """Record which backends another coordinator may have excluded.
 
-        Nobody excludes a name that was never listed, and whoever saw it return has readmitted it. One that is
-        listed as before was not away, unless it went and came back between two lists.
+        No coordinator excludes a backend that was never in the endpoint list, and one that saw it return has
+        readmitted it. A backend that is listed as before was not excluded, unless it left and returned
+        between two lists.
         """
-        self.updates.suspect(entry.name for entry in event.entries if self._may_be_excluded(entry))
+        self.updates.mark_possibly_excluded(
+            entry.name for entry in event.entries if self._may_be_excluded(entry)
+        )
 
     def _may_be_excluded(self, entry: Endpoint) -> bool:
         if entry.phase != Phase.READY:
@@ -115,22 +119,22 @@
         return known is not None and entry.started_at > known.started_at
 
     def tick(self, now: int) -> int | None:
-        """Run the timers that are due and end the turn; return when the next is due (ns), or None."""
+        """Run the expired timers and end the turn; return when the next timer is due (ns), or None."""
         self.now = max(self.now, now)
         due = []
         while self.timers and self.timers[0].due <= self.now:
             due.append(heapq.heappop(self.timers))
         for timer in due:
-            self._contain(self.planner.on_timer, timer.cookie)
+            self._call_planner(self.planner.on_timer, timer.cookie)
         self.updates.end_turn(self._barrier)
         self._barrier = None
         return self.timers[0].due if self.timers else None
 
-    def _contain(self, call: Callable[..., None], *arguments: object) -> None:
-        """Call the planner; an error of its code, or of the actions it takes, becomes an InternalError.
+    def _call_planner(self, call: Callable[..., None], *arguments: object) -> None:
+        """Call the planner; an exception in it, or in its actions, is logged as an InternalError.
 
-        The boundary exists because an error that ended the process would cost every proxy its coordinator.
-        After one the planner goes on with a state that may be changed in part; what it ordered stands.
+        The exception is caught here because all proxies would lose their coordinator if it ended the process.
+        The planner continues with a state that may be partly changed, and its orders up to there are sent.
         """
         try:
             call(self.now, *arguments)
@@ -138,7 +142,7 @@
             self.log(traceback.format_exc())
 
     def recipients(self) -> list[Recipient]:
-        """Return who has something waiting: proxies first."""
+        """Return the recipients with pending messages, proxies first."""
         return [*self.updates.waiting, *(queue for queue, messages in self.queues.items() if messages)]
 
     @overload
@@ -160,7 +164,7 @@
     def next_message(self, recipient: Recipient) -> OutgoingMessage | None: ...
 
     def next_message(self, recipient: Recipient) -> OutgoingMessage | None:
-        """Return what is next for a recipient: a proxy's update or the next of a queue; None without any."""
+        """Return the next message for a recipient (a proxy or a queue), or None if there is none."""
         if not isinstance(recipient, Queue):
             return self.updates.next_update(recipient)
         messages = self.queues[recipient]
@@ -169,7 +173,7 @@
     # Settings
 
     def fixed_settings_changed(self, settings: Settings) -> list[str]:
-        """Return the operators' names of settings that differ and would wait for a restart."""
+        """Return the names of the settings that differ and would take effect only by a restart."""
         return [FIXED_SETTINGS[field] for field in self._fixed_fields_changed(settings)]
 
     def _fixed_fields_changed(self, settings: Settings) -> list[str]:
@@ -177,33 +181,33 @@
             field for field in FIXED_SETTINGS if getattr(settings, field) != getattr(self.settings, field)
         ]
         if "classes" in fields and settings.class_names == self.classes:
-            fields.remove("classes")  # tables and levels go by their order; their values may change
+            fields.remove("classes")  # only names and order are fixed, which tables and levels depend on
         return fields
 
     def apply_settings(self, now: int, settings: Settings) -> list[str]:
-        """Take settings for what is decided from now on; return the names of those that wait."""
+        """Apply settings from now on; return the names of those that take effect only by a restart."""
         fixed = self._fixed_fields_changed(settings)
         former = {field: getattr(self.settings, field) for field in fixed}
         self.settings = msgspec.structs.replace(settings, **former)
         self.now = max(self.now, now)
-        self._contain(lambda _: self.planner.apply_settings(self.settings))
+        self._call_planner(lambda _: self.planner.apply_settings(self.settings))
         return [FIXED_SETTINGS[field] for field in fixed]
 
-    # What may be asked
+    # State
 
     def endpoint_states(self) -> dict[str, EndpointState]:
-        """Return what the endpoint list says of every backend that is known, by name."""
+        """Return the state of every known backend in the endpoint list, by name."""
         return {
             backend.name: EndpointState(backend.phase, backend.started_at)
             for backend in self.planner.inspection.backends()
         }
 
     def snapshot(self, names: Iterable[str]) -> Snapshot:
-        """Return what is known of the fleet and of these backends, for a later life to restore."""
+        """Return a snapshot of the fleet and of these backends, for a later process to restore."""
         return self.planner.inspection.snapshot(names)
 
     def status(self) -> CoordinatorStatus:
-        """Return the operational state of the whole."""
+        """Return the operational state of the fleet and of each zone."""
         inspection = self.planner.inspection
         zones = [self._zone_status(zone, tables) for zone, tables in inspection.tables().items()]
         return CoordinatorStatus(inspection.status(), zones)
@@ -212,18 +216,18 @@
         return ZoneStatus(zone, self.updates.entry_count(tables), self.updates.levels_of(tables))
 
     def backend_status(self, name: str) -> CoordinatorBackendStatus | None:
-        """Return a backend's operational state, or None where it is not known."""
+        """Return a backend's operational state, or None if the backend is not known."""
         status = self.planner.inspection.backend_status(name)
         if status is None:
             return None
         return CoordinatorBackendStatus(status, is_excluded=name in self.updates.excluded)
 
     def metrics(self) -> CoordinatorMetrics:
-        """Return what can be summed over coordinators."""
+        """Return the metrics that can be summed over coordinators."""
         return CoordinatorMetrics(self.planner.inspection.metrics(), self.load_reports)
 
     def outliers(self, limit: int) -> Outliers:
-        """Return the backends that carry no ordinary share, at most `limit` of them."""
+        """Return at most `limit` backends whose weight is not an ordinary one."""
         return self.planner.inspection.outliers(self.now, limit)
 
     def joined_zones(self) -> set[str]:
@@ -245,20 +249,20 @@
         self.updates.assign(proxy, table, classes)
 
     def exclude(self, backend: str, excluded: bool) -> None:
-        """Exclude a backend from everything that joined proxies hold, or readmit it."""
+        """Exclude a backend from the tables that joined proxies use, or readmit it."""
         self.updates.exclude(backend, excluded)
 
     def exclusion_cost(
         self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], known: int
     ) -> Mapping[int, float]:
         """Return the table entries that `exclude` would cost now, by proxy."""
-        del unassigned, known  # estimates, which are not needed where it is known what each proxy was told
+        del unassigned, known  # inputs of an estimate, not needed: the exclusions of each proxy are recorded
         return self.updates.exclusion_cost(backend, excluded)
 
     def readmission_cost(
         self, proxies: Iterable[int], table: int, backend: str | None = None
     ) -> Mapping[int, int]:
-        """Return the table entries, by proxy, that readmit what these may hold excluded."""
+        """Return the table entries, by proxy, that readmit backends which these may have excluded."""
         return self.updates.readmission_cost(proxies, table, backend)
 
     def set_admission(self, table: int, classes: int, share: float, retries: int) -> None:
@@ -266,27 +270,27 @@
         self.updates.set_admission(table, classes, AdmissionLevel(share, retries))
 
     def request_acknowledgement(self, sequence: int, everyone: bool) -> None:
-        """Have each proxy that gets a message at this time acknowledge once it has applied it."""
+        """Request an acknowledgement from each proxy that gets a message in this turn."""
         self._barrier = sequence
         if everyone:
             self.updates.touch_all()
 
     def check_health(self, backend: str) -> None:
-        """Queue one health check, unless one waits already."""
+        """Queue a health check, unless one is queued already."""
         request = HealthCheckRequest(backend)
         if request not in self.queues[Queue.HEALTH_CHECKS]:
             self.queues[Queue.HEALTH_CHECKS].append(request)
 
     def forget(self, backend: str) -> None:
-        """Drop what is kept of a backend: nothing will name it again, unless the endpoint list does."""
+        """Remove the records of a backend, which is unused unless the endpoint list contains it again."""
         self.updates.forget(backend)
         self.queues[Queue.FORGOTTEN].append(ForgottenBackend(backend))
 
     def subscribe(self, on: bool) -> None:
-        """Do nothing: the watch of the endpoint list runs as long as the service does."""
+        """Do nothing: the service watches the endpoint list all the time."""
 
     def fetch_endpoints(self) -> None:
-        """Do nothing: the watch brings the complete list where there is a gap."""
+        """Do nothing: the watch fetches the complete list after a gap."""
 
     def set_timer(self, delay: int, cookie: str) -> None:
         """Call the planner's `on_timer` with this cookie after a delay (ns)."""
@@ -298,5 +302,5 @@
         self.queues[Queue.GOSSIP].append(GossipMessage(peer, payload))
 
     def log(self, text: str) -> None:
-        """Queue an entry of the log."""
+        """Queue a text to be logged."""
         self.queues[Queue.INTERNAL_ERRORS].append(InternalError(text))
--- a/granitespool/coordinator_status.py
+++ b/granitespool/coordinator_status.py
@@ -1,4 +1,4 @@
-"""What may be asked of a coordinator beside its planner's own records (`granitespool.planner.status`)."""
+"""Status records of a coordinator, which contain those of its planner (`granitespool.planner.status`)."""
 
 import msgspec
 
@@ -8,14 +8,14 @@
 
 
 class EndpointState(msgspec.Struct, frozen=True):
-    """What the endpoint list says of a backend."""
+    """The state of a backend in the endpoint list."""
 
     phase: Phase
-    started_at: int  # ns, Unix time; 0 where the list does not tell
+    started_at: int  # ns, Unix time; 0 if the list does not contain it
 
 
 class ZoneStatus(msgspec.Struct, frozen=True):
-    """The tables of one zone taken together."""
+    """The entries and admission levels of all tables of a zone."""
 
     zone: str
     entries: int
@@ -23,7 +23,7 @@
 
 
 class CoordinatorStatus(msgspec.Struct, frozen=True):
-    """The operational state of the whole."""
+    """The operational state of the fleet and of each zone."""
 
     planner: PlannerStatus
     zones: list[ZoneStatus]
@@ -33,11 +33,11 @@
     """A backend's operational state."""
 
     planner: BackendStatus
-    is_excluded: bool  # at proxies that may use it
+    is_excluded: bool  # for proxies that might use it
 
 
 class CoordinatorMetrics(msgspec.Struct, frozen=True):
-    """What can be summed over coordinators: gauges, and totals since the start."""
+    """Metrics that can be summed over coordinators: gauges, and totals since the start."""
 
     planner: PlannerMetrics
     load_reports: int
--- a/granitespool/outgoing.py
+++ b/granitespool/outgoing.py
@@ -1,6 +1,6 @@
-"""What a coordinator hands out: typed messages, encoded elsewhere (proxies' by net/frames.py).
+"""The outgoing messages of a coordinator, by recipient: a proxy, by its number, or a queue.
 
-A proxy is picked by its number, everything else by its queue.
+They are encoded elsewhere: those to proxies by net/frames.py.
 """
 
 from enum import Enum
@@ -8,26 +8,26 @@
 
 
 class Queue(Enum):
-    """What waits for others than proxies."""
+    """A queue of messages that are not for proxies."""
 
     HEALTH_CHECKS = "health_checks"  # to be sent
     GOSSIP = "gossip"  # to be sent to peers
     INTERNAL_ERRORS = "internal_errors"  # to be logged
-    FORGOTTEN = "forgotten"  # backends that nothing will name any more
+    FORGOTTEN = "forgotten"  # backends that are not used any more
 
 
 class TableUpdate(NamedTuple):
     """Entries of a proxy's table for some request classes."""
 
-    classes: list[str | None] | None  # None: all of them
-    complete: bool  # whether the entries are the whole table; then levels are forgotten
+    classes: list[str | None] | None  # None: all
+    complete: bool  # the entries replace the whole table, and the proxy resets its levels
     entries: dict[str, float]  # backend -> weight, 0 removes it
 
 
 class LevelUpdate(NamedTuple):
-    """How much of some request classes is admitted, and how proxies retry them (0 to 3)."""
+    """The admitted share of some request classes, and how proxies retry them (0 to 3)."""
 
-    classes: list[str | None] | None  # None: all of them
+    classes: list[str | None] | None  # None: all
     share: float
     retries: int
 
@@ -37,32 +37,32 @@
 
     tables: list[TableUpdate]
     levels: list[LevelUpdate]
-    excluded: list[str]  # backends that it is to exclude
-    readmitted: list[str]  # backends that it is to readmit
-    barrier: int | None  # sequence number that it is to acknowledge once it has applied all of it
+    excluded: list[str]  # backends to exclude
+    readmitted: list[str]  # backends to readmit
+    barrier: int | None  # number to acknowledge when the whole update is applied
 
 
 class HealthCheckRequest(NamedTuple):
-    """A health check to be sent."""
+    """A request to check the health of a backend."""
 
     backend: str
 
 
 class GossipMessage(NamedTuple):
-    """A datagram to a peer by its number, or to all with -1."""
+    """A datagram to a peer, given by its number, or to all peers (-1)."""
 
     peer: int
     payload: str  # hex
 
 
 class InternalError(NamedTuple):
-    """A fault that was contained, or a remark of the planner, for the log."""
+    """A caught exception or a message of the planner, for the log."""
 
     text: str
 
 
 class ForgottenBackend(NamedTuple):
-    """A backend that nothing will name again, unless the list does."""
+    """A backend that is not used any more, unless the endpoint list contains it again."""
 
     backend: str
 
--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -86,7 +86,7 @@
         )
 
     def _candidate(self, now: int, entry: TableEntry, weight: float, is_single: bool) -> Candidate | None:
-        """Return the candidate for an entry whose wanted weight differs; None if it is not worth an update."""
+        """Return the candidate for an entry with a new wanted weight, or None if it is not worth sending."""
         backend, zone, table, _ = entry
         published = backend.published.get(table, 0.0)
         if backend.phase != READY or not self._tables.entry_counts[table]:
--- a/granitespool/planner/exclusion.py
+++ b/granitespool/planner/exclusion.py
@@ -20,9 +20,8 @@
 from granitespool.units import SECOND
 
 GRACE_SHARE = 0.5  # share of the drain grace: proxies that get their table within it need no exclusions
-COLLECT_GRACE_SHARE = (
-    1 / 6
-)  # share of the drain grace that exclusions wait, to reach joining proxies together
+# Share of the drain grace that exclusions wait, so that one reaches many joining proxies
+COLLECT_GRACE_SHARE = 1 / 6
 # Drain graces after which a drain needs no exclusion: the proxies' former coordinator has removed the backend
 RECENT_DRAIN_GRACES = 2
 SMALL_QUEUE_SHARE = 0.25  # with less of the queue in flight, a few exclusions are worth their headers
@@ -142,7 +141,7 @@
         )
 
     def _costs_more_than(self, changes: list[ExclusionChange], assignment_cost: float) -> bool:
-        """Return whether the exclusions cost more than assigning all proxies, which makes them unnecessary."""
+        """Return whether exclusions cost more than assigning all proxies, which makes them unnecessary."""
         exclusions = [change for change in changes if change.excluded]
         cost_per_exclusion = sum(self._cost_of(exclusions[0]).values()) if exclusions else 0
         headers = self._budget.account.header * min(cost_per_exclusion, len(self._assignment.unassigned))
--- a/granitespool/planner/in_flight.py
+++ b/granitespool/planner/in_flight.py
@@ -70,11 +70,10 @@
         self.header = 1 + settings.effective_message_header
         messages_max = settings.messages_limit
         span = DEFAULT_MESSAGES_SPAN if settings.messages_span is None else settings.messages_span
-        self.message_gap = (
-            span / messages_max if messages_max else 0
-        )  # ns, minimum between messages to a proxy
+        # Minimum time (ns) between messages to a proxy
+        self.message_gap = span / messages_max if messages_max else 0
         is_limited = settings.entries_per_s and settings.backlog_limit
-        # ns
+        # Time (ns) to send a full queue
         self._full_queue_time = int(SECOND * self.limit / self.rate) if is_limited else DEFAULT_QUEUE_TIME
 
     @property
--- a/granitespool/planner/outbox.py
+++ b/granitespool/planner/outbox.py
@@ -18,7 +18,7 @@
     def set_entry(
         self, now: int, table: int, backend: str, weight: float, readmitted: Collection[int] = ()
     ) -> None:
-        """Set an entry for all subscribers of a table; for those in `readmitted`, also readmit the backend."""
+        """Set an entry for all subscribers of a table; those in `readmitted` also readmit the backend."""
         self._actions.set_entry(table, backend, weight)
         for proxy in self._tables.subscribers[table]:
             self.reserve(now, proxy, 2 if proxy in readmitted else 1)
--- a/granitespool/planner/planner.py
+++ b/granitespool/planner/planner.py
@@ -1,8 +1,8 @@
-"""`class Planner`: one coordinator's decisions. It takes events and calls the parts in order.
+"""The planner of one coordinator: takes events and timers, and calls the parts that decide on them.
 
-A planner is made when its instance starts; then `handle` is called for each event and `on_timer` for each
-timer, with the time in whole nanoseconds, and it acts by calling its `PlannerActions` at once. Every decision
-is in the part that is named after it; here is only what follows what.
+A planner is created when its coordinator starts. Then `handle` is called for each event and `on_timer` for
+each timer, with the time in whole nanoseconds, and the planner calls its `PlannerActions` at once. Each kind
+of decision has a module of its own; this one only determines their order.
 """
 
 from random import Random
@@ -53,25 +53,25 @@
 from granitespool.planner.weights import EntryWeights
 from granitespool.settings import Settings
 
-POLL_RETRY_JITTER = 0.5, 1.5  # factors of a period between which a failed list call is retried
+POLL_RETRY_JITTER = 0.5, 1.5  # range, in periods, of the delay before a failed endpoint list call is retried
 
 
 class Planner:
-    """Decides for one coordinator; `seed` is that of its one source of chance."""
+    """Makes all decisions of one coordinator; `seed` initializes its only random generator."""
 
     def __init__(self, actions: PlannerActions, seed: int, settings: Settings) -> None:
         self._actions = actions
         self._random = Random(seed)
         self.settings = settings
-        self._make_state(settings)
-        self._make_parts(actions, settings)
-        self._make_publication(actions, settings)
+        self._create_state(settings)
+        self._create_parts(actions, settings)
+        self._create_publication(actions, settings)
         self.apply_settings(settings)
         if settings.subscribe:
             actions.subscribe(True)
         actions.set_timer(PERIOD, Timer.RECOMPUTE)
 
-    def _make_state(self, settings: Settings) -> None:
+    def _create_state(self, settings: Settings) -> None:
         self.fleet = Fleet()
         self.costs = CostTable()
         self.in_flight = InFlightAccount(settings)
@@ -80,7 +80,7 @@
         self.tables = TableDirectory(self.subsets)
         self.budget = ChannelBudget(self.in_flight, settings)
 
-    def _make_parts(self, actions: PlannerActions, settings: Settings) -> None:
+    def _create_parts(self, actions: PlannerActions, settings: Settings) -> None:
         fleet, dirty, costs = self.fleet, self.dirty, self.costs
         self.slow_start = SlowStart(settings)
         self.overload = OverloadDetector(settings)
@@ -104,7 +104,7 @@
         )
         self.weights = EntryWeights(settings, fleet, costs, self.slow_start, self.overload)
 
-    def _make_publication(self, actions: PlannerActions, settings: Settings) -> None:
+    def _create_publication(self, actions: PlannerActions, settings: Settings) -> None:
         fleet, dirty, tables, budget = self.fleet, self.dirty, self.tables, self.budget
         outbox = self.outbox = Outbox(actions, self.in_flight, tables)
         self.admission = AdmissionControl(settings, self.overload, tables, budget, outbox)
@@ -133,7 +133,7 @@
         )
 
     def apply_settings(self, settings: Settings) -> None:
-        """Settings that act from the next decision on."""
+        """Apply new settings from the next decision on."""
         self.settings = settings
         self.in_flight.apply_settings(settings)
         self.admission.apply_settings(settings)
@@ -149,12 +149,16 @@
             self._slices,
         ):
             part.settings = settings
-        self.dirty.apply_settings(self.fleet.backends.values())
+        self.dirty.mark_slow_starts(self.fleet.backends.values())
 
-    # Events
+    # Event and timer handlers
 
     def handle(self, now: int, event: Event) -> None:
-        """Decide on what has happened."""
+        """Handle an event.
+
+        Raises:
+            TypeError: The event is of an unknown type.
+        """
         match event:
             case LoadReport():
                 self._on_load_report(now, event)
@@ -177,12 +181,12 @@
             case Restored():
                 self._on_restored(now, event)
             case GossipReceived() | SliceLoad():
-                pass  # nothing is decided on them: each instance keeps the rules alone
+                pass  # unused: each coordinator decides on its own
             case _:
-                raise TypeError(f"no event of the planner: {event!r:.100}")
+                raise TypeError(f"unknown planner event: {event!r:.100}")
 
     def on_timer(self, now: int, cookie: str) -> None:
-        """A timer has fired that `set_timer` was asked for."""
+        """Handle a timer that was set by `set_timer` and has expired."""
         if cookie == Timer.RECOMPUTE:
             self._actions.set_timer(PERIOD, Timer.RECOMPUTE)
             self._recomputation.run(now)
@@ -244,10 +248,10 @@
             self._slices.proxy_joined()
             self._publish(now)
             return
-        known = len(self.fleet.backends)
+        foreign_entries_max = len(self.fleet.backends)
         if joined.bootstrap:
-            known = min(known, self.settings.bootstrap_entries)
-        self.assignment.add_unassigned(now, joined.proxy, known)
+            foreign_entries_max = min(foreign_entries_max, self.settings.bootstrap_entries)
+        self.assignment.add_unassigned(now, joined.proxy, foreign_entries_max)
         if not self.tables.entry_counts[table]:
             self._publish(now)
         self.admission.publish_initial_levels(now, table)
@@ -255,7 +259,7 @@
 
     def _remove_proxy(self, proxy: int, is_unreachable: bool) -> None:
         self.assignment.leave(proxy)
-        if not is_unreachable:  # else what waits for it may still be on its way
+        if not is_unreachable:  # messages to an unreachable proxy may still be in flight
             self.in_flight.release(proxy)
 
     def _on_acknowledged(self, now: int, event: Acknowledged) -> None:
@@ -269,7 +273,7 @@
         self._recomputation.evaluate_costs(now)
         self._publish(now)
 
-    # Steps
+    # State changes and publication
 
     def _verify(self, now: int, backend: Backend) -> None:
         backend.verified = True
--- a/granitespool/planner/settled_entries.py
+++ b/granitespool/planner/settled_entries.py
@@ -1,11 +1,11 @@
-"""Settled table entries: their weight follows from means that they share with others, so nobody walks them.
+"""Settled table entries: their weight follows from shared means, so they are not evaluated one by one.
 
 Most links of a large fleet observe too little to have a cost of their own. The weight of such an entry
-follows from the means of its zone and machine type and from the configured weight alone. Entries that share
-these, and the weights last published, form one group, which is judged once for all its members, and only
-after one of the means has moved or a member has come. A group that may have to move hands out its members,
-and the planner decides on each of them as on any other: a group too many costs time, and a group is never
-left out by mistake, since the test here is the planner's own.
+follows from the means of its zone and machine type and from its configured weight alone. Entries that share
+these, and the weights last published, form a group, which is checked once for all its members, and only after
+one of the means has changed or a member was added. The members of a group that may have changed are returned,
+and the planner decides on each of them as on any other entry. A group returned in vain only costs time, and
+none is missed, since the check is the planner's own.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,12 +15,12 @@
 from granitespool.planner.records import Backend, Backends
 
 Weights = tuple[float, ...]
-WeightOf = Callable[[Backend, str], float]  # (backend, zone) -> the weight wanted
-HasMoved = Callable[[float, float], bool]  # (weight wanted, weight published) -> is that far enough
+WeightOf = Callable[[Backend, str], float]  # (backend, zone) -> wanted weight
+HasMoved = Callable[[float, float], bool]  # (wanted weight, published weight) -> whether to send the new one
 
 
 class SharedInputs(NamedTuple):
-    """What the weight of a settled entry follows from."""
+    """The inputs that determine the weight of a settled entry."""
 
     zone: str
     machine_type: Label
@@ -28,15 +28,15 @@
 
 
 class SettledEntries:
-    """Groups of settled entries, by what their weight follows from and by the weights last published."""
+    """Groups of settled entries, by the inputs of their weight and by the weights last published."""
 
     def __init__(self) -> None:
         self._groups: dict[SharedInputs, dict[Weights, Backends]] = {}
         self._by_zone: dict[str, dict[SharedInputs, None]] = {}
-        self._invalid: dict[SharedInputs, None] = {}  # those to be judged next
+        self._invalid: dict[SharedInputs, None] = {}  # to be checked next
 
     def settle(self, backend: Backend, zone: str, weights: Weights) -> None:
-        """Settle a backend's entries in a zone, with these weights as last published."""
+        """Add a backend's entries in a zone; `weights` are those last published, by table."""
         inputs = SharedInputs(zone, backend.machine_type, backend.configured_weight)
         members = self._groups.setdefault(inputs, {}).setdefault(weights, {})
         members[backend] = None
@@ -46,30 +46,30 @@
 
     @staticmethod
     def remove(backend: Backend, zone: str) -> None:
-        """Take a backend's entries in a zone out, if they were settled."""
+        """Remove a backend's entries in a zone, if they are settled."""
         members = backend.settled.pop(zone, None)
         if members is not None:
             del members[backend]
 
     def remove_all(self, backend: Backend) -> None:
-        """Take all entries of a backend out."""
+        """Remove all entries of a backend."""
         for zone in list(backend.settled):
             self.remove(backend, zone)
 
     def invalidate_zone(self, zone: str) -> None:
-        """Have all groups of a zone judged anew."""
+        """Have all groups of a zone checked again."""
         self._invalid.update(self._by_zone.get(zone, {}))
 
-    def moving(self, weight_of: WeightOf, has_moved: HasMoved) -> Iterator[tuple[Backend, str]]:
-        """The members of groups that may have to move, as (backend, zone).
+    def outdated(self, weight_of: WeightOf, has_moved: HasMoved) -> Iterator[tuple[Backend, str]]:
+        """Yield the members of groups whose weight may have changed, as (backend, zone).
 
-        Only groups with such members are judged again without a new cause.
+        A group that yields members stays invalid, and is checked again by the next call.
         """
         invalid, self._invalid = self._invalid, {}
         for inputs in invalid:
-            yield from self._moving_of(inputs, weight_of, has_moved)
+            yield from self._outdated_of(inputs, weight_of, has_moved)
 
-    def _moving_of(
+    def _outdated_of(
         self, inputs: SharedInputs, weight_of: WeightOf, has_moved: HasMoved
     ) -> Iterator[tuple[Backend, str]]:
         groups = self._groups[inputs]
--- a/granitespool/planner/slices.py
+++ b/granitespool/planner/slices.py
@@ -1,7 +1,7 @@
-"""Slices: tables that a store assigns to a coordinator, whose entries it keeps instead of those of a zone.
+"""Slices: tables that a store assigns to a coordinator, with the store's entries instead of those of a zone.
 
-The store's entries stand. What drains or is gone is excluded and, where a slice has no single owner,
-replaced by the ready backend that is warm and holds the fewest slices.
+The store's entries are kept, but a backend that drains or is gone is excluded and, unless slices have a
+single owner, replaced by the ready backend with the fewest slices, a warm one if there is any.
 """
 
 from granitespool.planner.actions import PlannerActions
@@ -15,7 +15,7 @@
 
 
 class SliceTables:
-    """The slices that this coordinator owns."""
+    """The slices that this coordinator owns, and their entries."""
 
     def __init__(
         self,
@@ -35,25 +35,25 @@
         self._outbox = outbox
 
     def assign(self, table: int, owned: bool) -> None:
-        """The store assigns a slice to this coordinator, or takes it back."""
+        """Record that the store has assigned a slice to this coordinator, or has withdrawn it."""
         self._entries.pop(table, None)
         if owned:
             self._entries[table] = {}
-            self._actions.set_timer(0, Timer.PUBLISH)  # its entries come with the same turn
+            self._actions.set_timer(0, Timer.PUBLISH)  # its entries arrive in the same turn
 
     def set_entry(self, table: int, backend: str, weight: float) -> None:
-        """The store tells an entry of an owned slice."""
+        """Record an entry that the store has set in an owned slice."""
         if table in self._entries:
             self._entries[table][backend] = weight
 
     def proxy_joined(self) -> None:
-        """What was excluded before did not reach the proxy that has joined."""
+        """Have all exclusions sent again, since a proxy that has just joined did not get them."""
         for backend in self._fleet.backends.values():
             backend.exclusion = Exclusion.NEVER
 
     def publish(self, now: int) -> None:
-        """Exclude what is not ready, and replace it in the slices."""
-        ready = {each.name: each for each in self._fleet.backends.values() if each.phase == READY}
+        """Exclude backends that are not ready, and replace them in the slices."""
+        ready = {backend.name: backend for backend in self._fleet.backends.values() if backend.phase == READY}
         for backend in self._fleet.backends.values():
             self._update_exclusion(now, backend, backend.name not in ready)
         if ready and not self.settings.one_owner:
@@ -70,10 +70,12 @@
             del entries[name]
             self._outbox.set_owned_entry(now, self._assignment.proxies, table, name, 0.0)
         if not entries:
-            name = self._successor(now, ready)
+            name = self._replacement(now, ready)
             entries[name] = 1.0
             self._outbox.set_owned_entry(now, self._assignment.proxies, table, name, 1.0)
 
-    def _successor(self, now: int, ready: dict[str, Backend]) -> str:
-        held = [name for entries in self._entries.values() for name in entries]
-        return min(ready, key=lambda name: (not self._slow_start.is_warm(now, ready[name]), held.count(name)))
+    def _replacement(self, now: int, ready: dict[str, Backend]) -> str:
+        assigned = [name for entries in self._entries.values() for name in entries]
+        return min(
+            ready, key=lambda name: (not self._slow_start.is_warm(now, ready[name]), assigned.count(name))
+        )
--- a/granitespool/proxy_updates.py
+++ b/granitespool/proxy_updates.py
@@ -1,7 +1,7 @@
-"""What is waiting to be written to each proxy.
+"""Pending updates for each proxy.
 
-The planner orders by table; this module expands shared tables to the proxies on them, merges what was not
-picked yet, and remembers which backends each proxy may exclude. It takes no decision and does no I/O.
+The planner orders by table. This module expands a table to its subscribers, merges updates that were not
+fetched yet, and records which backends each proxy may exclude. It decides nothing and does no I/O.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -13,83 +13,84 @@
 
 
 class Subscriber:
-    """A joined proxy: its tables, the backends that it may exclude, and what is to be written to it."""
+    """A joined proxy: its tables, the backends that it may exclude, and its pending update."""
 
     def __init__(self, possibly_excluded: frozenset[str]) -> None:
-        self.tables: dict[Classes, int] = {}  # -> table
-        self.possibly_excluded = possibly_excluded  # by other coordinators, when it joined; shared by many
-        self.sent_exclusions: dict[
-            str, bool
-        ] = {}  # backend -> what it was told on this stream: is it excluded
+        self.tables: dict[Classes, int] = {}  # classes -> table
+        # Backends that other coordinators may have excluded before it joined; one set for many proxies
+        self.possibly_excluded = possibly_excluded
+        # backend -> whether it was excluded or readmitted, as last sent on this stream
+        self.sent_exclusions: dict[str, bool] = {}
         self.clear()
 
     def clear(self) -> None:
-        """Forget what was to be written."""
+        """Clear the pending update."""
         self.entries: dict[Classes, dict[str, float]] = {}
-        self.complete: set[Classes] = set()  # whose entries are the whole table
-        self.levels: dict[int, AdmissionLevel] = {}  # by the position of the request class
-        self.exclusions: dict[str, bool] = {}  # backend -> is it excluded
+        self.complete: set[Classes] = set()  # classes whose entries replace the whole table
+        self.levels: dict[int, AdmissionLevel] = {}  # class position -> level
+        self.exclusions: dict[str, bool] = {}  # backend -> whether it is to be excluded
         self.barrier: int | None = None
 
     def may_exclude(self, backend: str) -> bool:
-        """Whether it may exclude this backend, as far as is known."""
+        """Return whether the proxy may have this backend excluded."""
         return self.sent_exclusions.get(backend, backend in self.possibly_excluded)
 
     def needs_exclusion(self, backend: str, excluded: bool) -> bool:
-        """Whether it must be told that a backend is excluded, or that it is not."""
+        """Return whether the exclusion or readmission of a backend has to be sent."""
         if excluded:
             return not self.sent_exclusions.get(backend)
         return self.may_exclude(backend)
 
-    def tell_exclusion(self, backend: str, excluded: bool) -> bool:
-        """Tell it of an exclusion unless that stands already; whether it was told."""
-        is_news = self.needs_exclusion(backend, excluded)
-        if is_news:
+    def set_exclusion(self, backend: str, excluded: bool) -> bool:
+        """Add an exclusion or readmission to the pending update if it is needed; return whether it is."""
+        is_needed = self.needs_exclusion(backend, excluded)
+        if is_needed:
             self.exclusions[backend] = excluded
             self.sent_exclusions[backend] = excluded
-        return is_news
+        return is_needed
 
 
 class ProxyUpdates:
-    """The tables as ordered, the proxies on them, and what is pending for each proxy."""
+    """The tables as ordered, their subscribers, and the pending update of each proxy."""
 
     def __init__(self, class_names: list[str | None]) -> None:
         self.class_names = class_names
         self.all_classes: Classes = (1 << len(class_names)) - 1
-        self.proxies: dict[int, Subscriber] = {}  # all that have joined
-        self.unassigned: dict[int, Subscriber] = {}  # those without a table
-        self.users: dict[int, dict[int, Subscriber]] = {}  # table -> the proxies on it, in order
-        self.tables: dict[int, dict[str, float]] = {}  # table -> its entries
-        self.levels: dict[int, dict[int, AdmissionLevel]] = {}  # table -> position of a class -> level
+        self.proxies: dict[int, Subscriber] = {}  # all joined proxies
+        self.unassigned: dict[int, Subscriber] = {}  # joined proxies without a table
+        # table -> proxy -> subscriber, in order of assignment
+        self.subscribers: dict[int, dict[int, Subscriber]] = {}
+        self.tables: dict[int, dict[str, float]] = {}  # table -> backend -> weight
+        self.levels: dict[int, dict[int, AdmissionLevel]] = {}  # table -> class position -> level
         self.excluded: set[str] = set()  # backends
         self.possibly_excluded: frozenset[str] = frozenset()  # backends that some coordinator may exclude
-        self.touched: dict[int, None] = {}  # proxies with something new in this turn
-        self.waiting: dict[int, None] = {}  # proxies with something to pick
+        self.touched: dict[int, None] = {}  # proxies with new updates in this turn
+        self.waiting: dict[int, None] = {}  # proxies with a pending update
 
     # Proxies
 
     def join(self, proxy: int) -> None:
-        """Begin anew with a proxy that has joined."""
+        """Add a proxy that has joined; what was pending for a former stream of it is dropped."""
         self.leave(proxy)
         subscriber = Subscriber(self.possibly_excluded)
         self.proxies[proxy] = subscriber
         self.unassigned[proxy] = subscriber
 
     def leave(self, proxy: int) -> None:
-        """Forget a proxy."""
+        """Remove a proxy and its pending update."""
         self.proxies.pop(proxy, None)
         self.waiting.pop(proxy, None)
         self.touched.pop(proxy, None)
         self.unassigned.pop(proxy, None)
-        for users in self.users.values():
-            users.pop(proxy, None)
+        for subscribers in self.subscribers.values():
+            subscribers.pop(proxy, None)
 
     def touch_all(self) -> None:
-        """Have every proxy get a message in this turn."""
+        """Send every proxy a message in this turn."""
         self.touched.update(dict.fromkeys(self.proxies))
 
     def end_turn(self, barrier: int | None) -> None:
-        """Make what was ordered in this turn one message a proxy, with this barrier where there is one."""
+        """Make this turn's orders one message for each proxy, with this barrier if it is not None."""
         for proxy in self.touched:
             if barrier is not None:
                 self.proxies[proxy].barrier = barrier
@@ -97,7 +98,7 @@
         self.touched = {}
 
     def next_update(self, proxy: int) -> ProxyUpdate | None:
-        """Return what is next for a proxy, or None."""
+        """Return the pending update of a proxy and clear it; None if there is none."""
         if proxy not in self.waiting:
             return None
         del self.waiting[proxy]
@@ -118,10 +119,10 @@
     def _names_of(self, classes: Classes) -> list[str | None] | None:
         if classes == self.all_classes:
             return None
-        return [name for k, name in enumerate(self.class_names) if classes >> k & 1]
+        return [name for position, name in enumerate(self.class_names) if classes >> position & 1]
 
     def _level_updates(self, levels: Mapping[int, AdmissionLevel]) -> list[LevelUpdate]:
-        """Group the classes that have the same level."""
+        """Return one update for each level, with all classes that have it."""
         groups: dict[AdmissionLevel, Classes] = {}
         for position, level in sorted(levels.items()):
             groups[level] = groups.get(level, 0) | 1 << position
@@ -133,10 +134,10 @@
     # Tables
 
     def _subscriptions(self, table: int) -> Iterator[tuple[Subscriber, Classes]]:
-        """Yield the proxies on a table and for which classes; each gets a message in this turn."""
-        for proxy, subscriber in self.users.get(table, {}).items():
-            for classes, used in subscriber.tables.items():
-                if used == table:
+        """Yield the subscribers of a table with their classes; each gets a message in this turn."""
+        for proxy, subscriber in self.subscribers.get(table, {}).items():
+            for classes, used_table in subscriber.tables.items():
+                if used_table == table:
                     self.touched[proxy] = None
                     yield subscriber, classes
 
@@ -154,43 +155,45 @@
     def _write_entry(self, subscriber: Subscriber, classes: Classes, backend: str, weight: float) -> None:
         subscriber.entries.setdefault(classes, {})[backend] = weight
         if weight:
-            subscriber.tell_exclusion(backend, backend in self.excluded)
+            subscriber.set_exclusion(backend, backend in self.excluded)
 
     def reset_table(self, table: int) -> None:
-        """Remove all entries and levels of a table."""
+        """Remove all entries and admission levels of a table."""
         self.tables.pop(table, None)
         self.levels.pop(table, None)
         for subscriber, classes in self._subscriptions(table):
             self._write_table(subscriber, classes, table)
 
     def assign(self, proxy: int, table: int, classes: Classes) -> None:
-        """Put a joined proxy on a table for some classes (0: all)."""
+        """Assign a joined proxy to a table for some classes (0: all)."""
         subscriber = self.proxies.get(proxy)
         if subscriber is None:
             return
         classes = classes or self.all_classes
-        for other in [other for other in subscriber.tables if other & classes]:
-            self._take_classes(proxy, subscriber, other, classes)
+        for former in [former for former in subscriber.tables if former & classes]:
+            self._unassign_classes(proxy, subscriber, former, classes)
         subscriber.tables[classes] = table
-        self.users.setdefault(table, {})[proxy] = subscriber
+        self.subscribers.setdefault(table, {})[proxy] = subscriber
         self.unassigned.pop(proxy, None)
         self._write_table(subscriber, classes, table)
         self.touched[proxy] = None
 
-    def _take_classes(self, proxy: int, subscriber: Subscriber, other: Classes, classes: Classes) -> None:
-        """Take classes, which a later table has now, from those that a proxy uses another table for."""
-        table = subscriber.tables.pop(other)
-        subscriber.entries.pop(other, None)
-        subscriber.complete.discard(other)
-        self.users[table].pop(proxy, None)
-        rest = other & ~classes
+    def _unassign_classes(
+        self, proxy: int, subscriber: Subscriber, former: Classes, classes: Classes
+    ) -> None:
+        """Remove classes, which get another table, from the classes that a proxy uses a former table for."""
+        table = subscriber.tables.pop(former)
+        subscriber.entries.pop(former, None)
+        subscriber.complete.discard(former)
+        self.subscribers[table].pop(proxy, None)
+        rest = former & ~classes
         if rest:
             subscriber.tables[rest] = table
-            self.users[table][proxy] = subscriber
+            self.subscribers[table][proxy] = subscriber
             self._write_table(subscriber, rest, table)
 
     def _write_table(self, subscriber: Subscriber, classes: Classes, table: int) -> None:
-        """Write the whole table; that makes the proxy forget its levels, so those are written again."""
+        """Add the whole table to the pending update; the proxy then resets its levels, so add those too."""
         subscriber.complete.add(classes)
         subscriber.entries[classes] = {}
         for backend, weight in self.tables.get(table, {}).items():
@@ -205,19 +208,19 @@
         return [position for position in range(len(self.class_names)) if classes >> position & 1]
 
     def set_admission(self, table: int, classes: Classes, level: AdmissionLevel) -> None:
-        """Set the level of some classes (0: all) on a table."""
+        """Set the admission level of some classes (0: all) for a table."""
         for position in self._positions_of(classes or self.all_classes):
             self.levels.setdefault(table, {})[position] = level
-            for subscriber, used_for in self._subscriptions(table):
-                if used_for >> position & 1:
+            for subscriber, subscribed_classes in self._subscriptions(table):
+                if subscribed_classes >> position & 1:
                     subscriber.levels[position] = level
 
     def entry_count(self, tables: Iterable[int]) -> int:
-        """Return how many entries these tables hold together."""
+        """Return the total number of entries of these tables."""
         return sum(len(self.tables.get(table, ())) for table in tables)
 
     def levels_of(self, tables: Iterable[int]) -> dict[str | None, AdmissionLevel]:
-        """Return the levels, by request class, of the first of these tables that has any."""
+        """Return the levels, by request class, of the first of these tables with any."""
         for table in tables:
             if table in self.levels:
                 levels = sorted(self.levels[table].items())
@@ -226,14 +229,15 @@
 
     # Exclusions
 
-    def suspect(self, backends: Iterable[str]) -> None:
-        """Note backends that some coordinator may exclude; those who join from now on may have been told."""
+    def mark_possibly_excluded(self, backends: Iterable[str]) -> None:
+        """Record backends that some coordinator may exclude, and so may proxies that join from now on."""
         self.possibly_excluded |= frozenset(backends)
 
     def forget(self, backend: str) -> None:
-        """Forget a backend's name.
+        """Remove all records of a backend's exclusion.
 
-        A proxy that excludes it since a stream long ago goes on so if the name returns, until it joins anew.
+        A proxy that excludes it since a former stream keeps excluding it if the name returns, until the proxy
+        joins again.
         """
         self.possibly_excluded -= {backend}
         self.excluded.discard(backend)
@@ -247,24 +251,24 @@
         else:
             self.excluded.discard(backend)
         for proxy, subscriber in self._possible_users(backend).items():
-            if subscriber.tell_exclusion(backend, excluded):
+            if subscriber.set_exclusion(backend, excluded):
                 self.touched[proxy] = None
 
     def _possible_users(self, backend: str) -> dict[int, Subscriber]:
-        """Return who may use a backend: proxies without a table, and those whose table holds it.
+        """Return the proxies that may use a backend: those without a table, and those with it in their table.
 
-        Others need nothing: an exclusion follows with the entry, if that is ever written.
+        The others get the exclusion together with the entry, if it is ever added to their table.
         """
-        found = dict(self.unassigned)
+        possible_users = dict(self.unassigned)
         for table, entries in self.tables.items():
             if backend in entries:
-                found.update(self.users.get(table, {}))
-        return found
+                possible_users.update(self.subscribers.get(table, {}))
+        return possible_users
 
     def exclusion_cost(self, backend: str, excluded: bool) -> dict[int, int]:
-        """Return the lines, by proxy, that `exclude` would cost now.
+        """Return the entries, by proxy, that `exclude` would cost now.
 
-        Nobody knows what a proxy holds that was never written to on this stream, so all of those count.
+        All unassigned proxies that need the change count, since the tables that they use are not known.
         """
         return {
             proxy: 1
@@ -273,15 +277,15 @@
         }
 
     def readmission_cost(self, proxies: Iterable[int], table: int, backend: str | None) -> dict[int, int]:
-        """Return the lines, by proxy, that readmit what these may exclude.
+        """Return the entries, by proxy, that readmit backends which these proxies may exclude.
 
-        They get this backend's entry, or the whole table where it is None.
+        The proxies get the entry of `backend`, or the whole table if it is None.
         """
         names: Iterable[str] = (backend,) if backend is not None else self.tables.get(table, ())
         costs = {}
         for proxy in proxies:
             subscriber = self.proxies.get(proxy)
-            lines = sum(map(subscriber.may_exclude, names)) if subscriber else 0
-            if lines:
-                costs[proxy] = lines
+            entries = sum(map(subscriber.may_exclude, names)) if subscriber else 0
+            if entries:
+                costs[proxy] = entries
         return costs
--- a/tests/coordinator/test_coordinator_messages.py
+++ b/tests/coordinator/test_coordinator_messages.py
@@ -1,4 +1,4 @@
-"""Which message each proxy gets for the actions of its planner."""
+"""The messages that proxies get for the actions of the planner."""
 
 from support.coordinator_harness import (
     ALL_CLASSES,
@@ -29,7 +29,7 @@
     assert coordinator.message(1) is None
 
 
-def test_updates_that_wait_merge_into_the_last_weight_and_the_last_barrier(
+def test_pending_updates_merge_into_the_last_weight_and_the_last_barrier(
     coordinator: CoordinatorHarness,
 ) -> None:
     coordinator.configure(default_retries=1)
@@ -49,7 +49,7 @@
     assert coordinator.message(1) == ProxyMessage(tables=(table_changes(a=3, b=0),), acknowledge=True)
 
 
-def test_an_entry_that_a_complete_table_brought_and_lost_in_one_message_is_not_named(
+def test_an_entry_added_and_removed_with_a_complete_table_in_one_message_is_left_out(
     coordinator: CoordinatorHarness,
 ) -> None:
     coordinator.configure(default_retries=1)
@@ -76,7 +76,7 @@
     assert coordinator.message(2) is None
 
 
-def test_admission_levels_come_again_with_a_complete_table_and_equal_ones_are_grouped(
+def test_admission_levels_are_sent_again_with_a_complete_table_and_equal_ones_are_grouped(
     coordinator: CoordinatorHarness,
 ) -> None:
     coordinator.configure(default_retries=1)
@@ -98,7 +98,7 @@
     assert coordinator.message(1) == ProxyMessage(tables=(complete_table(),))
 
 
-def test_classes_may_be_assigned_tables_of_their_own_and_the_later_assignment_holds(
+def test_classes_can_be_assigned_tables_of_their_own_and_the_last_assignment_applies(
     coordinator: CoordinatorHarness,
 ) -> None:
     coordinator.configure(default_retries=1)
@@ -117,7 +117,7 @@
     assert coordinator.message(1) == ProxyMessage(tables=(table_changes("see", b=2),))
 
 
-def test_exclusions_reach_unassigned_proxies_and_those_whose_table_holds_the_backend(
+def test_exclusions_reach_unassigned_proxies_and_those_with_the_backend_in_their_table(
     coordinator: CoordinatorHarness,
 ) -> None:
     """Other proxies get the exclusion with the backend's entry."""
@@ -138,7 +138,7 @@
     assert coordinator.message(2) == ProxyMessage(readmitted=("z",))
 
 
-def test_a_proxy_that_may_hold_an_exclusion_from_a_former_stream_gets_the_readmission_with_the_entry(
+def test_a_proxy_that_may_exclude_a_backend_since_a_former_stream_gets_the_readmission_with_the_entry(
     coordinator: CoordinatorHarness,
 ) -> None:
     coordinator.configure(default_retries=1)
@@ -179,7 +179,7 @@
     assert coordinator.message(1) is None
 
 
-def test_every_event_of_the_planner_is_taken(coordinator: CoordinatorHarness) -> None:
+def test_the_planner_accepts_every_event(coordinator: CoordinatorHarness) -> None:
     coordinator.configure(slices=2, default_retries=1)
     coordinator.slice_assigned(0, True)
     coordinator.slice_load(0, "pay", 3, 0, SECOND)
--- a/tests/coordinator/test_coordinator_settings.py
+++ b/tests/coordinator/test_coordinator_settings.py
@@ -1,4 +1,4 @@
-"""Settings that hold for the life of a coordinator."""
+"""Settings that take effect only by a restart of the coordinator."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 SETTINGS = Settings(zones=["n"], classes=[RequestClass(name="pay")], coordinator_index=1)
 
 
-def test_a_setting_that_waits_for_a_restart_has_the_name_of_the_deployments_settings():
+def test_settings_that_need_a_restart_are_returned_by_their_deployment_names():
     coordinator = Coordinator(SETTINGS, 1, 0)
     changed = msgspec.structs.replace(SETTINGS, coordinator_index=2, subscribe=True, drain_grace=5)
     assert coordinator.fixed_settings_changed(changed) == ["subscribe", "index"]
@@ -16,7 +16,7 @@
     assert coordinator.settings == msgspec.structs.replace(SETTINGS, drain_grace=5)
 
 
-def test_values_of_request_classes_change_at_once_and_their_names_wait():
+def test_values_of_request_classes_change_at_once_and_names_only_by_a_restart():
     coordinator = Coordinator(SETTINGS, 1, 0)
     other_value = msgspec.structs.replace(SETTINGS, classes=[RequestClass(name="pay", priority_weight=2)])
     assert coordinator.apply_settings(1, other_value) == []
--- a/tests/coordinator/test_drawn_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -1,7 +1,8 @@
-"""Drawn interleavings: up to five real coordinators in virtual time, judged by the checker of the rules.
+"""Random interleavings of up to five coordinators in virtual time, checked against the five rules.
 
-Joinings, losses, restarts, drains and lists of different age come in any order; the five rules must hold over
-all coordinators together. What is drawn is the same in each run."""
+Joins, failures, restarts, drains and endpoint lists of different age come in any order, and the rules must
+hold over all coordinators together. The examples are the same in each run.
+"""
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
@@ -28,16 +29,18 @@
 COORDINATOR = st.integers(0, 4)
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("release"), st.integers(1, 8)),  # so many backends are replaced by cold ones
-        st.tuples(st.just("restart"), st.integers(1, 6)),  # so many drain, end, and come back cold
-        st.tuples(st.just("crash"), st.integers(1, 3)),  # so many end at once, and come back cold
-        st.tuples(st.just("dies"), COORDINATOR),  # its proxies go to the others; it is back after 6 s
-        st.tuples(st.just("replaced"), COORDINATOR),  # the same, back after one second
-        st.tuples(st.just("loses"), st.integers(1, 10)),  # so many proxies lose their streams
-        st.tuples(st.just("go_home"), st.just(0)),  # who is elsewhere goes back
-        st.tuples(st.just("complete"), COORDINATOR),  # a complete list, which skips what was not told
-        st.tuples(st.just("again"), COORDINATOR),  # the last change is told twice
-        st.tuples(st.just("late"), st.tuples(COORDINATOR, st.integers(0, 5))),  # its list is so many s old
+        st.tuples(st.just("release"), st.integers(1, 8)),  # number of backends replaced by cold ones
+        st.tuples(st.just("restart"), st.integers(1, 6)),  # number that drain, end and return cold
+        st.tuples(st.just("crash"), st.integers(1, 3)),  # number that end at once and return cold
+        st.tuples(st.just("dies"), COORDINATOR),  # its proxies join the others; it returns after 6 s
+        st.tuples(st.just("replaced"), COORDINATOR),  # the same, but it returns after one second
+        st.tuples(st.just("loses"), st.integers(1, 10)),  # number of proxies that lose their streams
+        st.tuples(st.just("go_home"), st.just(0)),  # proxies return to their own coordinator
+        st.tuples(st.just("complete"), COORDINATOR),  # a complete list instead of missed changes
+        st.tuples(st.just("again"), COORDINATOR),  # the last change is sent twice
+        st.tuples(
+            st.just("late"), st.tuples(COORDINATOR, st.integers(0, 5))
+        ),  # coordinator, age of its list in s
         st.tuples(st.just("wait"), st.integers(1, 8)),
     ),
     min_size=1,
@@ -45,12 +48,12 @@
 )
 
 
-def broken(fleet):
-    return [(each.rule, each.text) for each in check(fleet.events(), fleet.limits())]
+def violations(fleet):
+    return [(violation.rule, violation.text) for violation in check(fleet.events(), fleet.limits())]
 
 
-def rules_broken(fleet):
-    return {rule for rule, _ in broken(fleet)}
+def violated_rules(fleet):
+    return {rule for rule, _ in violations(fleet)}
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -59,88 +62,91 @@
     coordinators=st.integers(1, 5),
     proxies=st.integers(2, 10),  # of each coordinator
     backends=st.integers(6, 30),
-    intake=st.sampled_from((5, 50, 1000)),  # reports a second; what is more adds up and comes late
-    slowdown=st.sampled_from((1, 1, 3)),  # times that the channels are slower than told
-    table_takes=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for one whole table
+    intake=st.sampled_from((5, 50, 1000)),  # reports a second; further ones are summed and sent late
+    slowdown=st.sampled_from((1, 1, 3)),  # factor by which the channels are slower than configured
+    table_takes=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for a complete table
 )
-def test_the_five_rules_hold_over_all_coordinators_in_any_order(steps, **drawn):
-    assert not broken(played(steps, fitting(**drawn)))
+def test_the_five_rules_hold_over_all_coordinators_for_any_order_of_events(steps, **drawn):
+    assert not violations(played(steps, fitting(**drawn)))
 
 
-def test_a_drain_has_its_time_where_a_full_queue_takes_longer_than_the_grace():
-    # Found by drawing channels whose queue takes 10 s, three times the drains' grace: twenty joiners' tables
-    # fill a third of it, all of the grace, before a drain that needs half of the grace for a line to each.
+def test_a_drain_is_in_time_if_a_full_queue_takes_longer_than_the_drain_grace():
+    """A full queue takes 10 s, three times the drain grace.
+
+    The tables of twenty joining proxies fill a third of it, the whole grace, before a drain that needs half
+    of the grace for one entry to each.
+    """
     channel = ChannelSettings(pace=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
-    assert not broken(played([("release", 1)], TracedFleet(channel, 1, 20, 12)))
+    assert not violations(played([("release", 1)], TracedFleet(channel, 1, 20, 12)))
 
 
-# What the interleavings are made of is there, and a program that breaks a rule is found
+# Checks of the test itself: the events that the rules are about occur, and each violation is found
 
 
-def test_a_busy_day_holds_all_that_the_rules_are_about():
+def test_the_busy_scenario_contains_all_events_that_the_rules_are_about():
     fleet = played(BUSY, fitting(3, 6, 18))
     trace = fleet.events()
-    assert not broken(fleet)
+    assert not violations(fleet)
 
-    def some(kind, **fields):
+    def events_of(kind, **fields):
         return [
-            each
-            for each in trace
-            if isinstance(each, kind) and all(getattr(each, key) == told for key, told in fields.items())
+            event
+            for event in trace
+            if isinstance(event, kind) and all(getattr(event, key) == value for key, value in fields.items())
         ]
 
-    assert len(some(BackendListed, phase="draining")) >= 9
-    assert len(some(BackendListed, phase="gone")) >= 9
-    assert len(some(ProxyLeft)) >= 11
-    assert len(some(CoordinatorEnded)) == 1
-    assert len(some(CoordinatorStarted)) == 4
-    assert max(each.multiple for each in some(BackendLoad, warming_up=True)) > 0.5
+    assert len(events_of(BackendListed, phase="draining")) >= 9
+    assert len(events_of(BackendListed, phase="gone")) >= 9
+    assert len(events_of(ProxyLeft)) >= 11
+    assert len(events_of(CoordinatorEnded)) == 1
+    assert len(events_of(CoordinatorStarted)) == 4
+    assert max(event.multiple for event in events_of(BackendLoad, warming_up=True)) > 0.5
     assert {coordinator.name for coordinator in fleet.coordinators} == {
-        each.coordinator for each in some(MessageWritten)
+        event.coordinator for event in events_of(MessageWritten)
     }
-    held = {name for each in some(TableHeld) for name in each.weights}
-    assert {f"s{number}" for number in range(1, 24)} <= held  # the first ones and those that came later
-    assert len(some(RequestExecuted)) > 1000
+    names = {name for event in events_of(TableHeld) for name in event.weights}
+    assert {f"s{number}" for number in range(1, 24)} <= names  # the initial ones and those added later
+    assert len(events_of(RequestExecuted)) > 1000
 
 
-def test_one_that_keeps_what_drains_is_found(monkeypatch):
+def test_a_coordinator_that_keeps_draining_backends_is_found(monkeypatch):
     select = CandidateSelection.select
 
-    def keeps(self, now, only):
-        return [each for each in select(self, now, only) if each.weight]  # no entry is taken out of a table
+    def select_without_removals(self, now, only):
+        return [candidate for candidate in select(self, now, only) if candidate.weight]
 
-    monkeypatch.setattr(CandidateSelection, "select", keeps)
+    monkeypatch.setattr(CandidateSelection, "select", select_without_removals)
     monkeypatch.setattr(ExclusionControl, "publish", lambda *_: None)
-    assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
+    assert violated_rules(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
 
 
-def test_one_whose_messages_come_too_late_is_found(monkeypatch):
+def test_a_coordinator_whose_messages_are_never_delivered_is_found(monkeypatch):
     monkeypatch.setattr(TracedCoordinator, "deliver", lambda _: None)
-    assert rules_broken(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
+    assert violated_rules(played([("release", 4)], fitting(2, 4, 12))) == {"drain"}
 
 
-def test_one_that_has_uncertain_attempts_retried_is_found(monkeypatch):
-    level = Coordinator.set_admission
+def test_a_coordinator_that_has_uncertain_attempts_retried_is_found(monkeypatch):
+    set_admission = Coordinator.set_admission
 
-    def repeats(self, table, classes, share, _):
-        level(self, table, classes, share, 2)
+    def set_admission_with_retries(self, table, classes, share, _):
+        set_admission(self, table, classes, share, 2)
 
-    monkeypatch.setattr(Coordinator, "set_admission", repeats)
-    assert rules_broken(played([("wait", 8)], fitting(2, 4, 12))) == {"double_effect"}
+    monkeypatch.setattr(Coordinator, "set_admission", set_admission_with_retries)
+    assert violated_rules(played([("wait", 8)], fitting(2, 4, 12))) == {"double_effect"}
 
 
-def test_one_that_gives_a_cold_backend_the_work_of_many_is_found(monkeypatch):
+def test_a_coordinator_that_overloads_a_cold_backend_is_found(monkeypatch):
     wanted = EntryWeights.wanted
 
-    def pushes(self, now, rec, zone):
-        weight = wanted(self, now, rec, zone)
-        return 1000.0 if weight and rec.started_at else weight
+    def excessive_weight(self, now, backend, zone):
+        weight = wanted(self, now, backend, zone)
+        return 1000.0 if weight and backend.started_at else weight
 
-    monkeypatch.setattr(EntryWeights, "wanted", pushes)
-    assert rules_broken(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
+    monkeypatch.setattr(EntryWeights, "wanted", excessive_weight)
+    assert violated_rules(played([("release", 1)], fitting(2, 4, 24))) == {"cold_overload"}
 
 
-def test_one_that_excludes_every_backend_is_found():
+def test_a_coordinator_that_excludes_every_backend_is_found():
     fleet = fitting(2, 4, 12)
     fleet.run(3)
     coordinator = fleet.coordinators[1].coordinator
@@ -150,11 +156,11 @@
         coordinator.exclude(name, True)
     fleet.run(8)
     found = check(fleet.events(), fleet.limits())
-    assert {each.rule for each in found} == {"no_backend"}
-    assert {each.subject for each in found} == {f"proxy {number}" for number in (1, 3, 5, 7)}
+    assert {violation.rule for violation in found} == {"no_backend"}
+    assert {violation.subject for violation in found} == {f"proxy {number}" for number in (1, 3, 5, 7)}
 
 
-def test_one_that_writes_more_messages_than_may_be_is_found():
+def test_a_coordinator_that_exceeds_the_message_limit_is_found():
     fleet = fitting(2, 2, 8)
     fleet.run(3)
     traced = fleet.coordinators[0]
@@ -164,4 +170,4 @@
             planner.in_flight.reserve(fleet.now, proxy, 0)
         traced.coordinator.request_acknowledgement(planner.in_flight.sequence, True)
         fleet.turn()
-    assert rules_broken(fleet) == {"channel"}
+    assert violated_rules(fleet) == {"channel"}
--- a/tests/coordinator/test_many_coordinators.py
+++ b/tests/coordinator/test_many_coordinators.py
@@ -1,4 +1,4 @@
-"""Several coordinators over the same backends, none speaking to another: what all of them together do."""
+"""Several coordinators over the same backends, without communication, and their combined effect."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,11 +8,11 @@
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult, LoadReport
 from granitespool.units import SECOND
 
-COORDINATORS, PROXIES, BACKENDS, STEP = 5, 24, 40, 12  # proxies are each coordinator's
-LOAD = 0.7  # of what the warm fleet can do
-MULTIPLE = 4.0  # of its present work that pushes a cold backend over
-WARM = 17 * SECOND
-SHARE = 0.17
+COORDINATORS, PROXIES, BACKENDS, RELEASE_STEP = 5, 24, 40, 12  # PROXIES: of each coordinator
+LOAD = 0.7  # share of the warm fleet's capacity
+OVERLOAD_MULTIPLE = 4.0  # of its present capacity: a load that a cold backend fails under
+WARM_UP_TIME = 17 * SECOND
+WARM_UP_START_SHARE = 0.17
 
 
 class Fleet:
@@ -21,104 +21,112 @@
             "entries_per_s": 900.0,
             "backlog_limit": 11600.0,
             "drain_grace": 14 * SECOND,
-            "warm_up_time": WARM,
-            "warm_up_start_share": SHARE,
-            "overload_multiple": MULTIPLE,
+            "warm_up_time": WARM_UP_TIME,
+            "warm_up_start_share": WARM_UP_START_SHARE,
+            "overload_multiple": OVERLOAD_MULTIPLE,
             "bootstrap_entries": 5,
             "proxies_expected": COORDINATORS * PROXIES,
         }
-        self.storms = [
+        self.proxy_fleets = [
             ProxyFleet(BACKENDS, 3, coordinators=COORDINATORS, slowdown=slowdown, **settings)
             for _ in range(COORDINATORS)
         ]
-        self.since = dict.fromkeys(self.storms[0].ready, 0)
-        for storm in self.storms:
+        self.since = dict.fromkeys(self.proxy_fleets[0].ready, 0)
+        for proxy_fleet in self.proxy_fleets:
             for proxy in range(PROXIES):
-                storm.join(proxy)
+                proxy_fleet.join(proxy)
 
-    def can(self, name):
-        age = min(1.0, (self.storms[0].now - self.since[name]) / WARM)
-        return SHARE + (1 - SHARE) * age
+    def capacity(self, name):
+        age = min(1.0, (self.proxy_fleets[0].now - self.since[name]) / WARM_UP_TIME)
+        return WARM_UP_START_SHARE + (1 - WARM_UP_START_SHARE) * age
 
     def load(self):
-        """{backend: its load, 1 for what it can do warm}, from the tables that all proxies hold."""
-        met = {}
-        for storm in self.storms:
-            for table, out in storm.tables.values():
-                open_ = {name: weight for name, weight in table.items() if name not in out}
-                assert open_, "a proxy without a backend"
-                for name, weight in open_.items():
-                    part = weight / sum(open_.values())
-                    met[name] = met.get(name, 0.0) + LOAD * BACKENDS / COORDINATORS / PROXIES * part
-        return met
-
-    def second(self, answers=None):
-        """A second of all; `answers`: the part of tries answered in a storm, else what can be carried is."""
-        met = self.load()
-        for storm in self.storms:
-            for name, load in met.items():
-                if name not in storm.ready:
+        """Return the load of each backend (1: its warm capacity), from the tables of all proxies."""
+        loads = {}
+        for proxy_fleet in self.proxy_fleets:
+            for table, excluded in proxy_fleet.tables.values():
+                usable = {name: weight for name, weight in table.items() if name not in excluded}
+                assert usable, "a proxy without a backend"
+                for name, weight in usable.items():
+                    share = weight / sum(usable.values())
+                    loads[name] = loads.get(name, 0.0) + LOAD * BACKENDS / COORDINATORS / PROXIES * share
+        return loads
+
+    def run_second(self, success_ratio=None):
+        """Run all coordinators for a second; if `success_ratio` is None, it follows from the capacity."""
+        loads = self.load()
+        for proxy_fleet in self.proxy_fleets:
+            for name, load in loads.items():
+                if name not in proxy_fleet.ready:
                     continue
-                done = min(1.0, self.can(name) / load) if answers is None else answers
+                succeeded = min(1.0, self.capacity(name) / load) if success_ratio is None else success_ratio
                 for zone in ("z0", "z1", "z2"):
-                    storm.coordinator.report(
-                        storm.now,
+                    proxy_fleet.coordinator.report(
+                        proxy_fleet.now,
                         LoadReport(
                             zone=zone,
                             backend=name,
                             attempts=20,
-                            failures=int(20 * (1 - done)),
+                            failures=int(20 * (1 - succeeded)),
                             mean=SECOND // 10,
                             window=SECOND,
                             load={},
                         ),
                     )
-            storm.run(1)
-        return met
+            proxy_fleet.run(1)
+        return loads
 
     def release(self):
-        for storm in self.storms:
-            storm.replace_backends(STEP)
-            self.since.update({name: storm.now for name in storm.ready if name not in self.since})
+        for proxy_fleet in self.proxy_fleets:
+            proxy_fleet.replace_backends(RELEASE_STEP)
+            self.since.update({name: proxy_fleet.now for name in proxy_fleet.ready if name not in self.since})
 
 
-@pytest.mark.parametrize("answers", [None, 0.9, 0.35])
-def test_six_in_ten_replaced_push_over_no_cold_backend_and_leave_the_old(answers):
+@pytest.mark.parametrize("success_ratio", [None, 0.9, 0.35])
+def test_replacing_six_in_ten_overloads_no_cold_backend_and_removes_the_old_ones(success_ratio):
     fleet = Fleet()
     for _ in range(8):
-        fleet.second()
+        fleet.run_second()
     old = set()
     for _ in range(2):
-        old |= set(fleet.storms[0].ready[:STEP])
+        old |= set(fleet.proxy_fleets[0].ready[:RELEASE_STEP])
         fleet.release()
         for _ in range(5):
-            met = fleet.second(answers)
-            for name, load in met.items():  # in a storm all that fails is tried anew
-                assert load / (answers or 1) <= MULTIPLE * fleet.can(name) or fleet.can(name) == 1.0
+            loads = fleet.run_second(success_ratio)
+            for name, load in loads.items():  # failed attempts are retried
+                assert (
+                    load / (success_ratio or 1) <= OVERLOAD_MULTIPLE * fleet.capacity(name)
+                    or fleet.capacity(name) == 1.0
+                )
     for _ in range(12):
-        met = fleet.second(answers)
-    assert not old & set(met)
+        loads = fleet.run_second(success_ratio)
+    assert not old & set(loads)
+
 
+def test_during_an_overload_new_backends_soon_carry_their_share():
+    """In plays join+vast 3, 5 and 8 a third to a half of the attempts succeeded.
 
-def test_in_a_storm_the_new_half_carries_its_part_soon():
-    # join+vast 3, 5, 8: a third to a half answered, so new backends had a third of their part, so it went on
+    New backends therefore got only a third of their share, which prolonged the overload.
+    """
     fleet = Fleet()
     for _ in range(8):
-        fleet.second()
+        fleet.run_second()
     fleet.release()
     for _ in range(12):
-        met = fleet.second(0.4)
+        loads = fleet.run_second(0.4)
     new = [name for name, since in fleet.since.items() if since]
-    assert sum(met[name] for name in new) > 0.6 * sum(fleet.can(name) for name in new) * LOAD
+    assert sum(loads[name] for name in new) > 0.6 * sum(fleet.capacity(name) for name in new) * LOAD
 
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("release"), st.integers(1, 8)),  # so many are replaced, told to all
-        st.tuples(st.just("whole"), st.integers(0, 4)),  # this one gets a whole list
-        st.tuples(st.just("back"), st.integers(1, 6)),  # those that drained last return under their names
-        st.tuples(st.just("short"), st.integers(1, 10)),  # a whole list that leaves so many out, at one
-        st.tuples(st.just("dies"), st.integers(0, 4)),  # its proxies join the next one with their tables
+        st.tuples(st.just("release"), st.integers(1, 8)),  # number of backends replaced, at all coordinators
+        st.tuples(st.just("whole"), st.integers(0, 4)),  # coordinator that gets a complete list
+        st.tuples(st.just("back"), st.integers(1, 6)),  # number of drained backends that return
+        st.tuples(
+            st.just("short"), st.integers(1, 10)
+        ),  # a complete list without this many, at one coordinator
+        st.tuples(st.just("dies"), st.integers(0, 4)),  # its proxies join the next coordinator
         st.tuples(st.just("reports"), st.integers(0, 20)),
     ),
     min_size=1,
@@ -126,18 +134,22 @@
 )
 
 
-def answered(storm, names):
+def report_healthy(proxy_fleet, names):
     for name in names:
-        storm.coordinator.report(
-            storm.now, HealthCheckResult(backend=name, outcome=HealthCheckOutcome.OK, latency=10**6, load={})
+        proxy_fleet.coordinator.report(
+            proxy_fleet.now,
+            HealthCheckResult(backend=name, outcome=HealthCheckOutcome.OK, latency=10**6, load={}),
         )
 
 
 @settings(max_examples=20, deadline=None, derandomize=True)
 @given(STEPS, st.integers(2, 5), st.integers(2, 12), st.integers(6, 40))
-def test_whatever_order_losses_lists_and_late_reports_come_in(steps, coordinators, proxies, backends):
-    # Each turn checks that what waits is booked and within the limit, and that no planner failed
-    storms = [
+def test_every_proxy_gets_a_current_table_for_any_order_of_failures_lists_and_reports(
+    steps, coordinators, proxies, backends
+):
+    # Each turn checks that the backlog is reserved and within the limit, and that no planner raised an
+    # exception
+    proxy_fleets = [
         ProxyFleet(
             backends,
             3,
@@ -150,44 +162,44 @@
         )
         for _ in range(coordinators)
     ]
-    for number, storm in enumerate(storms):
+    for number, proxy_fleet in enumerate(proxy_fleets):
         for proxy in range(proxies):
-            storm.join(number * proxies + proxy)
-        storm.run(1)
+            proxy_fleet.join(number * proxies + proxy)
+        proxy_fleet.run(1)
     gone = []
     for kind, number in steps:
         if kind == "release":
-            count = min(number, len(storms[0].ready) - 1)
-            gone += storms[0].ready[:count]
-            for storm in storms:
-                storm.replace_backends(count)
-                answered(storm, storm.ready[-count:])
+            count = min(number, len(proxy_fleets[0].ready) - 1)
+            gone += proxy_fleets[0].ready[:count]
+            for proxy_fleet in proxy_fleets:
+                proxy_fleet.replace_backends(count)
+                report_healthy(proxy_fleet, proxy_fleet.ready[-count:])
         elif kind == "back":
             for name in gone[-number:]:
-                for storm in storms:
-                    storm.send_list("changes", [(name, "ready", storm.now)])
-                    answered(storm, [name])
-                    storm.ready.append(name)
+                for proxy_fleet in proxy_fleets:
+                    proxy_fleet.send_list("changes", [(name, "ready", proxy_fleet.now)])
+                    report_healthy(proxy_fleet, [name])
+                    proxy_fleet.ready.append(name)
             del gone[-number:]
         elif kind == "short":
-            storm = storms[number % coordinators]
-            storm.send_list("complete", [(name, "ready", 0) for name in storm.ready[number:]])
+            proxy_fleet = proxy_fleets[number % coordinators]
+            proxy_fleet.send_list("complete", [(name, "ready", 0) for name in proxy_fleet.ready[number:]])
         elif kind == "whole":
-            storm = storms[number % coordinators]
-            storm.send_list("complete", [(name, "ready", 0) for name in storm.ready])
+            proxy_fleet = proxy_fleets[number % coordinators]
+            proxy_fleet.send_list("complete", [(name, "ready", 0) for name in proxy_fleet.ready])
         elif kind == "dies":
-            lost, heir = storms[number % coordinators], storms[(number + 1) % coordinators]
-            for proxy in list(lost.joined):
-                held = lost.tables.get(proxy)
-                lost.leave(proxy)
-                heir.join(proxy, bootstrap=False)
-                if held:
-                    heir.tables[proxy] = held
+            failed, successor = proxy_fleets[number % coordinators], proxy_fleets[(number + 1) % coordinators]
+            for proxy in list(failed.joined):
+                table = failed.tables.get(proxy)
+                failed.leave(proxy)
+                successor.join(proxy, bootstrap=False)
+                if table:
+                    successor.tables[proxy] = table
         else:
-            for storm in storms:
-                for name in storm.ready[:number] + gone[:2]:
-                    storm.coordinator.report(
-                        storm.now,
+            for proxy_fleet in proxy_fleets:
+                for name in proxy_fleet.ready[:number] + gone[:2]:
+                    proxy_fleet.coordinator.report(
+                        proxy_fleet.now,
                         LoadReport(
                             zone="z0",
                             backend=name,
@@ -198,46 +210,48 @@
                             load={},
                         ),
                     )
-        for storm in storms:
-            storm.run(1)
-    for storm in storms:
-        storm.send_list("complete", [(name, "ready", 0) for name in storm.ready])
-        answered(storm, storm.ready)
-        storm.run(30)
-        assert not storm.coordinator.planner.assignment.unassigned
-        for proxy in storm.joined:
-            table, out = storm.tables[proxy]
-            assert set(table) - out, "a proxy without a backend"
-            assert not set(table) - out - set(storm.ready), "a drained backend is held"
-
-
-def test_reports_past_the_intake_add_up_and_decide_as_all_of_them_would():
-    # A third of the reports comes each second, the rest with what adds up meanwhile: nobody is judged by who
-    # came first, and three seconds late is no change of weights
-    whole, part = (ProxyFleet(30, 1, entries_per_s=1e6, backlog_limit=1e6) for _ in range(2))
-    for storm in (whole, part):
-        storm.join(0)
+        for proxy_fleet in proxy_fleets:
+            proxy_fleet.run(1)
+    for proxy_fleet in proxy_fleets:
+        proxy_fleet.send_list("complete", [(name, "ready", 0) for name in proxy_fleet.ready])
+        report_healthy(proxy_fleet, proxy_fleet.ready)
+        proxy_fleet.run(30)
+        assert not proxy_fleet.coordinator.planner.assignment.unassigned
+        for proxy in proxy_fleet.joined:
+            table, excluded = proxy_fleet.tables[proxy]
+            assert set(table) - excluded, "a proxy without a backend"
+            assert not set(table) - excluded - set(proxy_fleet.ready), "a drained backend in a table"
+
+
+def test_summed_late_load_reports_give_the_same_weights_as_all_of_them_in_time():
+    """A third of the backends is reported each second, with the sums of three seconds.
+
+    The order of the reports and a delay of three seconds must not change the weights.
+    """
+    complete, partial = (ProxyFleet(30, 1, entries_per_s=1e6, backlog_limit=1e6) for _ in range(2))
+    for proxy_fleet in (complete, partial):
+        proxy_fleet.join(0)
     for second in range(45):
-        for storm in (whole, part):
-            for number, name in enumerate(storm.ready):
-                if storm is part and number % 3 != second % 3:
+        for proxy_fleet in (complete, partial):
+            for number, name in enumerate(proxy_fleet.ready):
+                if proxy_fleet is partial and number % 3 != second % 3:
                     continue
-                times = 3 if storm is part else 1
-                storm.coordinator.report(
-                    storm.now,
+                seconds = 3 if proxy_fleet is partial else 1
+                proxy_fleet.coordinator.report(
+                    proxy_fleet.now,
                     LoadReport(
                         zone="z0",
                         backend=name,
-                        attempts=20 * times,
-                        window=times * SECOND,
+                        attempts=20 * seconds,
+                        window=seconds * SECOND,
                         load={},
-                        failures=(number % 5 == 0) * 2 * times,
+                        failures=(number % 5 == 0) * 2 * seconds,
                         mean=SECOND // 10 * (1 + number % 4),
                     ),
                 )
-            storm.run(1)
-    (met, _), (expected, _) = part.tables[0], whole.tables[0]
-    assert set(met) == set(expected) == set(whole.ready)
+            proxy_fleet.run(1)
+    (weights, _), (expected, _) = partial.tables[0], complete.tables[0]
+    assert set(weights) == set(expected) == set(complete.ready)
     for name, weight in expected.items():
-        assert met[name] == pytest.approx(weight, rel=0.15), name
+        assert weights[name] == pytest.approx(weight, rel=0.15), name
     assert max(expected.values()) > 2.5 * min(expected.values())
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -1,4 +1,4 @@
-"""The planner looks only at what changed, and decides as its plain reference that walks everything."""
+"""The planner evaluates only what has changed, and decides like the reference, which evaluates everything."""
 
 from collections import Counter
 from random import Random
@@ -18,7 +18,7 @@
 from granitespool.planner.weights import EntryWeights
 from granitespool.settings import Settings
 
-PACES = 200.0, 2000.0, 100_000.0  # lines a second: from a channel that is always behind to one never
+RATES = 200.0, 2000.0, 100_000.0  # entries a second: from a channel that is always full to one that never is
 SEEDS = st.integers(0, 10**6)
 
 
@@ -30,36 +30,40 @@
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
-@given(SEEDS, st.integers(3, 40), st.integers(1, 6), st.integers(1, 20), st.sampled_from(PACES))
-def test_small_drawn_fleets_are_decided_on_as_by_the_reference(seed, backends, zones, proxies, pace):
-    assert played(PlannerComparison(seed, backends, zones, proxies, pace), 25).ordered
+@given(SEEDS, st.integers(3, 40), st.integers(1, 6), st.integers(1, 20), st.sampled_from(RATES))
+def test_decisions_for_small_random_fleets_equal_the_references(seed, backends, zones, proxies, rate):
+    assert played(PlannerComparison(seed, backends, zones, proxies, rate), 25).ordered
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
-@given(SEEDS, st.integers(100, 200), st.integers(8, 50), st.sampled_from(PACES))
-def test_large_drawn_fleets_are_decided_on_as_by_the_reference(seed, backends, zones, pace):
-    assert played(PlannerComparison(seed, backends, zones, 20, pace), 8).ordered
+@given(SEEDS, st.integers(100, 200), st.integers(8, 50), st.sampled_from(RATES))
+def test_decisions_for_large_random_fleets_equal_the_references(seed, backends, zones, rate):
+    assert played(PlannerComparison(seed, backends, zones, 20, rate), 8).ordered
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(45, 80), st.sampled_from((300.0, 2000.0)))
-def test_drawn_fleets_in_subsets_are_decided_on_as_by_the_reference(seed, backends, pace):
-    comparison = PlannerComparison(seed, backends, 3, 40, pace, drain_grace=SECOND)
+def test_decisions_for_random_fleets_in_subsets_equal_the_references(seed, backends, rate):
+    comparison = PlannerComparison(seed, backends, 3, 40, rate, drain_grace=SECOND)
     comparison.run(40)
     assert comparison.changed.planner.subsets.count > 1
     for _ in range(8):
         comparison.event()
         subset = comparison.random.randrange(comparison.changed.planner.subsets.count)
-        fleet = comparison.changed.planner.fleet.backends.values()
-        held = [rec.name for rec in fleet if rec.subset == subset and rec.name in comparison.entries]
-        if len(held) < len(comparison.entries) - 10:  # a subset is lost, and the others make it up
-            comparison.lose(held[: comparison.random.randrange(len(held) + 1)])
+        known_backends = comparison.changed.planner.fleet.backends.values()
+        members = [
+            backend.name
+            for backend in known_backends
+            if backend.subset == subset and backend.name in comparison.entries
+        ]
+        if len(members) < len(comparison.entries) - 10:  # a subset is lost, and the others replace it
+            comparison.lose(members[: comparison.random.randrange(len(members) + 1)])
         comparison.run(60)
     assert comparison.ordered
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_backend_past_its_ramp_and_not_yet_warm_is_decided_on_as_by_the_reference(seed):
+def test_decisions_for_a_backend_after_its_slow_start_and_not_yet_warm_equal_the_references(seed):
     comparison = PlannerComparison(seed, 10, 2, 6, 1e6, warm_up_time=25 * SECOND)
     comparison.run(20)
     comparison.restart("s3")
@@ -70,7 +74,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_backend_without_a_ramp_that_starts_anew_is_decided_on_as_by_the_reference(seed):
+def test_decisions_for_a_restarted_backend_without_slow_start_equal_the_references(seed):
     comparison = PlannerComparison(seed, 10, 2, 6, 1e6, warm_up_time=0)
     for _ in range(6):
         comparison.hear(1.0)
@@ -83,8 +87,8 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_what_was_heard_long_ago_counts_as_by_the_reference(seed):
-    # Links are not faded while nobody reports of them: half of the periods here are past those multiplied out
+def test_old_observations_count_as_in_the_reference(seed):
+    # Links decay when they are next used: half of the gaps here exceed the periods that are multiplied out
     comparison = played(PlannerComparison(seed, 12, 3, 6, 2000.0), 10)
     for quiet in (EXACT_PERIODS_MAX - 5, EXACT_PERIODS_MAX + 30, 5):
         comparison.run(10 * quiet)
@@ -94,7 +98,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_recalled_life_is_decided_on_as_by_the_reference(seed):
+def test_decisions_after_a_restored_snapshot_equal_the_references(seed):
     former = played(PlannerComparison(seed, 20, 3, 8, 2000.0), 15)
     former.hear(1.0)
     snapshot = former.changed.snapshot(list(former.entries))
@@ -106,7 +110,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_slices_are_kept_as_by_the_reference(seed):
+def test_slices_are_published_as_by_the_reference(seed):
     comparison = PlannerComparison(seed, 10, 2, 5, 2000.0, slices=4, one_owner=bool(seed))
     for table in range(3):
         comparison.report(SliceAssigned(table=table, owned=True))
@@ -115,7 +119,7 @@
 
 
 def quiet_fleet(backends, zones, proxies=5):
-    """A fleet whose lines are all at rest."""
+    """Return a fleet with all entries settled."""
     comparison = PlannerComparison(
         4, backends, zones, proxies, 1e9, coordinators=1, proxies_expected=proxies, warm_up_time=SECOND
     )
@@ -123,24 +127,24 @@
     return comparison
 
 
-def looked_at(comparison, monkeypatch, act):
-    """How many weights the planner works out while this is done."""
-    counted, wanted = Counter(), EntryWeights.wanted
+def evaluations(comparison, monkeypatch, act):
+    """Return the number of weights that the planner computes during a call of `act`."""
+    counts, wanted = Counter(), EntryWeights.wanted
 
-    def counting(weights, *words):
-        counted[weights] += 1
-        return wanted(weights, *words)
+    def counting(weights, *arguments):
+        counts[weights] += 1
+        return wanted(weights, *arguments)
 
     with monkeypatch.context() as patched:
         patched.setattr(EntryWeights, "wanted", counting)
         act()
-    return counted[comparison.changed.planner.weights]
+    return counts[comparison.changed.planner.weights]
 
 
 @pytest.mark.parametrize("backends, zones", [(50, 4), (300, 4), (300, 16)])
-def test_nothing_is_looked_at_in_an_idle_second(backends, zones, monkeypatch):
+def test_no_weight_is_evaluated_while_the_fleet_is_idle(backends, zones, monkeypatch):
     comparison = quiet_fleet(backends, zones)
-    assert looked_at(comparison, monkeypatch, lambda: comparison.run(30)) == 0
+    assert evaluations(comparison, monkeypatch, lambda: comparison.run(30)) == 0
 
 
 def test_the_work_for_a_changed_entry_does_not_grow_with_the_fleet(monkeypatch):
@@ -154,32 +158,32 @@
             comparison.list("changes", [entry])
             comparison.run(3)
 
-        work.append(looked_at(comparison, monkeypatch, change))
+        work.append(evaluations(comparison, monkeypatch, change))
     assert 6 <= work[0] == work[1] <= 60
 
 
-def test_one_link_heard_is_looked_at_alone(monkeypatch):
+def test_a_load_report_has_only_its_own_link_evaluated(monkeypatch):
     comparison = quiet_fleet(200, 8)
 
-    def hear():
+    def report_load():
         comparison.report(
             LoadReport(zone="z1", backend="s7", attempts=9, failures=0, mean=10**7, window=SECOND, load={})
         )
-        comparison.run(12)  # a round is among them
+        comparison.run(12)  # includes a recomputation
 
-    assert 1 <= looked_at(comparison, monkeypatch, hear) <= 20
+    assert 1 <= evaluations(comparison, monkeypatch, report_load) <= 20
 
 
-def test_a_zones_first_joiner_has_that_zones_lines_looked_at_alone(monkeypatch):
-    # Its tables are new. All lines of all zones were looked at: 3.4 s for joiners of 20 zones, 0.5 s now
-    told = {
+def test_the_first_proxy_of_a_zone_has_only_the_entries_of_that_zone_evaluated(monkeypatch):
+    """New tables had all entries of all zones evaluated: 3.4 s for proxies of 20 zones, instead of 0.5 s."""
+    settings = {
         "coordinators": 3,
         "proxies_expected": 240,
         "drain_grace": SECOND,
         "warm_up_time": SECOND,
         "health_checks_allowed": False,
     }
-    comparison = PlannerComparison(4, 60, 12, 3, 2000.0, **told)
+    comparison = PlannerComparison(4, 60, 12, 3, 2000.0, **settings)
     comparison.run(60)
     assert comparison.changed.planner.subsets.count > 1
     unused = next(zone for zone in comparison.zones if zone not in comparison.proxies.values())
@@ -188,17 +192,17 @@
         comparison.report(ProxyJoined(proxy=9, zone=unused, bootstrap=True, rate=1.0))
         comparison.run(30)
 
-    assert 60 <= looked_at(comparison, monkeypatch, join) <= 3 * 60
+    assert 60 <= evaluations(comparison, monkeypatch, join) <= 3 * 60
 
 
-def test_links_are_made_where_something_is_met():
+def test_links_are_created_only_where_something_is_observed():
     comparison = quiet_fleet(100, 8)
     comparison.hear(0.02)
-    links = sum(len(rec.links) for rec in comparison.changed.planner.fleet.backends.values())
+    links = sum(len(backend.links) for backend in comparison.changed.planner.fleet.backends.values())
     assert 1 <= links <= 50
 
 
-def test_fading_at_once_is_fading_each_period_to_the_last_digit():
+def test_decay_over_several_periods_equals_decay_in_each_to_the_last_digit():
     one, other = Link(), Link()
     for link in (one, other):
         link.observe(7, 2, 5, 5 * 41_234_567.0)
@@ -208,55 +212,55 @@
     assert [getattr(one, name) for name in ("attempts", "failures", "successes", "response_time")] == [
         getattr(other, name) for name in ("attempts", "failures", "successes", "response_time")
     ]
-    one.decay_to(10**9, DECAY_FACTOR)  # a link that was unheard for years costs one step
+    one.decay_to(10**9, DECAY_FACTOR)  # a link without reports for years takes one step
     assert one.attempts == 0
 
 
-def record(order, zone="z0", kind="m"):
-    rec = Backend(f"s{order}", 0, order, 0)
-    rec.zone, rec.machine_type, rec.phase = zone, kind, "ready"
-    return rec
+def backend_record(sequence, zone="z0", machine_type="m"):
+    backend = Backend(f"s{sequence}", 0, sequence, 0)
+    backend.zone, backend.machine_type, backend.phase = zone, machine_type, "ready"
+    return backend
 
 
-def test_a_group_is_judged_once_for_all_and_again_only_with_a_cause():
-    lines, records, judged = SettledEntries(), [record(number) for number in range(9)], []
+def test_a_group_is_checked_once_for_all_members_and_again_only_after_a_change():
+    settled, backends, checked = SettledEntries(), [backend_record(number) for number in range(9)], []
 
     def weight_of(backend, zone):
-        judged.append(backend)
+        checked.append(backend)
         return 1.0
 
-    def differs(want, sent):
-        return want != sent
-
-    for rec in records:
-        lines.settle(rec, "z0", (1.0,))
-    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 1
-    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 1
-    lines.invalidate_zone("z1")
-    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 1
-    lines.invalidate_zone("z0")
-    assert list(lines.moving(weight_of, differs)) == [] and len(judged) == 2
-    lines.remove(records[3], "z0")
-    lines.settle(records[3], "z0", (2.0,))
+    def differs(wanted, published):
+        return wanted != published
+
+    for backend in backends:
+        settled.settle(backend, "z0", (1.0,))
+    assert list(settled.outdated(weight_of, differs)) == [] and len(checked) == 1
+    assert list(settled.outdated(weight_of, differs)) == [] and len(checked) == 1
+    settled.invalidate_zone("z1")
+    assert list(settled.outdated(weight_of, differs)) == [] and len(checked) == 1
+    settled.invalidate_zone("z0")
+    assert list(settled.outdated(weight_of, differs)) == [] and len(checked) == 2
+    settled.remove(backends[3], "z0")
+    settled.settle(backends[3], "z0", (2.0,))
     for _ in range(2):  # as long as it differs
-        assert list(lines.moving(weight_of, differs)) == [(records[3], "z0")]
-    lines.remove_all(records[3])
-    assert list(lines.moving(weight_of, differs)) == []
+        assert list(settled.outdated(weight_of, differs)) == [(backends[3], "z0")]
+    settled.remove_all(backends[3])
+    assert list(settled.outdated(weight_of, differs)) == []
 
 
-def test_costs_of_what_began_after_the_last_look_are_unknown_until_the_next():
-    costs, rec, other = CostTable(), record(1), record(2)
-    for each in (rec, other):
-        costs.restart(each)
+def test_the_cost_of_a_new_backend_is_unknown_until_the_next_evaluation():
+    costs, observed_backend, other = CostTable(), backend_record(1), backend_record(2)
+    for backend in (observed_backend, other):
+        costs.restart(backend)
     costs.begin_evaluation()
-    observed = [ObservedCost(rec, rec.link("z0", 0), 50.0)]
+    observed = [ObservedCost(observed_backend, observed_backend.link("z0", 0), 50.0)]
     assert costs.evaluate_zone("z0", observed) and costs.of(other, "z0") == 50.0
-    later = record(3)
+    later = backend_record(3)
     costs.restart(later)
     assert costs.of(later, "z0") is None
     costs.freeze(other, ["z0"], 0)
     other.machine_type = "else"
-    assert costs.of(other, "z0") == 50.0  # as of the last look, whatever it is by now
+    assert costs.of(other, "z0") == 50.0  # as of the last evaluation, whatever its type is now
     costs.begin_evaluation()
     assert not costs.evaluate_zone("z0", observed)
     assert costs.of(later, "z0") == 50.0 and costs.of(other, "z0") is None
@@ -267,22 +271,24 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(SEEDS)
-def test_subsets_of_what_changed_are_those_of_the_whole_fleet(seed):
-    random, channel, pairs = Random(seed), InFlightAccount(SLOW), []
-    texts = Subsets(["z0"]), Subsets(["z0"])
-    for order in range(random.randint(20, 300)):
-        pairs.append((record(order), record(order)))
+def test_subsets_from_the_changed_backends_equal_those_from_the_whole_fleet(seed):
+    random, account, pairs = Random(seed), InFlightAccount(SLOW), []
+    subset_pair = Subsets(["z0"]), Subsets(["z0"])  # from the changed backends, and from the whole fleet
+    for sequence in range(random.randint(20, 300)):
+        pairs.append((backend_record(sequence), backend_record(sequence)))
     changed = dict.fromkeys(range(len(pairs)))
     for _ in range(12):
         if random.random() < 0.4:  # one subset loses most of its members
-            subset = random.randrange(texts[0].count)
-            for number in [k for k, (rec, _) in enumerate(pairs) if rec.subset == subset][1:]:
+            subset = random.randrange(subset_pair[0].count)
+            for number in [number for number, (backend, _) in enumerate(pairs) if backend.subset == subset][
+                1:
+            ]:
                 changed[number] = None
-                for rec in pairs[number]:
-                    rec.phase = "gone"
+                for backend in pairs[number]:
+                    backend.phase = "gone"
         for _ in range(random.choice((0, 1, 5, 60))):
             number = random.randrange(len(pairs))
-            what, value = random.choice(
+            attribute, value = random.choice(
                 (
                     ("phase", random.choice(("ready", "draining", "gone"))),
                     ("verified", random.random() < 0.8),
@@ -291,15 +297,16 @@
                 )
             )
             changed[number] = None
-            for rec in pairs[number]:
-                setattr(rec, what, value)
-        mine, theirs = [[pair[k] for pair in pairs] for k in (0, 1)]
-        split_size = texts[1].split_size
-        moved = texts[0].assign(SLOW, channel, mine, [mine[number] for number in sorted(changed)])
-        before = [rec.subset for rec in theirs]
-        texts[1].assign(SLOW, channel, theirs)
-        assert [rec.subset for rec in mine] == [rec.subset for rec in theirs]
-        others = [rec for rec, subset in zip(theirs, before) if rec.subset != subset]
-        anew = theirs if texts[1].split_size != split_size else others  # another count gives other tables
-        assert {rec.sequence for rec in moved} == {rec.sequence for rec in anew}
+            for backend in pairs[number]:
+                setattr(backend, attribute, value)
+        fleet, reference = [[pair[side] for pair in pairs] for side in (0, 1)]
+        split_size = subset_pair[1].split_size
+        moved = subset_pair[0].assign(SLOW, account, fleet, [fleet[number] for number in sorted(changed)])
+        before = [backend.subset for backend in reference]
+        subset_pair[1].assign(SLOW, account, reference)
+        assert [backend.subset for backend in fleet] == [backend.subset for backend in reference]
+        others = [backend for backend, subset in zip(reference, before) if backend.subset != subset]
+        # All tables change when the fleet is split again
+        expected = reference if subset_pair[1].split_size != split_size else others
+        assert {backend.sequence for backend in moved} == {backend.sequence for backend in expected}
         changed.clear()
--- a/tests/planner/test_exclusion_of_draining.py
+++ b/tests/planner/test_exclusion_of_draining.py
@@ -1,4 +1,4 @@
-"""Draining backends are excluded at proxies that await a table."""
+"""Draining backends are excluded for unassigned proxies."""
 
 from support.planner_harness import PlannerHarness, RecordedActions
 from support.records import endpoint
@@ -9,7 +9,7 @@
 def test_a_backend_that_drains_in_the_first_list_is_excluded_for_joining_proxies(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
-    """What a former process had ordered may have been lost with it."""
+    """Orders of the former process may have been lost with it."""
     fleet.configure(backlog_limit=60, message_header=3, bootstrap_entries=5)
     fleet.list_restored("a", "b", endpoint("c", phase="draining"))
     for proxy in range(1, 5):
@@ -19,7 +19,7 @@
     assert actions.made("exclude", "c", True)
 
 
-def test_joining_proxies_learn_of_a_recent_drain_together_and_not_of_an_old_one(
+def test_a_recent_drain_is_excluded_for_all_joining_proxies_at_once_and_an_old_one_is_not(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(
@@ -40,7 +40,7 @@
     assert not actions.made("exclude", "a", True)
 
 
-def test_a_backend_that_returns_is_readmitted_though_proxies_still_waited_to_exclude_it(
+def test_a_backend_that_returns_is_readmitted_even_if_some_proxies_have_not_excluded_it_yet(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(backlog_limit=60, message_header=3, bootstrap_entries=5)
--- a/tests/planner/test_publication.py
+++ b/tests/planner/test_publication.py
@@ -1,4 +1,4 @@
-"""When a changed entry is sent to the proxies, and what goes first."""
+"""When and in which order changed entries are published."""
 
 from support.events import load_report
 from support.planner_harness import PlannerHarness, RecordedActions
@@ -7,7 +7,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 
-def test_list_changes_wait_for_the_next_slot_of_the_message_limit(
+def test_list_changes_wait_until_the_message_limit_allows_the_next_message(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(messages_limit=10, messages_span=10 * SECOND)
@@ -70,7 +70,7 @@
     assert actions.made("set_entry", 0, "b", 0)
 
 
-def test_an_urgent_update_for_few_proxies_keeps_no_gap_on_an_idle_channel_and_joins_a_due_message_otherwise(
+def test_an_urgent_update_for_few_proxies_has_no_gap_on_an_idle_channel_and_otherwise_joins_a_due_message(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(entries_per_s=30, message_header=3, drain_grace=9 * SECOND)
@@ -109,7 +109,7 @@
 def test_the_updates_of_a_table_go_together_and_the_table_that_changes_most_goes_first(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
-    """Each message has a header to pay for."""
+    """Each message costs a header."""
     fleet.configure(entries_per_s=5, message_header=3)
     fleet.list_restored("a", "b", "c")
     fleet.join(1)
@@ -153,7 +153,7 @@
     assert actions.made("set_entry", 0, "b", 0)
 
 
-def test_an_acknowledgement_frees_the_channel_of_all_that_its_proxy_was_sent_before(
+def test_an_acknowledgement_releases_all_earlier_messages_to_its_proxy(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(backlog_limit=60, message_header=3)
--- a/tests/planner/test_slices.py
+++ b/tests/planner/test_slices.py
@@ -1,4 +1,4 @@
-"""Tables of slices, whose entries a store holds."""
+"""Slices, whose entries a store sets."""
 
 from support.planner_harness import PlannerHarness, RecordedActions
 from support.records import endpoint
@@ -6,7 +6,7 @@
 from granitespool.units import SECOND
 
 
-def test_the_stored_entry_of_a_slice_stands_and_a_draining_backend_is_excluded_and_replaced(
+def test_the_entry_of_a_slice_is_kept_and_a_draining_backend_is_excluded_and_replaced(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(slices=2)
@@ -23,7 +23,7 @@
     assert actions.made("set_entry", 0, "a", 0)
 
 
-def test_a_slice_with_one_owner_is_not_moved_and_its_lost_owner_is_only_excluded(
+def test_a_slice_with_one_owner_keeps_its_entry_and_a_lost_owner_is_only_excluded(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(slices=2, one_owner=True)
--- a/tests/planner/test_table_assignment.py
+++ b/tests/planner/test_table_assignment.py
@@ -1,4 +1,4 @@
-"""Which proxy is assigned a table, and in what order."""
+"""Which proxies are assigned a table, and in which order."""
 
 from support.planner_harness import PlannerHarness, RecordedActions
 from support.records import endpoint
@@ -20,7 +20,7 @@
     assert len(actions.made("assign")) == 1
 
 
-def test_an_empty_table_is_not_assigned_and_the_first_backend_ends_the_wait(
+def test_a_table_is_assigned_only_once_it_has_its_first_backend(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.list_restored()
@@ -32,7 +32,7 @@
     assert actions.made("assign", 7, 0, 0)
 
 
-def test_a_thousand_proxies_that_join_at_once_are_all_assigned_though_no_acknowledgement_comes(
+def test_a_thousand_proxies_that_join_at_once_are_all_assigned_even_without_acknowledgements(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(backlog_limit=2000, entries_per_s=1000, message_header=3, bootstrap_entries=5)
@@ -69,7 +69,7 @@
 def test_proxies_that_wait_long_are_assigned_in_order_of_joining_before_busier_ones(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
-    """The table that they start with may hold a backend that is gone."""
+    """The table that they use meanwhile may contain a backend that is gone."""
     fleet.configure(backlog_limit=60, message_header=3, drain_grace=3 * SECOND, empty_table_limit=9 * SECOND)
     fleet.list_restored("a", "b", "c")
     fleet.join(1)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,17 +1,17 @@
-"""A coordinator is told again what was recorded, and every byte that it writes must be as it was.
+"""Replays recorded runs of a coordinator: every byte that it writes must be as recorded.
 
-`data/coordinator/*.jsonl.gz` holds one run a file, one step a line, in the order of the run:
+Each file `data/coordinator/*.jsonl.gz` contains one run, one step in each line, in the order of the run:
 
-    ["start", settings, seed, now]      settings as the simulator's wire has them
-    ["settings", now, settings, waits]  new settings, and the names of those that wait for a restart
-    ["report", now, event, fields]      one report
+    ["start", settings, seed, now]      settings in the simulator's protocol
+    ["settings", now, settings, waits]  new settings, and the names of those that need a restart
+    ["report", now, event, fields]      one event
     ["action", name, arguments...]      a planner action called directly
-    ["tick", now, due, parties]         the end of a turn: when the next is due, who has something waiting
-    ["pick", party, message]            frames written to a proxy (bytes as Latin-1), or the next of a queue
-    ["status", values]                  everything that may be asked of a coordinator
+    ["tick", now, due, recipients]      the end of a turn: the next due time, the recipients with messages
+    ["pick", recipient, message]        frames written to a proxy (bytes as Latin-1), or a queued message
+    ["status", values]                  the whole state that a coordinator returns
 
-Times are in ns. The recordings hold plain values only; the functions of this module turn them into calls, so
-that a renamed class or method changes these functions and never a recording.
+Times are in ns. The recordings contain plain values only, which the functions of this module turn into calls,
+so that a renamed class or method changes these functions and never a recording.
 """
 
 import gzip
@@ -34,11 +34,11 @@
 
 
 def plain(value):
-    """A value as it is after a way through JSON: lists for tuples."""
+    """Return a value as it is after encoding and decoding as JSON, with lists for tuples."""
     return json.loads(json.dumps(value))
 
 
-ACTIONS = {  # the recordings' words -> the planner's actions
+ACTIONS = {  # name in the recordings -> action of the planner
     "weigh": "set_entry",
     "bind": "assign",
     "withdraw": "exclude",
@@ -64,7 +64,7 @@
     )
 
 
-EVENTS = {  # the recordings' words -> the event, and its fields by the words of the recording
+EVENTS = {  # name in the recordings -> event, and its fields by their names in the recordings
     "heard": (
         events.LoadReport,
         {
@@ -107,14 +107,14 @@
         },
     ),
 }
-FORMS = {"whole": "complete"}  # of a list, where they differ
+FORMS = {"whole": "complete"}  # form of an endpoint list: name in the recordings -> value, where they differ
 QUEUES = {
     Queue.HEALTH_CHECKS: "probes",
     Queue.GOSSIP: "peers",
     Queue.INTERNAL_ERRORS: "remarks",
     Queue.FORGOTTEN: "gone",
 }
-REASONS = {  # why a backend is an outlier, where the words differ
+REASONS = {  # reason of an outlier -> name in the recordings, where they differ
     "removal_unconfirmed": "missing",
     "unverified": "unproven",
     "ejected": "cut",
@@ -126,15 +126,15 @@
 def event_of(event, fields):
     if event == "list_news":
         form = events.ListForm(FORMS.get(fields["form"], fields["form"]))
-        return events.EndpointListUpdate(form, [entry_of(each) for each in fields["entries"]])
+        return events.EndpointListUpdate(form, [entry_of(entry) for entry in fields["entries"]])
     if event == "probed":
         outcome = events.HealthCheckOutcome(fields["status"])
         return events.HealthCheckResult(fields["backend"], outcome, fields["took"], fields["load"])
     if event == "recalled":
-        backends = {name: backend_of(*each) for name, each in fields["backends"].items()}
+        backends = {name: backend_of(*backend) for name, backend in fields["backends"].items()}
         return events.Restored(fleet_of(fields["fleet"]), backends)
-    kind, names = EVENTS[event]
-    return kind(**{names[name]: value for name, value in fields.items()})
+    event_class, names = EVENTS[event]
+    return event_class(**{names[name]: value for name, value in fields.items()})
 
 
 def fleet_of(recorded):
@@ -183,17 +183,17 @@
     getattr(coordinator, ACTIONS.get(name, name))(*arguments)
 
 
-def party_of(recorded):
+def recipient_of(recorded):
     return next((queue for queue, name in QUEUES.items() if name == recorded), recorded)
 
 
-def picked(coordinator, recorded_party):
-    message = coordinator.next_message(party_of(recorded_party))
+def picked(coordinator, recorded_recipient):
+    message = coordinator.next_message(recipient_of(recorded_recipient))
     if isinstance(message, ProxyUpdate):
         return updates(message).decode("latin-1")
     if message is None or len(message) > 1:
         return plain(message)
-    return message[0]  # a queue's message of one field
+    return message[0]  # a message with one field
 
 
 def status(coordinator):
@@ -203,15 +203,15 @@
             name: (each.phase, each.started_at) for name, each in coordinator.endpoint_states().items()
         },
         "zones": sorted(coordinator.joined_zones()),
-        "snapshot": snapshot_words(coordinator.snapshot(names)),
-        "fleet": status_words(coordinator.status()),
-        "backends": {name: backend_words(coordinator.backend_status(name)) for name in [*names, "unknown"]},
-        "metrics": metrics_words(coordinator.metrics()),
-        "outliers": outliers_words(coordinator.outliers(3)),
+        "snapshot": snapshot_values(coordinator.snapshot(names)),
+        "fleet": status_values(coordinator.status()),
+        "backends": {name: backend_values(coordinator.backend_status(name)) for name in [*names, "unknown"]},
+        "metrics": metrics_values(coordinator.metrics()),
+        "outliers": outliers_values(coordinator.outliers(3)),
     }
 
 
-def snapshot_words(snapshot):
+def snapshot_values(snapshot):
     fleet = snapshot.fleet
     return (
         {
@@ -220,11 +220,11 @@
             "through": fleet.success_ratio,
             "asked": fleet.demand,
         },
-        {name: snapshot_backend_words(each) for name, each in snapshot.backends.items()},
+        {name: snapshot_backend_values(backend) for name, backend in snapshot.backends.items()},
     )
 
 
-def snapshot_backend_words(backend):
+def snapshot_backend_values(backend):
     return (
         {
             "phase": backend.phase,
@@ -237,11 +237,11 @@
             "proven": backend.verified,
             "missing": backend.removal_unconfirmed,
         },
-        {zone: link_words(link) for zone, link in backend.links.items()},
+        {zone: link_values(link) for zone, link in backend.links.items()},
     )
 
 
-def link_words(link):
+def link_values(link):
     return {
         "low": link.minimum_rtt,
         "tries": link.attempts,
@@ -255,7 +255,7 @@
     }
 
 
-def status_words(status):
+def status_values(status):
     return {
         "joined": status.planner.joined,
         "unbound": status.planner.unassigned,
@@ -268,7 +268,7 @@
     }
 
 
-def backend_words(status):
+def backend_values(status):
     if status is None:
         return None
     known = status.planner
@@ -286,7 +286,7 @@
     )
 
 
-def metrics_words(metrics):
+def metrics_values(metrics):
     planner = metrics.planner
     return {
         "joined": planner.joined,
@@ -307,16 +307,21 @@
     }
 
 
-def outliers_words(outliers):
+def outliers_values(outliers):
     found = {
-        name: (REASONS.get(each.reason, each.reason), each.attempts, each.failures, each.weight)
-        for name, each in outliers.backends.items()
+        name: (
+            REASONS.get(outlier.reason, outlier.reason),
+            outlier.attempts,
+            outlier.failures,
+            outlier.weight,
+        )
+        for name, outlier in outliers.backends.items()
     }
     return found, outliers.omitted
 
 
 class Replay:
-    """Plays one recording; every method takes the rest of a line."""
+    """Replays one recording; the method of a step takes the rest of its line."""
 
     def __init__(self):
         self.coordinator = None
@@ -333,19 +338,19 @@
     def action(self, name, *arguments):
         call_action(self.coordinator, name, arguments)
 
-    def tick(self, now, due, parties):
+    def tick(self, now, due, recipients):
         assert self.coordinator.tick(now) == due
         found = self.coordinator.recipients()
-        assert [QUEUES.get(party, party) for party in found] == parties
+        assert [QUEUES.get(recipient, recipient) for recipient in found] == recipients
 
-    def pick(self, party, message):
-        assert picked(self.coordinator, party) == message
+    def pick(self, recipient, message):
+        assert picked(self.coordinator, recipient) == message
 
     def status(self, values):
         found = plain(status(self.coordinator))
         for name, value in values.items():
             assert found[name] == value, name
-        assert json.dumps(found) == json.dumps(values)  # in the same order, too
+        assert json.dumps(found) == json.dumps(values)  # also in the same order
 
 
 @pytest.mark.parametrize("path", RECORDINGS, ids=lambda path: path.name.partition(".")[0])
@@ -360,7 +365,7 @@
             raise
 
 
-def test_recordings_hold_every_kind_of_event_and_of_message():
+def test_recordings_contain_every_kind_of_event_and_message():
     events, written, queues = set(), "", set()
     for path in RECORDINGS:
         for line in gzip.decompress(path.read_bytes()).splitlines():
