--- a/bench/manage.py
+++ b/bench/manage.py
@@ -22,9 +22,15 @@
 from typing import Any, NamedTuple, Self
 
 from granitespool.net.config import Configuration
-from granitespool.net.loop import Waits
+from granitespool.net.loop import Coroutine
 from granitespool.net.service import Service
-from granitespool.operator_settings import Gnmi, Netconf, Operator, Tls, User
+from granitespool.operator_settings import (
+    GnmiSettings,
+    NetconfSettings,
+    OperatorSettings,
+    TlsSettings,
+    UserSettings,
+)
 from granitespool.planner.events import LoadReport, ProxyJoined
 from granitespool.settings import settings_from_wire
 from granitespool.units import SECOND
@@ -34,7 +40,7 @@
 
     from granitespool.cli.keys import make
     from granitespool.gnmi import gnmi_pb2 as pb
-    from granitespool.simulation.netconf_client import NetconfClient, tag_of
+    from granitespool.simulation.netconf_client import NetconfClient, reply_tag
 
 MS_PER_S = 1e3
 ZONES = ("n", "s")
@@ -128,7 +134,7 @@
         "discovery": ("127.0.0.1", 9),
         "seed": 1,
         "sockets": 1024,
-        "probes": 4,
+        "health_checks": 4,
         "connections": 900,
         "buffers": 64,
         "peer_listen": None,
@@ -152,12 +158,14 @@
     }
 
 
-def _operator(keys: str, ports: Sequence[int]) -> Operator:
-    return Operator(
-        tls=Tls(certificate=f"{keys}/server.pem", key=f"{keys}/server.key", authorities=f"{keys}/ca.pem"),
-        netconf=Netconf(listen=f"127.0.0.1:{ports[0]}", sessions=8),
-        gnmi=Gnmi(listen=f"127.0.0.1:{ports[1]}", sessions=8, streams=200),
-        users={"operations": User(certificate="cn:operations", write="*")},
+def _operator(keys: str, ports: Sequence[int]) -> OperatorSettings:
+    return OperatorSettings(
+        tls=TlsSettings(
+            certificate=f"{keys}/server.pem", key=f"{keys}/server.key", authorities=f"{keys}/ca.pem"
+        ),
+        netconf=NetconfSettings(listen=f"127.0.0.1:{ports[0]}", sessions=8),
+        gnmi=GnmiSettings(listen=f"127.0.0.1:{ports[1]}", sessions=8, streams=200),
+        users={"operations": UserSettings(certificate="cn:operations", write="*")},
     )
 
 
@@ -171,7 +179,7 @@
     coordinator.updates.waiting.clear()
 
 
-def _reports(service: Service, backends: Sequence[str]) -> Waits:
+def _reports(service: Service, backends: Sequence[str]) -> Coroutine:
     """Each backend from each zone once a second, in parts; nothing is written to anyone."""
     coordinator = service.coordinator
     loop = service.loop
@@ -366,8 +374,8 @@
     session = child.netconf()
     begun = time.perf_counter()
     for number in range(COMMITS):
-        assert tag_of(session.edit(f"<drain><grace>{5_000_000 + number}</grace></drain>")) == "ok"
-        assert tag_of(session.commit()) == "ok"
+        assert reply_tag(session.edit(f"<drain><grace>{5_000_000 + number}</grace></drain>")) == "ok"
+        assert reply_tag(session.commit()) == "ok"
     return COMMITS / (time.perf_counter() - begun)
 
 
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -10,11 +10,11 @@
 from typing import TYPE_CHECKING, Any
 
 from granitespool.management.authorization import User, certificate_identities, find_user
-from granitespool.management.changes import Answer
+from granitespool.management.changes import CompletionCallback
 from granitespool.management.datastores import Datastores
 from granitespool.management.interfaces import ProtocolSession, Transport
 from granitespool.management.model import Model
-from granitespool.management.operational_state import FolderFigures, OperationalState, ServiceFacts
+from granitespool.management.operational_state import OperationalState, ServiceFacts, StateFolderMetrics
 from granitespool.net.config import Configuration
 from granitespool.net.fleet_notifier import FleetNotifier
 from granitespool.net.log import Log
@@ -23,7 +23,7 @@
 from granitespool.net.settings_host import SettingsHost
 from granitespool.net.shared_state import SharedState
 from granitespool.net.tls import server_context
-from granitespool.operator_settings import Operator
+from granitespool.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
     from granitespool.net.service import Service
@@ -49,7 +49,7 @@
         self.session_count = 0  # so far
         self.list_index = service.discovery.index  # the endpoint list's version
         self.list_changed_at = loop.now  # ns
-        self.shared = SharedState(self.picture)
+        self.shared_state = SharedState(self.new_state_reader)
         operator = _operator_of(service.config)
         self.users = _users(operator)
         self.listeners: list[ManagementListener] = []
@@ -70,7 +70,7 @@
     def close(self) -> None:
         """Tells each session that the server goes."""
         for session in list(self.sessions.values()):
-            session.leave()
+            session.announce_shutdown()
 
     # Sessions
 
@@ -81,29 +81,29 @@
         self.sessions[self.session_count] = session
         return session
 
-    def left(self, session: Any) -> None:
+    def on_session_closed(self, session: Any) -> None:
         """A session has ended, however."""
         self.sessions.pop(session.number, None)
-        self.datastores.closed(session, self.settings.log_undone)
+        self.datastores.close_session(session, self.settings.log_undone)
 
-    def session(self, number: str) -> ProtocolSession | None:
+    def find_session(self, number: str) -> ProtocolSession | None:
         """The session of a number."""
         return self.sessions.get(int(number)) if number.isdecimal() else None
 
     @staticmethod
-    def number_of(session: object) -> int:
+    def session_number(session: object) -> int:
         """A session's number, 0 for the coordinator itself."""
         return getattr(session, "number", 0)
 
-    def keep_startup(self, answer: Answer) -> None:
+    def save_startup(self, answer: CompletionCallback) -> None:
         """Has startup outlast the process, and answers once that is safe."""
-        self.settings.keep_startup(answer)
+        self.settings.save_startup(answer)
 
-    def failed(self, error: Exception) -> None:
+    def log_failure(self, error: Exception) -> None:
         """Logs a fault of this program."""
         self.loop.report_failure(error)
 
-    def picture(self) -> OperationalState:
+    def new_state_reader(self) -> OperationalState:
         """A new reading of the operational state."""
         service, stores = self.service, self.datastores
         return OperationalState(
@@ -115,7 +115,7 @@
                 rejected=stores.rejected,
                 list_index=service.discovery.index,
                 list_age=self.loop.now - self.list_changed_at,
-                list_named=service.discovery.named,
+                has_endpoint_list=service.discovery.has_listed_backends,
                 folder=_folder_figures(service),
             ),
         )
@@ -141,13 +141,13 @@
         """When `end_of_turn` is to be called at the latest, ns; None for never."""
         return self.settings.due()
 
-    def reread(self, config: Configuration) -> list[str]:
+    def reload(self, config: Configuration) -> list[str]:
         """Takes the files that were read anew; returns the names of what waits for a restart.
 
         Raises InvalidInputError or ManagementError, and nothing changes."""
         operator = _operator_of(config)
         contexts = {listener.name: _context(operator, listener.name) for listener in self.listeners}
-        restart_required = self.settings.reread(config)
+        restart_required = self.settings.reload(config)
         self.users = _users(operator)
         for listener in self.listeners:
             listener.context = contexts[listener.name]
@@ -161,7 +161,7 @@
         return lambda user, transport: self.open_session(make, user, transport)
 
     def _has_subscribers(self) -> bool:
-        return any(session.subscribed is not None for session in self.sessions.values())
+        return any(session.subscribed_events is not None for session in self.sessions.values())
 
 
 def _protocol(name: str) -> MakeSession:
@@ -175,24 +175,24 @@
     return GnmiConnection
 
 
-def _folder_figures(service: "Service") -> FolderFigures | None:
+def _folder_figures(service: "Service") -> StateFolderMetrics | None:
     if service.snapshotter is None:
         return None
     metrics = service.snapshotter.metrics()
-    return FolderFigures(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
+    return StateFolderMetrics(metrics.bytes_written, metrics.batches_written, metrics.is_failing)
 
 
-def _users(operator: Operator) -> list[User]:
+def _users(operator: OperatorSettings) -> list[User]:
     return [User(name, user.certificate, user.read, user.write) for name, user in operator.users.items()]
 
 
-def _context(operator: Operator, name: str) -> ssl.SSLContext:
+def _context(operator: OperatorSettings, name: str) -> ssl.SSLContext:
     tls = operator.tls
     assert tls is not None, "the operator's settings are checked to have [tls] with a listener"
     return server_context(tls.certificate, tls.key, tls.authorities, ALPN[name])
 
 
-def _operator_of(config: Configuration) -> Operator:
+def _operator_of(config: Configuration) -> OperatorSettings:
     operator = config.get("operator")
     assert operator is not None, "managers are on by the operator's settings"
     return operator
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -8,13 +8,13 @@
 
 from granitespool.errors import InvalidInputError
 from granitespool.management import impact_check, mapping
-from granitespool.management.changes import Answer, Kept
+from granitespool.management.changes import CompletionCallback, SaveCallback
 from granitespool.management.data_tree import Tree
 from granitespool.management.datastores import Datastores
 from granitespool.management.errors import ErrorTag, ManagementError
 from granitespool.management.model import Model
 from granitespool.management.settings_trees import RUNNING, STARTUP
-from granitespool.net.config import Configuration, quotas, with_quotas
+from granitespool.net.config import Configuration, compute_quotas, with_quotas
 from granitespool.net.fleet_notifier import Notify
 from granitespool.net.loop import SECOND
 from granitespool.net.reconfiguration import without_management_sockets
@@ -34,7 +34,7 @@
 
     ticket: int
     deadline: int  # ns
-    answer: Kept
+    answer: SaveCallback
 
 
 class SettingsHost:
@@ -61,7 +61,7 @@
         """Raises ManagementError where the service could not run on a tree, or it would do harm."""
         config = self._config(tree)
         coordinator = self.service.coordinator
-        waiting = [] if self.reloaded else self.service.reconfiguration.waiting_for_restart(config)
+        waiting = [] if self.reloaded else self.service.reconfiguration.restart_required_by(config)
         impact_check.check(
             config,
             self.service.config,
@@ -74,7 +74,7 @@
         """Has the service run on a tree within the call, or raises ManagementError and changes nothing."""
         config = self._config(tree)
         try:
-            restart_required = self.service.reconfiguration.take(config)
+            restart_required = self.service.reconfiguration.apply(config)
         except Exception as error:
             self.service.loop.report_failure(error)
             raise ManagementError(ErrorTag.OPERATION_FAILED, NOT_APPLIED) from None
@@ -82,7 +82,7 @@
         self.service.log.event("settings_changed", by=by, version=version, restart_required=restart_required)
         self.notify("settings-changed", version=version, by=by)
 
-    def keep(self, tree: Tree, version: int, answer: Kept) -> None:
+    def save(self, tree: Tree, version: int, answer: SaveCallback) -> None:
         """Has a tree outlast the process where a state folder is on, and answers once it is safe."""
         if self.service.snapshotter is None:
             answer(None)
@@ -91,19 +91,19 @@
         self.pending.append(PendingSave(ticket, self.service.loop.now + SAVE_TIMEOUT, answer))
         self.service.loop.wake()
 
-    def unkeep(self, tree: Tree, version: int) -> None:
+    def replace_saved(self, tree: Tree, version: int) -> None:
         """Has this tree outlast the process instead; nobody waits for it, and the newest one wins."""
         if self.service.snapshotter is not None:
             self.service.snapshotter.save_settings(tree, self.file_tree, version)
 
-    def refused(self, by: str, why: str) -> None:
+    def on_rejected(self, by: str, why: str) -> None:
         """Logs a change that was rejected, and notifies the subscribers."""
         self.service.log.event("change_rejected", by=by, reason=why)
         self.notify("change-refused", by=by, why=why)
 
     # For the sessions
 
-    def keep_startup(self, answer: Answer) -> None:
+    def save_startup(self, answer: CompletionCallback) -> None:
         """Has startup, as it is now, outlast the process, and answers once that is safe."""
         stores = self.datastores
         if self.service.snapshotter is None:
@@ -117,10 +117,10 @@
                 return
             # It may come to the disk yet: a restart begins with what runs
             stores.reset_startup()
-            self.unkeep(stores.tree(STARTUP), stores.version)
+            self.replace_saved(stores.tree(STARTUP), stores.version)
             answer(ManagementError(ErrorTag.RESOURCE_DENIED, reason))
 
-        self.keep(stores.tree(STARTUP), stores.version, saved)
+        self.save(stores.tree(STARTUP), stores.version, saved)
 
     def log_undone(self, error: ManagementError | None) -> None:
         """Logs where a change that was not confirmed could not be taken back."""
@@ -143,10 +143,10 @@
 
     def due(self) -> int | None:
         """When `end_of_turn` is to be called at the latest, ns; None for never."""
-        deadlines = [self.datastores.due(), *(save.deadline for save in self.pending)]
+        deadlines = [self.datastores.next_deadline(), *(save.deadline for save in self.pending)]
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
-    def reread(self, config: Configuration) -> list[str]:
+    def reload(self, config: Configuration) -> list[str]:
         """Takes the files that were read anew; returns the names of what waits for a restart.
 
         Raises ManagementError, and nothing changes. Where the files hold what they held before, what managers
@@ -155,11 +155,11 @@
         tree = mapping.tree_of(config)
         if tree == self.file_tree:
             running = mapping.config_of(self.datastores.tree(RUNNING), config)
-            return reconfiguration.take(cast(Configuration, running))
+            return reconfiguration.apply(cast(Configuration, running))
         self.model.check(tree)
         self.reloaded = config
         try:
-            self.datastores.file(tree)
+            self.datastores.apply_file(tree)
         finally:
             self.reloaded = None
         self.file_tree = tree
@@ -173,5 +173,5 @@
             return self.reloaded
         config = cast(Configuration, mapping.config_of(tree, self.service.config))
         if config.get("limits") != self.service.config.get("limits"):
-            config = without_management_sockets(with_quotas(config, quotas(config["limits"])))
+            config = without_management_sockets(with_quotas(config, compute_quotas(config["limits"])))
         return config
--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -1,4 +1,4 @@
-"""Candidate updates: entries whose wanted weight differs from the one published, ranked by their gain."""
+"""Candidate updates: entries whose target weight differs from the one published, ranked by their gain."""
 
 from collections import defaultdict
 from typing import NamedTuple
@@ -13,15 +13,15 @@
 MIN_CHANGE_SHARE = 0.1  # relative change of a weight that is worth publishing
 
 
-def has_moved(wanted: float, published: float) -> bool:
+def has_moved(target: float, published: float) -> bool:
     """Return whether a weight differs enough from the published one to be sent."""
-    if wanted == published:
+    if target == published:
         return False
-    return not published or abs(wanted - published) > MIN_CHANGE_SHARE * published
+    return not published or abs(target - published) > MIN_CHANGE_SHARE * published
 
 
 class Candidate(NamedTuple):
-    """An entry whose wanted weight differs from the published one, and its priority."""
+    """An entry whose target weight differs from the published one, and its priority."""
 
     backend: Backend
     table: int
@@ -64,7 +64,7 @@
         self._weights.update_fallback()
         candidates = []
         for entry in entries:
-            weight = self._weights.wanted(now, entry.backend, entry.zone) if entry.is_member else 0.0
+            weight = self._weights.target_weight(now, entry.backend, entry.zone) if entry.is_member else 0.0
             if weight == entry.backend.published.get(entry.table, 0.0):
                 continue
             candidate = self._candidate(now, entry, weight, is_single=only is not None)
@@ -81,12 +81,12 @@
             return self._dirty.entries_of(only)
         return self._dirty.entries(
             self._fleet.backends.values(),
-            lambda backend, zone: self._weights.wanted(now, backend, zone),
+            lambda backend, zone: self._weights.target_weight(now, backend, zone),
             has_moved,
         )
 
     def _candidate(self, now: int, entry: TableEntry, weight: float, is_single: bool) -> Candidate | None:
-        """Return the candidate for an entry with a new wanted weight, or None if it is not worth sending."""
+        """Return the candidate for an entry with a new target weight, or None if it is not worth sending."""
         backend, zone, table, _ = entry
         published = backend.published.get(table, 0.0)
         if backend.phase != READY or not self._tables.entry_counts[table]:
--- a/granitespool/planner/dirty_set.py
+++ b/granitespool/planner/dirty_set.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from granitespool.planner.cost import ObservedCost
-from granitespool.planner.records import BY_SEQUENCE, READY, Backend, Backends, Link
+from granitespool.planner.records import BY_SEQUENCE, READY, Backend, BackendSet, Link
 from granitespool.planner.settled_entries import HasMoved, SettledEntries, WeightOf
 from granitespool.planner.subsets import Subsets
 
@@ -40,13 +40,13 @@
     """Tracks the backends and entries to evaluate next."""
 
     def __init__(self, subsets: Subsets) -> None:
-        self.changed: Backends = {}  # phase, zone, machine type or verification changed since `take_changed`
-        self.dirty: Backends = {}
-        self.watching: Backends = {}  # with watched entries
-        self.absent: Backends = {}  # not ready, or possibly excluded
-        self.ejected: Backends = {}  # with an ejected link, now or earlier
+        self.changed: BackendSet = {}  # by phase, zone, machine type or verification, since `take_changed`
+        self.dirty: BackendSet = {}
+        self.watching: BackendSet = {}  # with watched entries
+        self.absent: BackendSet = {}  # not ready, or possibly excluded
+        self.ejected: BackendSet = {}  # with an ejected link, now or earlier
         # zone -> backends whose link has observed enough for a cost of its own
-        self.observed: defaultdict[str, Backends] = defaultdict(dict)
+        self.observed: defaultdict[str, BackendSet] = defaultdict(dict)
         self._settled = SettledEntries()
         self._subsets = subsets
         self._table_counts: dict[str, int] = {}  # zone -> number of tables at the last `entries`
@@ -66,13 +66,13 @@
         """Have all entries of a backend evaluated until it is clean again."""
         self._settled.remove_all(backend)
         self.dirty[backend] = None
-        if backend.phase != READY or backend.exclusion.is_in_force:
+        if backend.phase != READY or backend.exclusion.is_active:
             self.absent[backend] = None
 
     def watch(self, backend: Backend, zone: str) -> None:
         """Have a backend's entries in a zone evaluated until its link has no state of its own there."""
         self._settled.remove(backend, zone)
-        backend.watched[zone] = None
+        backend.watched_zones[zone] = None
         self.watching[backend] = None
 
     def mark_observed(self, backend: Backend, zone: str) -> None:
@@ -143,7 +143,7 @@
             (backend, zone)
             for backend in self.watching
             if backend not in self.dirty
-            for zone in backend.watched
+            for zone in backend.watched_zones
         ]
         backend_zones += self._settled.outdated(weight_of, has_moved)
         for backend, zone in backend_zones:
@@ -198,15 +198,15 @@
             self._settle_watched(backend, is_slow_start_over)
 
     def _settle_watched(self, backend: Backend, is_slow_start_over: IsSlowStartOver) -> None:
-        for zone in list(backend.watched):
+        for zone in list(backend.watched_zones):
             link = backend.links.get(zone)
             if link is None or (
                 self._is_idle(link, is_slow_start_over) and backend not in self.observed[zone]
             ):
-                del backend.watched[zone]
+                del backend.watched_zones[zone]
                 if backend.phase == READY:
                     self._settle(backend, zone)
-        if not backend.watched:
+        if not backend.watched_zones:
             del self.watching[backend]
 
     @staticmethod
@@ -215,7 +215,7 @@
             backend.phase == READY
             and backend.verified
             and backend.subset is not None
-            and not backend.exclusion.is_in_force
+            and not backend.exclusion.is_active
             and is_slow_start_over(backend.slow_start_since)
             and is_warm(backend)
         )
--- a/granitespool/planner/settled_entries.py
+++ b/granitespool/planner/settled_entries.py
@@ -12,11 +12,11 @@
 from typing import NamedTuple
 
 from granitespool.endpoints import Label
-from granitespool.planner.records import Backend, Backends
+from granitespool.planner.records import Backend, BackendSet
 
 Weights = tuple[float, ...]
-WeightOf = Callable[[Backend, str], float]  # (backend, zone) -> wanted weight
-HasMoved = Callable[[float, float], bool]  # (wanted weight, published weight) -> whether to send the new one
+WeightOf = Callable[[Backend, str], float]  # (backend, zone) -> target weight
+HasMoved = Callable[[float, float], bool]  # (target weight, published weight) -> whether to send the new one
 
 
 class SharedInputs(NamedTuple):
@@ -31,7 +31,7 @@
     """Groups of settled entries, by the inputs of their weight and by the weights last published."""
 
     def __init__(self) -> None:
-        self._groups: dict[SharedInputs, dict[Weights, Backends]] = {}
+        self._groups: dict[SharedInputs, dict[Weights, BackendSet]] = {}
         self._by_zone: dict[str, dict[SharedInputs, None]] = {}
         self._invalid: dict[SharedInputs, None] = {}  # to be checked next
 
@@ -73,14 +73,14 @@
         self, inputs: SharedInputs, weight_of: WeightOf, has_moved: HasMoved
     ) -> Iterator[tuple[Backend, str]]:
         groups = self._groups[inputs]
-        wanted = None
+        target = None
         for weights, members in list(groups.items()):
             if not members:
                 del groups[weights]
                 continue
-            if wanted is None:
-                wanted = weight_of(next(iter(members)), inputs.zone)
-            if any(has_moved(wanted, published) for published in weights):
+            if target is None:
+                target = weight_of(next(iter(members)), inputs.zone)
+            if any(has_moved(target, published) for published in weights):
                 self._invalid[inputs] = None
                 yield from [(backend, inputs.zone) for backend in members]
         if not groups:
