--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -115,16 +115,16 @@
     def _may_be_excluded(self, entry: Endpoint) -> bool:
         if entry.phase != Phase.READY:
             return True
-        known = self.planner.inspection.backend(entry.name)
-        return known is not None and entry.started_at > known.started_at
+        backend = self.planner.inspection.backend(entry.name)
+        return backend is not None and entry.started_at > backend.started_at
 
     def tick(self, now: int) -> int | None:
         """Run the expired timers and end the turn; return when the next timer is due (ns), or None."""
         self.now = max(self.now, now)
-        due = []
+        expired = []
         while self.timers and self.timers[0].due <= self.now:
-            due.append(heapq.heappop(self.timers))
-        for timer in due:
+            expired.append(heapq.heappop(self.timers))
+        for timer in expired:
             self._call_planner(self.planner.on_timer, timer.cookie)
         self.updates.end_turn(self._barrier)
         self._barrier = None
@@ -245,11 +245,11 @@
         self.updates.reset_table(table)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Put a joined proxy on a table for some classes, from now until it leaves."""
+        """Assign a joined proxy to a table for some classes, until the proxy leaves."""
         self.updates.assign(proxy, table, classes)
 
     def exclude(self, backend: str, excluded: bool) -> None:
-        """Exclude a backend from the tables that joined proxies use, or readmit it."""
+        """Exclude a backend from all tables that joined proxies use, or readmit it."""
         self.updates.exclude(backend, excluded)
 
     def exclusion_cost(
@@ -283,7 +283,7 @@
             self.queues[Queue.HEALTH_CHECKS].append(request)
 
     def remove_backend(self, backend: str) -> None:
-        """Remove the records of a backend, which is unused unless the endpoint list contains it again."""
+        """Remove all records of a backend that is gone; only the endpoint list can add it again."""
         self.updates.remove_backend(backend)
         self.queues[Queue.REMOVED_BACKENDS].append(RemovedBackend(backend))
 
--- a/granitespool/outgoing.py
+++ b/granitespool/outgoing.py
@@ -8,12 +8,12 @@
 
 
 class Queue(Enum):
-    """A queue of messages that are not for proxies."""
+    """A queue of messages to recipients other than proxies."""
 
     HEALTH_CHECKS = "health_checks"  # to be sent
     GOSSIP = "gossip"  # to be sent to peers
     INTERNAL_ERRORS = "internal_errors"  # to be logged
-    REMOVED_BACKENDS = "removed_backends"  # backends that are not used any more
+    REMOVED_BACKENDS = "removed_backends"  # backends whose records were removed
 
 
 class TableUpdate(NamedTuple):
@@ -62,7 +62,7 @@
 
 
 class RemovedBackend(NamedTuple):
-    """A backend that is not used any more, unless the endpoint list contains it again."""
+    """A backend whose records were removed; only the endpoint list can add it again."""
 
     backend: str
 
--- a/granitespool/planner/assignment.py
+++ b/granitespool/planner/assignment.py
@@ -79,15 +79,15 @@
         if self._budget.is_mandatory_waiting or not self.unassigned or self._capacity_left(before_drain) < 0:
             return  # called at each acknowledgement: do not sort all proxies if none can be assigned
         overdue_since = now - self._drain_grace / OVERDUE_GRACE_DIVISOR
-        order = {
+        priorities = {
             proxy: (min(waiting.since, overdue_since), -self.proxies[proxy].rate)
             for proxy, waiting in self.unassigned.items()
         }
-        due = sorted(order, key=order.__getitem__)
+        proxies = sorted(priorities, key=priorities.__getitem__)
         if before_drain is not None:
-            limit = min(before_drain, overdue_since)
-            due = [proxy for proxy in due if order[proxy][0] < limit]
-        for proxy in due:
+            waiting_before = min(before_drain, overdue_since)
+            proxies = [proxy for proxy in proxies if priorities[proxy][0] < waiting_before]
+        for proxy in proxies:
             if not self.assign(now, proxy, before_drain):
                 break
 
--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -13,7 +13,7 @@
 MIN_CHANGE_SHARE = 0.1  # relative change of a weight that is worth publishing
 
 
-def has_moved(target: float, published: float) -> bool:
+def needs_update(target: float, published: float) -> bool:
     """Return whether a weight differs enough from the published one to be sent."""
     if target == published:
         return False
@@ -82,7 +82,7 @@
         return self._dirty.entries(
             self._fleet.backends.values(),
             lambda backend, zone: self._weights.target_weight(now, backend, zone),
-            has_moved,
+            needs_update,
         )
 
     def _candidate(self, now: int, entry: TableEntry, weight: float, is_single: bool) -> Candidate | None:
@@ -91,14 +91,14 @@
         published = backend.published.get(table, 0.0)
         if backend.phase != READY or not self._tables.entry_counts[table]:
             return Candidate(backend, table, weight, True, False, 0, backend.left_ready_at)
-        moved = abs(weight - published)
+        change = abs(weight - published)
         is_urgent = self._is_urgent(now, backend, zone, weight, published)
-        if not is_urgent and (is_single or moved <= MIN_CHANGE_SHARE * published):
+        if not is_urgent and (is_single or change <= MIN_CHANGE_SHARE * published):
             return None
         if not weight and self._tables.entry_counts[table] <= 1:
             return None  # keep the last entry: an empty table is worse
         # A new entry ranks by the load that it will carry in the end
-        rank = -(moved if published else backend.configured_weight)
+        rank = -(change if published else backend.configured_weight)
         return Candidate(backend, table, weight, False, not is_urgent, rank, 0)
 
     def _is_urgent(self, now: int, backend: Backend, zone: str, weight: float, published: float) -> bool:
--- a/granitespool/planner/dirty_set.py
+++ b/granitespool/planner/dirty_set.py
@@ -20,7 +20,7 @@
 
 from granitespool.planner.cost import ObservedCost
 from granitespool.planner.records import BY_SEQUENCE, READY, Backend, BackendSet, Link
-from granitespool.planner.settled_entries import HasMoved, SettledEntries, WeightOf
+from granitespool.planner.settled_entries import NeedsUpdate, SettledEntries, WeightOf
 from granitespool.planner.subsets import Subsets
 
 IsWarm = Callable[[Backend], bool]
@@ -131,7 +131,7 @@
         return sorted(self.absent, key=BY_SEQUENCE)
 
     def entries(
-        self, backends: Iterable[Backend], weight_of: WeightOf, has_moved: HasMoved
+        self, backends: Iterable[Backend], weight_of: WeightOf, needs_update: NeedsUpdate
     ) -> list[TableEntry]:
         """Return the entries whose weight may have changed, in creation sequence of their backends.
 
@@ -145,7 +145,7 @@
             if backend not in self.dirty
             for zone in backend.watched_zones
         ]
-        backend_zones += self._settled.outdated(weight_of, has_moved)
+        backend_zones += self._settled.outdated(weight_of, needs_update)
         for backend, zone in backend_zones:
             entries += [
                 TableEntry(backend, zone, table, True) for table in self._subsets.tables_of(backend, zone)
--- a/granitespool/planner/settled_entries.py
+++ b/granitespool/planner/settled_entries.py
@@ -16,7 +16,9 @@
 
 Weights = tuple[float, ...]
 WeightOf = Callable[[Backend, str], float]  # (backend, zone) -> target weight
-HasMoved = Callable[[float, float], bool]  # (target weight, published weight) -> whether to send the new one
+NeedsUpdate = Callable[
+    [float, float], bool
+]  # (target weight, published weight) -> whether to send the new one
 
 
 class SharedInputs(NamedTuple):
@@ -60,17 +62,17 @@
         """Have all groups of a zone checked again."""
         self._invalid.update(self._by_zone.get(zone, {}))
 
-    def outdated(self, weight_of: WeightOf, has_moved: HasMoved) -> Iterator[tuple[Backend, str]]:
+    def outdated(self, weight_of: WeightOf, needs_update: NeedsUpdate) -> Iterator[tuple[Backend, str]]:
         """Yield the members of groups whose weight may have changed, as (backend, zone).
 
         A group that yields members stays invalid, and is checked again by the next call.
         """
         invalid, self._invalid = self._invalid, {}
         for inputs in invalid:
-            yield from self._outdated_of(inputs, weight_of, has_moved)
+            yield from self._outdated_of(inputs, weight_of, needs_update)
 
     def _outdated_of(
-        self, inputs: SharedInputs, weight_of: WeightOf, has_moved: HasMoved
+        self, inputs: SharedInputs, weight_of: WeightOf, needs_update: NeedsUpdate
     ) -> Iterator[tuple[Backend, str]]:
         groups = self._groups[inputs]
         target = None
@@ -80,7 +82,7 @@
                 continue
             if target is None:
                 target = weight_of(next(iter(members)), inputs.zone)
-            if any(has_moved(target, published) for published in weights):
+            if any(needs_update(target, published) for published in weights):
                 self._invalid[inputs] = None
                 yield from [(backend, inputs.zone) for backend in members]
         if not groups:
--- a/tests/coordinator/test_many_coordinators.py
+++ b/tests/coordinator/test_many_coordinators.py
@@ -104,7 +104,7 @@
 
 
 def test_during_an_overload_new_backends_soon_carry_their_share():
-    """In plays join+vast 3, 5 and 8 a third to a half of the attempts succeeded.
+    """In the runs join+vast 3, 5 and 8, a third to a half of the attempts succeeded.
 
     New backends therefore got only a third of their share, which prolonged the overload.
     """
--- a/tests/planner/test_admission_levels.py
+++ b/tests/planner/test_admission_levels.py
@@ -89,7 +89,7 @@
 def test_joining_proxies_are_assigned_in_one_turn_whatever_the_number_of_classes(
     class_count, default_retries
 ):
-    """With one entry for each class and proxy, one turn assigned only 21, 8 and 1 of the 70 proxies."""
+    """With one entry for each class and proxy, a turn with 60 backends assigned 21, 8 and 1 of 70."""
     fleet = ProxyFleet(
         60, 3, entries_per_s=4000.0, backlog_limit=16000.0, **class_settings(class_count, default_retries)
     )
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -22,7 +22,7 @@
 SEEDS = st.integers(0, 10**6)
 
 
-def played(comparison, events):
+def run_random_events(comparison, events):
     for _ in range(events):
         comparison.event()
         comparison.run(comparison.random.choice((1, 3, 12)))
@@ -32,13 +32,13 @@
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(3, 40), st.integers(1, 6), st.integers(1, 20), st.sampled_from(RATES))
 def test_decisions_for_small_random_fleets_equal_the_references(seed, backends, zones, proxies, rate):
-    assert played(PlannerComparison(seed, backends, zones, proxies, rate), 25).ordered
+    assert run_random_events(PlannerComparison(seed, backends, zones, proxies, rate), 25).ordered
 
 
 @settings(max_examples=10, deadline=None, derandomize=True)
 @given(SEEDS, st.integers(100, 200), st.integers(8, 50), st.sampled_from(RATES))
 def test_decisions_for_large_random_fleets_equal_the_references(seed, backends, zones, rate):
-    assert played(PlannerComparison(seed, backends, zones, 20, rate), 8).ordered
+    assert run_random_events(PlannerComparison(seed, backends, zones, 20, rate), 8).ordered
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_old_observations_count_as_in_the_reference(seed):
     # Links decay when they are next used: half of the gaps here exceed the periods that are multiplied out
-    comparison = played(PlannerComparison(seed, 12, 3, 6, 2000.0), 10)
+    comparison = run_random_events(PlannerComparison(seed, 12, 3, 6, 2000.0), 10)
     for quiet in (EXACT_PERIODS_MAX - 5, EXACT_PERIODS_MAX + 30, 5):
         comparison.run(10 * quiet)
         comparison.hear(0.7)
@@ -99,14 +99,14 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_decisions_after_a_restored_snapshot_equal_the_references(seed):
-    former = played(PlannerComparison(seed, 20, 3, 8, 2000.0), 15)
+    former = run_random_events(PlannerComparison(seed, 20, 3, 8, 2000.0), 15)
     former.hear(1.0)
     snapshot = former.changed.snapshot(list(former.entries))
     later = PlannerComparison(seed + 1, 20, 3, 8, 2000.0)
     backends = {name: each for name, each in snapshot.backends.items() if name in later.entries}
     later.report(Restored(snapshot.fleet, backends))
     later.run(5)
-    assert played(later, 10).ordered
+    assert run_random_events(later, 10).ordered
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -115,7 +115,7 @@
     for table in range(3):
         comparison.report(SliceAssigned(table=table, owned=True))
         comparison.report(SliceEntry(table=table, backend=f"s{table + 1}", weight=1.0))
-    assert played(comparison, 12).ordered
+    assert run_random_events(comparison, 12).ordered
 
 
 def quiet_fleet(backends, zones, proxies=5):
--- a/tests/planner/test_in_flight_account.py
+++ b/tests/planner/test_in_flight_account.py
@@ -176,7 +176,7 @@
 
 
 def test_on_a_slow_channel_ordinary_changes_leave_capacity_for_a_drain():
-    """In play join+vast 992765718771, 2,800 ordinary entries delayed those of a release by 10 s."""
+    """In run join+vast 992765718771 2,800 ordinary entries delayed those of a release by 10 s."""
     fleet = ProxyFleet(40, 2, slowdown=4.0, bootstrap_entries=40, backlog_limit=12000.0)
     for proxy in range(40):
         fleet.join(proxy)
@@ -191,7 +191,7 @@
     assert max(waits[10:]) < 2 * PUBLICATION_LAG_MAX / SECOND
 
 
-def test_lost_repeated_and_late_acknowledgements_and_reused_barrier_numbers():
+def test_repeated_or_late_acknowledgements_release_nothing_and_numbers_in_flight_are_not_reused():
     account = account_of()
     assert account.reserve(1, 1, 10) and not account.reserve(1, 2, 10)
     assert account.reserve(2, 1, 5)
