--- a/granitespool/planner/candidates.py
+++ b/granitespool/planner/candidates.py
@@ -97,7 +97,7 @@
             return None
         if not weight and self._tables.entry_counts[table] <= 1:
             return None  # keep the last entry: an empty table is worse
-        # A new entry ranks by the load that it will carry in the end
+        # A new entry ranks by what it will carry in the end: its configured weight
         rank = -(change if published else backend.configured_weight)
         return Candidate(backend, table, weight, False, not is_urgent, rank, 0)
 
--- a/granitespool/planner/in_flight.py
+++ b/granitespool/planner/in_flight.py
@@ -12,7 +12,7 @@
 from granitespool.settings import Settings
 from granitespool.units import SECOND
 
-BARRIER_SEQUENCES = 65536  # barriers are numbered from 0 up to this less 1
+BARRIER_SEQUENCES = 65536  # barriers are numbered modulo this
 DEFAULT_QUEUE_TIME = 2 * SECOND  # ns that a full queue takes, where no rate or no limit is configured
 DEFAULT_MESSAGES_SPAN = 10 * SECOND  # ns that the limit on messages to a proxy counts over, where unset
 UNLIMITED = 1e9  # entries, or entries a second: a queue or a rate without a limit
--- a/granitespool/planner/publication.py
+++ b/granitespool/planner/publication.py
@@ -84,8 +84,8 @@
         self._exclusion = exclusion
         self._admission = admission
         self._outbox = outbox
-        self.next_message = 0  # ns; earliest time by the limit on messages to a proxy
-        self.next_complete_pass = 0  # ns; deferred updates wait until then
+        self.next_message_at = 0  # ns; earliest time by the limit on messages to a proxy
+        self.next_complete_pass_at = 0  # ns; deferred updates wait until then
         self.has_deferred = False  # an update waits for the next complete pass
         self._published_at = -1  # ns
         self._scheduled_at = 0  # ns, of the current timer; 0: none
@@ -93,11 +93,11 @@
     def publish(self, now: int, only: Backend | None = None) -> None:
         """Run a pass over one backend, or over all (None), or schedule it if it is too early."""
         is_merging = now == self._published_at
-        is_too_early = now < self.next_message and not is_merging
+        is_too_early = now < self.next_message_at and not is_merging
         if is_too_early or (only is not None and self._budget.is_mandatory_waiting):
-            self._schedule(now, self.next_message)
+            self._schedule(now, self.next_message_at)
             return
-        is_deferring = now < self.next_complete_pass and not is_merging
+        is_deferring = now < self.next_complete_pass_at and not is_merging
         self._run(PublicationPass(now, only, is_merging, is_deferring))
 
     def is_due(self, now: int) -> bool:
@@ -212,10 +212,10 @@
         self._dirty.record_published(backend, table, weight)
 
     def _mark_clean(self, now: int) -> None:
-        is_any_cost_known = self._costs.has_zone_mean
+        has_zone_mean = self._costs.has_zone_mean
         self._dirty.mark_clean(
             lambda backend: (
-                (backend.costs_evaluated or not is_any_cost_known) and self._slow_start.is_warm(now, backend)
+                (backend.costs_evaluated or not has_zone_mean) and self._slow_start.is_warm(now, backend)
             ),
             lambda since: self._slow_start.is_over(now, since),
         )
@@ -227,15 +227,15 @@
         self.has_deferred = current.has_deferred
         if has_sent:
             self._published_at = now
-            self.next_message = now + int(MESSAGE_GAP_FACTOR * account.message_gap)
+            self.next_message_at = now + int(MESSAGE_GAP_FACTOR * account.message_gap)
             if not current.is_deferring:
                 headers = len(self._assignment.proxies) * account.header
                 gap = headers / HEADER_RATE_SHARE / current.gap_divisor
-                self.next_complete_pass = now + int(SECOND * gap / account.observed_rate)
+                self.next_complete_pass_at = now + int(SECOND * gap / account.observed_rate)
         if self._budget.is_mandatory_waiting:
-            self._schedule(now, self.next_message)
+            self._schedule(now, self.next_message_at)
         elif current.has_deferred or current.gap_divisor > 1:
-            self._schedule(now, self.next_complete_pass)
+            self._schedule(now, self.next_complete_pass_at)
         self._assignment.assign_next(now)
 
     def _schedule(self, now: int, when: int) -> None:
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -280,9 +280,7 @@
     for _ in range(12):
         if random.random() < 0.4:  # one subset loses most of its members
             subset = random.randrange(subset_pair[0].count)
-            for number in [number for number, (backend, _) in enumerate(pairs) if backend.subset == subset][
-                1:
-            ]:
+            for number in [index for index, (backend, _) in enumerate(pairs) if backend.subset == subset][1:]:
                 changed[number] = None
                 for backend in pairs[number]:
                     backend.phase = "gone"
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -44,8 +44,8 @@
     "short": ("budget", "is_mandatory_waiting"),
     "later": ("publisher", "has_deferred"),
     "lag": ("inspection", "acknowledgement_latency"),
-    "next_flush": ("publisher", "next_message"),
-    "next_alarm": ("publisher", "next_complete_pass"),
+    "next_flush": ("publisher", "next_message_at"),
+    "next_alarm": ("publisher", "next_complete_pass_at"),
     "shut_at": ("exclusion", "exclusions_sent_at"),
 }
 
