--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -92,7 +92,7 @@
         ("seed", "no KEY=VALUE"),
         ("nothing=1", "no section has this key"),
         ("event.replace.kind=burn", "one of configure, "),
-        ("coordinators.reel=3", "nearest known name is real"),
+        ("coordinators.reel=3", "did you mean real?"),
     ],
 )
 def test_a_wrong_scenario_ends_in_a_sentence(change, words):
@@ -179,7 +179,7 @@
     def event(self, name, **fields):
         self.log.append(name)
 
-    often = event
+    rate_limited_event = event
 
     def run(self, seconds, until=lambda: False):
         """Turns the loop for so long, or until something holds."""
@@ -449,7 +449,7 @@
         assert path.stat().st_size > 1000
     where.write_text("{}")
     assert main(["scale", "plot", str(path), str(where)]) == 1
-    assert "is no report of a scale run" in capsys.readouterr().err
+    assert "is not a report of a scale run" in capsys.readouterr().err
 
 
 def test_a_channel_that_is_too_late_for_a_drain_is_found_and_fails_the_command(capsys, tmp_path):
