--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -77,7 +77,7 @@
         self.sizes = sizes
         self.random = Random(seed)
         self.now = START
-        self.planned_ns = 0  # decisions: report, tick, next_message
+        self.planned_ns = 0  # decisions: report, tick, pick
         self.written_ns = 0  # encoding of messages
         self.read_ns = 0  # decoding of frames
         self.read_bytes = 0
@@ -184,7 +184,7 @@
         started_at = time.process_time_ns()
         coordinator.tick(self.now)
         proxies = [recipient for recipient in coordinator.recipients() if isinstance(recipient, int)]
-        messages = [(proxy, coordinator.next_message(proxy)) for proxy in proxies]
+        messages = [(proxy, coordinator.pick(proxy)) for proxy in proxies]
         self.planned_ns += time.process_time_ns() - started_at
         for proxy, message in messages:
             if message is not None:
@@ -221,7 +221,7 @@
         """Empty the queues that are not of proxies; return the backends whose health is to be checked."""
         checks = []
         for queue in Queue:
-            while (message := self.coordinator.next_message(queue)) is not None:
+            while (message := self.coordinator.pick(queue)) is not None:
                 if isinstance(message, InternalError):
                     raise RuntimeError(f"the planner failed: {message.text}")  # noqa: TRY004 the type is as expected
                 if isinstance(message, HealthCheckRequest):
--- a/bench/state.py
+++ b/bench/state.py
@@ -181,7 +181,7 @@
     """End a turn and discard its messages."""
     coordinator.tick(now)
     for recipient in coordinator.recipients():
-        while coordinator.next_message(recipient) is not None:
+        while coordinator.pick(recipient) is not None:
             pass
 
 
--- a/granitespool/coordinator.py
+++ b/granitespool/coordinator.py
@@ -3,7 +3,7 @@
     coordinator.report(now, LoadReport(...))            # any number of events, all with the time of the turn
     due = coordinator.tick(now)                         # ends the turn; returns the time of the next timer
     for recipient in coordinator.recipients():          # recipients with pending messages
-        message = coordinator.next_message(recipient)   # None if there is no further one
+        message = coordinator.pick(recipient)   # None if there is no further one
 
 All events of one turn form a batch, and everything that the planner orders in that turn becomes one message
 for each proxy. Pending messages merge with later ones: the last weight and the last barrier replace the
@@ -146,24 +146,24 @@
         return [*self.updates.waiting, *(queue for queue, messages in self.queues.items() if messages)]
 
     @overload
-    def next_message(self, recipient: int) -> ProxyUpdate | None: ...
+    def pick(self, recipient: int) -> ProxyUpdate | None: ...
 
     @overload
-    def next_message(self, recipient: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
+    def pick(self, recipient: Literal[Queue.HEALTH_CHECKS]) -> HealthCheckRequest | None: ...
 
     @overload
-    def next_message(self, recipient: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
+    def pick(self, recipient: Literal[Queue.GOSSIP]) -> GossipMessage | None: ...
 
     @overload
-    def next_message(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
+    def pick(self, recipient: Literal[Queue.INTERNAL_ERRORS]) -> InternalError | None: ...
 
     @overload
-    def next_message(self, recipient: Literal[Queue.REMOVED_BACKENDS]) -> RemovedBackend | None: ...
+    def pick(self, recipient: Literal[Queue.REMOVED_BACKENDS]) -> RemovedBackend | None: ...
 
     @overload
-    def next_message(self, recipient: Recipient) -> OutgoingMessage | None: ...
+    def pick(self, recipient: Recipient) -> OutgoingMessage | None: ...
 
-    def next_message(self, recipient: Recipient) -> OutgoingMessage | None:
+    def pick(self, recipient: Recipient) -> OutgoingMessage | None:
         """Return the next message for a recipient (a proxy or a queue), or None if there is none."""
         if not isinstance(recipient, Queue):
             return self.updates.next_update(recipient)
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -172,7 +172,7 @@
     def _run_turn(self, coordinator: Coordinator) -> None:
         due = coordinator.tick(self.clock.now)
         for recipient in coordinator.recipients():
-            while (message := coordinator.next_message(recipient)) is not None:
+            while (message := coordinator.pick(recipient)) is not None:
                 self._handle_message(recipient, message)
         if due is not None and self._needs_wakeup(due):
             self._next_wakeup_at = due
@@ -225,7 +225,7 @@
 
 
 def table_update(message: ProxyUpdate) -> TableUpdate:
-    """Convert a message from `Coordinator.next_message` to an update of the proxy's table."""
+    """Convert a message from `Coordinator.pick` to an update of the proxy's table."""
     return TableUpdate(
         weights=[WeightUpdate(table.complete, table.entries.items()) for table in message.tables],
         admission=[
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -54,7 +54,7 @@
     def start(self) -> None:
         """Start the health checks that the coordinator requests, up to the limit."""
         while self.in_flight < self.limit:
-            request = self.coordinator.next_message(Queue.HEALTH_CHECKS)
+            request = self.coordinator.pick(Queue.HEALTH_CHECKS)
             if request is None:
                 return
             self.loop.spawn(self._check(request.backend))
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -220,7 +220,7 @@
         elif recipient is Queue.HEALTH_CHECKS:
             self.health_checks.start()  # takes messages from the queue up to its limit
         else:
-            while (message := self.coordinator.next_message(recipient)) is not None:
+            while (message := self.coordinator.pick(recipient)) is not None:
                 self._handle(message)
 
     def _handle(self, message: OutgoingMessage) -> None:
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -103,7 +103,7 @@
         connection = self.membership.proxies.get(proxy)
         if connection is None or connection.unsent:
             return
-        update = self.coordinator.next_message(proxy)
+        update = self.coordinator.pick(proxy)
         if update is None:
             return
         data = encode_update(update)
--- a/tests/support/coordinator_harness.py
+++ b/tests/support/coordinator_harness.py
@@ -75,7 +75,7 @@
     def message(self, proxy: int) -> ProxyMessage | None:
         """End the turn and return the next message to the proxy, None if there is none."""
         self.actions.tick(self.now)
-        picked = self.actions.next_message(proxy)
+        picked = self.actions.pick(proxy)
         return _message_of(picked) if picked else None
 
     def logged_errors(self) -> list[object]:
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -191,9 +191,7 @@
     def end_turn(self, after=0):
         """End a turn, return the orders by recipient, and advance the clock by `after` ns."""
         self.coordinator.tick(self.loop.now)
-        orders = {
-            recipient: self.coordinator.next_message(recipient) for recipient in self.coordinator.recipients()
-        }
+        orders = {recipient: self.coordinator.pick(recipient) for recipient in self.coordinator.recipients()}
         self.loop.now += after
         return orders
 
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -161,11 +161,11 @@
             coordinator.tick(self.now)
         self.check()
         for recipient in self.coordinator.recipients():
-            messages = [coordinator.next_message(recipient) for coordinator in self.coordinators]
+            messages = [coordinator.pick(recipient) for coordinator in self.coordinators]
             while isinstance(recipient, Queue) and messages[0] is not None:
                 if isinstance(messages[0], HealthCheckRequest):
                     self._report_health_check(messages[0].backend)
-                messages = [coordinator.next_message(recipient) for coordinator in self.coordinators]
+                messages = [coordinator.pick(recipient) for coordinator in self.coordinators]
             if recipient in self.proxies and isinstance(messages[0], ProxyUpdate):
                 latency = self.random.randint(TURN, 12 * TURN)
                 self.pending_acknowledgements.append(
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -205,7 +205,7 @@
         """End the turn, write the messages and let the channel run for `ahead` ns."""
         self.due = self.coordinator.tick(self.now)
         for proxy in list(self.coordinator.updates.waiting):
-            self._write(proxy, self.coordinator.next_message(proxy))
+            self._write(proxy, self.coordinator.pick(proxy))
         self._check()
         self.now += ahead
         while self.channel and self.channel[0].leaves_at <= self.now:
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -200,7 +200,7 @@
             self.now += ahead
             return
         self.catch_up()
-        while (request := self.coordinator.next_message(Queue.HEALTH_CHECKS)) is not None:
+        while (request := self.coordinator.pick(Queue.HEALTH_CHECKS)) is not None:
             self._check_health(request.backend)
         super().turn(ahead)
         self._record_backlog()
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -188,7 +188,7 @@
 
 
 def picked(coordinator, recorded_recipient):
-    message = coordinator.next_message(recipient_of(recorded_recipient))
+    message = coordinator.pick(recipient_of(recorded_recipient))
     if isinstance(message, ProxyUpdate):
         return encode_update(message).decode("latin-1")
     if message is None or len(message) > 1:
