--- a/tests/coordinator/test_drawn_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -65,7 +65,7 @@
     backends=st.integers(6, 30),
     intake=st.sampled_from((5, 50, 1000)),  # reports a second; what is more adds up and comes late
     slowdown=st.sampled_from((1, 1, 3)),  # times that the channels are slower than told
-    table_takes=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for one whole table
+    table_time=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for one whole table
 )
 def test_the_five_rules_hold_over_all_coordinators_in_any_order(steps, **drawn):
     assert not broken(run_steps(steps, make_fleet(**drawn)))
@@ -74,7 +74,7 @@
 def test_a_drain_has_its_time_where_a_full_queue_takes_longer_than_the_grace():
     # Found by drawing channels whose queue takes 10 s, three times the drains' grace: twenty joiners' tables
     # fill a third of it, all of the grace, before a drain that needs half of the grace for a line to each.
-    channel = ChannelSettings(pace=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
+    channel = ChannelSettings(entries_per_s=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
     assert not broken(run_steps([("release", 1)], TracedFleet(channel, 1, 20, 12)))
 
 
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -65,7 +65,7 @@
     comparison.restart("s3")
     for _ in range(30):
         comparison.run(10)
-        comparison.report_loads(0.8, failed=0.3 * (seed % 2), but="s3", zones=comparison.zones[:1])
+        comparison.report_loads(0.8, failed=0.3 * (seed % 2), excluding="s3", zones=comparison.zones[:1])
     assert comparison.action_count
 
 
--- a/tests/support/coordinator_harness.py
+++ b/tests/support/coordinator_harness.py
@@ -75,8 +75,8 @@
     def message(self, proxy: int) -> ProxyMessage | None:
         """End the turn and return the next message to the proxy, None if there is none."""
         self.actions.tick(self.now)
-        picked = self.actions.next_message(proxy)
-        return _message_of(picked) if picked else None
+        update = self.actions.next_message(proxy)
+        return _message_of(update) if update else None
 
     def logged_errors(self) -> list[object]:
         """Return the errors that the coordinator has caught and the texts that the planner has logged."""
--- a/tests/support/events.py
+++ b/tests/support/events.py
@@ -110,24 +110,24 @@
         """Report that the list could not be read."""
         self._list(events.ListForm.FAILED, ())
 
-    def restore(self, *facts: Restored) -> None:
+    def restore(self, *records: Restored) -> None:
         """Report the state that was restored from a snapshot."""
         fleet = FleetSnapshot(is_overloaded=False, admitted_share=1.0, success_ratio=1.0, demand={})
         links: dict[str, dict[str, LinkSnapshot]] = {}
         unverified = set()
-        for fact in facts:
-            if isinstance(fact, RestoredOverload):
+        for record in records:
+            if isinstance(record, RestoredOverload):
                 fleet = FleetSnapshot(
                     is_overloaded=True,
-                    admitted_share=fact.admitted_share,
+                    admitted_share=record.admitted_share,
                     success_ratio=1.0,
-                    demand=fact.demand,
+                    demand=record.demand,
                 )
-            elif isinstance(fact, RestoredUnverified):
-                links.setdefault(fact.backend, {})
-                unverified.add(fact.backend)
+            elif isinstance(record, RestoredUnverified):
+                links.setdefault(record.backend, {})
+                unverified.add(record.backend)
             else:
-                links.setdefault(fact.backend, {})[fact.zone] = fact.snapshot(self.now)
+                links.setdefault(record.backend, {})[record.zone] = record.snapshot(self.now)
         backends = {
             name: _backend_snapshot(name not in unverified, by_zone) for name, by_zone in links.items()
         }
--- a/tests/support/interleavings.py
+++ b/tests/support/interleavings.py
@@ -48,9 +48,9 @@
         coordinator.repeat_change()
 
 
-def make_fleet(coordinators, proxies, backends, table_takes=0.1, **more):
+def make_fleet(coordinators, proxies, backends, table_time=0.1, **more):
     """Return a traced fleet with channel settings that fit its size."""
-    channel = ChannelSettings.for_fleet(coordinators, proxies, backends, table_takes)
+    channel = ChannelSettings.for_fleet(coordinators, proxies, backends, table_time)
     return TracedFleet(channel, coordinators, proxies, backends, **more)
 
 
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -73,14 +73,14 @@
 class PlannerComparison:
     """A random fleet before two coordinators, which `check` compares after each turn."""
 
-    def __init__(self, seed, backends, zones, proxies, pace, **more):
+    def __init__(self, seed, backends, zones, proxies, entries_per_s, **more):
         self.random, self.now = Random(seed), 100 * SECOND
         self.zones = [f"z{k}" for k in range(zones)]
         self.settings = {
             "zones": self.zones,
             "health_checks_allowed": bool(seed % 2),
-            "entries_per_s": pace,
-            "backlog_limit": 4 * pace,
+            "entries_per_s": entries_per_s,
+            "backlog_limit": 4 * entries_per_s,
             "message_header": 3.0,
             "bootstrap_entries": 5,
             "drain_grace": 7 * SECOND,
@@ -145,15 +145,15 @@
 
     def leave(self, proxy):
         del self.proxies[proxy]
-        self.pending_acknowledgements = [each for each in self.pending_acknowledgements if each[1] != proxy]
+        self.pending_acknowledgements = [item for item in self.pending_acknowledgements if item[1] != proxy]
         self.report(ProxyLeft(proxy=proxy))
 
     def turn(self):
         """Run and compare one turn of both; answer health checks at once and barriers after a delay."""
         self.now += TURN
         due, self.pending_acknowledgements = (
-            [each for each in self.pending_acknowledgements if each[0] <= self.now],
-            [each for each in self.pending_acknowledgements if each[0] > self.now],
+            [item for item in self.pending_acknowledgements if item[0] <= self.now],
+            [item for item in self.pending_acknowledgements if item[0] > self.now],
         )
         for _, proxy, sequence, latency in due:
             self.report(Acknowledged(proxy=proxy, sequence=sequence, latency=latency))
@@ -195,14 +195,14 @@
         for compared in self.coordinators:
             compared.calls.clear()
 
-    def report_loads(self, share, scale=1.0, failed=0.0, but=None, zones=None):
-        """Report load of a random `share` of the links in `zones`, without the backend `but`.
+    def report_loads(self, share, scale=1.0, failed=0.0, excluding=None, zones=None):
+        """Report load of a random `share` of the links in `zones`, without the backend `excluding`.
 
         At least the share `failed` of the attempts fails, and more at a failing backend.
         """
         for name in self.entries:
             for zone in zones or self.zones:
-                if self.random.random() >= share or name == but:
+                if self.random.random() >= share or name == excluding:
                     continue
                 attempts = self.random.randint(1, 12)
                 failed_share = max(failed, self.failing.get(name, 0.0))
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -101,7 +101,7 @@
         """
         self.now = START
         self.slowdown = slowdown
-        self.due: int | None = None  # ns: time of the coordinator's next turn
+        self.next_turn_at: int | None = None  # ns: time of the coordinator's next turn
         self.settings = settings_of(
             {
                 **SETTINGS,
@@ -203,7 +203,7 @@
 
     def turn(self, ahead: int = TURN) -> None:
         """End the turn, write the messages and let the channel run for `ahead` ns."""
-        self.due = self.coordinator.tick(self.now)
+        self.next_turn_at = self.coordinator.tick(self.now)
         for proxy in list(self.coordinator.updates.waiting):
             self._write(proxy, self.coordinator.next_message(proxy))
         self._check()
--- a/tests/support/traced_backends.py
+++ b/tests/support/traced_backends.py
@@ -117,12 +117,12 @@
 
     def advance(self) -> None:
         """Apply the scheduled changes that are due."""
-        due = [planned for planned in self._scheduled if planned.at <= self.clock.now]
-        self._scheduled = [planned for planned in self._scheduled if planned.at > self.clock.now]
-        for planned in due:
-            backend = self.by_name[planned.backend]
-            backend.phase = planned.phase
-            if planned.phase == "ready":
+        due = [change for change in self._scheduled if change.at <= self.clock.now]
+        self._scheduled = [change for change in self._scheduled if change.at > self.clock.now]
+        for change in due:
+            backend = self.by_name[change.backend]
+            backend.phase = change.phase
+            if change.phase == "ready":
                 backend.started = self.clock.now
             self._change([backend])
 
--- a/tests/support/traced_coordinator.py
+++ b/tests/support/traced_coordinator.py
@@ -103,13 +103,13 @@
         self.recorded_backlog = 0.0
         self.list_delay = 0  # ns
         self.list_position = 0  # number of list changes received
-        self.up_at: int | None = None  # ns: time of the restart; None while it runs
+        self.restart_at: int | None = None  # ns: time of the restart; None while it runs
         super().__init__(len(fleet.backends.by_name), ZONES, **settings)
 
     @property
     def up(self) -> bool:
         """Whether the coordinator is running."""
-        return self.up_at is None
+        return self.restart_at is None
 
     # The endpoint list
 
@@ -175,12 +175,12 @@
         self.fleet.record(CoordinatorEnded(at=self.now, coordinator=self.name))
         for number in list(self.joined):
             self.drop_proxy(self.fleet.proxies[number])
-        self.up_at = self.now + downtime
+        self.restart_at = self.now + downtime
         self.incarnation += 1
 
     def start(self) -> None:
         """Start a new incarnation that has restored only the last endpoint list."""
-        self.up_at = None
+        self.restart_at = None
         self.phases = {}
         self.reported_starts = {}
         self.intake = {}
@@ -257,7 +257,7 @@
         waiting.window += SECOND
 
     def process_load_reports(self, limit: int) -> None:
-        """Process at most `limit` links' load reports, those of one second."""
+        """Process the pending load reports of at most `limit` links."""
         for zone, name in list(self.intake)[:limit]:
             waiting = self.intake.pop((zone, name))
             answered = waiting.attempts - waiting.failures
--- a/tests/support/traced_fleet.py
+++ b/tests/support/traced_fleet.py
@@ -50,23 +50,23 @@
 class ChannelSettings(msgspec.Struct, frozen=True):
     """The settings of a fleet's channels and of the drains that the channels must carry in time."""
 
-    pace: float  # entries a second
+    entries_per_s: float
     backlog_limit: float  # entries
     drain_grace: int  # ns
 
     @classmethod
     def for_fleet(
-        cls, coordinators: int, proxies: int, backends: int, table_takes: float
+        cls, coordinators: int, proxies: int, backends: int, table_time: float
     ) -> "ChannelSettings":
         """Return settings with which urgent entries fit twice with all proxies on one coordinator.
 
         The platform sets them so. The urgent entries are here the drains of all backends that may drain at a
-        time. `table_takes`: seconds that a channel takes for one complete table.
+        time. `table_time`: seconds that a channel takes for one complete table.
         """
-        pace = (backends + TABLE_OVERHEAD) / table_takes
+        entries_per_s = (backends + TABLE_OVERHEAD) / table_time
         drains = coordinators * proxies * (int((1 - MIN_WARM_SHARE) * backends) + DRAIN_OVERHEAD)
-        grace = max(MIN_DRAIN_GRACE, round(2 * drains / pace * SECOND))
-        return cls(pace, max(2 * drains, BACKLOG_TIME * pace), grace)
+        grace = max(MIN_DRAIN_GRACE, round(2 * drains / entries_per_s * SECOND))
+        return cls(entries_per_s, max(2 * drains, BACKLOG_TIME * entries_per_s), grace)
 
 
 class _Reconnection(NamedTuple):
@@ -117,7 +117,7 @@
     def _make_coordinator(self, number: int, coordinators: int) -> TracedCoordinator:
         settings = {
             **SETTINGS,
-            "entries_per_s": self.channel.pace,
+            "entries_per_s": self.channel.entries_per_s,
             "backlog_limit": self.channel.backlog_limit,
             "drain_grace": self.channel.drain_grace,
             "proxies_expected": len(self.proxies),
@@ -204,13 +204,13 @@
         self.reconnections.append(_Reconnection(at, proxy, coordinator))
 
     def _join(self) -> None:
-        due = [each for each in self.reconnections if each.at <= self.now]
-        self.reconnections = [each for each in self.reconnections if each.at > self.now]
-        for each in due:
-            if each.coordinator.up:
-                each.coordinator.add_proxy(each.proxy)
+        due = [item for item in self.reconnections if item.at <= self.now]
+        self.reconnections = [item for item in self.reconnections if item.at > self.now]
+        for reconnection in due:
+            if reconnection.coordinator.up:
+                reconnection.coordinator.add_proxy(reconnection.proxy)
             else:
-                self._reconnect(each.proxy)
+                self._reconnect(reconnection.proxy)
 
     # Time
 
@@ -218,7 +218,7 @@
         """Run one turn of all parts."""
         self.backends.advance()
         for coordinator in self.coordinators:
-            if coordinator.up_at is not None and coordinator.up_at <= self.now:
+            if coordinator.restart_at is not None and coordinator.restart_at <= self.now:
                 coordinator.start()
         self._join()
         if self.turns % TURNS_PER_LOAD_RECORD == 0:
--- a/tests/support/traced_traffic.py
+++ b/tests/support/traced_traffic.py
@@ -67,11 +67,11 @@
         if applied.started == backend.started and proxy.written_at >= applied.received_at:
             return True
         if proxy.coordinator is None:
-            known = ReportedStart(0, 0)
+            received = ReportedStart(0, 0)
         else:
-            known = proxy.coordinator.reported_starts.get(backend.name, ReportedStart(0, 0))
+            received = proxy.coordinator.reported_starts.get(backend.name, ReportedStart(0, 0))
         grace = self.fleet.channel.drain_grace
-        return known.started == backend.started and self.fleet.now - known.received_at >= grace
+        return received.started == backend.started and self.fleet.now - received.received_at >= grace
 
     def work(self) -> dict[str, Work]:
         """Return the work that reaches each backend."""
