--- a/tests/coordinator/test_drawn_interleavings.py
+++ b/tests/coordinator/test_drawn_interleavings.py
@@ -66,7 +66,7 @@
     backends=st.integers(6, 30),
     intake=st.sampled_from((5, 50, 1000)),  # reports a second; further ones are summed and sent late
     slowdown=st.sampled_from((1, 1, 3)),  # factor by which the channels are slower than configured
-    table_takes=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for a complete table
+    table_time=st.sampled_from((0.04, 0.15, 0.3)),  # s that a channel takes for a complete table
 )
 def test_the_five_rules_hold_over_all_coordinators_for_any_order_of_events(steps, **drawn):
     assert not violations(run_steps(steps, make_fleet(**drawn)))
@@ -78,7 +78,7 @@
     The tables of twenty joining proxies fill a third of it, the whole grace, before a drain that needs half
     of the grace for one entry to each.
     """
-    channel = ChannelSettings(pace=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
+    channel = ChannelSettings(entries_per_s=60.0, backlog_limit=600.0, drain_grace=3_300_000_000)
     assert not violations(run_steps([("release", 1)], TracedFleet(channel, 1, 20, 12)))
 
 
--- a/tests/planner/test_dirty_set.py
+++ b/tests/planner/test_dirty_set.py
@@ -69,7 +69,7 @@
     comparison.restart("s3")
     for _ in range(30):
         comparison.run(10)
-        comparison.report_loads(0.8, failed=0.3 * (seed % 2), but="s3", zones=comparison.zones[:1])
+        comparison.report_loads(0.8, failed=0.3 * (seed % 2), excluding="s3", zones=comparison.zones[:1])
     assert comparison.action_count
 
 
