--- a/granitespool/net/acceptor.py
+++ b/granitespool/net/acceptor.py
@@ -1,7 +1,8 @@
 """Listen on the coordinator's address and accept connections.
 
-Owns the listening socket. It never reads from a connection and never decides which connection is evicted: it
-asks `admission` whether a connection can be accepted and hands each accepted socket to a callback.
+Owns the listening socket. This module never reads from a connection and does not choose the connection to
+evict. It calls `admission` to check whether a connection can be accepted, and passes each accepted socket to
+a callback.
 """
 
 import errno
@@ -14,18 +15,18 @@
 from granitespool.net.log_events import log_rejected
 from granitespool.net.loop import IN, SECOND, Coroutine, Loop
 
-# Connections that the kernel queues: after a restart all proxies connect at once.
+# Connections that the kernel queues. After a restart of the coordinator all proxies connect at once.
 BACKLOG = 4096
-# Connections accepted in one turn, so that open connections are served in between.
+# Connections accepted in one turn. The limit lets open connections be served between two batches.
 ACCEPTS_PER_TURN = 64
-ACCEPT_RETRY_DELAY = SECOND // 50  # ns between accepts while no connection can be accepted
+ACCEPT_RETRY_DELAY = SECOND // 50  # ns until the next attempt if no connection can be accepted
 
 # Error numbers of `accept` that mean the process or the machine is short of descriptors or memory.
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Acceptor:
-    """The listener for incoming connections; ending `task` closes the listening socket."""
+    """The listener for incoming connections; the end of `task` closes the listening socket."""
 
     def __init__(
         self,
@@ -37,8 +38,8 @@
     ) -> None:
         """Start to listen; raise OSError if the address cannot be bound.
 
-        `on_accepted` is called with each socket and its peer's "host:port"; if it raises OSError, the socket
-        is closed here.
+        `on_accepted` is called with each accepted socket and the "host:port" of the peer. If `on_accepted`
+        raises OSError, the acceptor closes the socket.
         """
         self.loop, self.log, self.admission, self.on_accepted = loop, log, admission, on_accepted
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -55,9 +56,9 @@
                     yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
 
     def _accept_queued(self) -> bool:
-        """Accept queued connections, at most `ACCEPTS_PER_TURN`.
+        """Accept at most `ACCEPTS_PER_TURN` queued connections.
 
-        Return False if no further connection can be accepted for now; the caller then waits for
+        Return False if no further connection can be accepted now. The caller then waits for
         `ACCEPT_RETRY_DELAY`.
         """
         for attempt in range(ACCEPTS_PER_TURN):
@@ -70,12 +71,12 @@
             except OSError as error:
                 if error.errno not in OUT_OF_RESOURCES:
                     continue  # the peer closed the connection before it was accepted
-                # `accept` reports a lack of resources even if no connection is queued. Only on the first
-                # attempt of a turn is one known to be queued, and another connection has to be evicted.
+                # `accept` reports a lack of resources even if no connection is queued. The first `accept` of
+                # a turn follows an event, so a connection is queued and another one has to be evicted.
                 return attempt > 0 or self.admission.evict_pending() or self.admission.evict_collector()
             try:
                 self.on_accepted(sock, f"{host}:{port}")
-            except OSError as error:  # already reset by the peer, which must not stop the acceptor
+            except OSError as error:  # the peer has already reset the connection; continue to accept
                 sock.close()
                 log_rejected(self.log, peer=host, reason=str(error))
         return True
--- a/granitespool/net/admission.py
+++ b/granitespool/net/admission.py
@@ -1,8 +1,8 @@
-"""Connection limits: which connections are open, and which are evicted when a resource is exhausted.
+"""The registry of open connections, and the choice of connections to evict when a resource is exhausted.
 
-The resources are connections, descriptors and receive buffers. Owns the two registries of open connections
-and the limit on them. It never accepts, reads or writes, and it never evicts a proxy's stream: pending
-connections are evicted first, then collectors, which reconnect.
+The resources are connections, descriptors and receive buffers. This module owns the two registries (of open
+and of pending connections) and the connection limit. It never accepts, reads or writes. Pending connections
+are evicted first and collectors second, because collectors reconnect. The stream of a proxy is never evicted.
 """
 
 from granitespool.errors import InvalidInputError
@@ -11,9 +11,9 @@
 from granitespool.net.log import Log
 from granitespool.net.loop import SECOND, Loop
 
-# ns for which a pending connection is not evicted, because its first message may be on its way.
+# ns for which a new pending connection is not evicted, because its first message may still arrive.
 PENDING_GRACE = SECOND // 20
-# Pending connections accepted beyond the limit; they use descriptors of `RESERVED_SOCKETS`.
+# Pending connections accepted beyond the connection limit. Their descriptors belong to `RESERVED_SOCKETS`.
 PENDING_RESERVE = 4
 
 
@@ -22,7 +22,9 @@
 
     def __init__(self, loop: Loop, log: Log, connections_limit: int) -> None:
         self.loop, self.log = loop, log
-        self.connections_limit = connections_limit  # joined connections; lowering it closes none
+        self.connections_limit = (
+            connections_limit  # limit on joined connections; a lower limit closes no connection
+        )
         self.connections: dict[Connection, None] = {}
         self.pending: dict[Connection, None] = {}  # the connections that have not joined
 
@@ -36,17 +38,18 @@
         self.pending.pop(connection, None)
 
     def is_full(self) -> bool:
-        """Return whether a connection has to be evicted before another one is accepted.
+        """Return whether a connection has to be evicted before another connection is accepted.
 
-        While joined connections use up the limit, `PENDING_RESERVE` further connections may be pending, so
-        that a flood of pending connections does not evict a collector.
+        If the joined connections have reached the limit, `PENDING_RESERVE` more connections may be pending. A
+        flood of pending connections therefore does not evict a collector.
         """
         return len(self.connections) >= self.connections_limit and len(self.pending) >= PENDING_RESERVE
 
     def admit(self, connection: Connection, role: Role, replaces: bool = False) -> None:
-        """Mark a pending connection as joined; `replaces` is whether it replaces a connection that will end.
+        """Mark a pending connection as joined.
 
-        Raise InvalidInputError if the limit is reached and no collector can be evicted.
+        `replaces` is true if the connection replaces a joined connection, which the caller then ends. Raise
+        InvalidInputError if the limit is reached and no collector can be evicted.
         """
         joined = len(self.connections) - len(self.pending) - replaces
         if joined >= self.connections_limit and not self.evict_collector():
@@ -56,12 +59,13 @@
         connection.reader.message_max = MESSAGE_MAX
 
     def evict_pending(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
-        """Evict the oldest pending connection that may be evicted; return whether there was one.
+        """Evict the oldest pending connection that may be evicted; return whether a connection was evicted.
 
-        With `holds_buffer` only a connection that holds a receive buffer is evicted. `requester`, which needs
-        the resource, is never evicted. In a flood of connections that never join, older ones are evicted for
-        a newer one that may be a proxy, but not before their own first message can have arrived
-        (`PENDING_GRACE`). The same applies when all proxies connect at once: those past the limit wait.
+        If `holds_buffer` is true, only a connection that holds a receive buffer is evicted. `requester` needs
+        the resource and is never evicted. In a flood of connections that never join, old connections are
+        evicted, because a new connection may belong to a proxy. No connection is evicted before its first
+        message had time to arrive (`PENDING_GRACE`). If all proxies connect at once, the connections beyond
+        the limit therefore wait.
         """
         for connection in self.pending:
             if _is_evictable(connection, requester, holds_buffer):
@@ -72,9 +76,9 @@
         return False
 
     def evict_collector(self, requester: Connection | None = None, holds_buffer: bool = False) -> bool:
-        """Evict the oldest collector, which reconnects; a proxy's stream is never evicted.
+        """Evict the oldest collector, which will reconnect.
 
-        The arguments and the result are those of `evict_pending`.
+        The arguments and the result have the same meaning as those of `evict_pending`.
         """
         for connection in self.connections:
             if connection.role is Role.COLLECTOR and _is_evictable(connection, requester, holds_buffer):
--- a/granitespool/net/buffers.py
+++ b/granitespool/net/buffers.py
@@ -1,10 +1,13 @@
-"""Receive buffers of one size, acquired from a pool and released to it.
+"""A pool of receive buffers of equal size.
 
-The pool limits the number of buffers in use; the caller that acquires a buffer owns it until it releases it.
+The pool limits the number of buffers in use. A caller that acquires a buffer owns the buffer until the caller
+releases it.
 """
 
-BUFFER_SIZE = 16 * 1024  # bytes: one read takes what a peer usually reports in a second
-FREE_MAX = 32  # free buffers kept for reuse (512 KiB); more are needed only after a burst
+# Bytes. A peer usually reports less than this in a second, so one read is enough.
+BUFFER_SIZE = 16 * 1024
+# Free buffers that are kept for reuse (512 KiB). More buffers are needed only during a burst.
+FREE_MAX = 32
 
 
 class BufferPool:
--- a/granitespool/net/client.py
+++ b/granitespool/net/client.py
@@ -1,6 +1,6 @@
 """Client operations on a non-blocking socket: connect, send, send an HTTP GET, receive.
 
-Each is a coroutine of the loop, used by `yield from`. The caller owns the socket.
+Each operation is a coroutine of the loop and is called with `yield from`. The caller owns the socket.
 """
 
 import errno
@@ -17,7 +17,7 @@
 def dial(sock: socket.socket, address: tuple[str, int], deadline: int | None) -> Generator[Wait, int, None]:
     """Connect to `address`.
 
-    Raise TimeoutError if there is no connection by `deadline` (ns), or the OSError of the failed connect.
+    Raise TimeoutError if the connection is not established by `deadline` (ns), and OSError if it fails.
     """
     code = sock.connect_ex(address)
     if code == errno.EINPROGRESS:
@@ -29,7 +29,10 @@
 
 
 def send(sock: socket.socket, data: bytes, deadline: int | None) -> Generator[Wait, int, None]:
-    """Send all of `data`; raise TimeoutError if it is not sent by `deadline` (ns), or OSError."""
+    """Send all of `data`.
+
+    Raise TimeoutError if it is not sent by `deadline` (ns), and OSError if the connection is broken.
+    """
     while data:
         try:
             data = data[sock.send(data) :]
@@ -47,7 +50,7 @@
 ) -> Generator[Wait, int, h11.Connection]:
     """Send a GET request for `target` and return the h11 connection that parses the response.
 
-    Raise TimeoutError if the request is not sent by `deadline` (ns), or OSError.
+    Raise TimeoutError if the request is not sent by `deadline` (ns), and OSError if the connection is broken.
     """
     host, port = address
     http = h11.Connection(h11.CLIENT)
@@ -58,11 +61,11 @@
 
 
 def receive(sock: socket.socket, deadline: int | None) -> Generator[Wait, int, bytes]:
-    """Return the next received bytes, b"" at the end of the connection.
+    """Return the next received bytes, or b"" if the peer has closed the connection.
 
-    Raise TimeoutError if none are received by `deadline` (ns), or OSError. After a read of `RECEIVE_SIZE`
-    bytes the caller continues in the next turn, so that a peer that sends without a pause does not starve
-    the others.
+    Raise TimeoutError if no bytes are received by `deadline` (ns), and OSError if the connection is broken.
+    After a read of `RECEIVE_SIZE` bytes the caller is resumed only in the next turn. A peer that sends
+    without a pause therefore does not starve the other peers.
     """
     while True:
         try:
--- a/granitespool/net/connection.py
+++ b/granitespool/net/connection.py
@@ -1,7 +1,7 @@
-"""One accepted connection: its state, writing to it, and its orderly close.
+"""An accepted connection: its state, its output and its orderly close.
 
-Owns the socket, the reader and the bytes that are not yet sent. Eviction is decided by `admission`, messages
-are interpreted by `messages`, and joins and leaves are reported by `membership`.
+Owns the socket, the reader and the unsent bytes. Other modules choose the connections to evict (`admission`),
+interpret messages (`messages`) and report joins and leaves (`membership`).
 """
 
 import socket
@@ -13,19 +13,20 @@
 from granitespool.net.messages import ProxyJoin
 
 DISCARD_SIZE = 16 * 1024  # bytes, the largest read of input that is discarded
-READ_PER_TURN = 256 * 1024  # bytes read from one peer in one turn: twice what may be unread
-# ns for the peer to read the last message: under half of the 0.7 s that a planned restart allows.
+# Bytes read from one peer in one turn: twice the number of bytes that may be unread.
+READ_PER_TURN = 256 * 1024
+# ns for the peer to read the last message: less than half of the 0.7 s that a planned restart allows.
 LINGER_TIMEOUT = SECOND // 4
 
-# Reasons for the end of a connection that sent nothing invalid; they are written to the log.
+# Reasons for the end of a connection whose peer sent nothing invalid. They are written to the log.
 CLOSED_BY_PEER = "closed by peer"
-CLOSED_BY_COORDINATOR = "closed by coordinator"  # evicted, or the process ends
-REJECTED = "rejected"  # the reason was sent to the peer and is in the log
+CLOSED_BY_COORDINATOR = "closed by coordinator"  # the connection was evicted, or the process ends
+REJECTED = "rejected"  # the reason for the rejection was sent to the peer and logged in its own event
 REPLACED = "replaced"  # by a later stream of the same proxy
 
 
 class Role(StrEnum):
-    """What a connection is used for; the values appear in the log."""
+    """The role of a connection's peer; the values appear in the log."""
 
     PENDING = "unauthenticated"  # the peer has not joined
     PROXY = "proxy"
@@ -40,26 +41,27 @@
     peer: str  # the peer's "host:port"
     reader: Reader
     accepted_at: int  # ns
-    number: int  # the number of connections accepted before it
+    number: int  # number of connections accepted earlier
     role: Role = Role.PENDING
-    task: Task | None = None  # the coroutine that serves it
+    task: Task | None = None  # the coroutine that serves the connection
     unsent: bytes = b""
-    proxy: int | None = None  # the number of the proxy whose stream it is
-    join: ProxyJoin | None = None  # that proxy's first message
-    awaiting_since: int | None = None  # ns, the oldest barrier since which nothing was received
-    is_unreachable: bool = False  # the proxy was silent for too long and is reported as left
+    proxy: int | None = None  # the proxy's number if this is the stream of a proxy
+    join: ProxyJoin | None = None  # the proxy's join message
+    # ns, when the first barrier after the last received bytes was sent; None if no barrier was sent since
+    awaiting_since: int | None = None
+    is_unreachable: bool = False  # the proxy was silent for too long and was reported as left
     ended_by_coordinator: bool = False
     leave_reported: bool = False
     end_reason: str = CLOSED_BY_PEER  # for the log
 
     @property
     def running_task(self) -> Task:
-        """The coroutine that serves the connection; only valid once it has reached its first wait."""
+        """The coroutine that serves the connection; only valid after the coroutine's first wait."""
         assert self.task is not None
         return self.task
 
     def write(self, data: bytes) -> None:
-        """Send the unsent bytes and then `data` without blocking; the rest stays in `unsent`.
+        """Send the unsent bytes and then `data` without blocking; bytes not sent stay in `unsent`.
 
         Raise OSError if the connection is broken.
         """
@@ -71,10 +73,11 @@
         self.unsent = unsent[sent:]
 
     def linger(self, loop: Loop) -> Coroutine:
-        """Send the unsent bytes, shut down writing and wait for the peer to close, at most `LINGER_TIMEOUT`.
+        """Send the unsent bytes, shut down writing and wait until the peer closes its side.
 
-        Input is read and discarded: closing a socket with unread input resets the connection, and the peer
-        may lose what was sent to it. Raise OSError if the connection is broken.
+        The wait lasts at most `LINGER_TIMEOUT`. Input is read and discarded, because closing a socket with
+        unread input resets the connection, and the peer may then lose the last bytes sent. Raise OSError if
+        the connection is broken.
         """
         sock, write_is_shut_down, deadline = self.sock, False, loop.now + LINGER_TIMEOUT
         while loop.now < deadline:
--- a/granitespool/net/fleet_notifier.py
+++ b/granitespool/net/fleet_notifier.py
@@ -1,6 +1,7 @@
 """Notifications about the fleet for subscribed management clients, once per period.
 
-It only reads the coordinator, a few backends at a time, and only while a client is subscribed.
+The notifier only reads from the coordinator. It reads a limited number of backends at a time, and none while
+no client is subscribed.
 """
 
 from collections.abc import Callable
@@ -19,10 +20,10 @@
 
 
 class Notify(Protocol):
-    """Sends a notification to the subscribers; the names are those of the YANG module."""
+    """Sends a notification to the subscribers; the YANG module defines the names."""
 
     def __call__(self, name: str, **fields: object) -> None:
-        """Send the notification `name` with these leaves."""
+        """Send the notification `name` with the leaves `fields`."""
 
 
 class FleetNotifier:
@@ -62,7 +63,7 @@
             (zone.zone, name): level.share for zone in status.zones for name, level in zone.levels.items()
         }
         for (zone, name), share in shares.items():
-            # The admitted share of a class without an admission level so far is 1
+            # A class that had no admission level one period ago had an admitted share of 1
             if self.admitted_shares.get((zone, name), max(share, 1.0)) != share:
                 self.notify("levels-changed", zone=zone, share=decimal_text(share), **{"class": name})
         self.admitted_shares = shares
--- a/granitespool/net/gossip.py
+++ b/granitespool/net/gossip.py
@@ -1,7 +1,7 @@
 """Gossip: datagrams between coordinators.
 
-Owns the UDP socket. It hands datagrams of configured peers to the coordinator without interpreting them, and
-sends the coordinator's datagrams. A lost datagram is not sent again.
+Owns the UDP socket. Datagrams from configured peers are passed to the coordinator uninterpreted, and the
+coordinator's datagrams are sent. A lost datagram is not sent again.
 """
 
 import socket
@@ -16,12 +16,13 @@
 from granitespool.planner.events import GossipReceived
 
 DATAGRAM_MAX = 256  # bytes of a datagram, limited by the protocol
-DATAGRAMS_PER_TURN = 64  # datagrams read in one turn, so that open connections are served in between
-ALL_PEERS = -1  # used instead of a peer's number
+# Datagrams read in one turn. The limit lets open connections be served between two batches.
+DATAGRAMS_PER_TURN = 64
+ALL_PEERS = -1  # stands for all peers where a peer number is expected
 
 
 class Gossip:
-    """Sends and receives datagrams; ending `task` closes the socket."""
+    """Sends and receives datagrams; the end of `task` closes the socket."""
 
     def __init__(self, loop: Loop, coordinator: Coordinator, log: Log, config: Configuration) -> None:
         """Bind the socket and start to receive; raise OSError if the address cannot be bound."""
@@ -43,13 +44,14 @@
     def send(self, peer: int, contents: str) -> None:
         """Send the bytes of a hex string to the peer with the number `peer`, or to `ALL_PEERS`.
 
-        A datagram that is too long, has no address or cannot be sent is dropped, as the protocol permits.
+        A datagram is dropped if it is too long, if no address is configured for `peer` or if it cannot be
+        sent. The protocol permits the loss of any datagram.
         """
         data = bytes.fromhex(contents)
         address = self._address(peer)
         if address is None or len(data) > DATAGRAM_MAX:
             return
-        with suppress(OSError):  # any datagram may be lost
+        with suppress(OSError):  # the protocol permits the loss of any datagram
             self.sock.sendto(data, address)
 
     def _address(self, peer: int) -> tuple[str, int] | None:
@@ -67,7 +69,7 @@
         for _ in range(DATAGRAMS_PER_TURN):
             try:
                 data, sender = self.sock.recvfrom(DATAGRAM_MAX + 1)
-            except OSError:  # no more datagrams, or the kernel reports that an earlier one was rejected
+            except OSError:  # no datagram is left, or the kernel reports that a sent datagram was rejected
                 return
             self._handle_datagram(data, sender)
 
--- a/granitespool/net/listen_address.py
+++ b/granitespool/net/listen_address.py
@@ -1,4 +1,4 @@
-"""Bind an address that a process which is still ending may use for a moment."""
+"""Bind an address, with retries while the former process still uses the address."""
 
 import errno
 import socket
@@ -6,8 +6,8 @@
 
 from granitespool.net.log import Log
 
-# s that a start waits for the former process to release the address: a planned restart leaves that process
-# 0.7 s from SIGTERM to SIGKILL, and a start may take 30 s.
+# Seconds for which a starting process waits until the former process releases the address. In a planned
+# restart the former process has 0.7 s from SIGTERM to SIGKILL. A start may take 30 s.
 IN_USE_TIMEOUT = 5.0
 RETRY_DELAY = 0.02  # s between two attempts to bind
 
@@ -15,8 +15,9 @@
 def bind(sock: socket.socket, address: tuple[str, int], log: Log, timeout: float = IN_USE_TIMEOUT) -> None:
     """Bind the socket; raise OSError if the address is still in use after `timeout` seconds.
 
-    A process may be started while the former one is still ending, so an address in use need not be a
-    configuration error. The cost is that an address used by another program is reported seconds later.
+    A process may be started while the former process is still shutting down. An address in use is therefore
+    not always a configuration error. If another program uses the address, the error is reported only after
+    `timeout`.
     """
     deadline = time.monotonic() + timeout
     is_logged = False
--- a/granitespool/net/log.py
+++ b/granitespool/net/log.py
@@ -1,7 +1,7 @@
 """The log: one JSON line per event, rendered by structlog and orjson; writing never blocks the loop.
 
-Sets the descriptor that it writes to non-blocking and restores its mode in `close`; it does not close the
-descriptor. `docs/on-call.md` lists every event and its fields.
+The log sets its descriptor to non-blocking mode. `close` restores the former mode and leaves the descriptor
+open. `docs/on-call.md` lists every event and its fields.
 """
 
 import logging
@@ -16,32 +16,36 @@
 
 from granitespool.units import MILLISECOND, SECOND
 
-# Bytes that wait for the reader, about a thousand lines; further lines are dropped and counted.
+# Bytes that may wait for the log's reader: about a thousand lines. Further lines are dropped and counted.
 UNREAD_MAX = 256 * 1024
-# Lines of one rate-limited event in a second: enough to see which peers cause it and why.
+# Lines of one rate-limited event in a second. They are enough to see the peers and the reasons.
 LINES_PER_SECOND_MAX = 20
-VALUE_MAX = 2000  # characters of a value that are kept: the end of a traceback
-CLOSE_TIMEOUT = 0.1  # s that `close` waits for the reader of the last lines
+# Characters of a value. Only the end of a longer value is kept, because a traceback ends with its error.
+VALUE_MAX = 2000
+CLOSE_TIMEOUT = 0.1  # s for which `close` waits for the log's reader
 
-# With the level NOTSET every event is written. The logger is stateless.
+# The level NOTSET disables filtering, so every event is written. The logger is stateless.
 BoundLogger: Callable[..., Any] = structlog.make_filtering_bound_logger(logging.NOTSET)
 
 
 class Log:
-    """The log of one process: `event` renders a line, `flush` writes the rendered lines.
+    """The log of one process: `event` renders and queues a line, `flush` writes the queued lines.
 
     structlog's global configuration is neither read nor changed.
     """
 
     def __init__(self, fd: int, clock: Callable[[], int], **common_fields: str) -> None:
-        """Write to `fd`; `clock` returns Unix time in ns, and `common_fields` are in every line."""
+        """Create a log that writes to `fd`; `clock` returns Unix time in ns.
+
+        `common_fields` are added to every line.
+        """
         self.fd = fd
         self.clock = clock
         self.unread: list[bytes] = []
         self.unread_size = 0  # bytes
         self.dropped = 0  # lines dropped since the last `log_dropped`
-        self.second = 0  # the clock's second that `lines_in_second` counts
-        self.lines_in_second: dict[str, int] = {}  # lines by rate-limited event
+        self.second = 0  # Unix time in s, the second to which `lines_in_second` applies
+        self.lines_in_second: dict[str, int] = {}  # number of lines by name of a rate-limited event
         render = structlog.processors.JSONRenderer(
             orjson.dumps, default=str, option=orjson.OPT_APPEND_NEWLINE
         )
@@ -50,7 +54,7 @@
         os.set_blocking(fd, False)
 
     def _add_time(self, _logger: object, _method: str, fields: MutableMapping[str, Any]) -> dict[str, Any]:
-        """Return the fields of a line, time and event first; only the end of a long text is kept."""
+        """Return the fields of a line in order: the time, the event, the rest; long strings are shortened."""
         line = {"at_ms": self.clock() // MILLISECOND, "event": fields.pop("event")}
         for key, value in fields.items():
             line[key] = value[-VALUE_MAX:] if isinstance(value, str) else value
@@ -67,7 +71,8 @@
     def rate_limited_event(self, name: str, /, **fields: object) -> None:
         """Write an event that peers can cause any number of times.
 
-        At most `LINES_PER_SECOND_MAX` lines are written in a second; `suppressed` reports how many were not.
+        At most `LINES_PER_SECOND_MAX` lines are written in a second. The event `suppressed` then reports the
+        number of lines that were not written.
         """
         second = self.clock() // SECOND
         if second != self.second:
@@ -96,7 +101,7 @@
             written = os.write(self.fd, data)
         except BlockingIOError:
             written = 0
-        except OSError:  # the reader has closed its end: the queued lines are lost, the service continues
+        except OSError:  # the reader has closed its end: drop the queued lines and continue
             written = len(data)
         rest = data[written:]
         self.unread = [rest] if rest else []
@@ -106,7 +111,7 @@
             self.event("log_dropped", lines=dropped)
 
     def close(self) -> None:
-        """Write the last lines, waiting at most `CLOSE_TIMEOUT` for a slow reader."""
+        """Write the queued lines, and wait at most `CLOSE_TIMEOUT` for a slow reader."""
         poll = select.poll()
         poll.register(self.fd, select.POLLOUT)
         deadline = time.monotonic() + CLOSE_TIMEOUT
--- a/granitespool/net/log_events.py
+++ b/granitespool/net/log_events.py
@@ -1,7 +1,8 @@
 """Log events that several modules write, each with its fields.
 
-All other events are written where they happen. `docs/on-call.md` lists every event, its fields and units.
-Peers can cause these events any number of times, so their lines are limited (`Log.rate_limited_event`).
+Every other event is written by the module in which it occurs. `docs/on-call.md` lists all events with their
+fields and units. Peers can cause the events of this module any number of times. `Log.rate_limited_event`
+therefore limits the number of log lines.
 """
 
 from granitespool.net.log import Log
@@ -15,6 +16,6 @@
 def log_message_dropped(log: Log, *, peer: str, reason: str, proxy: int | None = None) -> None:
     """Log that an invalid message or datagram of `peer` ("host:port") was dropped.
 
-    `proxy` is set if it was received on the stream of a proxy.
+    `proxy` is the proxy's number if the message was received on the stream of a proxy.
     """
     log.rate_limited_event("message_dropped", peer=peer, proxy=proxy, reason=reason)
--- a/granitespool/net/management_connection.py
+++ b/granitespool/net/management_connection.py
@@ -1,6 +1,7 @@
-"""One management connection: its socket, its TLS state and the bytes that wait to be written.
+"""A management connection: the socket, the TLS state and the bytes that wait to be written.
 
-It is independent of the protocol and of users. Only the listener's coroutine reads from it and closes it.
+This module does not depend on the protocol or on users. Only the coroutine that the listener started for the
+connection reads from it and closes it.
 """
 
 import socket
@@ -15,11 +16,12 @@
     from granitespool.management.interfaces import ProtocolSession
     from granitespool.net.management_listener import ManagementListener
 
-READ_SIZE = 8 * 1024  # bytes read in one turn: about thirty gRPC calls, which take 3 ms
+# Bytes read in one turn. They contain about thirty gRPC calls, which take 3 ms.
+READ_SIZE = 8 * 1024
 WRITE_SIZE = 64 * 1024  # bytes written in one system call
-# Unsent bytes from which a connection is neither read from nor worked on.
+# Bytes. With at least as many unsent bytes, no input is read and no request is processed.
 UNSENT_READ_LIMIT = 256 * 1024
-# Unsent bytes at which a connection is closed: enough for the largest answer, and notifications.
+# Bytes. With more unsent bytes the connection is closed. The largest answer and notifications fit in.
 UNSENT_MAX = 4 << 20
 
 
@@ -36,7 +38,7 @@
         self.user: User | None = None
         self.protocol: ProtocolSession | None = None
         self.task: Task | None = None
-        self.end_reason: str | None = None  # the reason for its end; None while it stays open
+        self.end_reason: str | None = None  # why the connection has to end; None while it stays open
         self.accepted_at = listener.loop.now  # ns
         self.last_received_at = listener.loop.now  # ns
 
@@ -47,7 +49,7 @@
 
     @property
     def is_readable(self) -> bool:
-        """Whether the connection may be read from and worked on: the client reads what is sent to it."""
+        """Whether input may be read and requests processed: the client has read most of the sent bytes."""
         return self.unsent < UNSENT_READ_LIMIT
 
     @property
@@ -75,9 +77,9 @@
         self.listener.woken[self] = None
 
     def receive(self) -> tuple[bytes, bool] | None:
-        """Return (decrypted bytes, whether the client has closed its side), None if nothing was received.
+        """Return (decrypted bytes, whether the client has closed its side), or None if nothing was received.
 
-        Raise TlsError or OSError.
+        Raise TlsError if the received bytes are invalid, and OSError if the connection is broken.
         """
         try:
             data = self.sock.recv(READ_SIZE)
@@ -98,7 +100,7 @@
             del self.unsent_bytes[:sent]
 
     def flush_last(self) -> None:
-        """Write what TLS sends before the close (an alert, for example), without blocking."""
+        """Write the last TLS records before the close, for example an alert, without blocking."""
         self.unsent_bytes += self.tls.outgoing()
         with suppress(OSError):  # the connection is closed in any case
             self.flush()
--- a/granitespool/net/metrics.py
+++ b/granitespool/net/metrics.py
@@ -1,7 +1,7 @@
 """Periodic log event with the metrics of this coordinator (docs/fleet.md).
 
-Disabled unless the operator's settings contain the section [figures]. It reads the planner's metrics, the age
-of the endpoint list and the longest turn, and changes nothing.
+The event is disabled unless the operator's settings contain the section [figures]. This module only reads:
+the planner's metrics, the age of the endpoint list and the duration of the longest turn.
 """
 
 from granitespool.coordinator import Coordinator
@@ -17,7 +17,7 @@
 
 
 class Metrics:
-    """Writes the event `metrics`; `options` may be replaced while it runs."""
+    """Writes the event `metrics` periodically; `options` may be replaced at any time."""
 
     def __init__(
         self, loop: Loop, coordinator: Coordinator, log: Log, options: FiguresSettings, discovery: Discovery
@@ -27,11 +27,11 @@
         self.log = log
         self.options = options
         self.discovery = discovery
-        self.longest_turn = 0  # ns, since the last event
+        self.longest_turn = 0  # ns, the longest turn since the last event
         loop.spawn(self._run())
 
     def turn_ended(self, began_at: int) -> None:
-        """Record the duration of a turn that began at `began_at` (ns); called at its very end."""
+        """Record the duration of a turn that began at `began_at` (ns); called at the end of the turn."""
         self.longest_turn = max(self.longest_turn, self.loop.clock() - began_at)
 
     def _run(self) -> Coroutine:
--- a/granitespool/net/reconfiguration.py
+++ b/granitespool/net/reconfiguration.py
@@ -1,6 +1,6 @@
 """Apply a new configuration while the service runs, and list the settings that require a restart.
 
-Calls `reconfigure` of each part. It never reads a file: its configurations have been checked.
+Calls `reconfigure` of each part. This module never reads a file; the caller has checked the configuration.
 """
 
 from typing import TYPE_CHECKING
@@ -12,12 +12,12 @@
 
 
 def may_gossip(config: Configuration) -> bool:
-    """Return whether the settings permit gossip and an address for it is set."""
+    """Return whether the settings permit gossip and a gossip address is set."""
     return bool(config["settings"].gossip_allowed and config["peer_listen"])
 
 
 def without_management_sockets(config: Configuration) -> Configuration:
-    """Return the configuration with the connection limit reduced by the management listeners' sockets."""
+    """Return a configuration whose connection limit excludes the sockets of the management listeners."""
     operator = config.get("operator")
     listeners = [listener for listener in (operator.netconf, operator.gnmi) if listener] if operator else []
     if not listeners:
@@ -31,16 +31,16 @@
 
 
 class Reconfiguration:
-    """The current configuration, and how a new one is applied to the parts of a service."""
+    """Holds the current configuration and applies a new configuration to the parts of a service."""
 
     def __init__(self, service: "Service", config: Configuration) -> None:
         self.service = service
         self.config = config
         self.initial_config = config
-        self.restart_required: list[str] = []  # names from the last `apply`
+        self.restart_required: list[str] = []  # setting names that the last `apply` returned
 
     def restart_required_by(self, config: Configuration) -> list[str]:
-        """Return the names of the settings of this configuration that would require a restart."""
+        """Return the names of the changed settings in `config` that would require a restart."""
         service = self.service
         names = _fixed_differences(self.initial_config, config)
         if (service.gossip is not None) != may_gossip(config):
@@ -56,7 +56,8 @@
     def apply(self, config: Configuration) -> list[str]:
         """Apply a configuration to all parts; return the names of the settings that require a restart.
 
-        If a part fails, the former configuration is applied to all parts again and the exception is raised.
+        If a part raises an exception, the former configuration is applied to all parts again, and the
+        exception is raised to the caller.
         """
         names = self.restart_required_by(config)
         try:
@@ -85,7 +86,7 @@
 
 
 def _fixed_differences(before: Configuration, now: Configuration) -> list[str]:
-    """Return the names of the keys that differ and cannot change while the service runs."""
+    """Return the keys that differ between two configurations and cannot change without a restart."""
     names = []
     if before["name"] != now["name"]:
         names.append("name")
--- a/granitespool/net/shared_state.py
+++ b/granitespool/net/shared_state.py
@@ -1,4 +1,4 @@
-"""One snapshot of the operational state, shared by all management clients for a short time."""
+"""A snapshot of the operational state, which all management clients share for a short time."""
 
 from collections.abc import Callable, Iterator, MutableMapping
 from typing import Any
@@ -8,16 +8,17 @@
 from granitespool.management.interfaces import StateReader
 from granitespool.net.loop import SECOND
 
-VALID_FOR = SECOND // 4  # ns after its start for which a snapshot is used
+VALID_FOR = SECOND // 4  # ns from the start of reading a snapshot until the snapshot expires
 
 
 class SharedState:
-    """A snapshot of the operational state that is read in steps; each step serves all clients.
+    """A snapshot of the operational state, which is read in steps on behalf of all clients.
 
-    `leaf_values` caches what protocols derived from the latest tree. `leaf_cache` caches data of a leaf by
-    the text of its path, as long as a client refers to it. With both, a hundred subscribers of the same paths
-    cost one flattening, and a value is encoded once. It also keeps the number of objects low, which matters
-    as much because the garbage collector traverses all of them.
+    `leaf_values` caches the values that protocols derived from the latest tree. `leaf_cache` caches data of a
+    leaf by the text of the leaf's path, as long as a client refers to the data. With both caches the tree is
+    flattened once for a hundred subscribers of the same paths, and each value is encoded once. The caches
+    also keep the number of objects low. This matters as much, because the garbage collector traverses all
+    objects.
     """
 
     def __init__(self, make_reader: Callable[[], StateReader]) -> None:
@@ -31,9 +32,10 @@
         self.leaf_cache: MutableMapping[str, Any] = WeakValueDictionary()
 
     def poll(self, now: int) -> Tree | None:
-        """Return a tree that is at most `VALID_FOR` old, or do one step of reading it and return None.
+        """Return the tree if it has not expired; otherwise do one step of reading a new tree.
 
-        The age counts from the start of the reading; `now` in ns.
+        Return None if that step does not complete the new tree. `now` is in ns. A tree expires `VALID_FOR`
+        after its reading started.
         """
         if self.steps is None or self.reader is None:
             if self.started_at is not None and now - self.started_at < VALID_FOR:
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -1,8 +1,8 @@
-"""TLS 1.3 without a socket: converts between bytes of the network and plain bytes.
+"""TLS 1.3 without a socket: converts between encrypted bytes of the network and plain bytes.
 
-Uses the standard library's ssl with memory BIOs. Both sides authenticate with a certificate. Versions before
-1.3 are disabled, so there is no renegotiation, and the library does not accept early data. Session tickets
-are disabled, so that the certificates are checked in each handshake.
+Uses the `ssl` module of the standard library with memory BIOs. Both sides authenticate with a certificate.
+TLS versions before 1.3 are disabled, so there is no renegotiation. The `ssl` module accepts no early data.
+Session tickets are disabled, so each handshake checks the certificates.
 """
 
 import hashlib
@@ -13,25 +13,25 @@
 from granitespool.errors import GranitespoolError, InvalidInputError
 
 READ_SIZE = 64 * 1024  # plain bytes, the largest read
-# Bytes of a written record. Some clients (ncclient) wait for the socket after a read of 4 KiB although the
-# rest of a larger record is already in their TLS library. Small records cost 22 bytes more for each 4 KiB.
+# Plain bytes in a written record. Some clients (ncclient) read 4 KiB and then wait for the socket, although
+# the rest of a larger record is already in their TLS library. Each record adds 22 bytes.
 RECORD_SIZE = 4096
 
 
 class TlsError(GranitespoolError):
-    """Raised when the TLS of the client fails; the text says how.
+    """Raised if the TLS handshake or a TLS record of a client is invalid; the text is the reason.
 
-    `TlsConnection.outgoing` may then return an alert for the client.
+    `TlsConnection.outgoing` may afterwards return an alert for the client.
     """
 
 
 def server_context(
     certificate: str, key: str, authorities: str, protocol: str | None = None
 ) -> ssl.SSLContext:
-    """Return the context of a server, from three PEM files.
+    """Return the TLS context of a server.
 
-    `protocol` is the ALPN protocol that is offered to clients. Raise InvalidInputError with one sentence if a
-    file cannot be used.
+    `certificate`, `key` and `authorities` are paths of PEM files. `protocol` is the ALPN protocol that is
+    offered to clients. Raise InvalidInputError with one sentence if a file cannot be used.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
@@ -66,9 +66,9 @@
         self.has_ended = False  # whether the client has closed its side
 
     def feed(self, data: bytes) -> bytes:
-        """Decrypt bytes of the network, b"" for its end, and return the plain bytes of complete records.
+        """Decrypt bytes received from the network and return the plain bytes of complete records.
 
-        Raise TlsError if the handshake or a record is invalid.
+        b"" stands for the end of the connection. Raise TlsError if the handshake or a record is invalid.
         """
         if data:
             self.incoming.write(data)
@@ -93,23 +93,23 @@
         return b"".join(plain)
 
     def write(self, plain: bytes) -> None:
-        """Encrypt plain bytes for the client, which `outgoing` then returns."""
+        """Encrypt plain bytes for the client; `outgoing` then returns the encrypted bytes."""
         view = memoryview(plain)
         while view:
             view = view[self.tls.write(view[:RECORD_SIZE]) :]
 
     def outgoing(self) -> bytes:
-        """Return the bytes to be written to the network."""
+        """Return and remove the encrypted bytes that have to be written to the network."""
         return self.to_network.read()
 
     def close(self) -> None:
         """Close the server's side; `outgoing` then returns the closing alert."""
-        # The client may not have closed its side, or there was no handshake
+        # ssl raises an error if the client has not closed its side, or if the handshake is not complete
         with suppress(ssl.SSLError, ValueError):
             self.tls.unwrap()
 
     def peer(self) -> tuple[dict[str, Any], str]:
-        """Return the client's certificate, as `getpeercert` returns it, and its SHA-256 in hex."""
+        """Return the client's certificate, in the form of `getpeercert`, and its SHA-256 in hex."""
         certificate = self.tls.getpeercert()
         binary = self.tls.getpeercert(binary_form=True)
         assert certificate is not None
