--- a/granitespool/net/config.py
+++ b/granitespool/net/config.py
@@ -1,6 +1,6 @@
-"""The configuration of a coordinator: one JSON file, whose path is in LB_CONFIG.
+"""The configuration of a coordinator: a JSON file whose path is in the environment variable LB_CONFIG.
 
-Only this module uses the file's keys and reads the file. `load` checks it and returns a typed
+Only this module reads the file and uses the file's keys. `load` checks the contents and returns a typed
 `Configuration`, in which all values are within their limits.
 """
 
@@ -17,22 +17,23 @@
 if TYPE_CHECKING:
     from granitespool.operator_settings import OperatorSettings
 
-DEFAULT_SOCKETS = 1024  # descriptors if no limit is configured: the platform's largest limit
-DEFAULT_MEMORY_MB = 192  # MB if no limit is configured: the platform's largest limit
-# The smallest descriptor limit: the reserved descriptors, one health check and some connections.
+DEFAULT_SOCKETS = 1024  # descriptors if no limit is configured; the largest limit of the platform
+DEFAULT_MEMORY_MB = 192  # MB if no limit is configured; the largest limit of the platform
+# The smallest valid descriptor limit: the reserved descriptors, one health check and a few connections.
 SOCKETS_MIN = 25
 # Descriptors for the standard streams, the loop, the listener, gossip, the watch of the endpoint list, a
-# file, and a few pending connections while joined connections use up the limit.
+# file, and a few pending connections if the joined connections have reached their limit.
 RESERVED_SOCKETS = 16
-# One descriptor in 8 is for health checks: with the smallest limit, one for each backend of its fleet.
+# One of 8 descriptors is for health checks. With the smallest limit this allows one health check for each
+# backend of the fleet.
 SOCKETS_PER_HEALTH_CHECK = 8
-HEALTH_CHECKS_MAX = 64  # in flight; more would not detect a change sooner
-# One byte in 4 of the memory limit is for receive buffers; the program itself uses half of 32 MB.
+HEALTH_CHECKS_MAX = 64  # health checks in flight; more would not detect a change sooner
+# A quarter of the memory limit is for receive buffers. Of a limit of 32 MB the program itself uses half.
 MEMORY_PER_BUFFERS = 4
 CONNECTIONS_MIN = 8
 PORT_MAX = 65535
 MIB = 1 << 20  # bytes
-SETTINGS_TYPES: Mapping[str, type] = {  # JSON type by settings key, for the keys that are checked here
+SETTINGS_TYPES: Mapping[str, type] = {  # type of the JSON value by settings key, for the keys checked here
     "classes": list,
     "zones": list,
     "family_info": dict,
@@ -44,26 +45,26 @@
 
 
 class Limits(TypedDict):
-    """Resource limits of the platform."""
+    """The resource limits that the platform sets for this process."""
 
-    sockets: int  # descriptors
-    memory_mb: int
+    sockets: int  # number of descriptors
+    memory_mb: int  # MB
 
 
 class Quotas(TypedDict):
-    """The share of the resource limits that each part may use."""
+    """The shares of the resource limits that the parts of the service may use."""
 
-    sockets: int  # descriptors in total
-    health_checks: int  # in flight
-    connections: int  # joined connections
-    buffers: int  # receive buffers
+    sockets: int  # total number of descriptors
+    health_checks: int  # number of health checks in flight
+    connections: int  # number of joined connections
+    buffers: int  # number of receive buffers
 
 
 class WatchConfiguration(TypedDict):
     """The part of the configuration that the watch of the endpoint list uses."""
 
     discovery: Address
-    known: dict[str, Any]  # the endpoint list to start from, in the form of a message of discovery
+    known: dict[str, Any]  # the initial endpoint list, in the format of a message of discovery
 
 
 class Configuration(Quotas, WatchConfiguration):
@@ -73,16 +74,16 @@
     listen: Address
     seed: int
     limits: Limits
-    configured_limits: Limits  # the limits of the file, without changes by management clients
-    peer_listen: Address | None  # for gossip
+    configured_limits: Limits  # the limits in the file, without changes by management clients
+    peer_listen: Address | None  # the address at which gossip is received
     peers: list[Address]
-    peers_all: Address | None  # reaches all peers
+    peers_all: Address | None  # the address that reaches all peers
     settings: Settings
-    operator: NotRequired["OperatorSettings | None"]  # unset if the program was started without them
+    operator: NotRequired["OperatorSettings | None"]  # unset if the program has no operator's settings
 
 
 def parse_address(text: object) -> Address:
-    """Return (host, port) of `host:port`; raise InvalidInputError if it is none."""
+    """Return (host, port) of a text `host:port`; raise InvalidInputError if the text has another form."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or int(port) > PORT_MAX:
         raise InvalidInputError(f"{text!r:.60} is not an address host:port")
@@ -90,7 +91,7 @@
 
 
 def format_address(host_and_port: Address) -> str:
-    """Return `host:port` of an address."""
+    """Return an address as the text `host:port`."""
     host, port = host_and_port
     return f"{host}:{port}"
 
@@ -114,7 +115,7 @@
 
 
 def with_quotas(config: Configuration, quota: Quotas) -> Configuration:
-    """Return a copy of the configuration with other quotas."""
+    """Return a copy of the configuration with the given quotas."""
     updated = config.copy()
     updated["sockets"] = quota["sockets"]
     updated["health_checks"] = quota["health_checks"]
@@ -124,7 +125,7 @@
 
 
 def limits_with_defaults(limits: Mapping[str, Any]) -> Limits:
-    """Return the limits, with the default for each one that is unset."""
+    """Return the limits; each unset limit has its default."""
     sockets = limits.get("sockets")
     memory_mb = limits.get("memory_mb")
     return {
@@ -134,7 +135,10 @@
 
 
 def load(path: str | None) -> Configuration:
-    """Read and check a configuration file; raise InvalidInputError with one sentence."""
+    """Read and check a configuration file.
+
+    Raise InvalidInputError, with one sentence as the reason, if the file cannot be used.
+    """
     if not path:
         raise InvalidInputError("no configuration: LB_CONFIG is not set")
     try:
@@ -153,7 +157,10 @@
 
 
 def parse_configuration(document: Mapping[str, Any]) -> Configuration:
-    """Check the file's JSON object; raise InvalidInputError, TypeError or AttributeError if it is wrong."""
+    """Check the JSON object of the file and return the configuration.
+
+    Raise InvalidInputError, TypeError or AttributeError if the object is invalid.
+    """
     seed = _parse_seed(document.get("seed") or 0)
     limits = document.get("limits") or {}
     wire_settings = required_field(document, "settings", dict)
--- a/granitespool/net/discovery.py
+++ b/granitespool/net/discovery.py
@@ -1,8 +1,8 @@
-"""Discovery: a watch of the endpoint list, reopened whenever it ends or goes silent.
+"""Discovery: a watch of the endpoint list, which is reopened if it ends or becomes silent.
 
-Owns the watch's socket, the backends' addresses and the current list version. It checks each endpoint list
-entry and reports the valid ones to the coordinator, which interprets them. While there is no watch, the last
-list received stays in use.
+Owns the socket of the watch, the addresses of the backends and the current list version. This module checks
+each endpoint list entry and reports the valid entries to the coordinator, which interprets them. While no
+watch is open, the last received list stays in use.
 """
 
 import socket
@@ -21,23 +21,24 @@
 from granitespool.planner.events import EndpointListUpdate, ListForm
 from granitespool.units import MILLISECOND
 
-CONNECT_TIMEOUT = SECOND  # ns to establish the connection: the discovery agent is on this machine
-# ns without a received byte after which a watch is reopened: the agent sends a line at least every 2 s.
+CONNECT_TIMEOUT = SECOND  # ns to establish the connection; the discovery agent is on the same machine
+# ns without a received byte, after which the watch is reopened. The agent sends a line at least every 2 s.
 HEARTBEAT_TIMEOUT = 9 * SECOND // 4
-# ns in which a line has to be complete: a line counts as delivered after 6 s.
+# ns within which a line has to be complete. A line counts as delivered after 6 s.
 LINE_TIMEOUT = 4 * HEARTBEAT_TIMEOUT
-LINE_MAX = 8 << 20  # bytes of one line: a list of ten thousand backends
+LINE_MAX = 8 << 20  # bytes of one line; a list of ten thousand backends fits in
 POLL_BACKOFF_MIN = SECOND  # ns until invalid entries are requested again for the first time
-POLL_BACKOFF_MAX = 60 * SECOND  # ns between two such requests: an entry may stay invalid for good
+# Longest time in ns between two requests for invalid entries. An entry may stay invalid permanently.
+POLL_BACKOFF_MAX = 60 * SECOND
 POLL_BACKOFF_FACTOR = 2
 RECONNECT_BACKOFF_MIN = SECOND // 20  # ns before the first reconnect
-RECONNECT_BACKOFF_MAX = SECOND  # ns between reconnects: an answer of the agent costs nothing
+RECONNECT_BACKOFF_MAX = SECOND  # longest time in ns between reconnects; an answer of the agent costs nothing
 RECONNECT_BACKOFF_FACTOR = 2
-RECONNECT_JITTER = (0.5, 1.0)  # range of the share of the backoff that is waited
+RECONNECT_JITTER = (0.5, 1.0)  # range of the random factor of the reconnect backoff
 
 
 class WatchEndedError(GranitespoolError):
-    """Raised when the watch of the endpoint list ends and has to be reopened; the text is the reason."""
+    """Raised if the watch of the endpoint list has ended or has to be reopened; the text is the reason."""
 
 
 class ListReceiver(Protocol):
@@ -58,21 +59,25 @@
 
 
 class WatchPosition:
-    """The list version from which a watch requests changes: the one before the first invalid entry.
+    """The list version after which a watch requests changes.
 
-    The version stays, and is requested again with backoff, until the first message of a watch from there
-    contains no invalid entry.
+    The version advances with each message until a message contains an invalid entry. The version before that
+    message is then kept, and a new watch from it is requested with backoff. The version advances again once
+    the first message of a new watch contains no invalid entry.
     """
 
     def __init__(self) -> None:
         self.version = 0
-        self.has_invalid = False  # whether an entry received since that version was invalid
-        self.is_at_start = True  # whether the next message is the first one of a watch
-        self.backoff = POLL_BACKOFF_MIN  # ns
-        self.poll_at = 0  # ns
+        self.has_invalid = False  # whether an entry received after `version` was invalid
+        self.is_at_start = True  # whether the next message is the first message of a watch
+        self.backoff = POLL_BACKOFF_MIN  # ns until the next request for invalid entries
+        self.poll_at = 0  # ns, the time of that request
 
     def advance(self, now: int, index: int, has_invalid: bool) -> None:
-        """Record a message of version `index`, and whether one of its entries is invalid; `now` in ns."""
+        """Record a message of version `index`; `now` is in ns.
+
+        `has_invalid` is true if the message contains an invalid entry.
+        """
         if self.is_at_start or not self.has_invalid:
             if has_invalid and not self.has_invalid:
                 self.backoff = POLL_BACKOFF_MIN
@@ -85,12 +90,12 @@
         self.is_at_start = False
 
     def is_poll_due(self, now: int) -> bool:
-        """Return whether invalid entries have to be requested again; `now` in ns."""
+        """Return whether it is time to request invalid entries again; `now` is in ns."""
         return self.has_invalid and not self.is_at_start and now >= self.poll_at
 
 
 class Discovery:
-    """The watch of the endpoint list; it starts from the list in the configuration."""
+    """The watch of the endpoint list; the initial list is in the configuration."""
 
     def __init__(
         self,
@@ -100,9 +105,9 @@
         config: WatchConfiguration,
         uniform: Callable[[float, float], float],
     ) -> None:
-        """Start the watch; `uniform` draws the jitter of the backoff.
+        """Start the watch; `uniform` returns a random number of a range, for the jitter of the backoff.
 
-        Raise InvalidInputError if the configuration's list is not a message of the endpoint list.
+        Raise InvalidInputError if the list in the configuration is not a valid message of discovery.
         """
         self.loop = loop
         self.coordinator = coordinator
@@ -111,16 +116,18 @@
         self.watch_address = config["discovery"]
         self.index = 0  # the current list version
         self.last_update_at = loop.now  # ns, when the last message was applied
-        self.last_received_at = loop.now  # ns, when the last line was received, empty or not
+        self.last_received_at = loop.now  # ns, when the last line was received; an empty line counts
         self.position = WatchPosition()
         self.reconnect_backoff = RECONNECT_BACKOFF_MIN  # ns
-        self.addresses: dict[str, Address | None] = {}  # by backend: all that were listed and not removed
-        self.has_listed_backends = False  # whether any list so far has contained a backend
+        self.addresses: dict[
+            str, Address | None
+        ] = {}  # by backend name; contains each listed backend until its removal
+        self.has_listed_backends = False  # whether any list so far contained a backend
         self.handle_message(config["known"])
         self.task = loop.spawn(self._run())
 
     def reconfigure(self, config: WatchConfiguration) -> None:
-        """Reopen the watch if discovery's address has changed; the current list stays in use meanwhile."""
+        """Reopen the watch if the address of discovery has changed; the current list stays in use."""
         if config["discovery"] != self.watch_address:
             self.watch_address = config["discovery"]
             self.loop.end(self.task)
@@ -131,16 +138,17 @@
         self.addresses.pop(backend, None)
 
     def handle_message(self, message: object) -> None:
-        """Report one message of the endpoint list to the coordinator, without its invalid entries.
+        """Report the valid entries of one message of discovery to the coordinator.
 
-        Raise InvalidInputError if it is not a message of the endpoint list.
+        Raise InvalidInputError if it is not a valid message of discovery.
         """
         fields = {"type": "list", **message} if isinstance(message, dict) else {"type": "list"}
         index = required_number(fields, "index", int)
         is_snapshot = bool(fields.get("snapshot"))
         if index < self.position.version and not is_snapshot:
-            # Another replica of discovery may lag behind, and the current list is newer. A complete list is
-            # used whatever its version is. The protocol sends changes in order, so nothing is lost.
+            # Another replica of discovery may lag behind; its changes are then older than the current list.
+            # They are ignored. Nothing is lost, because the protocol sends changes in order. A complete list
+            # is used even if its version is older.
             self.log.rate_limited_event("stale_endpoint_list", index=index, held_index=self.index)
             return
         rows = required_field(fields, "endpoints", list)
@@ -151,7 +159,7 @@
         self.position.advance(self.loop.now, index, has_invalid)
         is_first = not self.has_listed_backends
         self.has_listed_backends = self.has_listed_backends or bool(self.addresses)
-        if self.has_listed_backends:  # the first list that contains a backend is the one to start from
+        if self.has_listed_backends:  # the initial list is the first one that contains a backend
             self._report(_form(is_first, is_snapshot, has_invalid), index, entries)
 
     def _parse_entries(self, rows: list[Any]) -> list[Endpoint]:
@@ -171,7 +179,9 @@
         current = self.addresses.setdefault(backend)
         try:
             self.addresses[backend] = parse_address(value) if value else current
-        except InvalidInputError as error:  # the entry is used; its health checks keep the current address
+        except (
+            InvalidInputError
+        ) as error:  # the entry is used; health checks keep the backend's current address
             self.log.rate_limited_event("endpoint_skipped", backend=backend, reason=str(error))
 
     def _report(self, form: ListForm, index: int, entries: list[Endpoint]) -> None:
@@ -184,7 +194,7 @@
         while True:
             try:
                 yield from self._watch()
-            except Exception as error:  # of any type: without a watch the list would never change again
+            except Exception as error:  # any type: without a new watch the list would never change again
                 self.log.event(
                     "watch_ended",
                     reason=str(error) or type(error).__name__,
@@ -197,7 +207,7 @@
             )
 
     def _watch(self) -> Coroutine:
-        """Open one watch and read it; it only ends with an exception."""
+        """Open a watch and read from it until an exception is raised."""
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
             yield from dial(sock, self.watch_address, self.loop.now + CONNECT_TIMEOUT)
             target = f"/discovery/hosts?watch=1&after={self.position.version}"
@@ -247,6 +257,6 @@
 def _form(is_first: bool, is_snapshot: bool, has_invalid: bool) -> ListForm:
     if is_first:
         return ListForm.RESTORED
-    if is_snapshot and not has_invalid:  # a backend whose entry is invalid must not count as gone
+    if is_snapshot and not has_invalid:  # otherwise a backend whose entry is invalid would count as gone
         return ListForm.COMPLETE
     return ListForm.CHANGES
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -1,8 +1,9 @@
 """Dispatch of the messages received on a connection.
 
-Owns the names that messages may contain. The message type and the sender's role decide whether a message is
-answered, joins its sender, is reported to the coordinator, is dropped, or ends the connection. It never reads
-a socket; the fields are checked by `messages`, and the planner takes the decisions.
+The message type and the sender's role determine how a message is handled. A message is answered, makes the
+sender join, is reported to the coordinator, is dropped, or ends the connection. This module owns the names
+that messages may contain. It never reads a socket. The module `messages` checks the fields of a message, and
+the planner makes the decisions.
 """
 
 from granitespool.coordinator import Coordinator
@@ -17,8 +18,9 @@
 from granitespool.net.messages import KnownNames, Message
 from granitespool.planner.events import Acknowledged, LoadReport, UsageReport
 
-PENDING = Role.PENDING  # compared for each message: a module global is faster than an enum attribute
-# Unsent bytes of answers for one peer; a peer that sends pings and does not read the answers is disconnected.
+# Compared for each message. The lookup of a module global is faster than that of an enum attribute.
+PENDING = Role.PENDING
+# Bytes. With more unsent bytes, pings are not answered, and a peer that is not a proxy is disconnected.
 UNSENT_MAX = 64 * 1024
 
 
@@ -43,8 +45,8 @@
     def handle(self, connection: Connection, message: Message) -> None:
         """Handle one message.
 
-        Raise InvalidInputError if the connection has to be rejected or closed, and OSError if it is broken.
-        Any other invalid message is dropped, and the connection stays open.
+        Raise InvalidInputError if the connection has to be rejected or closed, and OSError if the connection
+        is broken. Any other invalid message is dropped, and the connection stays open.
         """
         kind: str = message["type"]
         if kind == messages.PING:
@@ -85,8 +87,8 @@
         except InvalidInputError as error:
             self._drop(connection, str(error))
         except Exception as error:
-            # A bug that a message triggers is only logged. It must not end the sender's connection: for a
-            # collector that would lose all reports of its zone.
+            # If a message triggers a bug, only the failure is logged. The sender's connection stays open,
+            # because the end of a collector's connection would lose all reports of the collector's zone.
             self.loop.report_failure(error)
 
     def _drop(self, connection: Connection, reason: str) -> None:
@@ -98,10 +100,10 @@
         try:
             acknowledgement = messages.parse_acknowledgement(message, self.names, connection.proxy)
         except InvalidInputError:
-            # The proxy has answered some barrier, at least the oldest one. Without this report its entries
-            # would count as in flight until that barrier counts as lost. The same applies to answers of
-            # another version. A proxy that acknowledges what it did not apply only shortens the time for
-            # which its own entries count as in flight.
+            # The proxy has answered a barrier, at least the oldest one. Without this report the proxy's
+            # entries would count as in flight until the barrier counts as lost. The same applies to answers
+            # in the format of another version. If a proxy acknowledges entries that it did not apply, the
+            # only effect is that its own entries count as in flight for a shorter time.
             self.coordinator.report(
                 self.loop.now, Acknowledged(proxy=connection.proxy, sequence=None, latency=None)
             )
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -1,7 +1,7 @@
-"""Frames of the streams: a little-endian length of four bytes, followed by one JSON object.
+"""Encode and decode frames: a little-endian length of four bytes, followed by one JSON object.
 
-A codec without I/O: `frame` and `encode_update` encode messages, `Reader` decodes received bytes. Messages
-are interpreted by `messages` and `dispatch`.
+`frame` and `encode_update` encode messages, and `Reader` decodes received bytes. This module does no I/O. The
+modules `messages` and `dispatch` interpret the messages.
 """
 
 import json
@@ -16,11 +16,11 @@
 
 MESSAGE_MAX = 1 << 20  # bytes of a message, limited by the protocol
 PARTS_MAX = 64  # parts of a message, limited by the protocol
-# Entries in one part; with up to 500 bytes per entry a part stays under `MESSAGE_MAX`.
+# Entries in one part of a message. If no entry exceeds 500 bytes, a part stays below `MESSAGE_MAX`.
 ENTRIES_PER_PART = 2048
 LENGTH_SIZE = 4  # bytes of the length prefix
-UPDATE = "update"  # type of a message to a proxy
-UNTYPED = ""  # type given to a message that is not an object or has no valid type
+UPDATE = "update"  # the type of an update, which is sent to a proxy
+UNTYPED = ""  # the type of a message that is not an object or has no valid type
 
 Message = dict[str, Any]
 
@@ -39,8 +39,8 @@
     try:
         return orjson.loads(body)
     except ValueError as error:
-        # Some JSON libraries write NaN or Infinity. Such a body is parsed here, so that the check of its
-        # fields drops only that message. The cost is that an invalid body is parsed twice.
+        # Some JSON libraries write NaN or Infinity, which orjson rejects. The standard library parses such a
+        # body, so that the check of the fields drops only this message. An invalid body is parsed twice.
         try:
             return json.loads(body)
         except (ValueError, RecursionError):
@@ -48,18 +48,18 @@
 
 
 class Reader:
-    """Decodes the messages of one peer; owns the receive buffers that it acquired from the pool."""
+    """Decodes the messages of one peer; owns the receive buffers that are acquired for the peer."""
 
     def __init__(self, pool: BufferPool, message_max: int) -> None:
-        """Create a reader for messages of at most `message_max` bytes, a limit that may be raised later."""
+        """Create a reader for messages of at most `message_max` bytes; the limit may be raised later."""
         self.pool = pool
         self.message_max = message_max
-        self.buffers: list[tuple[bytearray, int]] = []  # buffers, and the number of bytes received into each
-        self.offset = 0  # of the next unread byte in the first buffer
-        self.available = 0  # unread bytes
+        self.buffers: list[tuple[bytearray, int]] = []  # (buffer, number of received bytes in it)
+        self.offset = 0  # position of the next unread byte in the first buffer
+        self.available = 0  # number of unread bytes in all buffers
 
     def free_space(self) -> memoryview | None:
-        """Return the space to receive into, or None if the pool has no free buffer."""
+        """Return free space for received bytes, or None if the pool has no free buffer."""
         if not self.buffers or self.buffers[-1][1] == self.pool.size:
             buffer = self.pool.acquire()
             if buffer is None:
@@ -75,7 +75,7 @@
         self.available += size
 
     def messages(self) -> Iterator[Message]:
-        """Yield the messages that are complete; raise InvalidInputError for an invalid frame."""
+        """Yield and remove the complete messages; raise InvalidInputError if a frame is invalid."""
         while self.available >= LENGTH_SIZE:
             size = int.from_bytes(self._peek(LENGTH_SIZE), "little")
             if size > self.message_max:
@@ -118,13 +118,13 @@
 
 
 def _with_type(value: object) -> Message:
-    """Return the value as a message with a type, `UNTYPED` if it has no valid one."""
+    """Return the value as a message; the type of the message is `UNTYPED` if the value has no valid type."""
     message = value if isinstance(value, dict) else {}
     return message if isinstance(message.get("type"), str) else {**message, "type": UNTYPED}
 
 
 def encode_update(update: ProxyUpdate) -> bytes:
-    """Encode one message to a proxy as frames, one for each part."""
+    """Encode an update to a proxy as frames, one frame for each part of the message."""
     parts: list[Message] = [*_table_parts(update.tables), *_level_parts(update.levels)]
     if not parts:
         parts.append({"type": UPDATE})
--- a/granitespool/net/health_checks.py
+++ b/granitespool/net/health_checks.py
@@ -1,7 +1,7 @@
-"""Health checks: one coroutine for each health check in flight, which owns its socket.
+"""Health checks: a coroutine for each health check in flight, which owns the socket of the check.
 
-The coordinator decides which backend is checked and when. This module requests the load report of the backend
-and reports the result to the coordinator, which interprets it.
+The coordinator decides when a backend is checked. This module requests the backend's load report and reports
+the outcome to the coordinator, which interprets it.
 """
 
 import socket
@@ -19,16 +19,17 @@
 from granitespool.planner.events import HealthCheckOutcome, HealthCheckResult
 from granitespool.units import MILLISECOND
 
-ANSWER_TIMEOUT = SECOND // 2  # ns from the start to the answer: half of the planner's period
+ANSWER_TIMEOUT = SECOND // 2  # ns from the start of a check to the answer: half of the planner's period
 DEFAULT_CONNECT_TIMEOUT = SECOND // 4  # ns to establish the connection if connect_timeout is unset
 BODY_MAX = 4096  # bytes of a response body that are kept
-OUTCOMES = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.REJECTED}  # by HTTP status; others: ERROR
+# Outcome by HTTP status; the outcome of any other status is ERROR.
+OUTCOMES = {200: HealthCheckOutcome.OK, 503: HealthCheckOutcome.REJECTED}
 
-Load = dict[str, int | float]  # the metrics of a load report by name; times in ns
+Load = dict[str, int | float]  # metrics of a load report by name; times in ns
 
 
 class HealthChecks:
-    """Runs the health checks that the coordinator requests, up to a limit on those in flight."""
+    """Runs the health checks that the coordinator requests; the number in flight is limited."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         config: Configuration,
         addresses: Mapping[str, Address | None],
     ) -> None:
-        """Create the runner; `addresses` stays up to date with the endpoint list."""
+        """Create the runner; the caller updates `addresses` from the endpoint list."""
         self.loop = loop
         self.coordinator = coordinator
         self.log = log
@@ -52,7 +53,7 @@
         self.limit = config["health_checks"]
 
     def start(self) -> None:
-        """Start the health checks that the coordinator requests, up to the limit."""
+        """Start requested health checks until the limit on health checks in flight is reached."""
         while self.in_flight < self.limit:
             request = self.coordinator.next_message(Queue.HEALTH_CHECKS)
             if request is None:
@@ -66,8 +67,8 @@
             outcome, load = yield from self._request(backend)
         finally:
             self.in_flight -= 1
-        # Report in a turn of its own: the coroutine that requested this must not end before the result is
-        # reported
+        # Report the result in a later resume of this coroutine: the caller that requested the check must not
+        # end before the result is reported
         yield None, 0, self.loop.now
         latency = self.loop.now - started_at
         self.log.event("health_check", backend=backend, status=outcome, duration_ms=latency // MILLISECOND)
@@ -76,10 +77,11 @@
         )
 
     def _request(self, backend: str) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
-        """Return the outcome of a health check, and the metrics of the load report if one was received."""
+        """Return the outcome of a health check and the metrics of the load report, which may be empty."""
         started_at = self.loop.now
         address = self.addresses.get(backend)
-        # Before anything is sent, a failure such as a lack of descriptors says nothing about the backend
+        # A failure before the connection attempt, such as a lack of descriptors, is no evidence about the
+        # backend
         outcome = HealthCheckOutcome.ERROR
         if address is None:
             return outcome, {}
@@ -90,7 +92,7 @@
                 outcome = HealthCheckOutcome.TIMED_OUT
                 return (yield from _load_report(sock, address, started_at + ANSWER_TIMEOUT))
         except TimeoutError:
-            pass  # `outcome` is UNREACHABLE before the connection was established, then TIMED_OUT
+            pass  # `outcome` is UNREACHABLE until the connection is established, and then TIMED_OUT
         except (OSError, h11.ProtocolError):
             if outcome is HealthCheckOutcome.TIMED_OUT:
                 outcome = HealthCheckOutcome.RESET
@@ -100,7 +102,10 @@
 def _load_report(
     sock: socket.socket, address: Address, deadline: int
 ) -> Generator[Wait, int, tuple[HealthCheckOutcome, Load]]:
-    """Request the load report; raise TimeoutError, OSError or h11.ProtocolError if that fails."""
+    """Request the load report and return the outcome and the report's metrics.
+
+    Raise TimeoutError, OSError or h11.ProtocolError if the request fails.
+    """
     status, body = None, b""
     http = yield from http_get(sock, address, "/metrics/load", deadline, ("Connection", "close"))
     while True:
@@ -118,7 +123,10 @@
 
 
 def _parse_metrics(body: bytes) -> Iterator[tuple[str, float | None]]:
-    """Yield the (name, value) pairs of `inflight=7,util=0.61`; None for a value that is not a number."""
+    """Yield the (name, value) pairs of a body such as `inflight=7,util=0.61`.
+
+    A value that is not a number is yielded as None.
+    """
     for pair in body.decode("ascii", "replace").split(","):
         key, _, value = pair.partition("=")
         yield key.strip(), _parse_number(value)
--- a/granitespool/net/loop.py
+++ b/granitespool/net/loop.py
@@ -1,13 +1,15 @@
 """The event loop: select.epoll, generator-based coroutines and timers.
 
-A coroutine yields `(fd, events, deadline)`. It is resumed with the events that occurred, or with 0 once the
-deadline (ns on the loop's clock, None for no deadline) has passed or another coroutine has resumed it. With
-`fd` None it only waits. A coroutine owns its descriptor and closes it in its own `finally`; before it opens
-another descriptor it waits once with `fd` None. One turn resumes all coroutines that are ready, with the same
-`now`, and then calls `end_of_turn`.
-
-The loop owns the epoll object, the descriptor that wakes it, the timers and the coroutines. It never reads or
-writes a coroutine's descriptor.
+A coroutine yields `(fd, events, deadline)` to wait. The deadline is a time of the loop's clock in ns, or None
+for no deadline. If `fd` is None, the coroutine waits only for the deadline. The loop resumes the coroutine
+with the events that occurred, or with 0 if the deadline has passed. Another coroutine may also resume it with
+0. One turn resumes all coroutines that are ready, with the same `now`, and then calls `end_of_turn`.
+
+A coroutine owns its descriptor and closes the descriptor in its own `finally`. Before the coroutine opens
+another descriptor, it waits once with `fd` None.
+
+The loop owns the epoll object, the descriptor that ends the wait for events, the timers and the coroutines.
+The loop never reads or writes a coroutine's descriptor.
 """
 
 import heapq
@@ -25,13 +27,15 @@
 
 IN = select.EPOLLIN
 OUT = select.EPOLLOUT
-# Events returned by one poll beyond one per watched descriptor, whose number is not limited.
+# Events that one poll may return in addition to one event for each watched descriptor. The number of watched
+# descriptors is not limited.
 SPARE_EVENTS = 64
-IDLE_WAIT_MAX = 60 * SECOND  # ns, the longest wait: it only bounds the argument of the system call
+IDLE_WAIT_MAX = 60 * SECOND  # ns, the longest wait; it only limits the argument of the system call
 
 Wait = tuple[int | None, int, int | None]  # descriptor, events, deadline in ns
 Coroutine = Generator[Wait, int, None]
-EndOfTurn = Callable[[int], int | None]  # time of the turn -> latest time of the next one, in ns
+# Called with the time of the turn; returns the latest time of the next turn or None. Both times are in ns.
+EndOfTurn = Callable[[int], int | None]
 
 
 @dataclass(eq=False, slots=True)
@@ -42,7 +46,9 @@
     fd: int | None = None
     events: int = 0
     deadline: int | None = None  # ns
-    timer_number: int = 0  # of the valid timer; earlier timers are ignored
+    timer_number: int = (
+        0  # number of the task's valid timer; the task's timers with other numbers are ignored
+    )
 
 
 class Loop:
@@ -53,37 +59,38 @@
     ) -> None:
         """Create a loop; `report_failure` is called with each exception that a coroutine did not catch.
 
-        `clock` returns ns; the default is Unix time that never goes backward.
+        `clock` returns the time in ns. The default clock returns Unix time and never goes backward.
         """
         self.report_failure = report_failure
         self.epoll = select.epoll()
-        self.watching: dict[int, Task] = {}  # by the descriptor that the task waits for
+        self.watching: dict[int, Task] = {}  # the waiting task by its descriptor
         self.timers: list[tuple[int, int, Task]] = []  # a heap of (deadline in ns, timer number, task)
         self.timer_count = 0
         self.tasks: set[Task] = set()
         self.is_stopped = False
         self.clock = clock or _unix_clock()
-        self.now = self.clock()  # ns, the time of this turn
-        self.next_due: int | None = None  # ns, as returned by the last `end_of_turn`
+        self.now = self.clock()  # ns, the time of the current turn
+        self.next_due: int | None = None  # ns, the result of the last `end_of_turn`
         self.wake_lock = threading.RLock()
         self.wake_fd: int | None = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self.epoll.register(self.wake_fd, IN)
 
     def spawn(self, coroutine: Coroutine) -> Task:
-        """Run a coroutine to its first wait; from then on its `finally` is run when it ends."""
+        """Run a coroutine to its first wait; the loop then runs its `finally` when the coroutine is ended."""
         task = Task(coroutine)
         self.tasks.add(task)
         self._advance(task, None)
         return task
 
     def resume(self, task: Task) -> None:
-        """Resume a coroutine at once with 0; it must not be the running one."""
+        """Resume a waiting coroutine at once with 0; a coroutine must not resume itself."""
         self._advance(task, 0)
 
     def wake(self) -> None:
         """End the wait for events, so that a turn follows; may be called from a signal handler."""
-        # Another thread may wake a loop that has just been closed, whose descriptor number may have been
-        # reused. The lock is reentrant because a signal handler may interrupt its holder.
+        # Another thread may call this just after the loop was closed, when the number of the closed
+        # descriptor may already be reused. The lock prevents a write to the reused descriptor. The lock is
+        # reentrant because a signal handler may interrupt the code that holds the lock.
         with self.wake_lock:
             if self.wake_fd is not None:
                 os.eventfd_write(self.wake_fd, 1)
@@ -102,7 +109,7 @@
             self.turn(end_of_turn, due - self.clock())
 
     def turn(self, end_of_turn: EndOfTurn, wait: int) -> None:
-        """Run one turn, which waits for events for at most `wait` ns."""
+        """Run one turn: wait at most `wait` ns for events, resume the ready coroutines, end the turn."""
         for task, fd, events in self._poll(wait):
             if task and self.watching.get(fd) is task:
                 self._advance(task, events)
@@ -112,11 +119,11 @@
         self.next_due = end_of_turn(self.now)
 
     def end(self, task: Task) -> None:
-        """End a coroutine, which releases its resources in its own `finally`."""
+        """End a coroutine; the coroutine releases its resources in its own `finally`."""
         self._remove(task)
         try:
             task.coroutine.close()
-        except Exception as error:  # its failure must not affect the caller or the tasks that are ended next
+        except Exception as error:  # a failing `finally` must not stop the caller or the end of other tasks
             self.report_failure(error)
 
     def close(self) -> None:
@@ -132,16 +139,18 @@
     def _poll(self, wait: int) -> list[tuple[Task | None, int, int]]:
         """Wait for events, set `now`, and return (task, descriptor, events) for each ready descriptor.
 
-        The tasks are looked up before any coroutine runs, because one coroutine may close a descriptor and
-        another one may open a descriptor with the same number.
+        All tasks are looked up before any coroutine runs. A coroutine may close a descriptor, and another
+        coroutine may then open a descriptor with the same number.
         """
         limit = len(self.watching) + SPARE_EVENTS
         found = self.epoll.poll(max(0, min(wait, IDLE_WAIT_MAX)) / SECOND, limit)
-        self.now = max(self.clock(), self.now + 1)  # no two turns share a time: each is a separate message
+        # Two turns never have the same time, because every turn is a separate message
+        self.now = max(self.clock(), self.now + 1)
         if not found or self._is_timer_due():
-            # If the process was suspended between the wait and the reading of the clock, a deadline can have
-            # passed although the awaited event occurred before it. A second poll returns all events up to
-            # now, and they are handled before the timers. It costs a system call if a timer is due.
+            # The process may have been suspended after the wait and before the clock was read. A deadline can
+            # then have passed although the awaited event occurred before the deadline. The second poll
+            # returns all events up to now, and the events are handled before the timers. The second poll
+            # costs a system call if a timer is due.
             found = self.epoll.poll(0, limit)
         return [(self.watching.get(fd), fd, events) for fd, events in found]
 
@@ -167,7 +176,7 @@
             self._watch(task, fd, awaited_events)
         except StopIteration:
             self._remove(task)
-        except Exception as error:  # an exception of any type ends only this coroutine
+        except Exception as error:  # any type of exception ends only this coroutine
             self.end(task)
             self.report_failure(error)
         else:
@@ -175,7 +184,7 @@
 
     def _set_timer(self, task: Task, deadline: int | None) -> None:
         if deadline == task.deadline:
-            return  # the timer is already set: one per deadline, however often the coroutine is resumed
+            return  # the deadline already has its timer, however often the coroutine was resumed
         self.timer_count += 1
         task.deadline = deadline
         task.timer_number = self.timer_count
@@ -201,7 +210,7 @@
     def _unwatch(self, task: Task) -> None:
         if task.fd is not None and self.watching.get(task.fd) is task:
             del self.watching[task.fd]
-            with suppress(OSError, ValueError):  # the coroutine may have closed it already
+            with suppress(OSError, ValueError):  # the coroutine may already have closed the descriptor
                 self.epoll.unregister(task.fd)
         task.fd = None
 
@@ -211,6 +220,6 @@
 
 
 def _unix_clock() -> Callable[[], int]:
-    """Return a clock of Unix time, which discovery uses as well, that never goes backward."""
+    """Return a clock of Unix time that never goes backward; discovery also uses Unix time."""
     offset = time.time_ns() - time.monotonic_ns()
     return lambda: time.monotonic_ns() + offset
--- a/granitespool/net/management_service.py
+++ b/granitespool/net/management_service.py
@@ -1,8 +1,8 @@
 """The management interface of a service: its listeners, users, sessions and notifications.
 
-Implements management.interfaces.ManagementService; created only if a management listener is configured. Every
-change of settings, including a reload of the files, goes through the datastores of `settings_host`. The
-service applies it completely within one turn, or not at all.
+Implements management.interfaces.ManagementService. It is created only if a management listener is configured.
+Every change of settings, including a reload of the files, goes through the datastores of `settings_host`. The
+service applies a change completely within one turn, or not at all.
 """
 
 import ssl
@@ -31,25 +31,25 @@
 
 NETCONF = "netconf"
 GNMI = "gnmi"
-ALPN = {NETCONF: None, GNMI: "h2"}  # by listener: the ALPN protocol that clients have to negotiate
+ALPN = {NETCONF: None, GNMI: "h2"}  # ALPN protocol that clients have to negotiate, by listener
 
 MakeSession = Callable[["ManagementService", User, Transport, int], ProtocolSession]
 
 
 class ManagementService:
-    """The listeners and the state that the sessions of all protocols share."""
+    """The management listeners, and the state that the sessions of all protocols share."""
 
     def __init__(self, service: "Service", loop: Loop, log: Log) -> None:
-        """Start the configured listeners; raise InvalidInputError or OSError if that fails."""
+        """Start the configured listeners; raise InvalidInputError or OSError if a listener cannot start."""
         self.service = service
         self.loop = loop
         self.log = log
         self.model = Model()
         self.settings = SettingsHost(service, self.model, self.notify)
-        self.sessions: dict[int, ProtocolSession] = {}  # by number
-        self.session_count = 0  # opened so far
-        self.list_index = service.discovery.index  # the endpoint list's version
-        self.list_changed_at = loop.now  # ns
+        self.sessions: dict[int, ProtocolSession] = {}  # open sessions by number
+        self.session_count = 0  # sessions opened so far
+        self.list_index = service.discovery.index  # the last observed version of the endpoint list
+        self.list_changed_at = loop.now  # ns, when that version was first observed
         self.shared_state = SharedState(self.new_state_reader)
         operator = _required_operator(service.config)
         self.users = _users(operator)
@@ -65,11 +65,11 @@
 
     @property
     def datastores(self) -> Datastores:
-        """The settings, their candidates and locks."""
+        """The datastores: the settings, candidate settings and locks."""
         return self.settings.datastores
 
     def close(self) -> None:
-        """Notify each session that the server ends."""
+        """Notify each session that the service shuts down."""
         for session in list(self.sessions.values()):
             session.announce_shutdown()
 
@@ -88,16 +88,16 @@
         self.datastores.close_session(session, self.settings.log_rollback_failure)
 
     def find_session(self, number: str) -> ProtocolSession | None:
-        """Return the session with this number, None if there is none."""
+        """Return the session with the decimal number `number`, or None if there is no such session."""
         return self.sessions.get(int(number)) if number.isdecimal() else None
 
     @staticmethod
     def session_number(session: object) -> int:
-        """Return a session's number, 0 for the coordinator itself."""
+        """Return the number of a session, or 0 for the coordinator itself."""
         return getattr(session, "number", 0)
 
     def save_startup(self, answer: CompletionCallback) -> None:
-        """Save the startup datastore, and call `answer` once it is durable or has failed."""
+        """Save the startup datastore; call `answer` once it is durable or the save has failed."""
         self.settings.save_startup(answer)
 
     def log_failure(self, error: Exception) -> None:
@@ -122,15 +122,15 @@
         )
 
     def notify(self, name: str, **fields: object) -> None:
-        """Send a notification to the subscribed sessions; the names are those of the YANG module."""
+        """Send a notification to the subscribed sessions; the YANG module defines the names."""
         at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(self.loop.now // SECOND))
         for session in list(self.sessions.values()):
             session.notify(name, fields, at)
 
-    # For the service
+    # Methods that the service calls
 
     def end_of_turn(self, now: int) -> None:
-        """Run due timers of the settings and write what was sent to sessions; `now` in ns."""
+        """Run the expired timers of the settings and write the unsent bytes of sessions; `now` in ns."""
         if self.service.discovery.index != self.list_index:
             self.list_index = self.service.discovery.index
             self.list_changed_at = now
@@ -139,13 +139,14 @@
             listener.end_of_turn()
 
     def next_deadline(self) -> int | None:
-        """Return the latest time (ns) of the next `end_of_turn`, None if there is none."""
+        """Return the time (ns) by which `end_of_turn` has to be called again, or None if there is none."""
         return self.settings.next_deadline()
 
     def reload(self, config: Configuration) -> list[str]:
         """Apply the reloaded files; return the names of the settings that require a restart.
 
-        Raise InvalidInputError or ManagementError if they cannot be applied; then nothing has changed.
+        Raise InvalidInputError or ManagementError if the files cannot be applied; the former settings are
+        then still in use.
         """
         operator = _required_operator(config)
         contexts = {listener.name: _tls_context(operator, listener.name) for listener in self.listeners}
--- a/granitespool/net/messages.py
+++ b/granitespool/net/messages.py
@@ -1,8 +1,8 @@
 """Check the platform's messages to the coordinator and convert them to typed messages.
 
-Defines the names of the fields on the wire and the limits of their values. It is stateless and does no I/O.
-Times in the typed messages are whole nanoseconds. A failed check raises `InvalidInputError`, whose text is
-one sentence that says what is wrong.
+Defines the names of the fields on the wire and the limits of their values. This module has no state and does
+no I/O. Times in the typed messages are whole nanoseconds. A failed check raises `InvalidInputError`; the text
+is one sentence with the reason.
 """
 
 from collections.abc import Container
@@ -16,10 +16,10 @@
 from granitespool.fields import REPORTED_COUNT_MAX, REPORTED_TIME_MAX_MS, required_field, required_number
 from granitespool.units import MILLISECOND
 
-Message = dict[str, Any]  # one decoded object; its "type" is a string, empty if the object had none
+Message = dict[str, Any]  # a decoded object; "type" is a string, "" if the object has no type
 
-# Values of "type"
-PING = "ping"  # readiness check, answered on every connection
+# Values of the field "type"
+PING = "ping"  # a readiness check, which is answered on every connection
 PROXY_JOINING = "joined"
 COLLECTOR_JOINING = "collector"
 APPLIED = "applied"
@@ -31,12 +31,12 @@
 
 @dataclass(slots=True)
 class KnownNames:
-    """The names that a message may contain; a new configuration changes them in place."""
+    """The names that a message may contain; a new configuration updates the instance in place."""
 
-    backends: Container[str]  # the backends that the endpoint list has contained
+    backends: Container[str]  # backends that any endpoint list so far has contained
     request_classes: Container[str | None]
     zones: Container[str] = ()
-    proxies_expected: int = 0  # proxies are numbered from 0 to this number minus 1
+    proxies_expected: int = 0  # valid proxy numbers are below this number
 
 
 class ProxyJoin(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,19 +44,19 @@
 
     proxy: int
     zone: str
-    bootstrap: bool  # "cold" on the wire: the proxy uses its bootstrap table
-    rate: float  # approximate requests per second; 0 if the field is missing
+    bootstrap: bool  # whether the proxy uses its bootstrap table; "cold" on the wire
+    rate: float  # approximate requests per second; 0 if the message has no rate
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, kw_only=True):
-    """A proxy's answer to an acknowledgement barrier: it has applied everything up to there."""
+    """A proxy's answer to an acknowledgement barrier: everything up to the barrier has been applied."""
 
     barrier: int
     latency: int  # ns
 
 
 class LinkReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A load report: what the proxies of a zone observed at a backend."""
+    """A load report: the attempts, failures and times that the proxies of a zone observed at a backend."""
 
     zone: str
     backend: str
@@ -64,7 +64,8 @@
     failures: int | float
     mean: int  # ns, mean round trip of the attempts that did not fail
     window: int  # ns covered by the report
-    load: dict[str, int | float]  # the backend's latest load metrics, by our names; empty if there were none
+    # the backend's latest load metrics, by their names in this program; empty if the message has none
+    load: dict[str, int | float]
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
@@ -86,12 +87,15 @@
 
 
 def parse_collector_zone(message: Message, names: KnownNames) -> str:
-    """Return the zone whose reports a collector forwards; raise `InvalidInputError` if it is invalid."""
+    """Return the zone whose reports a collector forwards; raise `InvalidInputError` if it is unknown."""
     return _known_name(message, "locality", names.zones)
 
 
 def parse_acknowledgement(message: Message, names: KnownNames, sender: int) -> Acknowledgement:
-    """Check an acknowledgement on the stream of the proxy `sender`; raise `InvalidInputError`."""
+    """Check an acknowledgement on the stream of the proxy `sender`.
+
+    Raise `InvalidInputError` if the acknowledgement is invalid.
+    """
     barrier = required_number(message, "nonce", int, BARRIER_MAX)
     latency = _time(message, "latency")
     _own_proxy(message, names, sender)
@@ -119,7 +123,7 @@
 def parse_usage_report(message: Message, names: KnownNames, sender: int | None) -> UsageReport:
     """Check a usage report; raise `InvalidInputError` if it is invalid.
 
-    `sender` is the proxy whose stream it was received on, None for a collector.
+    `sender` is the number of the proxy on whose stream the report was received, or None for a collector.
     """
     return UsageReport(
         proxy=_own_proxy(message, names, sender),
@@ -131,7 +135,7 @@
 
 
 def _time(message: Message, key: str) -> int:
-    """Return a required time in whole nanoseconds."""
+    """Return a required time, which is in ms in the message, in whole nanoseconds."""
     return int(required_number(message, key, maximum=REPORTED_TIME_MAX_MS) * MILLISECOND)
 
 
@@ -155,9 +159,9 @@
 
 
 def _own_proxy(message: Message, names: KnownNames, sender: int | None) -> int:
-    """Return the proxy that a message names; on a proxy's stream only that proxy is valid."""
+    """Return the proxy number in a message; on a proxy's stream only the proxy's own number is valid."""
     if sender is not None and message.get("node") == sender:
-        return sender  # valid even if a new configuration expects fewer proxies: a joined proxy stays
+        return sender  # a joined proxy stays valid even if a new configuration expects fewer proxies
     number = _proxy_number(message, names)
     if sender is not None and number != sender:
         raise InvalidInputError(f"a {message['type']!r} names the proxy {number} on another's stream")
--- a/granitespool/net/settings_host.py
+++ b/granitespool/net/settings_host.py
@@ -1,7 +1,7 @@
-"""The host of the management datastores: the service, its files and its state folder.
+"""The host of the management datastores: gives them access to the service, its files and its state folder.
 
-Converts a settings tree to a configuration and has it checked, applied and saved. The datastores decide
-whether a change is allowed, and `reconfiguration` applies it to the parts.
+Converts a settings tree to a configuration, which is then checked, applied and saved. The datastores decide
+whether a change is allowed, and `reconfiguration` applies the change to the parts of the service.
 """
 
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from granitespool.net.service import Service
 
-# ns that the answer to a commit waits for the state folder; a slower disk is treated as failed.
+# ns for which the answer to a commit waits for the state folder. A slower write is treated as failed.
 SAVE_TIMEOUT = 5 * SECOND
 NOT_SAVED = "the settings could not be saved in the state folder in time"
 NO_FOLDER = "without a state folder no settings persist, so startup cannot differ from running"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingSave:
-    """A settings tree that is not yet durable, and the answer that waits for it."""
+    """A settings tree that is not yet durable, and the callback that is called with the result."""
 
     ticket: int
     deadline: int  # ns
@@ -53,14 +53,14 @@
         except ManagementError as error:
             raise InvalidInputError(f"the settings do not match the YANG model: {error.reason}") from None
         self.datastores = Datastores(model, self, tree)
-        self.file_tree: Tree | None = service.file_tree  # the settings of the files when last read
-        self.reloaded: Configuration | None = None  # the new configuration, only during a reload
+        self.file_tree: Tree | None = service.file_tree  # the settings in the files when they were last read
+        self.reloaded: Configuration | None = None  # the new configuration during a reload, otherwise None
         self.pending: list[PendingSave] = []
 
-    # For the datastores
+    # Methods that the datastores call
 
     def check(self, tree: Tree, _running: Tree) -> None:
-        """Raise ManagementError if the service could not run with a tree, or if that would do harm."""
+        """Raise ManagementError if a tree is not a valid configuration or would harm the running service."""
         config = self._configuration_of(tree)
         coordinator = self.service.coordinator
         restart_required = [] if self.reloaded else self.service.reconfiguration.restart_required_by(config)
@@ -73,7 +73,10 @@
         )
 
     def apply(self, tree: Tree, by: str) -> None:
-        """Apply a tree to the service at once; raise ManagementError, with nothing changed, if that fails."""
+        """Apply a tree to the service at once.
+
+        Raise ManagementError if a part fails; the former settings are then still in use.
+        """
         config = self._configuration_of(tree)
         try:
             restart_required = self.service.reconfiguration.apply(config)
@@ -85,7 +88,7 @@
         self.notify("settings-changed", version=version, by=by)
 
     def save(self, tree: Tree, version: int, answer: SaveCallback) -> None:
-        """Save a tree if there is a state folder, and call `answer` once it is durable or has failed."""
+        """Save a tree if there is a state folder; call `answer` once it is durable or the save has failed."""
         if self.service.snapshotter is None:
             answer(None)
             return
@@ -94,7 +97,7 @@
         self.service.loop.wake()
 
     def replace_saved(self, tree: Tree, version: int) -> None:
-        """Save this tree instead of the last one, without waiting for it; the latest tree wins."""
+        """Replace the last saved tree with `tree`, without waiting until `tree` is durable."""
         if self.service.snapshotter is not None:
             self.service.snapshotter.save_settings(tree, self.file_tree, version)
 
@@ -103,10 +106,10 @@
         self.service.log.event("change_rejected", by=by, reason=why)
         self.notify("change-refused", by=by, why=why)
 
-    # For the sessions
+    # Methods that the sessions call
 
     def save_startup(self, answer: CompletionCallback) -> None:
-        """Save the current startup datastore, and call `answer` once it is durable or has failed."""
+        """Save the startup datastore; call `answer` once it is durable or the save has failed."""
         stores = self.datastores
         if self.service.snapshotter is None:
             stores.reset_startup()
@@ -117,7 +120,8 @@
             if reason is None:
                 answer(None)
                 return
-            # The tree may still reach the disk; this save makes a restart begin with the running settings
+            # The tree may still reach the disk later. A save of the running settings replaces it, so that a
+            # restart begins with the running settings
             stores.reset_startup()
             self.replace_saved(stores.tree(STARTUP), stores.version)
             answer(ManagementError(ErrorTag.RESOURCE_DENIED, reason))
@@ -129,10 +133,13 @@
         if error:
             self.service.log.event("rollback_failed", reason=error.reason)
 
-    # For the service
+    # Methods that the service calls
 
     def end_of_turn(self, now: int) -> None:
-        """Answer saves that are durable or late, and roll back an unconfirmed commit; `now` in ns."""
+        """Answer saves that are durable or past their deadline, and roll back an expired unconfirmed commit.
+
+        `now` is in ns.
+        """
         snapshotter = self.service.snapshotter
         pending, self.pending = self.pending, []
         for save in pending:
@@ -144,15 +151,15 @@
         self.datastores.tick(now, self.log_rollback_failure)
 
     def next_deadline(self) -> int | None:
-        """Return the latest time (ns) of the next `end_of_turn`, None if there is none."""
+        """Return the time (ns) by which `end_of_turn` has to be called again, or None if there is none."""
         deadlines = [self.datastores.next_deadline(), *(save.deadline for save in self.pending)]
         return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
     def reload(self, config: Configuration) -> list[str]:
         """Apply the reloaded files; return the names of the settings that require a restart.
 
-        If the files' settings are unchanged, the changes of management clients since then stay. Raise
-        ManagementError if the files cannot be applied; then nothing has changed.
+        If the settings in the files are unchanged, the changes that management clients made stay in use.
+        Raise ManagementError if the files cannot be applied; the former settings are then still in use.
         """
         reconfiguration = self.service.reconfiguration
         tree = mapping.tree_of(config)
@@ -171,7 +178,10 @@
         return reconfiguration.restart_required
 
     def _configuration_of(self, tree: Tree) -> Configuration:
-        """Return the current configuration with the settings of a tree, or the one of a running reload."""
+        """Return the current configuration with the settings of a tree.
+
+        During a reload, return the reloaded configuration.
+        """
         if self.reloaded:
             return self.reloaded
         config = cast(Configuration, mapping.config_of(tree, self.service.config))
