--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -1,10 +1,10 @@
 """A listener for management clients: TLS with mutual authentication, and a protocol on top of it.
 
-Owns the listening socket and a coroutine for each connection, which owns that connection's socket. After the
-handshake `make(user, connection)` creates the protocol session of the user, a `ProtocolSession`.
+Owns the listening socket and a coroutine for each connection. The coroutine owns the connection's socket.
+After the TLS handshake `make(user, connection)` creates a `ProtocolSession` for the user.
 
-Management does not slow down proxies: its connections have a limit of their own, requests are processed in
-small steps, and a client that does not read is not read from.
+Three rules keep management from slowing down proxies. Management connections have a separate limit. Requests
+are processed in small steps. No input is read from a client that does not read its answers.
 """
 
 import errno
@@ -28,11 +28,13 @@
 from granitespool.net.tls import TlsError
 from granitespool.operator_settings import GnmiSettings, NetconfSettings
 
-BACKLOG = 16  # connections that the kernel queues: there are few management clients
-HANDSHAKE_TIMEOUT = 5 * SECOND  # ns, for a long round trip and a slow client's signature
-# ns of work in one turn for all connections of a listener: half of what may be added to a turn.
+BACKLOG = 16  # connections that the kernel queues; there are few management clients
+# ns from the accept to the end of the handshake. Allows for a long round trip and a client that signs slowly.
+HANDSHAKE_TIMEOUT = 5 * SECOND
+# ns in one turn for processing the requests of all connections of a listener. This is half of the time by
+# which management may lengthen a turn.
 WORK_PER_TURN = 2_000_000
-ACCEPT_RETRY_DELAY = SECOND // 20  # ns between accepts while no connection can be accepted
+ACCEPT_RETRY_DELAY = SECOND // 20  # ns until the next attempt if no connection can be accepted
 SUBJECT_MAX = 100  # characters of a certificate's subject in the log
 # Error numbers of `accept` that mean the process or the machine is short of descriptors or memory.
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
@@ -42,17 +44,20 @@
 
 
 def handshakes_max(sessions: int) -> int:
-    """Return the largest number of connections in their handshake beside `sessions` sessions."""
+    """Return the limit on connections in the TLS handshake for a limit of `sessions` sessions."""
     return max(2, sessions // 2)
 
 
 def sockets_max(sessions: int) -> int:
-    """Return the largest number of descriptors of a listener with `sessions` sessions, its own included."""
+    """Return the largest number of descriptors of a listener, its own included.
+
+    `sessions` is the limit on sessions.
+    """
     return sessions + handshakes_max(sessions) + 1
 
 
 class ManagementListener:
-    """The listener of one protocol."""
+    """The listener for one management protocol and its connections."""
 
     def __init__(
         self,
@@ -68,16 +73,18 @@
         self.loop = loop
         self.log = log
         self.name = name
-        self.context = context  # for new connections
+        self.context = context  # the TLS context of new connections
         self.find_user = find_user
         self.make = make
         self.sessions_max = settings.sessions
         self.idle_timeout = int(settings.idle_s * SECOND)  # ns
-        self.streams: int | None = getattr(settings, "streams", None)  # concurrent calls on one connection
+        self.streams: int | None = getattr(
+            settings, "streams", None
+        )  # limit on concurrent calls on one connection
         self.connections: dict[ManagementConnection, None] = {}  # oldest first
-        self.woken: dict[ManagementConnection, None] = {}  # to be resumed at the end of the turn
-        self.worked_at = 0  # ns, the time of the turn that `worked` counts
-        self.worked = 0  # ns of work in that turn
+        self.woken: dict[ManagementConnection, None] = {}  # connections to be resumed at the end of the turn
+        self.worked_at = 0  # ns, the time of the turn to which `worked` applies
+        self.worked = 0  # ns spent on processing requests in that turn
         host, _, port = settings.listen.rpartition(":")
         self.socket = self._listen((host, int(port)))
         loop.spawn(self._accept())
@@ -118,16 +125,19 @@
     def _open(self, sock: socket.socket, peer: str) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, UNSENT_READ_LIMIT)  # the kernel buffer too
+        sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_SNDBUF, UNSENT_READ_LIMIT
+        )  # limit the kernel's buffer as well
         connection = ManagementConnection(self, sock, peer)
         self.connections[connection] = None
         connection.task = self.loop.spawn(self._serve(connection))
 
     def _can_accept(self) -> bool:
-        """Return whether another connection may be accepted; evict one if too many are in their handshake.
+        """Return whether another connection may be accepted.
 
-        The oldest one in its handshake is evicted, so that a flood of connections does not lock out clients
-        with a certificate. During a flood this also ends slow handshakes.
+        If too many connections are in the TLS handshake, the oldest of them is evicted. A flood of
+        connections therefore does not lock out clients that have a certificate. During a flood, slow
+        handshakes of these clients are ended as well.
         """
         in_handshake = [connection for connection in self.connections if connection.protocol is None]
         limit = handshakes_max(self.sessions_max)
@@ -153,7 +163,10 @@
             self._close(connection, reason)
 
     def _exchange(self, connection: ManagementConnection) -> Coroutine:
-        """Read, work and write until one side closes the connection; raise TlsError or OSError."""
+        """Read input, process requests and write answers until one side closes the connection.
+
+        Raise TlsError if the handshake or a record is invalid, and OSError if the connection is broken.
+        """
         while connection.end_reason is None:
             mask = (OUT if connection.unsent else 0) | (IN if connection.is_readable else 0)
             events = yield connection.sock.fileno(), mask, self._deadline(connection)
@@ -170,7 +183,7 @@
         if protocol is None:
             return connection.accepted_at + HANDSHAKE_TIMEOUT
         if connection.is_busy:
-            return now + 1  # one step in each turn; a deadline of `now` would resume it in the same turn
+            return now + 1  # resume in the next turn; a deadline of `now` would resume it in the same turn
         idle_at = (
             None if protocol.is_exempt_from_idle_timeout else connection.last_received_at + self.idle_timeout
         )
@@ -191,7 +204,7 @@
         connection.protocol.tick(now)
 
     def _read(self, connection: ManagementConnection) -> bool:
-        """Read and hand the decrypted bytes to the protocol; return False once the client has closed."""
+        """Read, decrypt and pass bytes to the protocol; return False if the client has closed its side."""
         received = connection.receive()
         if received is None:
             return True
@@ -220,7 +233,7 @@
         connection.protocol.start()
 
     def _work(self, connection: ManagementConnection) -> None:
-        """Do pending work of the protocol until `WORK_PER_TURN` is used up in this turn."""
+        """Process pending requests until `WORK_PER_TURN` is used up in this turn."""
         if connection.protocol is None or connection.end_reason is not None:
             return
         if self.worked_at != self.loop.now:
--- a/granitespool/net/service.py
+++ b/granitespool/net/service.py
@@ -1,7 +1,7 @@
 """The service of one coordinator: creates the parts, runs the end of each turn, and closes all parts.
 
-Owns the loop, the log and the parts; `reconfiguration` applies a new configuration to them. It takes no
-decision: it hands the coordinator's outgoing messages to the part that sends them.
+Owns the loop, the log and the parts. The module `reconfiguration` applies a new configuration to the parts.
+The service makes no decisions; it passes each outgoing message of the coordinator to the part that sends it.
 """
 
 import time
@@ -39,14 +39,15 @@
     from granitespool.operator_settings import StateSettings
     from granitespool.state.snapshotter import Snapshotter
 
-Clock = Callable[[], int]  # ns
+Clock = Callable[[], int]  # returns a time in ns
 
 
 class Service:
     """A coordinator with its network connections.
 
-    `run` serves until `stop` is called. `reload` applies the configuration that `read_configuration` returns,
-    unless that raises InvalidInputError. Signal handlers may call both.
+    `run` serves until `stop` is called. `reload` applies the configuration that `read_configuration` returns;
+    if `read_configuration` raises InvalidInputError, the current configuration stays. Signal handlers may
+    call `stop` and `reload`.
     """
 
     def __init__(
@@ -59,17 +60,17 @@
     ) -> None:
         """Start the service; raise InvalidInputError or OSError if it cannot start.
 
-        `clock` is the loop's clock in ns. `monotonic_clock` is for the state folder and is not affected by
-        changes of the system time.
+        `clock` is the loop's clock. `monotonic_clock` measures times of the state folder; changes of the
+        system time must not affect it.
         """
         self.read_configuration = read_configuration
         self.monotonic_clock = monotonic_clock
         self.is_reload_requested = False
-        self.stop_count = 0  # calls of `stop`
-        self.snapshotter: Snapshotter | None = None  # if a state folder is configured
-        self.management: ManagementService | None = None  # if a management listener is configured
-        self.metrics: Metrics | None = None  # if the section [figures] is configured
-        self.gossip: Gossip | None = None  # if the settings permit it
+        self.stop_count = 0  # number of calls of `stop`
+        self.snapshotter: Snapshotter | None = None  # None if no state folder is configured
+        self.management: ManagementService | None = None  # None if no management listener is configured
+        self.metrics: Metrics | None = None  # None if the settings have no section [figures]
+        self.gossip: Gossip | None = None  # None if the settings do not permit gossip
         self.loop = Loop(self._report_failure, clock)
         self.log = Log(log_fd, self.loop.clock, name=config["name"])
         try:
@@ -92,7 +93,7 @@
             self.close()
 
     def turn(self, wait: int) -> None:
-        """Run one turn, for a caller with a loop of its own; `wait` in ns."""
+        """Run one turn that waits at most `wait` ns; for callers that do not use `run`."""
         self.loop.turn(self._end_of_turn, wait)
 
     def reload(self) -> None:
@@ -119,7 +120,9 @@
     def _create_parts(self, config: Configuration) -> None:
         operator = config.get("operator")
         self.operator = operator
-        self.file_tree: Tree | None = None  # the settings of the files, as management clients see them
+        self.file_tree: Tree | None = (
+            None  # the settings in the files, in the form that management clients see
+        )
         if operator and operator.state:
             self.snapshotter = self._create_snapshotter(config, operator.state)
             config = config.copy()
@@ -162,7 +165,7 @@
     def _with_managed_settings(self, config: Configuration) -> Configuration:
         """Return the configuration with the changes that management clients made before the restart.
 
-        The changes are discarded if the files have changed since the clients made them.
+        If the files have changed since the clients changed the settings, the clients' changes are discarded.
         """
         from granitespool.management import mapping  # noqa: PLC0415 only if enabled
 
@@ -197,8 +200,9 @@
         return due
 
     def _reload(self) -> None:
-        """Read and check the whole file, then apply the configuration to the parts."""
-        self.is_reload_requested = False  # first, so that a `reload` from here on causes another one
+        """Read and check the whole configuration file, then apply the configuration to the parts."""
+        # Reset the request first, so that a `reload` during this one causes another reload
+        self.is_reload_requested = False
         assert self.read_configuration is not None
         try:
             config = without_management_sockets(self.read_configuration())
@@ -214,11 +218,11 @@
         )
 
     def _write(self, recipient: Recipient) -> None:
-        """Hand the queued messages of a recipient to the part that sends them."""
+        """Pass the queued messages of a recipient to the part that sends them."""
         if isinstance(recipient, int):
             self.streams.send(recipient)
         elif recipient is Queue.HEALTH_CHECKS:
-            self.health_checks.start()  # takes messages from the queue up to its limit
+            self.health_checks.start()  # takes messages from the queue until its limit is reached
         else:
             while (message := self.coordinator.next_message(recipient)) is not None:
                 self._handle(message)
@@ -236,8 +240,8 @@
     def _finish(self) -> None:
         """Close all streams after their unsent bytes were written.
 
-        Waits at most `LINGER_TIMEOUT` for a proxy that does not read, and not past a second `stop`. No
-        further decision is taken.
+        The wait for proxies that do not read lasts at most `LINGER_TIMEOUT` and ends at a second `stop`. The
+        coordinator makes no further decisions.
         """
         deadline = self.loop.clock() + LINGER_TIMEOUT
         self.streams.finish()
@@ -252,10 +256,10 @@
         self.log.flush()
 
     def _run_guarded(self, step: Callable[..., None], *arguments: object) -> None:
-        """Run a step and log its failure, which must not stop the service."""
+        """Run a step; log an exception that the step raises, because it must not stop the service."""
         try:
             step(*arguments)
-        except Exception as error:  # of any type
+        except Exception as error:  # any type
             self._report_failure(error)
 
     def _report_failure(self, error: Exception) -> None:
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -1,8 +1,8 @@
-"""Connections at the coordinator's address: streams of proxies, collectors, and pending connections.
+"""The connections at the coordinator's address: streams of proxies, collectors and pending connections.
 
-Owns one coroutine for each connection, which reads from it, writes to it and closes it. It combines
-`acceptor`, which accepts connections, `admission`, which evicts them, `dispatch`, which handles messages, and
-`membership`, which tracks the joined peers. It never interprets a message or an update.
+Owns a coroutine for each connection. The coroutine reads from the connection, writes to it and closes it.
+Other modules accept connections (`acceptor`), evict connections (`admission`), handle messages (`dispatch`)
+and track the joined peers (`membership`). This module never interprets a message or an update.
 """
 
 import socket
@@ -32,13 +32,14 @@
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames
 
-# ns from accept to the join message, whatever else is sent meanwhile: proxies join at once.
+# ns from the accept to the join message. Other messages do not extend it, because proxies join at once.
 JOIN_TIMEOUT = 3 * SECOND // 2
-FIRST_MESSAGE_MAX = 1024  # bytes of a message on a pending connection: a join message takes a tenth of it
-# ns after a barrier, beyond the time that a full channel takes, in which a stream has to send something.
+# Bytes of a message on a pending connection. A join message has a tenth of this size.
+FIRST_MESSAGE_MAX = 1024
+# ns within which a proxy has to send data after a barrier. The time that a full channel takes is added.
 SILENCE_TIMEOUT = 6 * SECOND
-PROXIES_MAX = 65535  # proxies if proxies_expected is unset
-UNLIMITED_RATE = 1e9  # entries per second if entries_per_s is unset
+PROXIES_MAX = 65535  # number of proxies if proxies_expected is unset
+UNLIMITED_RATE = 1e9  # entries per second of the channel if entries_per_s is unset
 
 
 class Streams:
@@ -55,14 +56,14 @@
     ) -> None:
         """Start to listen; raise OSError if the address cannot be bound.
 
-        `backends` stays up to date with the endpoint list.
+        The caller updates `backends` from the endpoint list.
         """
         self.loop, self.coordinator, self.log, self.pool = loop, coordinator, log, pool
         self.names = KnownNames(backends=backends, request_classes=coordinator.classes)
         self.admission = Admission(loop, log, config["connections"])
         self.membership = Membership(loop, coordinator, log, self.admission)
         self.dispatcher = Dispatcher(loop, coordinator, log, self.membership, self.names)
-        self.accepted_count = 0  # connections accepted so far
+        self.accepted_count = 0  # number of connections accepted so far
         self.finishing = False  # whether all connections have to end
         self.reconfigure(config)
         self.acceptor = Acceptor(loop, log, self.admission, config["listen"], self._open)
@@ -84,22 +85,27 @@
 
     @property
     def proxies(self) -> Mapping[int, Connection]:
-        """The current stream of each joined proxy, by its number."""
+        """The current stream of each joined proxy, by proxy number."""
         return self.membership.proxies
 
     def reconfigure(self, config: Configuration) -> None:
-        """Apply the limits of a configuration to new connections; joined peers stay."""
+        """Apply the limits of a configuration to new connections; joined peers stay connected."""
         settings = config["settings"]
         self.names.zones = set(settings.zones or ())
         self.names.proxies_expected = settings.proxies_expected or PROXIES_MAX
         self.admission.connections_limit = config["connections"]
-        # A barrier is acknowledged after it has passed the channel, and reports may wait as long for others
+        # A barrier is acknowledged only after it has passed the channel, which takes longest if the queue is
+        # full. Reports may wait as long for others
         rate = settings.entries_per_s or UNLIMITED_RATE
         queue_limit = settings.backlog_limit or 0
         self.silence_timeout = SILENCE_TIMEOUT + int(SECOND * queue_limit / rate)
 
     def send(self, proxy: int) -> None:
-        """Write the next update to a proxy, unless the last one is not fully written: then updates merge."""
+        """Write the next update to a proxy.
+
+        While the last update is not completely written, no further update is written, and the coordinator
+        merges the waiting updates.
+        """
         connection = self.membership.proxies.get(proxy)
         if connection is None or connection.unsent:
             return
@@ -110,13 +116,15 @@
         try:
             connection.write(data)
         except OSError:
-            connection.unsent = data  # the coroutine gets the same error, or else sends the rest
+            connection.unsent = (
+                data  # the coroutine repeats the write and handles the error if it occurs again
+            )
         if update.barrier is not None and connection.awaiting_since is None:
             connection.awaiting_since = self.loop.now
-        self.loop.resume(connection.running_task)  # it waits again with the new events and deadline
+        self.loop.resume(connection.running_task)  # the coroutine then waits with the new events and deadline
 
     def finish(self) -> None:
-        """Stop accepting, and make each connection close once its unsent bytes are written."""
+        """Stop accepting connections, and close each connection once its unsent bytes are written."""
         self.loop.end(self.acceptor.task)
         self.finishing = True
         for connection in list(self.connections):
@@ -156,16 +164,16 @@
 
         Raise InvalidInputError if the connection has to be closed, and OSError if it is broken.
         """
-        # Read before the first wait: a join message that arrived with the connection is handled at once
+        # Read before the first wait, so that a join message that has already arrived is handled at once
         while self._read(connection):
-            # Write after reading: if the peer has reset the connection, the write fails, but received
-            # messages have been handled
+            # Write only after reading. If the peer has reset the connection, the write fails, but the
+            # received messages have already been handled
             if connection.unsent:
                 connection.write(b"")
             events = 0
             while not events:
-                # Without events nothing is read: the coroutine then runs at the end of the turn, which is
-                # too late for a report of this turn
+                # If the coroutine is resumed without events, nothing is read. It then runs at the end of the
+                # turn, which is too late for a report to count in this turn
                 if self.finishing:
                     connection.end_reason = CLOSED_BY_COORDINATOR
                     yield from connection.linger(self.loop)
@@ -176,11 +184,11 @@
                 if not events and deadline and self.loop.now >= deadline:
                     self._handle_timeout(connection)
         self.membership.leave(connection)
-        if connection.unsent:  # the peer may only have shut down writing, and may still read
+        if connection.unsent:  # the peer may have shut down only its writing side, and may still read
             yield from connection.linger(self.loop)
 
     def _read(self, connection: Connection) -> bool:
-        """Read and handle received messages; return False once the peer has closed its side."""
+        """Read and handle received messages; return False if the peer has closed its side."""
         reader, total = connection.reader, 0
         while total < READ_PER_TURN:
             view = self._receive_buffer(connection)
@@ -202,7 +210,10 @@
         return True
 
     def _receive_buffer(self, connection: Connection) -> memoryview:
-        """Return the space to receive into; another connection may be evicted to free a buffer."""
+        """Return free space for received bytes; another connection may be evicted to free a buffer.
+
+        Raise InvalidInputError if no buffer can be freed.
+        """
         view = connection.reader.free_space()
         if view is None and (
             self.admission.evict_pending(connection, holds_buffer=True)
@@ -215,7 +226,7 @@
         return view
 
     def _deadline(self, connection: Connection) -> int | None:
-        """Return the time by which the peer has to join or to send something; None if there is none."""
+        """Return the time (ns) by which the peer has to join or to send data, or None if it may wait."""
         if connection.role is Role.PENDING:
             return connection.accepted_at + JOIN_TIMEOUT
         if connection.awaiting_since is None:
@@ -228,11 +239,11 @@
         self.membership.mark_unreachable(connection)
 
     def _reject(self, connection: Connection) -> Coroutine:
-        """Send the reason for the rejection as the last message and let the peer read it before the close."""
+        """Send the reason for the rejection as the last message; give the peer time to read the message."""
         reason = connection.end_reason
         connection.end_reason = REJECTED
         log_rejected(self.log, peer=connection.peer, reason=reason)
-        if connection.unsent:  # the peer does not read
+        if connection.unsent:  # the peer does not read, so it would not receive the reason
             return
         connection.unsent = frame({"type": "refused", "why": reason})
         with suppress(OSError):  # the peer may have closed the connection
--- a/tests/service/test_service_discovery_watch.py
+++ b/tests/service/test_service_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: its requests, the effect of received lines, and recovery from errors."""
+"""The watch of the endpoint list: the requests, the effects of received lines, and recovery from errors."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
--- a/tests/service/test_service_gossip.py
+++ b/tests/service/test_service_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between coordinators over UDP."""
+"""Gossip datagrams between coordinators over UDP."""
 
 from support.service_harness import ServiceHarness
 from support.service_outlets import PeerStandIns, ServiceLog
--- a/tests/service/test_service_health_checks.py
+++ b/tests/service/test_service_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks over the network, and how the result changes a backend's entry."""
+"""Health checks over the network, and their effect on the backend's entry in the tables."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -65,7 +65,7 @@
     assert '"c"' not in clients.received("p")
 
 
-def test_a_response_that_arrived_before_the_timeout_counts_even_if_it_is_read_after_it(
+def test_a_response_that_arrived_before_the_timeout_counts_even_if_it_is_read_later(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
--- a/tests/service/test_service_invalid_messages.py
+++ b/tests/service/test_service_invalid_messages.py
@@ -1,4 +1,4 @@
-"""Invalid messages: each is dropped or ends the connection of its sender, and affects no other connection."""
+"""An invalid message is dropped or ends the sender's connection; other connections are not affected."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -9,15 +9,16 @@
 PACKAGE = ROOT / "granitespool"
 TABLE = ROOT / "docs" / "on-call.md"
 LOG_METHODS = {"event", "rate_limited_event"}  # methods of the log
-WRITER_MODULE = "state/writer.py"  # runs in a thread; the loop writes its reports to the log
+# The writer runs in a thread of its own. Its method reports events, which the loop writes to the log.
+WRITER_MODULE = "state/writer.py"
 WRITER_METHOD = "_report"
 LOG_MODULE = "net/log.py"
-FORWARDING_MODULES = {LOG_MODULE, "state/snapshotter.py"}  # write events whose name is an argument
-FIELD_PAGES = {"metrics": ROOT / "docs" / "fleet.md"}  # events whose fields are documented on another page
+FORWARDING_MODULES = {LOG_MODULE, "state/snapshotter.py"}  # modules that get the event name as an argument
+FIELD_PAGES = {"metrics": ROOT / "docs" / "fleet.md"}  # page with an event's fields, if not `TABLE`
 
 
 def receiver_name(call: ast.Call) -> str:
-    """Return the last name of the expression that a method is called on, "" if there is none."""
+    """Return the last name of the expression before the method name, or "" if it has no name."""
     owner = call.func.value
     return owner.attr if isinstance(owner, ast.Attribute) else getattr(owner, "id", "")
 
@@ -54,21 +55,21 @@
 
 
 def field_names(cell: str) -> set[str]:
-    """Return the field names in a cell of the table; text in parentheses only explains them."""
+    """Return the field names in a cell of the table; text in parentheses explains fields and is skipped."""
     while (shorter := re.sub(r"\([^()]*\)", "", cell)) != cell:
         cell = shorter
     return set(re.findall(r"`([a-z_]+)`", cell))
 
 
 def table_rows() -> list[list[str]]:
-    """Return the cells of each row of the table: event, former name, fields, meaning, what to do."""
+    """Return the cells of each row of the table: event, former name, fields, meaning, action."""
     section = TABLE.read_text().split("## Every event of the log\n")[1]
     lines = [line for line in section.splitlines() if line.startswith("| `")]
     return [[cell.strip() for cell in line.split("|")[1:-1]] for line in lines]
 
 
 def documented_events() -> dict[str, set[str]]:
-    """Return {event: fields} of the table."""
+    """Return {event: fields} of the operators' table."""
     return {row[0].strip("`"): field_names(row[2]) for row in table_rows()}
 
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""Races between the end of the loop and calls from another thread, which no service test reaches."""
+"""Races between the close of the loop and calls from another thread; the service tests do not cover them."""
 
 import os
 import threading
@@ -10,7 +10,7 @@
     loop, closed = Loop(print), threading.Event()
 
     class DelayedWakeLoop(Loop):
-        """A loop whose `wake` runs after the loop has seen the stop and has been closed."""
+        """A loop whose `wake` runs only after the loop has stopped and has been closed."""
 
         def wake(self):
             closed.wait(5)
@@ -38,7 +38,9 @@
     read, write = os.pipe()
     try:
         os.set_blocking(read, False)
-        duplicates = [os.dup(write) for _ in range(64)]  # one descriptor has the closed one's number now
+        duplicates = [
+            os.dup(write) for _ in range(64)
+        ]  # one of the duplicates reuses the closed descriptor's number
         assert wake_fd in (read, write, *duplicates)
         loop.wake()
         loop.close()
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -1,8 +1,8 @@
 """Compare the bytes that a coordinator writes to its sockets with committed recordings.
 
-Each scenario runs a whole service on loopback and records all bytes that the service writes to each of its
-connections, in the order in which they were opened. Addresses that the kernel chose are replaced by names.
-After an intended change of the wire format the recordings are written by
+Each scenario runs a whole service on loopback. It records all bytes that the service writes to each
+connection, in the order in which the connections were opened. Names replace the addresses that the kernel
+chose. After an intended change of the wire format, write new recordings with
 `GRANITESPOOL_RECORD=1 python -m pytest tests/test_wire_recordings.py`.
 """
 
@@ -22,7 +22,7 @@
 
 FOLDER = pathlib.Path(__file__).parent / "data" / "wire"
 EMPTY_LINE = "1\r\n\n\r\n"  # an HTTP chunk with one empty line
-STEP = 100 * MILLISECOND  # ns by which the time advances while a request is waited for
+STEP = 100 * MILLISECOND  # ns by which a waiting test advances the time
 
 
 class RecordingService(ServiceHarness):
@@ -31,11 +31,13 @@
     def __init__(self) -> None:
         super().__init__()
         self.known_index = 7
-        self.written: dict[str, list[str]] = {}  # owner -> the text of each of its connections, in order
-        self.streams: dict[socket.socket, tuple[str, int]] = {}  # -> owner, index among its connections
+        # The texts written to each stand-in, by the stand-in's name; one text for each connection
+        self.written: dict[str, list[str]] = {}
+        # The name of the stand-in that owns a socket, and the position of the socket's text in `written`
+        self.streams: dict[socket.socket, tuple[str, int]] = {}
 
     def configuration(self) -> dict[str, object]:
-        """Return the harness's configuration with an endpoint list of the version `known_index`."""
+        """Return the harness's configuration with an endpoint list of version `known_index`."""
         known = {
             "index": self.known_index,
             "endpoints": self.backends.initial_endpoints if self.known_index else [],
@@ -43,7 +45,7 @@
         return {**super().configuration(), "known": known}
 
     def record(self, sock: socket.socket, text: str) -> str:
-        """Add text that was just read from a connection of the service to its recording."""
+        """Append text that the service wrote to a connection to the recording of the connection."""
         if sock not in self.streams:
             owner = self.owner_of(sock)
             texts = self.written.setdefault(owner, [])
@@ -55,7 +57,7 @@
         return text
 
     def owner_of(self, sock: socket.socket) -> str:
-        """Return the name of the stand-in whose socket this is."""
+        """Return the name of the stand-in that owns a socket."""
         if sock in self.discovery.watches:
             return "discovery"
         for check_socket, backend in self.backends.checks:
@@ -64,7 +66,7 @@
         return next(name for name, client in self.clients.sockets.items() if client is sock)
 
     def recording(self) -> dict[str, list[str]]:
-        """Return the written texts, with names instead of the addresses that the kernel chose."""
+        """Return the written texts; names replace the addresses that the kernel chose."""
         names = {"{}:{}".format(*self.discovery.address): "DISCOVERY"}
         names |= {address: f"ADDRESS-OF-{backend}" for backend, address in self.backends.addresses.items()}
         return {
@@ -80,7 +82,7 @@
         return text
 
     def wait_for_watch(self, number: int) -> None:
-        """Advance the time until the service has requested `number` watches, at most 2 s for each."""
+        """Advance the time until the service has requested `number` watches; allow 2 s for each watch."""
         for _ in range(20 * number):
             requests = self.written.get("discovery", [])
             if len(requests) >= number and requests[number - 1].endswith("\r\n\r\n"):
@@ -106,7 +108,7 @@
 
 
 def watch_from_nothing(service: RecordingService) -> None:
-    """Request the whole endpoint list from version 0 if none is configured."""
+    """Request the whole endpoint list from version 0 if no list is configured."""
     service.known_index = 0
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -118,7 +120,7 @@
 
 
 def watch_after_gap(service: RecordingService) -> None:
-    """Reopen an ended watch from the latest version received; older changes are ignored."""
+    """Reopen an ended watch from the latest received version; ignore older changes."""
     service.backends.start("a", "b")
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -159,7 +161,7 @@
 
 
 def watch_after_unreadable_entry(service: RecordingService) -> None:
-    """Request an invalid entry again, from the version before it, until it is valid."""
+    """Request changes from the version before an invalid entry again until the entry is valid."""
     service.backends.start("a")
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -176,7 +178,7 @@
 
 
 def watch_after_new_address(service: RecordingService) -> None:
-    """Reopen the watch at the new address after discovery's address was changed by a reload."""
+    """Reopen the watch at the new address after a reload has changed the address of discovery."""
     service.backends.start("a")
     service.wait_for_watch(1)
     service.discovery.accept_watch()
@@ -192,7 +194,7 @@
 
 
 def health_checks(service: RecordingService) -> None:
-    """Request the load report of each new backend, whatever it answers."""
+    """Request the load report of each new backend, also of a backend that answers with status 503."""
     service.configure(health_checks_allowed=True)
     service.backends.start("a")
     service.join("p", 1)
@@ -209,7 +211,10 @@
 
 
 def datagrams(service: RecordingService) -> None:
-    """Send datagrams to one peer or to all; one over 256 bytes or to an unknown peer is not sent."""
+    """Send datagrams to one peer or to all peers.
+
+    A datagram of more than 256 bytes or to an unknown peer is not sent.
+    """
     service.configure(gossip_allowed=True)
     service.backends.start("a")
     service.clients.connect("k")
@@ -240,7 +245,9 @@
     service.written.pop("discovery", None)
 
 
-REFUSED_FIRST_MESSAGES = {  # only those whose reason contains no text of a library
+# First messages that are rejected, by the name of the client. The reason for the rejection is recorded, so
+# only messages are used whose reason contains no text of a library.
+REFUSED_FIRST_MESSAGES = {
     "kind": messages.framed(messages.applied(1, 1, 1.0)),
     "zone": messages.framed(messages.joined(1, "x", 1.0)),
     "proxy": messages.framed(messages.joined(4, "n", 1.0)),
@@ -266,7 +273,7 @@
 
 
 def finished_streams(service: RecordingService) -> None:
-    """Write the unsent bytes of each connection and close it in order when the service ends."""
+    """Write the unsent bytes of each connection and then close the connection when the service ends."""
     service.backends.start("a", "b")
     service.clients.connect("silent")
     service.clients.connect("k")
@@ -280,7 +287,7 @@
 
 
 def orders(service: RecordingService) -> None:
-    """Send a joined proxy its table, then changed entries, admission levels and barriers."""
+    """Send a joined proxy its table, and then changed entries, an admission level and a barrier."""
     service.request_class("look", "read", latency_objective=SECOND, priority_weight=2)
     service.request_class("buy", "write", latency_objective=SECOND, priority_weight=9)
     service.backends.start("a", "b")
