--- a/granitespool/net/connection.py
+++ b/granitespool/net/connection.py
@@ -47,7 +47,7 @@
     unsent: bytes = b""
     proxy: int | None = None  # the proxy's number if this is the stream of a proxy
     join: ProxyJoin | None = None  # the proxy's join message
-    # ns, when the first barrier after the last received bytes was sent; None if no barrier was sent since
+    # ns, when the first barrier after the last received bytes was sent; None if no answer is awaited
     awaiting_since: int | None = None
     is_unreachable: bool = False  # the proxy was silent for too long and was reported as left
     ended_by_coordinator: bool = False
--- a/granitespool/net/dispatch.py
+++ b/granitespool/net/dispatch.py
@@ -18,7 +18,7 @@
 from granitespool.net.messages import KnownNames, Message
 from granitespool.planner.events import Acknowledged, LoadReport, UsageReport
 
-# Compared for each message. The lookup of a module global is faster than that of an enum attribute.
+# Compared with the role for each message. A module global is faster to read than an enum attribute.
 PENDING = Role.PENDING
 # Bytes. With more unsent bytes, pings are not answered, and a peer that is not a proxy is disconnected.
 UNSENT_MAX = 64 * 1024
--- a/granitespool/net/frames.py
+++ b/granitespool/net/frames.py
@@ -35,7 +35,7 @@
 
 
 def parse_body(body: bytes) -> Any:
-    """Return the JSON value of a frame's body; raise InvalidInputError if it is not JSON."""
+    """Return the JSON value of a frame's body; raise InvalidInputError if the body is not JSON."""
     try:
         return orjson.loads(body)
     except ValueError as error:
--- a/granitespool/net/log.py
+++ b/granitespool/net/log.py
@@ -18,7 +18,7 @@
 
 # Bytes that may wait for the log's reader: about a thousand lines. Further lines are dropped and counted.
 UNREAD_MAX = 256 * 1024
-# Lines of one rate-limited event in a second. They are enough to see the peers and the reasons.
+# Log lines of one rate-limited event in a second: enough to see which peers cause the event, and why.
 LINES_PER_SECOND_MAX = 20
 # Characters of a value. Only the end of a longer value is kept, because a traceback ends with its error.
 VALUE_MAX = 2000
--- a/granitespool/net/loop.py
+++ b/granitespool/net/loop.py
@@ -76,7 +76,7 @@
         self.epoll.register(self.wake_fd, IN)
 
     def spawn(self, coroutine: Coroutine) -> Task:
-        """Run a coroutine to its first wait; the loop then runs its `finally` when the coroutine is ended."""
+        """Run a coroutine to its first wait; from then on, its end runs its `finally`."""
         task = Task(coroutine)
         self.tasks.add(task)
         self._advance(task, None)
--- a/granitespool/net/management_listener.py
+++ b/granitespool/net/management_listener.py
@@ -39,7 +39,9 @@
 # Error numbers of `accept` that mean the process or the machine is short of descriptors or memory.
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
-FindUser = Callable[[dict[str, Any], str], User | None]  # (certificate, its SHA-256 in hex) -> user
+FindUser = Callable[
+    [dict[str, Any], str], User | None
+]  # (certificate, SHA-256 of the certificate in hex) -> user
 MakeProtocol = Callable[[User, ManagementConnection], ProtocolSession]
 
 
@@ -49,9 +51,9 @@
 
 
 def sockets_max(sessions: int) -> int:
-    """Return the largest number of descriptors of a listener, its own included.
+    """Return the largest number of descriptors of a listener with a limit of `sessions` sessions.
 
-    `sessions` is the limit on sessions.
+    The descriptor of the listening socket is included.
     """
     return sessions + handshakes_max(sessions) + 1
 
--- a/granitespool/net/streams.py
+++ b/granitespool/net/streams.py
@@ -32,7 +32,7 @@
 from granitespool.net.membership import Membership
 from granitespool.net.messages import KnownNames
 
-# ns from the accept to the join message. Other messages do not extend it, because proxies join at once.
+# ns from the accept to the join message. Other messages do not extend the time: proxies join at once.
 JOIN_TIMEOUT = 3 * SECOND // 2
 # Bytes of a message on a pending connection. A join message has a tenth of this size.
 FIRST_MESSAGE_MAX = 1024
@@ -226,7 +226,7 @@
         return view
 
     def _deadline(self, connection: Connection) -> int | None:
-        """Return the time (ns) by which the peer has to join or to send data, or None if it may wait."""
+        """Return the time (ns) by which the peer has to join or to send data, or None if unlimited."""
         if connection.role is Role.PENDING:
             return connection.accepted_at + JOIN_TIMEOUT
         if connection.awaiting_since is None:
--- a/granitespool/net/tls.py
+++ b/granitespool/net/tls.py
@@ -109,7 +109,7 @@
             self.tls.unwrap()
 
     def peer(self) -> tuple[dict[str, Any], str]:
-        """Return the client's certificate, in the form of `getpeercert`, and its SHA-256 in hex."""
+        """Return the client's certificate in the form of `getpeercert`, and its SHA-256 digest in hex."""
         certificate = self.tls.getpeercert()
         binary = self.tls.getpeercert(binary_form=True)
         assert certificate is not None
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -91,7 +91,7 @@
         raise AssertionError(self.written)
 
     def join(self, name: str, proxy: int) -> None:
-        """Join as a proxy and wait for its table."""
+        """Join as the proxy with the number `proxy` and wait for the proxy's table."""
         self.clients.join(name, proxy)
         self.clients.wait_for(name, "whole")
 
