--- a/granitespool/planner/__init__.py
+++ b/granitespool/planner/__init__.py
@@ -1,5 +1,5 @@
-"""Load balancing decisions, one module for each kind; no I/O.
+"""Load balancing decisions without I/O, one module for each kind of decision.
 
-`planner.Planner` handles the events (`events`) by calling the other modules in a fixed order. Side effects go
-through its `actions.PlannerActions`. No module here reads a clock, a socket or a file.
+`planner.Planner` receives the events that `events` defines, and calls the other modules in a fixed order.
+Side effects go through `actions.PlannerActions`. No module in this package reads a clock, a socket or a file.
 """
--- a/granitespool/planner/actions.py
+++ b/granitespool/planner/actions.py
@@ -1,8 +1,9 @@
-"""Side effects of the planner, implemented by the process that it runs in.
+"""Side effects of the planner, implemented by the process that runs the planner.
 
-The planner calls these methods while it handles an event; each takes effect at the time of that event. Times
-are whole nanoseconds. Names are those that the events contain. `classes` is a bit mask: the sum of 2**k over
-the positions k of request classes in the settings (0: all classes).
+The planner calls these methods while it handles an event. Each call takes effect at the time of that event.
+Times are whole nanoseconds. Backends, proxies and tables have the same names and numbers as in the events.
+`classes` is a bit mask of request classes: bit k stands for the class at position k in the settings, counted
+from 0. The mask 0 stands for all classes.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,7 +13,7 @@
 
 
 class PlannerActions(Protocol):
-    """The actions that a planner can take."""
+    """Actions that the planner calls for."""
 
     def set_entry(self, table: int, backend: str, weight: float) -> None:
         """Set one entry of a table; weight 0 removes it."""
@@ -21,35 +22,40 @@
         """Remove all entries and admission levels of a table."""
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Put a joined proxy on a table for some request classes, until it leaves."""
+        """Put a joined proxy on a table for some request classes, until the proxy leaves."""
 
     def exclude(self, backend: str, excluded: bool) -> None:
-        """Exclude a backend from every table that joined proxies have, or readmit it."""
+        """Exclude a backend from all tables of the joined proxies, or readmit the backend."""
 
     def exclusion_cost(
         self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> Mapping[int, float]:
-        """Return the table entries that `exclude` would cost now, by proxy.
+        """Return, by proxy, the number of table entries that calling `exclude` now would send.
 
-        These are fractions where the channel leaves out proxies that do not have the backend.
-        `backend_count` is the number of backends in the planner's fleet.
+        If the channel skips proxies that do not have the backend, the numbers are estimates and can be
+        fractions. `backend_count` is the number of backends in the planner's fleet.
         """
 
     def readmission_cost(
         self, proxies: Iterable[int], table: int, backend: str | None = None
     ) -> Mapping[int, int]:
-        """Return the table entries, by proxy, that readmit what these proxies may have excluded.
+        """Return, by proxy, the number of table entries needed to readmit backends.
 
-        They are needed when the proxies get the entry of this backend, or the complete table if it is None.
+        A backend has to be readmitted if the proxy may have it excluded and is about to get its entry in the
+        table. Only the given backend is considered, or all backends of the table if `backend` is None.
         """
 
     def set_admission(self, table: int, classes: int, share: float, retries: int) -> None:
-        """Set the admitted share of some request classes, and how proxies retry them (0 to 3)."""
+        """Set the admitted share and the retry mode of some request classes.
+
+        The retry mode `retries` is 0 to 3. 0 allows no retry, 1 only retries of attempts that certainly never
+        ran, and higher modes allow more.
+        """
 
     def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
-        """Add an acknowledgement barrier to each message that is sent at this time.
+        """Add an acknowledgement barrier to each message that is sent at the time of this event.
 
-        With `all_proxies` every joined proxy is sent one.
+        With `all_proxies`, a message with the barrier is sent to every joined proxy.
         """
 
     def check_health(self, backend: str) -> None:
@@ -58,7 +64,7 @@
     def remove_backend(self, backend: str) -> None:
         """Drop all state of a backend.
 
-        The planner does not use its name again unless the endpoint list contains it.
+        The planner does not use the backend's name again, unless a later endpoint list contains it.
         """
 
     def subscribe(self, enabled: bool) -> None:
@@ -71,7 +77,7 @@
         """Call the planner's `on_timer` with this cookie after a delay (ns)."""
 
     def send_gossip(self, peer: int, payload: str) -> None:
-        """Send at most 256 bytes (in hex) to a peer; -1 sends to all peers."""
+        """Send a datagram of at most 256 bytes to a peer. `payload` is in hex; peer -1 means all peers."""
 
     def log(self, text: str) -> None:
         """Add an entry to the log."""
--- a/granitespool/planner/cost.py
+++ b/granitespool/planner/cost.py
@@ -1,11 +1,13 @@
-"""Cost of an attempt at a backend: LiveNet's formula, and means of it for links with too few observations.
+"""Cost of an attempt at a backend, by LiveNet's formula.
 
     W = (rho * 2 * RTT + (1 - rho) * RTT) * f(u)
 
-with rho the failed share of attempts, RTT the mean round trip of successes (ns), and u the utilization in
-percent: how far the round trip stands above its minimum over a window. A link with enough observations has
-its own cost, weighted with the mean of its machine type in its zone. All other links use that mean, so that
-state is stored for observed links only. Costs are in ns.
+rho is the failed share of the attempts. RTT is the mean round trip of the successes (ns). u is the
+utilization in percent: the share of the round trip that exceeds the minimum round trip of a window.
+
+A link with enough observations has its own cost: the result of the formula, averaged with the mean cost of
+its machine type in its zone. All other links use that mean, so that only observed links need state. Costs are
+in ns.
 """
 
 import math
@@ -17,16 +19,19 @@
 from granitespool.planner.records import READY, Backend, Link
 from granitespool.units import SECOND
 
-OVERLOAD_STEEPNESS = 0.5  # alpha of f(u) in LiveNet, per percent
-OVERLOADED_UTILIZATION = 80.0  # beta of f(u) in LiveNet: the percentage at which f(u) has risen half way
-SUCCESSES_MIN = 3.0  # with fewer successes the mean round trip of a link is chance
-PRIOR_SUCCESSES = 8.0  # successes that the mean of the machine type counts for in the cost of a link
-RTT_WINDOW = 60 * SECOND  # window of the minimum round trip, ns
-UNKNOWN_COST = 0.0  # own cost of a link that was reset after the last evaluation, until the next one
+OVERLOAD_STEEPNESS = 0.5  # alpha of f(u) in LiveNet, per percent of utilization
+# beta of f(u) in LiveNet, percent. f(u) has risen halfway at this utilization.
+OVERLOADED_UTILIZATION = 80.0
+SUCCESSES_MIN = 3.0  # with fewer successes, the mean round trip of a link is too noisy for a cost
+# The own cost of a link is averaged with the mean of its machine type. In this average the mean counts as
+# much as this number of successes.
+PRIOR_SUCCESSES = 8.0
+RTT_WINDOW = 60 * SECOND  # ns over which the minimum round trip is taken
+UNKNOWN_COST = 0.0  # own cost of a link from its reset to the next evaluation
 
 
 class ObservedCost(NamedTuple):
-    """A link with enough observations for its own cost, and that cost (ns)."""
+    """The cost (ns) of a link that has enough observations for its own cost."""
 
     backend: Backend
     link: Link
@@ -34,16 +39,16 @@
 
 
 def utilization(link: Link, rtt: float) -> float:
-    """Return the percentage of a round trip (ns) that stands above the link's minimum of the window."""
+    """Return the percentage of a round trip (ns) that exceeds the link's minimum round trip."""
     minimum = link.minimum_rtts[0].mean if link.minimum_rtts else rtt
     return 100 * max(0.0, rtt - minimum) / rtt
 
 
 def link_cost(now: int, link: Link, is_overloaded: bool) -> float | None:
-    """Return W of a link in ns, or None if it has too few observations.
+    """Return the cost W of a link (ns), or None if the link has too few observations.
 
-    In an overload the minimum round trip is used instead of the current one: all backends have queues, and
-    costs that include the queueing would only move load around.
+    During an overload the minimum round trip is used instead of the current round trip. All backends then
+    have queues, so costs that include the time in a queue would only move load between backends.
     """
     if link.successes < SUCCESSES_MIN:
         return None
@@ -57,31 +62,37 @@
 
 
 class CostTable:
-    """Costs as of the last evaluation. Links that were reset since have none until the next."""
+    """Costs of all links, as calculated by the last evaluation.
+
+    A link that is reset has no cost until the next evaluation.
+    """
 
     def __init__(self) -> None:
-        self.zone_means: dict[str, float | None] = {}  # zone -> mean of its links' own costs
+        self.zone_means: dict[str, float | None] = {}  # zone -> mean of the observed costs
         self._type_means: dict[str, dict[Label, float]] = {}  # zone -> {machine type: mean}
-        self._links_with_own_cost: list[Link] = []  # links with their own cost until the next evaluation
-        self._reset_backends: list[Backend] = []  # backends whose links were reset since the last evaluation
+        self._links_with_own_cost: list[Link] = []  # their costs are dropped at the next evaluation
+        self._reset_backends: list[Backend] = []  # reset after the last evaluation
 
     @property
     def has_zone_mean(self) -> bool:
-        """Whether any zone has a mean cost. Before, a backend without costs is like all others."""
+        """Whether any zone has a mean cost.
+
+        As long as no zone has one, a backend without costs does not differ from the other backends.
+        """
         return any(mean is not None for mean in self.zone_means.values())
 
     def reset_backend(self, backend: Backend) -> None:
-        """Drop all links of a backend, and its costs until the next evaluation."""
+        """Drop all links of a backend. The backend has no costs until the next evaluation."""
         backend.links.clear()
         backend.costs_evaluated = False
         self._reset_backends.append(backend)
 
     def reset_link(self, link: Link) -> None:
-        """Leave a link that replaces another without a cost until the next evaluation."""
+        """Mark the cost of a new link as unknown until the next evaluation. The link replaced an old one."""
         self._set_own_cost(link, UNKNOWN_COST)
 
     def begin_evaluation(self) -> None:
-        """Drop the costs of single links; from now on reset backends use the means."""
+        """Drop the costs of single links, and let reset backends use the means from now on."""
         for link in self._links_with_own_cost:
             link.cost = None
         for backend in self._reset_backends:
@@ -90,10 +101,10 @@
         self._reset_backends = []
 
     def evaluate_zone(self, zone: str, observed: list[ObservedCost]) -> bool:
-        """Evaluate the means of a zone and the costs of these links; return whether any mean changed.
+        """Calculate the means of a zone and the costs of the observed links. Return whether a mean changed.
 
-        `observed` is in creation sequence, so that sums are repeatable. The means include ready backends that
-        are not ejected.
+        `observed` is in the order in which the backends were created, so that sums are repeatable. The means
+        include only backends that are ready and not ejected.
         """
         costs_by_type: defaultdict[Label, list[float]] = defaultdict(list)
         for backend, link, cost in observed:
@@ -113,7 +124,10 @@
         return changed
 
     def attempt_cost(self, backend: Backend, zone: str) -> float | None:
-        """Return the cost of an attempt, by the link or else by the machine type; None if unknown."""
+        """Return the cost of an attempt at a backend (ns), or None if it is unknown.
+
+        This is the own cost of the link. A link without one gets the mean of its machine type.
+        """
         link = backend.links.get(zone)
         if link is not None and link.cost is not None:
             return link.cost or None
@@ -122,7 +136,10 @@
         return self._type_means.get(zone, {}).get(backend.machine_type)
 
     def freeze(self, backend: Backend, zones: Iterable[str], period: int) -> None:
-        """Keep the costs of a backend until the next evaluation, even if its machine type changes."""
+        """Keep the current costs of a backend in these zones until the next evaluation.
+
+        A change of the backend's machine type then has no effect before that evaluation.
+        """
         links = [(zone, backend.link(zone, period)) for zone in zones]
         for link, cost in [(link, self.attempt_cost(backend, zone)) for zone, link in links]:
             self._set_own_cost(link, cost or UNKNOWN_COST)
--- a/granitespool/planner/ejection.py
+++ b/granitespool/planner/ejection.py
@@ -1,9 +1,12 @@
 """Outlier ejection: which links leave the tables after failures or overload, and when they return.
 
-A link is ejected after consecutive load reports above 80 % utilization, or of failures only if these are
-enough attempts. In a zone at most a third of the ready backends of a subset is ejected. A link past that cap
-stays in the tables as a last resort with a small weight, so that its recovery is observed, or all weights are
-equal. An ejected link without load reports returns after some periods, into slow start.
+A link is ejected after consecutive load reports that show a utilization above 80 % or only failures. Reports
+of only failures count if they contain enough attempts.
+
+In each zone at most a third of the ready backends of a subset is ejected. A link beyond that cap stays in the
+tables as a last resort. It keeps a small share of its weight, so that its recovery is observed. The share is
+the same for all last resorts. An ejected link without load reports returns after some periods and begins a
+slow start.
 """
 
 from enum import Enum
@@ -17,22 +20,22 @@
 from granitespool.units import SECOND
 
 OVERLOADED_REPORTS_MIN = 2  # consecutive overloaded load reports before an ejection
-CONSECUTIVE_FAILURES_MIN = 5  # consecutive failures that confirm an ejection: one or two are chance
-BACKENDS_PER_EJECTION = 3  # ready backends for each ejected one, at least
+CONSECUTIVE_FAILURES_MIN = 5  # consecutive failures before an ejection; one or two can happen by chance
+BACKENDS_PER_EJECTION = 3  # minimum number of ready backends for each ejected backend
 UNOBSERVED_PERIODS_MIN = 2  # periods after which an ejected link without load reports returns
-# Failures that a timed out health check counts for: fewer than CONSECUTIVE_FAILURES_MIN, as it may wait in a
-# queue like a request
+# Number of failures that a timed out health check counts as. It is below CONSECUTIVE_FAILURES_MIN because a
+# health check may wait in a queue of the backend, as a request does.
 TIMED_OUT_CHECK_FAILURES = 2
-FAST_REJECTION_MAX = SECOND // 4  # ns; a slower rejection comes from a backend whose health check hung
+FAST_REJECTION_MAX = SECOND // 4  # ns; if a rejection takes longer, the health check hung in the backend
 
 
 class LinkAction(Enum):
-    """What to do with the link of a load report."""
+    """What to do with a link after a load report."""
 
     UNCHANGED = "unchanged"
     EJECT = "eject"
     READMIT = "readmit"
-    CHECK_HEALTH = "check"  # failures only, and too few to eject: a health check may confirm them
+    CHECK_HEALTH = "check"  # only failures, but too few for an ejection: a health check may confirm them
 
 
 class OutlierEjection:
@@ -45,7 +48,7 @@
         self._overload = overload
 
     def evaluate_report(self, link: Link, attempts: float, failures: float, successes: float) -> LinkAction:
-        """Return what to do with a link after a load report that was added to its sums."""
+        """Return what to do with a link after a load report, which its sums already include."""
         only_failures = failures >= attempts
         link.consecutive_failures = link.consecutive_failures + attempts if only_failures else 0
         is_overloaded = only_failures or self._is_overloaded(link, successes)
@@ -58,13 +61,14 @@
         return LinkAction.CHECK_HEALTH if only_failures else LinkAction.UNCHANGED
 
     def _is_overloaded(self, link: Link, successes: float) -> bool:
-        # During an overload of the fleet utilization identifies no outlier: an ejection would only move load
+        # During an overload of the fleet a high utilization does not identify an outlier, and an ejection
+        # would only move load to other backends
         if not successes or not self._overload.is_normal:
             return False
         return utilization(link, link.response_time / link.successes) > OVERLOADED_UTILIZATION
 
     def eject(self, now: int, zone: str, backend: Backend) -> None:
-        """Eject a backend's link in a zone; past the cap on ejections it becomes a last resort."""
+        """Eject the link of a backend in a zone. Beyond the cap on ejections it becomes a last resort."""
         peer_links = [
             peer.links.get(zone)
             for peer in self._fleet.backends.values()
@@ -80,12 +84,12 @@
         link.ejected_at = now
 
     def readmit(self, now: int, link: Link) -> None:
-        """Readmit a link into slow start after a load report that shows its recovery."""
+        """Readmit a link after a load report that shows its recovery. The link begins a slow start."""
         link.ejected_at = None
         link.slow_start_since = now
 
     def readmit_unobserved(self, now: int, backend: Backend) -> None:
-        """Readmit ejected links of a backend after UNOBSERVED_PERIODS_MIN without load reports."""
+        """Readmit ejected links of a backend that had no load reports for UNOBSERVED_PERIODS_MIN periods."""
         ejected = backend.ejected_links
         if not ejected:
             self._dirty.ejected.pop(backend, None)
@@ -99,7 +103,11 @@
             self._costs.reset_link(new_link)
 
     def health_check_failed(self, now: int, backend: Backend, timed_out: bool) -> None:
-        """Extend ejections after an unanswered health check, and eject links with reported failures."""
+        """Handle a health check that timed out or failed without an answer.
+
+        Ejected links stay ejected for longer. For a link whose last load reports contained only failures, the
+        health check counts as further failures. The link is ejected if there are enough of them.
+        """
         for zone, link in backend.links.items():
             if link.is_ejected:
                 link.ejected_at = now
@@ -112,9 +120,9 @@
 
 
 def effective_outcome(outcome: HealthCheckOutcome, latency: int) -> HealthCheckOutcome:
-    """Return the outcome by which a health check is handled, given its latency (ns).
+    """Return the outcome of a health check, with a slow rejection replaced by a timeout.
 
-    A rejection that took longer than FAST_REJECTION_MAX counts as a timeout.
+    A rejection is slow if its latency (ns) is above FAST_REJECTION_MAX.
     """
     if outcome == HealthCheckOutcome.REJECTED and latency > FAST_REJECTION_MAX:
         return HealthCheckOutcome.TIMED_OUT
--- a/granitespool/planner/events.py
+++ b/granitespool/planner/events.py
@@ -1,7 +1,7 @@
-"""Input events of the planner, one type for each kind.
+"""Input events of the planner, one type for each kind of event.
 
-Times are whole nanoseconds. Fields are validated where messages enter the process
-(`granitespool.net.messages`, `granitespool.simulator_adapter`) and not again here.
+Times are whole nanoseconds. The fields are validated when a message enters the process, in
+`granitespool.net.messages` or `granitespool.simulator_adapter`. They are not validated again here.
 """
 
 from enum import StrEnum
@@ -11,15 +11,15 @@
 from granitespool.endpoints import Endpoint
 from granitespool.planner.status import BackendSnapshot, FleetSnapshot
 
-LoadMetrics = dict[str, int | float]  # metric -> value, as `granitespool.endpoints.load_metrics` names them
+LoadMetrics = dict[str, int | float]  # metric name -> value, as `granitespool.endpoints.load_metrics` returns
 
 
 class ListForm(StrEnum):
-    """How an endpoint list relates to the previous ones."""
+    """Which entries an endpoint list contains."""
 
     CHANGES = "changes"  # changed entries only
-    COMPLETE = "complete"  # all entries; a backend that is not listed is gone
-    RESTORED = "restored"  # all entries, from a watch that was started anew
+    COMPLETE = "complete"  # all entries; backends that are not in the list are gone
+    RESTORED = "restored"  # all entries, read when the watch of the list was started again
     FAILED = "failed"  # the list could not be read
 
 
@@ -28,7 +28,7 @@
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "full"  # answered: the backend is at its limit
+    REJECTED = "full"  # the backend answered that it has reached its limit
     TIMED_OUT = "timeout"
     UNREACHABLE = "unreachable"
     RESET = "reset"
@@ -39,14 +39,14 @@
 
 
 class EndpointListUpdate(Event, frozen=True):
-    """A complete endpoint list, or changes of it."""
+    """The complete endpoint list, or its changed entries."""
 
     form: ListForm
     entries: list[Endpoint]
 
 
 class LoadReport(Event, frozen=True, gc=False):
-    """Attempts of the proxies of a zone at a backend."""
+    """Attempts that the proxies of a zone made at a backend."""
 
     zone: str
     backend: str
@@ -54,7 +54,7 @@
     failures: int | float
     mean: int  # mean response time of the successful attempts, ns
     window: int  # duration that the report covers, ns
-    load: LoadMetrics  # empty if the backend reported none
+    load: LoadMetrics  # empty if the backend reported no metrics
 
 
 class UsageReport(Event, frozen=True, gc=False):
@@ -72,23 +72,24 @@
 
     proxy: int
     zone: str
-    bootstrap: bool  # it has only the bootstrap table
-    rate: float  # approximate requests a second; 0 if unknown
-    resumed: bool = False  # on its former stream, which was unreachable for a while
+    bootstrap: bool  # the proxy has only the bootstrap table
+    rate: float  # approximate requests per second; 0 if unknown
+    resumed: bool = False  # the stream is the previous one, which was unreachable for a while
 
 
 class ProxyLeft(Event, frozen=True):
-    """The stream of a proxy has ended or is unreachable."""
+    """The stream of a proxy has ended, or the proxy is unreachable."""
 
     proxy: int
-    unreachable: bool = False  # queued messages may still be delivered to it
+    unreachable: bool = False  # queued messages may still be delivered to the proxy
 
 
 class Acknowledged(Event, frozen=True, gc=False):
-    """A proxy has applied everything up to an acknowledgement barrier."""
+    """A proxy has applied all messages up to an acknowledgement barrier."""
 
     proxy: int
-    sequence: int | None  # None: invalid; the oldest barrier in flight is acknowledged
+    # Number of the barrier. None: the number was invalid, and the oldest barrier in flight is acknowledged
+    sequence: int | None
     latency: int | None  # ns since the barrier was sent; None if unknown
 
 
@@ -105,18 +106,18 @@
     """A datagram from another coordinator."""
 
     peer: int
-    payload: str  # hex
+    payload: str  # in hex
 
 
 class SliceAssigned(Event, frozen=True):
-    """A slice was assigned to this coordinator, or withdrawn from it."""
+    """The store assigned a slice to this coordinator, or withdrew the slice."""
 
     table: int
     owned: bool
 
 
 class SliceEntry(Event, frozen=True):
-    """An entry that the store contains for an owned slice."""
+    """A table entry that the store contains for a slice of this coordinator."""
 
     table: int
     backend: str
@@ -124,7 +125,7 @@
 
 
 class SliceLoad(Event, frozen=True):
-    """Requests of one class in a slice."""
+    """Requests of one class that reached the proxies of a slice."""
 
     table: int
     request_class: str
@@ -134,10 +135,10 @@
 
 
 class Restored(Event, frozen=True):
-    """The trusted part of a former process's snapshot.
+    """The trusted part of the snapshot that a former process wrote.
 
-    It is sent at a start, after the first endpoint list.
+    The event is sent when the coordinator starts, after the first endpoint list.
     """
 
     fleet: FleetSnapshot
-    backends: dict[str, BackendSnapshot]  # by name; all are in the endpoint list
+    backends: dict[str, BackendSnapshot]  # by name; the endpoint list contains all of them
--- a/granitespool/planner/fleet.py
+++ b/granitespool/planner/fleet.py
@@ -3,24 +3,28 @@
 from granitespool.planner.records import Backend
 from granitespool.units import SECOND
 
-# ns between recomputations. It is the period of the load reports, so that each step moves weights little.
+# Time between recomputations, ns. It equals the period of the load reports, so that each recomputation moves
+# the weights only a little.
 RECOMPUTATION_PERIOD = 1 * SECOND
 
 
 class Fleet:
-    """All backends by name, in creation sequence."""
+    """All backends by name, in the order of their creation."""
 
     def __init__(self) -> None:
         self.backends: dict[str, Backend] = {}
-        self.period = 0  # recomputations so far
+        self.period = 0  # number of recomputations so far
         self._created = 0
 
     def create(self, name: str, now: int) -> Backend:
-        """Create a backend; its phase is gone until its endpoint list entry is applied."""
+        """Create a backend in the phase `GONE`.
+
+        The phase stays `GONE` until the endpoint list entry of the backend is applied.
+        """
         self._created += 1
         backend = self.backends[name] = Backend(name, now, self._created, -RECOMPUTATION_PERIOD)
         return backend
 
     def remove(self, name: str) -> None:
-        """Remove a backend and its observations."""
+        """Remove a backend with all its observations."""
         del self.backends[name]
--- a/granitespool/planner/health.py
+++ b/granitespool/planner/health.py
@@ -1,4 +1,4 @@
-"""Verification of backends by health checks, at a limited rate."""
+"""Verification of backends by health checks at a limited rate."""
 
 from granitespool.planner.actions import PlannerActions
 from granitespool.planner.fleet import RECOMPUTATION_PERIOD
@@ -7,16 +7,16 @@
 
 
 class HealthVerification:
-    """Sends health checks if the settings permit them, at most one per period and backend."""
+    """Sends health checks if the settings permit health checks. The rate is limited for each backend."""
 
     def __init__(self, actions: PlannerActions, settings: Settings) -> None:
         self.settings = settings
         self._actions = actions
 
     def check(self, now: int, backend: Backend, at_once: bool = False) -> None:
-        """Send a health check unless one was sent within the period.
+        """Send a health check to a backend, at most once per recomputation period.
 
-        With `at_once` it is sent in any case.
+        With `at_once` the health check is sent even if the last one is less than a period ago.
         """
         if not self.settings.health_checks_allowed:
             return
--- a/granitespool/planner/inspection.py
+++ b/granitespool/planner/inspection.py
@@ -1,4 +1,4 @@
-"""Read-only access to the state of a planner, as the records of `granitespool.planner.status`."""
+"""Read-only access to the state of a planner, by the records of `granitespool.planner.status`."""
 
 from collections.abc import Iterable
 
@@ -25,8 +25,9 @@
 from granitespool.planner.subsets import Subsets
 from granitespool.units import SECOND
 
-RECOVERING_DURATION = 20 * SECOND  # ns after slow start began for which a backend is shown as recovering
-ATTEMPTS_SHOWN_MIN = 0.5  # fewest recent attempts of a shown backend that is not ready
+# Time after the beginning of its slow start for which a backend is shown as recovering, ns
+RECOVERING_DURATION = 20 * SECOND
+ATTEMPTS_SHOWN_MIN = 0.5  # recent attempts with which a backend that is not ready counts as used
 
 
 class PlannerInspection:
@@ -68,7 +69,7 @@
         return {self._subsets.zone_of(joined.table) for joined in self._assignment.proxies.values()}
 
     def snapshot(self, names: Iterable[str]) -> Snapshot:
-        """Return a snapshot of the fleet and of these backends, without those that are not in the fleet."""
+        """Return a snapshot of the fleet and of these backends. Unknown names are ignored."""
         found = (self._fleet.backends.get(name) for name in names)
         return Snapshot(
             fleet=FleetSnapshot(
@@ -134,7 +135,7 @@
         )
 
     def metrics(self) -> PlannerMetrics:
-        """Return the figures that can be summed over coordinators."""
+        """Return the metrics of the planner."""
         links = [link for backend in self._fleet.backends.values() for link in backend.links.values()]
         return PlannerMetrics(
             joined=len(self._assignment.proxies),
@@ -154,7 +155,10 @@
         )
 
     def outliers(self, now: int, limit: int) -> Outliers:
-        """Return at most `limit` backends without their ordinary share, most recent attempts first."""
+        """Return at most `limit` backends that get less than their ordinary share of the traffic.
+
+        The backends with the most recent attempts come first.
+        """
         found = {
             backend.name: Outlier(
                 reason=reason,
@@ -172,7 +176,10 @@
         )
 
     def _reason(self, now: int, backend: Backend) -> str | None:
-        """Return why a backend lacks its ordinary share; None if it has it or if it is unused."""
+        """Return why a backend gets less than its ordinary share of the traffic.
+
+        The result is None if the backend gets its ordinary share, or if it is not ready and not used.
+        """
         if backend.phase != READY:
             is_used = backend.recent_attempts >= ATTEMPTS_SHOWN_MIN or backend.is_in_tables
             return str(backend.phase) if is_used or backend.exclusion == Exclusion.EXCLUDED else None
--- a/granitespool/planner/load_reports.py
+++ b/granitespool/planner/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports update the records, and may have their link ejected or readmitted."""
+"""Handling of load reports: they update the records, and may eject or readmit the reported link."""
 
 from granitespool.planner.cost import SUCCESSES_MIN
 from granitespool.planner.dirty_set import DirtySet
@@ -9,11 +9,12 @@
 from granitespool.planner.records import Backend, Link
 from granitespool.planner.restoration import discard_contradicted
 
-DECAY_FACTOR = 0.92  # of the sums of a link, per period: averages over about twelve seconds
+# Factor by which the sums of a link decay each period. The sums then cover about twelve seconds.
+DECAY_FACTOR = 0.92
 
 
 def successes_of(report: LoadReport) -> int | float:
-    """Return the successful attempts of a report; none if it contains no response time."""
+    """Return the number of successful attempts in a report; 0 if the report has no response time."""
     return max(0, report.attempts - report.failures) if report.mean > 0 else 0
 
 
@@ -29,7 +30,10 @@
         self._overload = overload
 
     def add(self, report: LoadReport, successes: float, backend: Backend, link: Link) -> LinkAction:
-        """Add a report with its number of successes to the records; return what to do with the link."""
+        """Add a report to the records of its backend and link. Return what to do with the link.
+
+        `successes` is the number of successful attempts in the report.
+        """
         attempts = report.attempts
         if link.restored and attempts >= SUCCESSES_MIN:
             discard_contradicted(link, attempts, report.failures, report.mean, bool(successes))
--- a/granitespool/planner/membership.py
+++ b/granitespool/planner/membership.py
@@ -1,8 +1,9 @@
-"""Membership of the fleet, by the endpoint list.
+"""Membership of backends in the fleet, according to the endpoint list.
 
-The list may be old or wrong. Where health checks are permitted, a backend that is added while the planner
-runs is used after a health check or an attempt has succeeded. Where backends have to be drained before their
-removal, one that is only missing from the list is removed once a health check fails.
+The endpoint list may be old or wrong. If health checks are permitted, a backend that is added while the
+planner runs is used only after a health check or an attempt has succeeded. If the settings require a drain
+before a removal, a ready backend that the list no longer contains is removed only after a health check has
+failed.
 """
 
 from granitespool.endpoints import Endpoint
@@ -45,7 +46,7 @@
         self._list_applied = False
 
     def apply(self, now: int, update: EndpointListUpdate) -> None:
-        """Apply a list; its form is not `ListForm.FAILED`."""
+        """Apply an endpoint list. Its form must not be `ListForm.FAILED`."""
         for entry in update.entries:
             self._apply_entry(now, entry)
         if update.form != ListForm.CHANGES:
@@ -84,8 +85,8 @@
     def _start(self, now: int, backend: Backend, started_at: int) -> None:
         """Reset the links and the slow start of a backend that is new, has returned or has restarted.
 
-        Of the first list only backends that are still cold enter slow start. In that case the fleet may be
-        overloaded, with admission levels that are lost.
+        Backends of the first endpoint list enter slow start only if they are still cold. Cold backends in the
+        first list can mean that the fleet is overloaded and that the admission levels are lost.
         """
         is_cold = self._slow_start.is_cold_at_start(now, started_at)
         self._costs.reset_backend(backend)
@@ -108,7 +109,7 @@
 
 
 def _removal_of(backend: Backend) -> Endpoint:
-    """Return the entry for a backend that a complete list does not contain."""
+    """Return an endpoint list entry that removes a backend."""
     return Endpoint(
         name=backend.name,
         zone=backend.zone,
--- a/granitespool/planner/overload.py
+++ b/granitespool/planner/overload.py
@@ -1,8 +1,11 @@
-"""Overload of the fleet, and the admitted share of all work while it lasts.
+"""Overload of the fleet, and the share of all work that is admitted during an overload.
 
-Overload is detected at the backend of the median successful attempt, by comparing its mean response time with
-the shortest latency objective. Failures alone are no overload. The admitted share changes by a factor each
-period: in an overload it decreases, and stays below the answered share of the demand; without, it increases.
+The backends are ordered by mean response time, and the backend that answered the median successful attempt is
+found. The fleet is overloaded if the mean response time of that backend is too close to the shortest latency
+objective. Failures alone are no overload.
+
+The admitted share changes by a factor each period. During an overload it decreases, and stays below the
+answered share of the demand. Without an overload it increases.
 """
 
 from granitespool.planner.records import BY_SEQUENCE, Backend, BackendSet
@@ -10,39 +13,48 @@
 from granitespool.settings import DEFAULT_LATENCY_OBJECTIVE, Settings
 from granitespool.units import SECOND
 
-EVALUATION_DECAY = 0.1  # share of the fleet's sums that each evaluation keeps: load reports are late already
-# Shares of the shortest latency objective at which an overload begins and ends. At response times above the
-# first many answers are late.
+# Factor by which the recent sums decay at each evaluation. It is small because load reports are late already.
+EVALUATION_DECAY = 0.1
+# Shares of the shortest latency objective. An overload begins if the response time exceeds the first share,
+# as many answers are late then. It ends if the response time does not exceed the second share.
 OVERLOAD_ENTER_SHARE = 0.65
 OVERLOAD_LEAVE_SHARE = 0.5
-ATTEMPTS_MIN = 20  # with fewer attempts, as in the first load reports after a start, an evaluation is chance
-SHED_FACTOR = 0.95  # per evaluation in an overload, applied to the smaller of admitted and answered share
-RECOVERY_FACTOR = 1.08  # per evaluation without overload: the less is rejected, the less is retried
-ADMITTED_SHARE_MIN = 0.2  # share of all work that is always admitted, so that there are load reports
-COLD_START_SUCCESS_RATIO = 0.3  # of attempts, after a start with cold backends: the fleet may be overloaded
-# ns that a restored overload lasts unless load reports confirm it: enough for the reports of two seconds
+# Number of attempts needed for an evaluation. The first load reports after a start contain fewer attempts,
+# and their mean is too noisy.
+ATTEMPTS_MIN = 20
+# During an overload each evaluation sets the admitted share to this factor times the smaller of the admitted
+# share and the answered share
+SHED_FACTOR = 0.95
+# Without an overload each evaluation multiplies the admitted share by this factor. When fewer requests are
+# rejected, fewer are retried.
+RECOVERY_FACTOR = 1.08
+ADMITTED_SHARE_MIN = 0.2  # share of all work that is always admitted, so that load reports continue
+# Success ratio that is assumed after a start with cold backends, because the fleet may be overloaded
+COLD_START_SUCCESS_RATIO = 0.3
+# Time after which a restored overload ends unless load reports confirm it, ns. The load reports of two
+# seconds arrive within this time.
 RESTORED_OVERLOAD_DURATION = 3 * SECOND
 
 
 class OverloadDetector:
-    """Detects overload of the fleet, and sets the admitted share."""
+    """Detects an overload of the fleet, and sets the admitted share."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.is_overloaded = False
-        self.success_ratio = 1.0  # of attempts
+        self.success_ratio = 1.0  # successes per attempt
         self.admitted_share = 1.0  # of all work
-        self.demand: dict[str | None, float] = {}  # request class -> requests of about the last second
-        self._restored_until = 0  # end of a restored overload, ns; 0: none
-        self._recent: BackendSet = {}  # backends in the load reports of the last minutes
+        self.demand: dict[str | None, float] = {}  # request class -> requests in about the last second
+        self._restored_until = 0  # end of a restored overload, ns; 0 without a restored overload
+        self._recent: BackendSet = {}  # backends with load reports in the last minutes
 
     @property
     def is_normal(self) -> bool:
-        """Whether the fleet is not overloaded and sheds no load."""
+        """Whether the fleet is not overloaded and all work is admitted."""
         return not self.is_overloaded and self.admitted_share >= 1
 
     def observe(self, backend: Backend) -> None:
-        """Include the recent sums of a reported backend in the next evaluations."""
+        """Include the recent sums of a backend with a load report in the next evaluations."""
         self._recent[backend] = None
 
     def observe_demand(self, request_class: str, requests: float) -> None:
@@ -50,15 +62,18 @@
         self.demand[request_class] = self.demand.get(request_class, 0) + requests
 
     def remove(self, backend: Backend) -> None:
-        """Drop a removed backend."""
+        """Ignore a removed backend from now on."""
         self._recent.pop(backend, None)
 
     def assume_cold_start(self) -> None:
-        """Assume a low success ratio: with cold backends in the first list, the fleet may be overloaded."""
+        """Assume a low success ratio, because the first endpoint list contains cold backends.
+
+        The fleet may then be overloaded.
+        """
         self.success_ratio = COLD_START_SUCCESS_RATIO
 
     def restore(self, now: int, snapshot: FleetSnapshot) -> None:
-        """Restore the load of a snapshot; an overload ends soon unless load reports confirm it."""
+        """Restore the load of a snapshot. A restored overload ends soon unless load reports confirm it."""
         self.success_ratio = min(self.success_ratio, snapshot.success_ratio)
         if snapshot.is_overloaded or snapshot.admitted_share < 1:
             self.is_overloaded = snapshot.is_overloaded
@@ -67,7 +82,7 @@
             self._restored_until = now + RESTORED_OVERLOAD_DURATION
 
     def evaluate(self, now: int) -> None:
-        """Update the overload state from recent load reports; called once a period."""
+        """Update the overload state from recent load reports. Called once per period."""
         reported = [
             backend for backend in sorted(self._recent, key=BY_SEQUENCE) if backend.recent_attempts >= 1
         ]
@@ -94,7 +109,7 @@
         self._restored_until = 0
         self.is_overloaded = self.is_overloaded and is_observed
         if not self.is_overloaded:
-            self.admitted_share = 1.0  # recovering from the share of a former process would only shed load
+            self.admitted_share = 1.0  # a gradual increase from the restored share would only shed load
 
     def _shortest_objective(self) -> float:
         objectives = (request_class.effective_latency_objective for request_class in self.settings.classes)
@@ -109,7 +124,10 @@
 
 
 def median_response_time(backends: list[Backend]) -> float:
-    """Return the mean response time (ns) of the backend with the median success; 0 without successes."""
+    """Return the mean response time (ns) of the backend that answered the median success.
+
+    The backends are ordered by mean response time. Without successes the result is 0.
+    """
     half = sum(backend.recent_successes for backend in backends) / 2
     mean = 0.0
     by_mean = sorted(
--- a/granitespool/planner/recomputation.py
+++ b/granitespool/planner/recomputation.py
@@ -1,4 +1,7 @@
-"""Periodic recomputation: costs, overload, decay of observations, and the review of dirty backends."""
+"""Periodic recomputation.
+
+It evaluates costs and overload, decays observations, and reviews the dirty backends.
+"""
 
 from granitespool.planner.actions import PlannerActions
 from granitespool.planner.budget import ChannelBudget
@@ -13,13 +16,13 @@
 from granitespool.planner.subsets import Subsets
 from granitespool.units import SECOND
 
-# ns that the record of a removed backend is kept: proxies may join with old tables that contain it. They are
-# assigned within a few seconds.
+# Time for which the record of a removed backend is kept, ns. A proxy may join with an old table that contains
+# the backend, and is assigned within a few seconds.
 REMOVED_BACKEND_RETENTION = 20 * SECOND
 
 
 class Recomputation:
-    """Runs once a period, before the publication."""
+    """Recomputes the state of the planner once per period, before the publication."""
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
         self._overload = overload
 
     def run(self, now: int) -> None:
-        """Recompute everything that changes from period to period."""
+        """Recompute all state that changes every period."""
         self.evaluate_costs(now)
         self._budget.refill()
         self._overload.evaluate(now)
@@ -55,7 +58,7 @@
         self._budget.account.expire(now)
 
     def evaluate_costs(self, now: int) -> None:
-        """Evaluate all costs by the load reports so far."""
+        """Evaluate the costs of all links from the load reports received so far."""
         self._costs.begin_evaluation()
         is_overloaded = not self._overload.is_normal
         for zone in self._subsets.tables:
@@ -64,7 +67,7 @@
                 self._dirty.invalidate_zone(zone)
 
     def _review(self, now: int, backend: Backend) -> None:
-        """Check the health of a backend if needed, readmit its links, and remove it after the retention."""
+        """Send a health check if needed, readmit links, and remove a gone backend after its retention."""
         if backend.phase == READY and not backend.verified:
             self._health.check(now, backend)
         if backend.ejected_links:
--- a/granitespool/planner/records.py
+++ b/granitespool/planner/records.py
@@ -1,7 +1,7 @@
-"""Records of backends and their links: state only, no decisions and no I/O.
+"""Records of backends and their links. They hold state; decisions and I/O are made elsewhere.
 
-A link holds what the proxies of one zone observed at one backend. It is created when something is first
-observed or decided there, so that a fleet of thousands of backends costs nothing where no traffic is sent.
+A link holds what the proxies of one zone observed at one backend. It is created with the first observation or
+decision about that backend in that zone. Thousands of backends without traffic therefore need no links.
 """
 
 from collections import deque
@@ -11,57 +11,60 @@
 
 from granitespool.endpoints import Label, Phase
 
-# On the hot path a module's own name is cheaper to read than an enum's member
+# Reading a module variable is faster than reading an enum member, and these are read on the hot path
 READY = Phase.READY
 GONE = Phase.GONE
 
-# Periods whose decay is multiplied one by one, so that sums are equal to the last digit however often they
-# are read. After more periods less than 1 % of a sum is left.
+# Maximum number of missed periods whose decay is applied one period at a time. The sums are then equal to the
+# last digit, no matter how often they are read. After more periods less than 1 % of a sum is left.
 EXACT_PERIODS_MAX = 64
 
 
 class Exclusion(Enum):
     """Whether a backend is excluded for proxies without a table of this coordinator."""
 
-    NEVER = ("never", False)  # no proxy was sent an exclusion
+    NEVER = ("never", False)  # no exclusion was ever sent to a proxy
     READMITTED = ("readmitted", False)
     EXCLUDED = ("excluded", True)
-    PARTIAL = ("partial", True)  # excluded, but not for proxies that joined since
+    PARTIAL = ("partial", True)  # excluded, except for proxies that joined after the exclusion
 
     def __init__(self, label: str, is_active: bool) -> None:
         self.label = label
-        self.is_active = is_active  # some proxies may have the backend excluded
+        self.is_active = is_active  # whether some proxies may have excluded the backend
 
 
 class UnassignedProxy(NamedTuple):
     """A joined proxy that is on no table of this coordinator yet."""
 
-    foreign_entries_max: int  # upper bound of its entries from other tables
-    since: int  # start of its wait for a table, ns
+    foreign_entries_max: int  # maximum number of entries that the proxy has from other tables
+    since: int  # time at which the proxy began to wait for a table, ns
 
 
 class MinimumRtt(NamedTuple):
-    """A mean round trip, the lowest since it was observed."""
+    """A mean round trip; no lower mean was observed after it."""
 
     observed_at: int  # ns
     mean: float  # ns
 
 
 class Link:
-    """Observations of one zone's proxies at a backend, and their outlier state; times in ns."""
+    """Observations of a backend by the proxies of one zone, and whether the backend is ejected there.
+
+    Times are in ns. The attempts, failures, successes and response times are sums that decay each period.
+    """
 
     __slots__ = (
-        "attempts",  # recent, as all sums: they decay each period
+        "attempts",
         "consecutive_failures",
-        "cost",  # its own; None: use the mean of its machine type in the zone
-        "decayed_to",  # number of the period up to which the sums are decayed
+        "cost",  # own cost of the link; if None, the mean of its zone and machine type is used
+        "decayed_to",  # number of the period in which the sums were last decayed
         "ejected_at",
         "failures",
-        "last_resort",  # ejected past the cap on ejections: keeps a small weight
-        "minimum_rtts",  # candidates for the minimum of the window, the lowest first
-        "overloaded_reports",  # consecutive reports
-        "response_time",  # sum over all successes
-        "restored",  # the sums come from the snapshot of a former process
+        "last_resort",  # ejected beyond the cap on ejections, so the link keeps a small weight
+        "minimum_rtts",  # candidates for the minimum round trip of the window, lowest first
+        "overloaded_reports",  # number of consecutive load reports that show an overloaded backend
+        "response_time",  # sum of the response times of all successes
+        "restored",  # whether the sums come from the snapshot of a former process
         "slow_start_since",
         "successes",
     )
@@ -83,18 +86,18 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether the link is out of the tables, or in them as a last resort only."""
+        """Whether the link is ejected. A last resort counts as ejected, though it stays in the tables."""
         return self.ejected_at is not None
 
     def observe(self, attempts: float, failures: float, successes: float, response_time: float) -> None:
-        """Add observed attempts; `response_time` is the sum over all successes, ns."""
+        """Add observed attempts. `response_time` is the sum of the response times of all successes (ns)."""
         self.attempts += attempts
         self.failures += failures
         self.successes += successes
         self.response_time += response_time
 
     def observe_rtt(self, now: int, mean: float, window: int) -> None:
-        """Update the minimum round trip over the last `window` ns with a mean (ns)."""
+        """Add a mean round trip (ns), and update the minimum over the last `window` (ns)."""
         while self.minimum_rtts and self.minimum_rtts[-1].mean >= mean:
             self.minimum_rtts.pop()
         self.minimum_rtts.append(MinimumRtt(now, mean))
@@ -120,32 +123,35 @@
 
 
 class Backend:
-    """The record of a backend; times in ns."""
+    """The record of a backend. Times are in ns.
+
+    The recent sums cover all zones and about the last second.
+    """
 
     __slots__ = (
         "configured_weight",  # from the endpoint list
-        "costs_evaluated",  # costs were evaluated since its links were reset
+        "costs_evaluated",  # whether costs were evaluated after the last reset of the links
         "exclusion",
         "health_checked_at",
-        "left_ready_at",  # when the endpoint list last changed its phase from ready
-        "links",  # zone -> Link, for zones with an observation or a decision
+        "left_ready_at",  # time of the last change from ready to another phase in the endpoint list
+        "links",  # zone -> Link; only zones with an observation or a decision
         "machine_type",
         "name",
         "phase",
-        "published",  # table -> weight last sent
-        "recent_attempts",  # over all zones in about the last second, as the next three
+        "published",  # table -> weight that was last sent
+        "recent_attempts",
         "recent_failures",
         "recent_response_time",
         "recent_successes",
-        "removal_unconfirmed",  # only the endpoint list removed it
-        "sequence",  # creation sequence: position in the planner's fleet, oldest first
-        "settled",  # zone -> its group of settled entries
+        "removal_unconfirmed",  # the endpoint list removed the backend, but no health check has confirmed it
+        "sequence",  # creation number; backends are ordered by it, oldest first
+        "settled",  # zone -> the group of settled entries that contains this backend
         "slow_start_since",
         "started_at",
-        "subset",  # None if the fleet is not split
-        "subset_key",  # subset, zone and machine type that the subset counts it under
-        "verified",  # a health check or an attempt has succeeded
-        "watched_zones",  # zones whose link has its own cost, is ejected or in slow start
+        "subset",  # number of the subset; None if the fleet is not split into subsets
+        "subset_key",  # (subset, zone, machine type) under which the backend is counted
+        "verified",  # whether a health check or an attempt has succeeded
+        "watched_zones",  # zones in which the link has its own cost, is ejected or is in slow start
         "zone",
     )
 
@@ -177,31 +183,31 @@
 
     @property
     def is_in_tables(self) -> bool:
-        """Whether any table has an entry of the backend."""
+        """Whether any table contains the backend."""
         return any(self.published.values())
 
     @property
     def ejected_links(self) -> list[tuple[str, Link]]:
-        """The ejected links, as pairs of zone and link."""
+        """The ejected links as pairs (zone, link)."""
         return [(zone, link) for zone, link in self.links.items() if link.ejected_at is not None]
 
     def link(self, zone: str, period: int) -> Link:
-        """Return the link of a zone; create it in the current `period` if there is none."""
+        """Return the link of a zone. A missing link is created, with `period` as the current period."""
         if zone not in self.links:
             self.links[zone] = Link(period)
         return self.links[zone]
 
     def link_as_of(self, zone: str, period: int, factor: float) -> Link:
-        """Return the link of a zone with its sums decayed up to this period.
+        """Return the link of a zone after decaying its sums up to `period`.
 
-        A zone without a link gets an empty one, which is not kept.
+        If the zone has no link, a new empty link is returned and not stored.
         """
         link = self.links.get(zone) or Link(period)
         link.decay_to(period, factor)
         return link
 
     def observe(self, attempts: float, failures: float, successes: float, response_time: float) -> None:
-        """Add observed attempts; `response_time` is the sum over all successes, ns."""
+        """Add observed attempts. `response_time` is the sum of the response times of all successes (ns)."""
         self.recent_attempts += attempts
         self.recent_failures += failures
         self.recent_successes += successes
@@ -216,4 +222,4 @@
 
 
 BY_SEQUENCE = attrgetter("sequence")  # sort key of Backend: oldest first
-BackendSet = dict[Backend, None]  # an ordered set, so that runs are repeatable
+BackendSet = dict[Backend, None]  # a set that keeps insertion order, so that runs are repeatable
--- a/granitespool/planner/restoration.py
+++ b/granitespool/planner/restoration.py
@@ -1,8 +1,9 @@
-"""Restoration of the fleet from the snapshot of a former process, at a start.
+"""Restoration of the fleet at a start, from the snapshot of a former process.
 
-The trusted part of the snapshot (`granitespool.state`) is applied before any proxy joins. The first load
-report of a link replaces observations that it contradicts. Restored ejections are limited by the cap on
-ejections and verified by health checks; cold backends stay in slow start.
+`granitespool.state` decides which part of the snapshot is trusted. That part is applied before any proxy
+joins. If the first load report of a link contradicts the restored observations of the link, the observations
+are discarded. The cap on ejections also limits restored ejections, and health checks verify them. Cold
+backends stay in slow start.
 """
 
 from collections import deque
@@ -19,10 +20,11 @@
 from granitespool.planner.status import BackendSnapshot, LinkSnapshot
 from granitespool.settings import Settings
 
-# Ratio of a reported to a restored mean (or its inverse) that is no longer chance: an eighth of the means of
-# three successes are beyond it
+# A reported mean contradicts the restored mean if one of them is at least this many times the other. By
+# chance an eighth of the means of three successes differ by more.
 CONTRADICTION_FACTOR = 2.5
-# Difference between a reported and a restored failed share that is no longer chance
+# A reported failed share contradicts the restored failed share if they differ by more than this. A smaller
+# difference can be chance.
 CONTRADICTION_SHARE = 0.35
 
 
@@ -76,7 +78,7 @@
 
 
 def restore_link(link: Link, period: int, snapshot: LinkSnapshot) -> None:
-    """Restore the observations of a former process; their sums start to decay at this period."""
+    """Restore the observations of a former process. Their sums decay from the given period on."""
     link.attempts = snapshot.attempts
     link.failures = snapshot.failures
     link.successes = snapshot.successes
@@ -93,7 +95,7 @@
 def discard_contradicted(
     link: Link, attempts: float, failures: float, mean: float, has_successes: bool
 ) -> None:
-    """Discard the restored observations of a link that its first load report contradicts."""
+    """Discard the restored observations of a link if the first load report of the link contradicts them."""
     link.restored = False
     share_moved = abs(failures / attempts - link.failures / link.attempts)
     ratio = 1.0
--- a/granitespool/planner/status.py
+++ b/granitespool/planner/status.py
@@ -1,4 +1,4 @@
-"""Records of a planner's state: snapshots to restore from, operational state and metrics.
+"""Records of a planner's state: snapshots for a later restoration, operational state and metrics.
 
 Times and costs are in ns; weights and shares have no unit.
 """
@@ -10,21 +10,21 @@
 
 
 class FleetSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The load of the whole fleet, to be restored by a later process."""
+    """The load of the whole fleet, for restoration by a later process."""
 
     is_overloaded: bool
     admitted_share: float
-    success_ratio: float  # of attempts
+    success_ratio: float  # successes per attempt
     demand: dict[str | None, float]  # request class -> requests in about the last second
 
 
 class LinkSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """Observations of one zone's proxies at a backend; sums are decayed up to the snapshot."""
+    """Observations of a backend by the proxies of one zone. Sums are decayed up to the snapshot."""
 
     attempts: float
     failures: float
     successes: float
-    response_time: float  # sum over all successes, ns
+    response_time: float  # sum of the response times of all successes, ns
     overloaded_reports: int
     consecutive_failures: float
     ejected_at: int | None
@@ -33,7 +33,7 @@
 
 
 class BackendSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend, to be restored by a later process."""
+    """State of a backend, for restoration by a later process."""
 
     phase: Phase
     zone: Label
@@ -57,8 +57,8 @@
 class EntryStatus(msgspec.Struct, frozen=True, kw_only=True):
     """The entries of a backend in the tables of one zone."""
 
-    weight: float  # the largest that is published
-    cost: float | None  # of an attempt, ns; None if unknown
+    weight: float  # largest published weight in these tables
+    cost: float | None  # cost of an attempt, ns; None if unknown
     is_ejected: bool
 
 
@@ -75,9 +75,9 @@
 class PlannerStatus(msgspec.Struct, frozen=True, kw_only=True):
     """A planner's operational state."""
 
-    joined: int  # number of proxies
-    unassigned: int  # number of the joined proxies without a table
-    in_flight: float  # table entries
+    joined: int  # number of joined proxies
+    unassigned: int  # number of joined proxies without a table
+    in_flight: float  # number of table entries
     acknowledgement_latency: int  # of the last acknowledgement, ns
     is_overloaded: bool
     admitted_share: float
@@ -85,14 +85,14 @@
 
 
 class PlannerMetrics(msgspec.Struct, frozen=True, kw_only=True):
-    """Gauges, and totals since the start, that can be summed over coordinators."""
+    """Gauges and totals since the start. They can be added up over all coordinators."""
 
     joined: int
     unassigned: int
-    in_flight: float  # table entries
-    in_flight_limit: float
-    configured_rate: float  # entries a second
-    observed_rate: float
+    in_flight: float  # number of table entries
+    in_flight_limit: float  # number of table entries
+    configured_rate: float  # entries per second
+    observed_rate: float  # entries per second
     total_entries: float
     acknowledgement_latency: int  # of the last acknowledgement, ns
     is_overloaded: bool
@@ -104,16 +104,16 @@
 
 
 class Outlier(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend without its ordinary share of the traffic."""
+    """A backend that gets less than its ordinary share of the traffic."""
 
     reason: str
     attempts: float  # in about the last second
     failures: float  # in about the last second
-    weight: float  # sum of all its entries
+    weight: float  # sum of the weights of all entries of the backend
 
 
 class Outliers(msgspec.Struct, frozen=True, kw_only=True):
-    """The outliers with most attempts, and the number of omitted ones."""
+    """The outliers with the most attempts, and the number of other outliers."""
 
     backends: dict[str, Outlier]  # by name, most attempts first
-    omitted: int
+    omitted: int  # number of outliers that `backends` does not contain
--- a/granitespool/planner/weights.py
+++ b/granitespool/planner/weights.py
@@ -1,4 +1,4 @@
-"""Target weights of backends in the tables of a zone."""
+"""Weights that backends should have in the tables of a zone."""
 
 from granitespool.planner.cost import CostTable
 from granitespool.planner.fleet import Fleet
@@ -7,14 +7,15 @@
 from granitespool.planner.slow_start import SlowStart
 from granitespool.settings import Settings
 
-LAST_RESORT_SHARE = 0.02  # share of its weight that a last resort keeps, for some attempts to observe it
-# Share of the overload multiple that a warming up backend may get: at the whole multiple of its work it fails
+LAST_RESORT_SHARE = 0.02  # share of its weight that a last resort keeps, so that its recovery is observed
+# A backend fails if it gets `overload_multiple` times the work that it can do. A backend that is warming up
+# may get this share of that multiple.
 OVERLOAD_GUARD = 0.5
-WEIGHT_MIN = 0.0001  # smallest weight of an entry: rounding to 0 would remove it
+WEIGHT_MIN = 0.0001  # smallest weight of an entry; a weight rounded to 0 would remove the entry
 
 
 class EntryWeights:
-    """Calculates weights from cost, slow start and ejection."""
+    """Calculates weights from costs, slow starts and ejections."""
 
     def __init__(
         self,
@@ -29,7 +30,7 @@
         self._costs = costs
         self._slow_start = slow_start
         self._overload = overload
-        self._uses_unverified = False  # while no ready backend is verified
+        self._uses_unverified = False  # whether unverified backends get entries
 
     def update_fallback(self) -> None:
         """Allow entries for unverified backends as long as no ready backend is verified."""
@@ -38,7 +39,7 @@
         )
 
     def target_weight(self, now: int, backend: Backend, zone: str) -> float:
-        """Return the weight that a backend should have in the tables of a zone; 0: no entry."""
+        """Return the weight that a backend should have in the tables of a zone, or 0 for no entry."""
         link = backend.links.get(zone)
         is_ejected = link is not None and link.ejected_at is not None
         if is_ejected and not (link and link.last_resort):
@@ -55,7 +56,7 @@
         warm_up_share = self._slow_start.warm_up_share(now, backend)
         if warm_up_share < 1:
             share = min(share, self._guarded_share(share, warm_up_share))
-            # An idle cold backend is fast, which must not raise its weight
+            # A cold backend without much load answers fast. This must not raise its weight.
             zone_mean = min(zone_mean or 0, cost or 0)
         cost_ratio = zone_mean / cost if zone_mean and cost else 1.0
         return max(WEIGHT_MIN, round(backend.configured_weight * cost_ratio * share, 4))
@@ -69,11 +70,11 @@
         return share
 
     def _guarded_share(self, share: float, warm_up_share: float) -> float:
-        """Return the share that a cold backend may have while attempts fail.
+        """Return the share of its weight that a cold backend may have while attempts fail.
 
-        In an overload a quarter of a weight is many times a quarter of the work. The backend therefore gets
-        its share of the answered attempts, or as much as its warm-up share allows below the overload multiple
-        at which it would fail.
+        During an overload a quarter of the weight brings many times a quarter of the work that a backend can
+        do. The share is therefore multiplied by the success ratio. The share may be raised before to what the
+        warm-up share allows: a backend fails at the overload multiple, and OVERLOAD_GUARD keeps it below.
         """
         allowed = OVERLOAD_GUARD * self.settings.overload_multiple * warm_up_share
         return self._overload.success_ratio * max(share, allowed)
