--- a/granitespool/planner/cost.py
+++ b/granitespool/planner/cost.py
@@ -3,7 +3,8 @@
     W = (rho * 2 * RTT + (1 - rho) * RTT) * f(u)
 
 rho is the failed share of the attempts. RTT is the mean round trip of the successes (ns). u is the
-utilization in percent: the share of the round trip that exceeds the minimum round trip of a window.
+utilization in percent: the share of the round trip that exceeds the minimum round trip of a window. The
+factor f(u) rises from 1 to 2 with the utilization.
 
 A link with enough observations has its own cost: the result of the formula, averaged with the mean cost of
 its machine type in its zone. All other links use that mean, so that only observed links need state. Costs are
@@ -31,7 +32,7 @@
 
 
 class ObservedCost(NamedTuple):
-    """The cost (ns) of a link that has enough observations for its own cost."""
+    """A link with enough observations for its own cost, its backend, and the cost (ns)."""
 
     backend: Backend
     link: Link
@@ -88,7 +89,10 @@
         self._reset_backends.append(backend)
 
     def reset_link(self, link: Link) -> None:
-        """Mark the cost of a new link as unknown until the next evaluation. The link replaced an old one."""
+        """Mark the cost of a link as unknown until the next evaluation.
+
+        The link is new and has replaced the previous link of the same backend and zone.
+        """
         self._set_own_cost(link, UNKNOWN_COST)
 
     def begin_evaluation(self) -> None:
--- a/granitespool/planner/events.py
+++ b/granitespool/planner/events.py
@@ -24,7 +24,7 @@
 
 
 class HealthCheckOutcome(StrEnum):
-    """How a health check ended."""
+    """Result of a health check."""
 
     OK = "ok"
     ERROR = "error"
@@ -88,7 +88,8 @@
     """A proxy has applied all messages up to an acknowledgement barrier."""
 
     proxy: int
-    # Number of the barrier. None: the number was invalid, and the oldest barrier in flight is acknowledged
+    # Number of the barrier, or None if the proxy sent an invalid number. None acknowledges the oldest barrier
+    # in flight.
     sequence: int | None
     latency: int | None  # ns since the barrier was sent; None if unknown
 
--- a/granitespool/planner/inspection.py
+++ b/granitespool/planner/inspection.py
@@ -61,7 +61,7 @@
         return self._fleet.backends.values()
 
     def tables(self) -> dict[str, list[int]]:
-        """Return the tables of each zone."""
+        """Return the tables by zone."""
         return self._subsets.tables
 
     def joined_zones(self) -> set[str]:
--- a/granitespool/planner/overload.py
+++ b/granitespool/planner/overload.py
@@ -13,7 +13,8 @@
 from granitespool.settings import DEFAULT_LATENCY_OBJECTIVE, Settings
 from granitespool.units import SECOND
 
-# Factor by which the recent sums decay at each evaluation. It is small because load reports are late already.
+# Factor by which the recent sums decay at each evaluation. Load reports are late already, so only a small
+# part of older sums is kept.
 EVALUATION_DECAY = 0.1
 # Shares of the shortest latency objective. An overload begins if the response time exceeds the first share,
 # as many answers are late then. It ends if the response time does not exceed the second share.
@@ -124,7 +125,7 @@
 
 
 def median_response_time(backends: list[Backend]) -> float:
-    """Return the mean response time (ns) of the backend that answered the median success.
+    """Return the mean response time (ns) of the backend that answered the median successful attempt.
 
     The backends are ordered by mean response time. Without successes the result is 0.
     """
--- a/granitespool/planner/records.py
+++ b/granitespool/planner/records.py
@@ -1,4 +1,4 @@
-"""Records of backends and their links. They hold state; decisions and I/O are made elsewhere.
+"""Records of backends and their links. They hold state; they make no decisions and do no I/O.
 
 A link holds what the proxies of one zone observed at one backend. It is created with the first observation or
 decision about that backend in that zone. Thousands of backends without traffic therefore need no links.
@@ -11,7 +11,7 @@
 
 from granitespool.endpoints import Label, Phase
 
-# Reading a module variable is faster than reading an enum member, and these are read on the hot path
+# These are read on the hot path, where a module variable is faster to read than an enum member
 READY = Phase.READY
 GONE = Phase.GONE
 
@@ -79,7 +79,7 @@
         self.ejected_at: int | None = None
         self.last_resort = False
         self.overloaded_reports = 0
-        self.consecutive_failures: float = 0  # load reports may contain fractions of attempts
+        self.consecutive_failures: float = 0  # a float, as load reports may contain fractions of attempts
         self.slow_start_since: int | None = None
         self.cost: float | None = None
         self.restored = False
@@ -112,7 +112,7 @@
         self.response_time *= factor
 
     def decay_to(self, period: int, factor: float) -> None:
-        """Multiply the sums by the factor once for each period since the last decay."""
+        """Multiply the sums by a factor, once for each period since the last decay."""
         missed = period - self.decayed_to
         self.decayed_to = period
         if missed > EXACT_PERIODS_MAX:
@@ -145,7 +145,7 @@
         "recent_successes",
         "removal_unconfirmed",  # the endpoint list removed the backend, but no health check has confirmed it
         "sequence",  # creation number; backends are ordered by it, oldest first
-        "settled",  # zone -> the group of settled entries that contains this backend
+        "settled",  # zone -> backends in the same group of settled entries (see `settled_entries`)
         "slow_start_since",
         "started_at",
         "subset",  # number of the subset; None if the fleet is not split into subsets
--- a/granitespool/planner/weights.py
+++ b/granitespool/planner/weights.py
@@ -73,8 +73,9 @@
         """Return the share of its weight that a cold backend may have while attempts fail.
 
         During an overload a quarter of the weight brings many times a quarter of the work that a backend can
-        do. The share is therefore multiplied by the success ratio. The share may be raised before to what the
-        warm-up share allows: a backend fails at the overload multiple, and OVERLOAD_GUARD keeps it below.
+        do. The share is therefore multiplied by the success ratio. Before that it is raised if the
+        warm-up share allows more. OVERLOAD_GUARD keeps the raised share below the overload multiple, at which
+        the backend would fail.
         """
         allowed = OVERLOAD_GUARD * self.settings.overload_multiple * warm_up_share
         return self._overload.success_ratio * max(share, allowed)
--- a/tests/planner/test_cost_weights.py
+++ b/tests/planner/test_cost_weights.py
@@ -1,4 +1,4 @@
-"""Weights by cost, compared with manual calculations."""
+"""Weights that follow from costs, compared with values calculated by hand."""
 
 from support.events import load_report
 from support.planner_harness import PlannerHarness, RecordedActions
@@ -8,7 +8,10 @@
 
 
 def test_weights_are_inverse_to_cost(fleet: PlannerHarness, actions: RecordedActions) -> None:
-    """Configured weights of 1 become 2 and 0.6667 at costs of 100 ms and 300 ms, 200 ms on average."""
+    """With costs of 100 ms and 300 ms the mean cost is 200 ms.
+
+    The configured weights of 1 become 200 / 100 = 2 and 200 / 300 = 0.6667.
+    """
     fleet.list_restored("a", "b")
     fleet.join(1)
     fleet.load_report("n", "a", attempts=1_000_000, mean=100 * MILLISECOND)
@@ -19,9 +22,10 @@
 
 
 def test_failures_raise_the_cost(fleet: PlannerHarness, actions: RecordedActions) -> None:
-    """With one failure in two attempts the cost is 1.5 times as high: 150 ms instead of 100 ms."""
-    # The average cost is 125 ms, so the weights are 0.8333 and 1.25. With one failure in five the average
-    # would be 110 ms, and 110/120 is less than a tenth from 1 and would not be sent.
+    """If half of the attempts fail, the cost is 1.5 times as high, 150 ms instead of 100 ms."""
+    # The mean cost is 125 ms, so the weights are 125 / 150 = 0.8333 and 125 / 100 = 1.25. If only one attempt
+    # in five failed, the costs would be 120 ms and 100 ms, and their mean 110 ms. The weight 110 / 120 would
+    # differ from 1 by less than a tenth and would not be sent.
     fleet.list_restored("a", "b")
     fleet.join(1)
     fleet.load_report("n", "a", attempts=2_000_000, failures=1_000_000, mean=100 * MILLISECOND)
@@ -32,7 +36,10 @@
 
 
 def test_utilization_raises_the_cost(fleet: PlannerHarness, actions: RecordedActions) -> None:
-    """At 80 percent the factor is 1.5: 500 ms, at a minimum round trip of 100 ms, cost 750 ms."""
+    """At a utilization of 80 percent the factor f(u) is 1.5.
+
+    With a round trip of 500 ms and a minimum round trip of 100 ms, the cost is therefore 750 ms.
+    """
     fleet.list_restored("a", "b")
     fleet.join(1)
     fleet.load_report("n", "a", attempts=1_000_000, mean=100 * MILLISECOND)
@@ -42,7 +49,7 @@
     fleet.load_report("n", "a", attempts=9_200_000, mean=540 * MILLISECOND)
     fleet.load_report("n", "b", attempts=80_000, mean=500 * MILLISECOND)
     fleet.advance_to(2 * SECOND)
-    # The costs are 750 ms and 500 ms, 625 ms on average.
+    # The costs are 750 ms and 500 ms, and the mean cost is 625 ms.
     assert actions.made("set_entry", 0, "a", 0.8333)
     assert actions.made("set_entry", 0, "b", 1.25)
 
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: which backends leave the tables, which stay, and which are removed."""
+"""Effects of endpoint lists: which backends leave the tables, stay in the tables, or are removed."""
 
 from support.planner_harness import PlannerHarness, RecordedActions
 from support.records import endpoint
@@ -29,7 +29,11 @@
 
 
 def test_unlikely_events_do_not_stop_the_planner(fleet: PlannerHarness, actions: RecordedActions) -> None:
-    """Zero counts, unknown names, windows of 0 and 90 s, empty lists, a backend that is listed twice."""
+    """Events with unlikely contents are handled without an exception.
+
+    The events contain counts of 0, unknown names, windows of 0 s and 90 s, empty lists, and a backend that is
+    listed twice.
+    """
     fleet.list_restored("a", "a")
     fleet.join(1)
     fleet.join(1)
--- a/tests/planner/test_health_check_results.py
+++ b/tests/planner/test_health_check_results.py
@@ -1,4 +1,4 @@
-"""Effects of a health check's result on a backend that is new, ejected, or reported to fail."""
+"""Effects of health check results on backends that are new, ejected, or reported to fail."""
 
 from support.planner_harness import PlannerHarness, RecordedActions
 
--- a/tests/planner/test_outlier_ejection.py
+++ b/tests/planner/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: its conditions, its cap, and the return of ejected backends."""
+"""Conditions of an outlier ejection, the cap on ejections, and the return of ejected backends."""
 
 from support.events import load_report
 from support.planner_harness import PlannerHarness, RecordedActions
@@ -6,7 +6,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 
-def test_two_reports_of_failures_only_eject_a_backend_and_one_does_not(
+def test_two_load_reports_with_only_failures_eject_a_backend_and_one_does_not(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.list_restored("a", "b", "c")
@@ -45,7 +45,7 @@
 def test_two_overloaded_reports_in_a_row_eject_a_backend_while_the_fleet_is_not_overloaded(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
-    """A report is overloaded above 80 percent utilization."""
+    """A load report counts as overloaded if it shows a utilization above 80 percent."""
     fleet.request_class("pay", "free", latency_objective=10 * SECOND, priority_weight=1)
     fleet.list_restored("a", "b", "c")
     fleet.join(1)
--- a/tests/planner/test_overload_admission.py
+++ b/tests/planner/test_overload_admission.py
@@ -21,8 +21,10 @@
     fleet.load_report("n", "b", attempts=50, failures=25, mean=900 * MILLISECOND)
     fleet.load_report("n", "c", attempts=50, failures=25, mean=900 * MILLISECOND)
     fleet.advance_to(2 * SECOND)
-    # Half of 150 attempts failed: of a demand of 100 the admitted share is 0.7125. Each class gets at least
-    # 0.1; of the other 61.25 requests `high` gets 45 and `low` 16.25. Shares change in steps of 0.03.
+    # Half of the 150 attempts succeeded, which is 0.75 of the demand of 100 requests. The admitted share is
+    # 0.95 times that, 0.7125, so that 71.25 requests are admitted. Each class gets at least 0.1 of its
+    # requests. Of the other 61.25 requests `high` gets 45 and `low` gets 16.25. A share below 1 is
+    # rounded to a multiple of 0.03.
     assert actions.made("set_admission", 0, "low", 0.42, 0)
     assert actions.made("set_admission", 0, "high", 1, 0)
 
@@ -30,7 +32,10 @@
 def test_while_only_one_backend_fails_each_class_has_one_retry(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
-    """Only attempts that never ran are retried, once, also for the class with idempotent requests."""
+    """A request is retried at most once, and only if its attempt never ran.
+
+    This also holds for the class with idempotent requests.
+    """
     fleet.request_class("low", "free", latency_objective=SECOND, priority_weight=1)
     fleet.request_class("high", "single_shot", latency_objective=SECOND, priority_weight=5)
     fleet.list_restored("a", "b", "c")
@@ -47,7 +52,7 @@
     assert not actions.made("set_admission", 0, "high", 1, 2)
 
 
-def test_if_admission_is_a_rate_everything_is_admitted_by_a_rate_that_no_proxy_reaches(
+def test_if_admission_is_a_rate_the_rate_without_overload_is_higher_than_any_proxy_reaches(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(admission="per_second")
@@ -57,7 +62,7 @@
     assert actions.made("set_admission", 0, "pay", 1e6, 1)
 
 
-def test_a_first_report_of_few_attempts_is_no_overload(
+def test_a_first_load_report_with_few_attempts_does_not_start_an_overload(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.configure(admission="fraction")
--- a/tests/planner/test_restored_state.py
+++ b/tests/planner/test_restored_state.py
@@ -1,4 +1,4 @@
-"""State restored from a former process, and when it is discarded."""
+"""Effects of the state that is restored from a former process, and when it is discarded."""
 
 from support.events import RestoredLink, RestoredOverload, RestoredUnverified, load_report
 from support.planner_harness import Below, PlannerHarness, RecordedActions
@@ -55,7 +55,7 @@
     assert not actions.made("set_entry", 0, "b", 0.25)
 
 
-def test_at_most_a_third_stays_ejected_after_a_restore_and_the_others_are_a_last_resort(
+def test_after_a_restore_at_most_a_third_stays_ejected_and_the_others_are_last_resorts(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.list_restored("a", "b", "c", "d", "e", "f")
@@ -100,7 +100,7 @@
     assert actions.made("set_entry", 0, "b", 0.25)
 
 
-def test_reports_replace_restored_costs_that_they_contradict(
+def test_restored_costs_are_replaced_if_reports_contradict_them(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.list_restored("a", "b")
@@ -151,7 +151,7 @@
     assert actions.made("set_admission", 0, "look", 1, 1)
 
 
-def test_a_restored_overload_that_is_not_confirmed_ends_after_three_seconds(
+def test_a_restored_overload_ends_after_three_seconds_if_no_report_confirms_it(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.request_class("pay", "free", latency_objective=400 * MILLISECOND, priority_weight=5)
@@ -166,7 +166,7 @@
     assert actions.made("set_admission", 0, "pay", 1, 1)
 
 
-def test_a_restored_overload_that_reports_confirm_continues(
+def test_a_restored_overload_continues_if_reports_confirm_it(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.request_class("pay", "free", latency_objective=400 * MILLISECOND, priority_weight=5)
--- a/tests/planner/test_slow_start.py
+++ b/tests/planner/test_slow_start.py
@@ -25,7 +25,8 @@
         load_report("n", "a", attempts=50, mean=100 * MILLISECOND),
         load_report("n", "b", attempts=50, mean=100 * MILLISECOND),
     )
-    # Of the recent 100 + 11.1 attempts 8.88 failed, so it gets 0.92 of a quarter; later no attempt fails.
+    # Of the recent 100 + 11.1 attempts 8.88 failed, so the success ratio is 0.92. The weight is 0.92 times a
+    # quarter. Later no attempt fails.
     assert actions.made("set_entry", 0, "c", 0.23)
     assert actions.made("set_entry", 0, "c", 0.5)
 
@@ -68,7 +69,7 @@
 def test_in_an_overload_a_warming_up_backend_gets_what_its_warm_up_share_allows(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
-    """The overload multiple allows it more than its slow-start share times the success ratio."""
+    """The overload multiple allows the backend more than its slow-start share times the success ratio."""
     fleet.configure(warm_up_time=20 * SECOND, warm_up_start_share=0.2, overload_multiple=4)
     fleet.request_class("pay", "free", latency_objective=SECOND, priority_weight=1)
     fleet.list_restored("a", "b")
@@ -85,7 +86,7 @@
     assert actions.made("set_entry", 0, "c", 0.387)
 
 
-def test_a_new_backend_starts_at_a_quarter_of_its_weight_at_the_average_cost_and_doubles_each_step(
+def test_a_new_backend_starts_at_a_quarter_of_its_configured_weight_which_doubles_each_step(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.list_restored(endpoint("a", weight=4), endpoint("b", weight=4))
@@ -101,7 +102,7 @@
     assert actions.made("set_entry", 0, "c", 4)
 
 
-def test_a_backend_that_restarts_under_its_name_returns_to_a_quarter_at_once(
+def test_a_backend_that_restarts_under_the_same_name_starts_again_at_a_quarter_at_once(
     fleet: PlannerHarness, actions: RecordedActions
 ) -> None:
     fleet.list_restored("a", "b")
@@ -118,7 +119,8 @@
     fleet.advance_to(20 * SECOND)
     fleet.list_restored(endpoint("a", started_at=SECOND), endpoint("b", started_at=8 * SECOND))
     fleet.join(1)
-    # A quarter of its weight, times the assumed success ratio of 0.3 until there is a load report.
+    # A quarter of the configured weight, times the success ratio of 0.3 that is assumed until a load report
+    # arrives.
     assert actions.made("set_entry", 0, "a", 1)
     assert actions.made("set_entry", 0, "b", 0.075)
 
