--- a/granitespool/cli/__init__.py
+++ b/granitespool/cli/__init__.py
@@ -18,8 +18,8 @@
   serve    Run a coordinator until SIGTERM (the default); SIGHUP reloads both files.
            The log is written to standard output.
   check    Validate the configuration, the operator's settings or both, and print a summary line of each.
-  state    Inspect a state folder: show its contents and what would be restored now, verify that no file is
-           corrupt, or compact it to one snapshot.
+  state    Show the contents of a state folder and the values that a start would restore now; verify that no
+           file is corrupt; or replace all files by one snapshot.
   keys     Make a private authority with server and client certificates for tests; or show the subject and
            the expiry of certificates (exit code 1 if one has expired or expires within two weeks).
   emulate  Run an experiment in virtual time: a file, or a name that `emulate list` prints.
@@ -75,7 +75,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run a command and return its exit code; modules that only one command needs are imported on demand."""
+    """Run a command and return its exit code."""
     words = sys.argv[1:] if argv is None else list(argv)
     try:
         arguments = docopt(__doc__, words)
@@ -93,6 +93,7 @@
 
 
 def _select_command(arguments: Arguments) -> Command:
+    # Modules that only one command needs are imported when that command runs.
     run: Command
     if arguments["version"]:
         return _print_version
@@ -123,7 +124,7 @@
 
 
 def _usage_error(argv: Sequence[str]) -> str:
-    """Return one sentence on why a command line does not match the usage."""
+    """Return one sentence that explains why a command line does not match the usage."""
     known = {word for line in _usage().splitlines()[1:] for word in line.split()[1:2] if word.isalpha()}
     known |= {"serve"}
     first = next((word for word in argv if not word.startswith("-")), None)
--- a/granitespool/cli/files.py
+++ b/granitespool/cli/files.py
@@ -1,4 +1,4 @@
-"""Loading of the configuration and the operator's settings that a command line refers to."""
+"""Loads the configuration and the operator's settings that a command line refers to."""
 
 import os
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 
 def file_paths(arguments: Mapping[str, Any]) -> tuple[str | None, str | None]:
-    """Return the paths of the configuration and the operator's settings, None if not given.
+    """Return the paths of the configuration and the operator's settings; None for a file that is not given.
 
     Command line options take precedence over environment variables.
     """
@@ -23,7 +23,7 @@
 
 
 def load_operator_settings(path: str | None) -> "OperatorSettings | None":
-    """Load the operator's settings; without a path return None and import nothing."""
+    """Load the operator's settings from `path`; return None if it is None or empty."""
     if not path:
         return None
     from granitespool import operator_settings  # noqa: PLC0415
@@ -32,7 +32,7 @@
 
 
 def load_configuration(arguments: Mapping[str, Any]) -> Configuration:
-    """Load and validate both files, and return the configuration with the operator's settings."""
+    """Load and validate both files; return the configuration with the operator's settings in "operator"."""
     path, operator_path = file_paths(arguments)
     configuration = config.load(path)
     configuration["operator"] = load_operator_settings(operator_path)
--- a/granitespool/cli/keys.py
+++ b/granitespool/cli/keys.py
@@ -21,7 +21,7 @@
 AUTHORITY_NAME = "granitespool trial authority"
 MAX_DAYS = 3650  # maximum validity of certificates
 EXPIRES_SOON_DAYS = 14  # remaining validity below which a certificate is reported to expire soon
-CLOCK_SKEW = datetime.timedelta(minutes=5)  # validity begins earlier, since clocks of clients differ
+CLOCK_SKEW = datetime.timedelta(minutes=5)  # time by which the validity begins earlier, since clocks differ
 SECONDS_PER_DAY = 86_400
 
 
@@ -29,7 +29,7 @@
     """Subject of a certificate and its permitted use."""
 
     name: str
-    usage: x509.ObjectIdentifier | None = None  # None: authority
+    usage: x509.ObjectIdentifier | None = None  # None for an authority
     alternative_names: Sequence[str] = ()
 
 
@@ -41,7 +41,7 @@
 
 
 class Issuer(NamedTuple):
-    """Certificate and private key of an authority."""
+    """Authority that issues certificates, with its certificate and private key."""
 
     certificate: x509.Certificate
     key: ec.EllipticCurvePrivateKey
@@ -111,7 +111,7 @@
 def _extensions(
     subject: Subject, key: ec.EllipticCurvePrivateKey, issuer_key: ec.EllipticCurvePrivateKey
 ) -> Iterable[tuple[x509.ExtensionType, bool]]:
-    """Yield (extension, whether it is critical) for a certificate."""
+    """Yield the extensions of a certificate, each with whether it is critical."""
     is_authority = subject.usage is None
     yield x509.BasicConstraints(ca=is_authority, path_length=None), True
     yield x509.SubjectKeyIdentifier.from_public_key(key.public_key()), False
@@ -146,7 +146,7 @@
 
 
 def key_bytes(key: ec.EllipticCurvePrivateKey) -> bytes:
-    """Return a private key in PEM."""
+    """Return a private key in PEM format."""
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
--- a/granitespool/cli/scale.py
+++ b/granitespool/cli/scale.py
@@ -30,7 +30,7 @@
 
 def _run_scenario(arguments: Mapping[str, Any]) -> int:
     if arguments["--plot"]:
-        require_matplotlib()  # fail before a run of minutes
+        require_matplotlib()  # fail before the run, which takes minutes
     overrides = list(arguments["--set"])
     if arguments["--seed"] is not None:
         overrides.append(f"scale.seed={arguments['--seed']}")
--- a/granitespool/cli/serve.py
+++ b/granitespool/cli/serve.py
@@ -32,12 +32,12 @@
 
 
 def _create_service(arguments: Mapping[str, Any], early_reloads: list[bool]) -> "Service":
-    """Create the service; meanwhile SIGHUP is recorded and a termination signal ends the process."""
+    """Create the service; until it exists, SIGHUP is recorded and a termination signal ends the process."""
     signal.signal(signal.SIGHUP, lambda *_: early_reloads.append(True))
     for number in TERMINATION_SIGNALS:
-        signal.signal(number, lambda *_: sys.exit(0))  # nothing has to be finished yet
-    # The files are read after the SIGHUP handler is installed: a change that is followed by SIGHUP is read
-    # now or by the reload. Modules that take long to import are imported afterwards for the same reason.
+        signal.signal(number, lambda *_: sys.exit(0))  # no work has started that would have to be finished
+    # The files are read after the SIGHUP handler is installed, so that a change followed by SIGHUP is read
+    # either now or by the reload. Slow modules are imported after that too, so that SIGHUP is recorded early.
     from granitespool.cli.files import load_configuration  # noqa: PLC0415
     from granitespool.net.service import Service  # noqa: PLC0415
 
--- a/granitespool/cli/state.py
+++ b/granitespool/cli/state.py
@@ -1,4 +1,4 @@
-"""The command `state`: inspects a state folder, which may be in use except for `compact`."""
+"""The command `state`: inspects a state folder; only `compact` needs a folder that is not in use."""
 
 import time
 from collections.abc import Mapping, Sequence
@@ -22,7 +22,7 @@
 from granitespool.state.store import Store, StoredState, classify_names, read_file, read_newest
 from granitespool.units import MILLISECOND, SECOND
 
-MAX_FILE_SIZE = 4 << 30  # bytes; the largest most_mb
+MAX_FILE_SIZE = 4 << 30  # bytes; equals the largest allowed value of most_mb
 EXIT_OK = 0
 EXIT_FAILURE = 1
 
@@ -47,7 +47,7 @@
 
 
 def verify(folder: StateFolder) -> int:
-    """Print the result for each file, and return EXIT_FAILURE if any of them is corrupt."""
+    """Print whether each file is valid, and return EXIT_FAILURE if any file is corrupt."""
     files = classify_names(folder.names())
     problems = []
     valid = []
@@ -77,7 +77,7 @@
 
 
 def _read_newest(folder: StateFolder) -> tuple[StoredState, Record] | None:
-    """Return the newest complete state and its record; print a line and return None if there is none."""
+    """Return the newest complete state and its record; print a message and return None if there is none."""
     state, problems = read_newest(folder, MAX_FILE_SIZE)
     for problem in problems:
         print(problem)
@@ -92,7 +92,7 @@
 
 
 def show(folder: StateFolder) -> int:
-    """Print the contents, their age and what a start with default settings would restore now."""
+    """Print the contents, their age and the values that a start with default settings would restore now."""
     newest = _read_newest(folder)
     if newest is None:
         return EXIT_FAILURE
--- a/granitespool/endpoints.py
+++ b/granitespool/endpoints.py
@@ -15,7 +15,7 @@
 from granitespool.fields import NUMBER_TYPES, VALUE_MAX, is_number, required_field, required_number
 from granitespool.units import MICROSECOND, MILLISECOND
 
-Label = str | int | float | None  # zone, machine type or cell as given in the endpoint list
+Label = str | int | float | None  # zone, machine type or cell of a backend, as in the endpoint list
 
 
 class Phase(StrEnum):
@@ -35,7 +35,7 @@
     cell: Label
     phase: Phase
     weight: float  # configured weight
-    started_at: int  # Unix time in ns; 0 if the endpoint list has none
+    started_at: int  # Unix time in ns; 0 if the entry contains no time
 
 
 class WireEntryNames(msgspec.Struct, frozen=True):
@@ -69,7 +69,8 @@
     phases={"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE},
 )
 
-# Load metrics in both wire formats: wire name -> (internal name, factor to the internal unit; times in ns).
+# Load metrics of both wire formats: wire name -> (internal name, factor to the internal unit).
+# Internal times are in ns.
 LOAD_METRICS = {
     "util": ("utilization", 1),
     "latency_ms": ("latency", MILLISECOND),
@@ -83,8 +84,8 @@
 def endpoint_from_wire(row: object, names: WireEntryNames) -> Endpoint:
     """Parse an entry of the endpoint list; an unknown phase counts as gone.
 
-    Raises InvalidInputError if a field that decisions depend on is missing or of another type; the caller
-    skips that entry.
+    Raises InvalidInputError if a required field is missing or a field has the wrong type. The caller then
+    skips the entry.
     """
     if not isinstance(row, dict):
         raise InvalidInputError("an endpoint list entry is not an object")
@@ -112,9 +113,10 @@
 def load_metrics(
     reported: Mapping[str, Any] | Iterable[tuple[str, Any]] | None,
 ) -> dict[str, int | float]:
-    """Return the load metrics that a backend reported of itself, as an object or pairs; times are in ns.
+    """Return the load metrics that a backend reported about itself.
 
-    Unknown metrics, values that are not numbers and values beyond `VALUE_MAX` are dropped.
+    `reported` is an object or a sequence of (name, value) pairs. The returned times are in ns. Unknown
+    metrics, values that are not numbers and values beyond `VALUE_MAX` are dropped.
     """
     pairs = reported.items() if isinstance(reported, Mapping) else reported or ()
     return {
--- a/granitespool/errors.py
+++ b/granitespool/errors.py
@@ -2,8 +2,8 @@
 
 
 class GranitespoolError(Exception):
-    """Base class of all errors of this program; the text is one sentence for an operator."""
+    """Base class of all errors of this program; its message is one sentence for the operator."""
 
 
 class InvalidInputError(GranitespoolError):
-    """Invalid input from an operator or a peer; the text says what is invalid."""
+    """Input from an operator or a peer is invalid; the message says what is invalid."""
--- a/granitespool/fields.py
+++ b/granitespool/fields.py
@@ -1,4 +1,4 @@
-"""Validation of single fields of external input; each check raises `InvalidInputError`."""
+"""Validation of single fields of external input; invalid fields raise `InvalidInputError`."""
 
 from collections.abc import Mapping
 from math import isfinite
@@ -7,11 +7,11 @@
 from granitespool.errors import InvalidInputError
 
 NUMBER_TYPES = (int, float)
-# No time or weight is larger: Unix time in microseconds is a thousandth of it.
+# Upper limit of times and weights. The Unix time in microseconds is about a thousandth of it.
 VALUE_MAX = 1e18
-# Attempts or requests in one report: a thousand each from a thousand proxies in one second.
+# Maximum number of attempts or requests in one report: a thousand proxies send a thousand each in a second.
 REPORTED_COUNT_MAX = 1e6
-# Duration in a report, in ms: one hour, longer than any client waits.
+# Maximum duration in a report, in ms. It is one hour, which is longer than any client waits.
 REPORTED_TIME_MAX_MS = 3.6e6
 
 
--- a/granitespool/ini.py
+++ b/granitespool/ini.py
@@ -18,13 +18,13 @@
 from granitespool.errors import InvalidInputError
 
 Schemas: TypeAlias = Mapping[str, type[msgspec.Struct]]
-"""Struct of each section by name; "user.*" matches any [user.NAME]."""
+"""Schemas by section name; the name "user.*" stands for all sections [user.NAME]."""
 
 PathKeys: TypeAlias = Collection[tuple[str, str]]
-"""(section, key) of the values that are paths."""
+"""Pairs (section, key) of the values that are paths."""
 
-MAX_FILE_BYTES = 1 << 20  # an example with every key and its comments takes a hundredth of it
-MAX_SHOWN_CHARS = 60  # length at which invalid names and values are cut off in error messages
+MAX_FILE_BYTES = 1 << 20  # a file with every key and its comments takes a hundredth of it
+MAX_SHOWN_CHARS = 60  # maximum length of an invalid name or value in an error message
 
 
 def load(path: str, schemas: Schemas, path_keys: PathKeys = ()) -> dict[str, msgspec.Struct]:
@@ -47,7 +47,7 @@
 
 
 def parse(path: str, text: str, schemas: Schemas, path_keys: PathKeys = ()) -> dict[str, msgspec.Struct]:
-    """Return the sections of `text`, which was read from `path`; see `load`."""
+    """Return the sections of `text` as `load` does; `path` is the file that contains the text."""
     parser = _parse_text(path, text)
     sections = {}
     for name in parser.sections():
@@ -88,14 +88,14 @@
 
 
 class _Section(NamedTuple):
-    """A section of a file and what errors and relative paths in it refer to."""
+    """A section of a file; `path` is used in errors and to resolve relative paths."""
 
     path: str
     name: str
     path_keys: PathKeys
 
     def parse(self, schema: type[msgspec.Struct], texts: Mapping[str, str]) -> msgspec.Struct:
-        """Return the Struct with the values of the section's keys."""
+        """Return an instance of `schema` with the values of the section's keys."""
         fields = {field.name: field for field in msgspec.structs.fields(schema)}
         values = {}
         for key, text in texts.items():
@@ -146,12 +146,12 @@
 
 
 def _digits(number: float | None) -> str:
-    """Return a limit in digits, without an exponent."""
+    """Return a number in decimal digits without an exponent."""
     return f"{number:,}".replace(",", "")
 
 
 def _suggestion(name: str, known: Iterable[str]) -> str:
-    """Return the end of an error message that names the closest known name, or all of them."""
+    """Return the end of an error message: the known name closest to `name`, or all known names."""
     names = list(known)
     closest = difflib.get_close_matches(name, names, 1)
     return f"; did you mean {closest[0]}?" if closest else f"; known names are {', '.join(names)}"
--- a/granitespool/operator_settings.py
+++ b/granitespool/operator_settings.py
@@ -1,7 +1,7 @@
-"""Settings of the operator: an INI file with a section per optional subsystem, which is off without it.
+"""Settings of the operator, read from an INI file with one section per optional subsystem.
 
-Names of sections and keys are those of the file, and keys end in their unit. The subsystems interpret the
-values.
+A subsystem without a section is off. Attributes have the names of the keys in the file, which end in their
+unit. The subsystems interpret the values.
 """
 
 from typing import Annotated
@@ -14,7 +14,7 @@
 
 
 class StateSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[state]: snapshots in a folder, restored at the next start (docs/state.md)."""
+    """Section [state]: snapshots in a folder, which are restored at the next start (docs/state.md)."""
 
     folder: Annotated[str, Meta(min_length=1)]
     every_ms: Annotated[int, Meta(ge=100, le=600_000)] = 1_000
@@ -23,14 +23,14 @@
     oldest_s: Annotated[float, Meta(ge=1, le=604_800)] = 300.0
 
     def __post_init__(self) -> None:
-        """Raise ValueError if every snapshot would be too old to be restored."""
+        """Raise ValueError if the interval of snapshots exceeds the maximum age of restored values."""
         if self.every_ms > self.oldest_s * 1_000:
             reason = "every_ms is longer than oldest_s, so no snapshot would ever be restored"
             raise ValueError(reason)
 
 
 class TlsSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[tls]: PEM files of the management listeners' certificate and trusted authorities (docs/tls.md)."""
+    """Section [tls]: PEM files of the management listeners' certificate and authorities (docs/tls.md)."""
 
     certificate: Annotated[str, Meta(min_length=1)]
     key: Annotated[str, Meta(min_length=1)]
@@ -38,7 +38,7 @@
 
 
 class NetconfSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[netconf]: management listener for NETCONF over TLS (docs/netconf.md)."""
+    """Section [netconf]: management listener for NETCONF over TLS (docs/netconf.md)."""
 
     listen: Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
     sessions: Annotated[int, Meta(ge=1, le=256)] = 8
@@ -46,7 +46,7 @@
 
 
 class GnmiSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[gnmi]: management listener for gNMI over gRPC (docs/gnmi.md)."""
+    """Section [gnmi]: management listener for gNMI over gRPC (docs/gnmi.md)."""
 
     listen: Annotated[str, Meta(pattern=r"^[^:\s]+:[0-9]{1,5}$")]
     sessions: Annotated[int, Meta(ge=1, le=256)] = 8
@@ -55,7 +55,7 @@
 
 
 class UserSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[user.NAME]: a manager, identified by its client certificate, and its permissions (docs/tls.md)."""
+    """Section [user.NAME]: client certificate and permissions of a manager (docs/tls.md)."""
 
     certificate: Annotated[str, Meta(min_length=1)]
     read: bool = True
@@ -63,14 +63,14 @@
 
 
 class FiguresSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """[figures]: periodic log lines with metrics that are summed over coordinators (docs/fleet.md)."""
+    """Section [figures]: periodic log lines with metrics, to be summed over coordinators (docs/fleet.md)."""
 
     every_ms: Annotated[int, Meta(ge=100, le=600_000)] = 1_000
     backends: Annotated[int, Meta(ge=0, le=4_096)] = 64
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Contents of the file; None for an absent section."""
+    """Sections of the file; an absent section is None."""
 
     state: StateSettings | None = None
     tls: TlsSettings | None = None
@@ -96,10 +96,10 @@
 CERTIFICATE_KINDS = ("cn", "dns", "email", "uri", "sha256")
 # Parts of the YANG module that a user may be allowed to write.
 WRITABLE = ("*", "class", "zone", "channel", "permissions", "drain", "cold", "operator")
-# (section, key) of the values that only change with a restart.
+# Pairs (section, key) of the values that cannot change before a restart.
 FIXED_KEYS = (("state", "folder"), ("netconf", "listen"), ("gnmi", "listen"))
-USER_PREFIX = "user."  # of the section names of users
-# (section, key) of the values that are paths; relative ones are resolved against the file's folder.
+USER_PREFIX = "user."  # prefix of the names of user sections
+# Pairs (section, key) of the values that are paths. Relative paths are resolved against the file's folder.
 PATH_KEYS = frozenset([("state", "folder"), ("tls", "certificate"), ("tls", "key"), ("tls", "authorities")])
 
 
@@ -146,7 +146,7 @@
 
 
 def restart_names(before: OperatorSettings | None, now: OperatorSettings | None) -> list[str]:
-    """Return the values that differ and only change with a restart, as "section.key"."""
+    """Return the names of the changed settings that need a restart; values are named "section.key"."""
     names = [
         f"{section}.{key}"
         for section, key in FIXED_KEYS
--- a/granitespool/settings.py
+++ b/granitespool/settings.py
@@ -20,7 +20,7 @@
 
 
 class Admission(StrEnum):
-    """How proxies enforce the admitted share of a request class."""
+    """Method by which proxies enforce the admitted share of a request class."""
 
     FRACTION = "fraction"
     PER_SECOND = "per_second"
@@ -31,24 +31,24 @@
     """Limits and properties of a request class."""
 
     name: str | None = None
-    effect: str | None = None  # free, guarded or single_shot: whether repeated attempts are safe
-    idempotency_scope: str | None = None  # all, zone or cell: where a repeated key is recognized
+    effect: str | None = None  # whether repeated attempts are safe: free, guarded or single_shot
+    idempotency_scope: str | None = None  # where a repeated key is recognized: all, zone or cell
     idempotency_window: int | None = None  # ns
     latency_objective: int | None = None  # ns
     timeout: int | None = None  # ns
     priority_weight: float | None = None
-    late_share: float | None = None  # share of the priority weight that a late answer is worth
+    late_share: float | None = None  # value of a late answer as a share of the priority weight
     writes: bool | None = None
     zone_local: bool | None = None
 
     @property
     def effective_latency_objective(self) -> int:
-        """Latency objective in ns, one second if unset."""
+        """Latency objective in ns; one second if it is unset."""
         return DEFAULT_LATENCY_OBJECTIVE if self.latency_objective is None else self.latency_objective
 
     @property
     def effective_priority_weight(self) -> float:
-        """Priority weight, equal for all classes where it is unset."""
+        """Priority weight; it is equal for all classes that leave it unset."""
         return DEFAULT_PRIORITY_WEIGHT if self.priority_weight is None else self.priority_weight
 
 
@@ -62,13 +62,13 @@
     coordinators: int | None = None
     health_checks_allowed: bool | None = None
     gossip_allowed: bool = False
-    subscribe: bool = False  # endpoint list changes are pushed without a request
+    subscribe: bool = False  # whether discovery pushes changes of the endpoint list
     connect_timeout: int | None = None  # ns
-    admission: str | None = None  # an `Admission`
-    entries_per_s: float | None = None  # rate limit of the channel to all proxies
-    message_header: float | None = None  # entries that a message costs beside those it contains
+    admission: str | None = None  # a value of `Admission`
+    entries_per_s: float | None = None  # maximum rate of the channel to all proxies
+    message_header: float | None = None  # fixed cost of a message, in entries
     backlog_limit: float | None = None  # maximum of entries queued in the channel
-    messages_limit: int | None = None  # messages to one proxy within `messages_span`
+    messages_limit: int | None = None  # maximum number of messages to one proxy in `messages_span`
     messages_span: int | None = None  # ns
     message_delay: int | None = None  # ns
     message_delay_max: int | None = None  # ns
@@ -81,26 +81,26 @@
     empty_table_limit: int | None = None  # ns
     proxies_expected: int | None = None
     slices: int | None = None
-    single_owner: bool = False  # a slice is owned by a single coordinator
+    single_owner: bool = False  # whether a slice is owned by a single coordinator
     lease_duration: int | None = None  # ns
     write_lifetime: int | None = None  # ns
     buffer_time: int | None = None  # ns
     drain_grace: int | None = None  # ns during which a draining backend may still receive requests
     poll_interval_max: int | None = None  # ns
-    warm_up_time: int | None = None  # ns until a new backend has its full capacity
-    warm_up_start_share: float | None = None  # share of its capacity that a new backend has at once
-    overload_multiple: float = 0  # multiple of its capacity at which a warming backend fails
+    warm_up_time: int | None = None  # ns after which a new backend has its full capacity
+    warm_up_start_share: float | None = None  # share of its capacity that a new backend starts with
+    overload_multiple: float = 0  # multiple of its capacity at which a backend that warms up fails
     overload_time: int | None = None  # ns
-    removal_needs_drain: bool = False  # a missing entry removes a backend only after it has drained
+    removal_needs_drain: bool = False  # whether an unlisted backend drains before it is removed
 
     @property
     def effective_message_header(self) -> float:
-        """Cost of a message in entries, 0 if unset."""
+        """Fixed cost of a message in entries; 0 if it is unset."""
         return self.message_header or 0
 
     @property
     def effective_warm_up_start_share(self) -> float:
-        """Share of its capacity that a new backend has at once, 0 if unset."""
+        """Share of its capacity that a new backend starts with; 0 if it is unset."""
         return self.warm_up_start_share or 0
 
     @property
@@ -113,7 +113,7 @@
     """Path and kind of a setting in the wire format."""
 
     path: str
-    is_time: bool = False  # a duration, in microseconds on the wire
+    is_time: bool = False  # whether it is a duration, which has microseconds on the wire
     is_number: bool = False
 
 
@@ -201,7 +201,7 @@
 
 
 def _parse_values(source: Mapping[str, Any], fields: Mapping[str, WireSetting]) -> dict[str, Any]:
-    """Return {field name: value} of the settings that are present; numbers are validated."""
+    """Return the values of the settings that are present, by field name; numbers are validated."""
     values = {}
     for name, field in fields.items():
         value = _value_at(source, field.path)
--- a/granitespool/simulator_adapter.py
+++ b/granitespool/simulator_adapter.py
@@ -1,7 +1,8 @@
-"""Adapter to the simulator: reads a JSON batch per line from standard input and writes a reply per line.
+"""Adapter to the simulator: reads JSON batches from standard input and answers each with a line of JSON.
 
-The names, units and encodings of the simulator's protocol are used only in this module. Each instance has its
-own planner and actions and shares nothing with the others. The adapter itself takes no decisions.
+Only this module uses the names, units and encodings of the simulator's protocol. Each simulated coordinator
+is an instance with its own planner and actions, and instances share nothing. All decisions are made by the
+planners.
 """
 
 import json
@@ -53,7 +54,7 @@
 
 
 class SimulatorActions:
-    """Actions of a planner, which append an object to the current reply for each call."""
+    """Actions of a planner; each action appends a JSON object to the current reply."""
 
     def __init__(self, instance: int, reply: list[dict[str, Any]]) -> None:
         self.reply = reply
@@ -63,25 +64,28 @@
         self.reply.append({"type": name, "coordinator": self._instance, **fields})
 
     def set_entry(self, table: int, backend: str, weight: float) -> None:
-        """Append the entry of a table to the reply."""
+        """Append an object to the reply that sets the weight of a backend in a table."""
         self._write("weigh", tbl=table, backend=backend, weight=weight)
 
     def reset_table(self, table: int) -> None:
-        """Append the reset of a table to the reply."""
+        """Append an object to the reply that empties a table."""
         self._write("reset_table", tbl=table)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Append the assignment of a proxy to the reply."""
+        """Append an object to the reply that assigns a proxy to a table."""
         self._write("bind", agent=proxy, tbl=table, for_classes=classes)
 
     def exclude(self, backend: str, excluded: bool) -> None:
-        """Append the exclusion or readmission of a backend to the reply."""
+        """Append an object to the reply that excludes or readmits a backend."""
         self._write("pull", backend=backend, flag=excluded)
 
     def exclusion_cost(
         self, backend: str, excluded: bool, unassigned: Mapping[int, UnassignedProxy], backend_count: int
     ) -> dict[int, float]:
-        """Return each proxy's probability of having the backend: the channel skips proxies without it."""
+        """Return, for each proxy, the probability that its table contains the backend.
+
+        The channel skips proxies that do not have the backend.
+        """
         return {
             proxy: min(record.foreign_entries_max, backend_count) / backend_count
             for proxy, record in unassigned.items()
@@ -90,47 +94,47 @@
     def readmission_cost(
         self, proxies: Iterable[int], table: int, backend: str | None = None
     ) -> dict[int, int]:
-        """Return no cost: a proxy that is on a table only follows the exclusions of that table."""
+        """Return an empty mapping, since a proxy on a table only follows the exclusions of its table."""
         return {}
 
     def set_admission(self, table: int, classes: int, share: float, retries: int) -> None:
-        """Append the admission level of request classes to the reply."""
+        """Append an object to the reply that sets the admission level of request classes."""
         self._write("level", tbl=table, for_classes=classes, level=share, how=retries)
 
     def request_acknowledgement(self, sequence: int, all_proxies: bool) -> None:
-        """Append the acknowledgement barrier to the reply."""
+        """Append an acknowledgement barrier to the reply."""
         self._write("fence_post", serial=sequence, flag=all_proxies)
 
     def check_health(self, backend: str) -> None:
-        """Append the health check to the reply."""
+        """Append a request for a health check to the reply."""
         self._write("health_check", backend=backend)
 
     def remove_backend(self, backend: str) -> None:
-        """Do nothing: the adapter keeps no state of backends."""
+        """Do nothing, since the adapter keeps no state of backends."""
 
     def subscribe(self, enabled: bool) -> None:
-        """Append the subscription to endpoint list changes to the reply."""
+        """Append an object to the reply that starts or ends the subscription to the endpoint list."""
         self._write("observe", flag=enabled)
 
     def fetch_endpoints(self) -> None:
-        """Append the request for the endpoint list to the reply."""
+        """Append a request for the endpoint list to the reply."""
         self._write("lookup")
 
     def set_timer(self, delay: int, cookie: str) -> None:
-        """Append the timer to the reply, with its delay rounded up to microseconds."""
+        """Append a timer to the reply; `delay` (ns) is rounded up to microseconds."""
         self._write("wake_at", offset_us=-(-delay // MICROSECOND), cookie=cookie)
 
     def send_gossip(self, peer: int, payload: str) -> None:
-        """Append the gossip datagram to the reply."""
+        """Append a gossip datagram to the reply."""
         self._write("post", neighbour_id=peer, contents=payload)
 
     def log(self, text: str) -> None:
-        """Append the log entry to the reply."""
+        """Append a log entry to the reply."""
         self._write("remark", reason_text=text)
 
 
 def _time(message: Message, key: str) -> int:
-    """Return a mandatory duration in ns."""
+    """Return the mandatory duration `key` in ns; it is in microseconds in the message."""
     return int(required_field(message, key, NUMBER_TYPES) * MICROSECOND)
 
 
@@ -241,7 +245,7 @@
 
 
 class Instance:
-    """A coordinator of the simulation: a planner and its actions."""
+    """A simulated coordinator with its planner and actions."""
 
     def __init__(self, number: int, message: Message, reply: list[dict[str, Any]]) -> None:
         seed = required_field(message, "entropy", int)
@@ -284,7 +288,7 @@
     def _handle(
         self, now: int, kind: str, number: int, message: Message, reply: list[dict[str, Any]]
     ) -> None:
-        """Handle a message; report an exception of the planner as `fatal`, which ends the simulation."""
+        """Handle a message; if the planner fails, append `fatal` to the reply, which ends the simulation."""
         try:
             self._dispatch(now, kind, number, message, reply)
         except InvalidInputError:
@@ -311,7 +315,7 @@
 
 
 def main() -> int:
-    """Answer standard input until it ends; return 1 as soon as a line is invalid, otherwise 0."""
+    """Answer the lines of standard input; return 0 at its end, or 1 after the first invalid line."""
     adapter = Adapter()
     for line in sys.stdin:
         try:
--- a/granitespool/state/change_filter.py
+++ b/granitespool/state/change_filter.py
@@ -1,22 +1,23 @@
 """Selection of the changes that have to be written to the state folder; no I/O.
 
-Every load report changes its link. If each change were written, a thousand backends would cost most of a
-megabyte per second. A change is written if it would change what a start restores: a fact that is not a sum, a
-mean that moved by a tenth, an amount that moved by half, or a value so old that its age alone would lower its
-confidence.
+Every load report changes the record of a link. If each change were written, a thousand backends would cost
+most of a megabyte per second. Only changes that affect what the next start restores are written:
+
+- a value that is neither a sum nor a mean, such as a phase, has changed;
+- a mean has changed by more than a tenth, or a sum by more than half;
+- the stored value is so old that its age alone would lower its confidence.
 """
 
 from collections.abc import Container
 
 from granitespool.state.record import BackendRecord, FleetRecord, LinkRecord, Value, Values
 
-MEAN_STEP = 0.1  # relative change of a mean that is written; equals the resend threshold of weights
-AMOUNT_STEP = 0.5  # relative change of an amount that is written; amounts only weigh the means
-SHARE_STEP = 0.02  # absolute change of a share that is written: failures per attempt, the admitted share
-REFRESH_SHARE = (
-    0.5  # of the half-life; at that age a value, having lost a third of its confidence, is rewritten
-)
-OVERLOADED_REPORTS_MAX = 2  # consecutive reports that eject a backend; further ones make no difference
+MEAN_STEP = 0.1  # relative change of a mean that is written; weights are sent again at the same threshold
+AMOUNT_STEP = 0.5  # relative change of a sum or demand that is written; sums only weight the means
+SHARE_STEP = 0.02  # absolute change of a share that is written: failures per attempt or admitted share
+# Age at which a value is written again, as a share of the half-life. A third of its confidence is lost then.
+REFRESH_SHARE = 0.5
+OVERLOADED_REPORTS_MAX = 2  # consecutive reports that eject a backend; more have no further effect
 BACKEND_FACTS = (
     "phase",
     "zone",
@@ -32,20 +33,23 @@
 
 
 class ChangeFilter:
-    """Compares values with those last selected for writing, by backend (None: the fleet) and key."""
+    """Compares values with those last written; `written` contains the latter by backend and key.
+
+    The key None stands for the fleet.
+    """
 
     def __init__(self, half_life: int) -> None:
         self.written: Values = {}
         self.set_half_life(half_life)
 
     def set_half_life(self, half_life: int) -> None:
-        """Set the half-life in ns, also for values that were selected before."""
+        """Set the half-life in ns; it also applies to values that are already written."""
         self.refresh_after = int(half_life * REFRESH_SHARE)
 
     def select(self, values: Values) -> dict[bytes, Value | None]:
-        """Return the changes to write, None for a removed key, and record them as written.
+        """Return the changes to write by key and record them as written; a removed key has the value None.
 
-        For each backend in it, `values` contains all keys.
+        `values` may lack backends, but contains all keys of the backends that it has.
         """
         selected: dict[bytes, Value | None] = {}
         for name, group in values.items():
@@ -63,13 +67,13 @@
         return old is None or new.taken_at - old.taken_at >= self.refresh_after or has_changed(old, new)
 
     def remove_absent(self, names: Container[str]) -> list[bytes]:
-        """Return the written keys of backends that are not in `names`, and record them as removed."""
+        """Return the written keys of the backends that are not in `names`, and remove them from `written`."""
         absent = [name for name in self.written if name is not None and name not in names]
         return [key for name in absent for key in self.written.pop(name)]
 
 
 def has_changed(old: Value, new: Value) -> bool:
-    """Return whether the newer of two values of a key would change what a start restores."""
+    """Return whether a start would restore `new` differently from `old`, the written value of the key."""
     if isinstance(old, FleetRecord) and isinstance(new, FleetRecord):
         return _fleet_changed(old, new)
     if isinstance(old, LinkRecord) and isinstance(new, LinkRecord):
@@ -96,7 +100,7 @@
         return True
     if abs(old.success_ratio - new.success_ratio) > SHARE_STEP:
         return True
-    if new.admitted_share >= 1:  # demand only matters while load is shed
+    if new.admitted_share >= 1:  # the demand is only used while load is shed
         return False
     return any(_moved_by(old.demand[name], amount, AMOUNT_STEP) for name, amount in new.demand.items())
 
@@ -128,7 +132,7 @@
         return True
     if _capped(old.overloaded_reports) != _capped(new.overloaded_reports):
         return True
-    # Only whether attempts fail consecutively matters; their number is soon out of date.
+    # The number of consecutive failures is soon out of date, so only the change from or to 0 is written.
     return bool(old.consecutive_failures) != bool(new.consecutive_failures)
 
 
--- a/granitespool/state/disk.py
+++ b/granitespool/state/disk.py
@@ -1,7 +1,7 @@
 """The state folder on disk; no other module of the package accesses the file system.
 
-`Folder` has only the operations that a store needs, so that tests can replace it by a fake that fails or
-loses data that was not synced. Every operation may raise OSError.
+`Folder` declares only the operations that a store needs. Tests implement them with a fake folder that
+fails or loses data that was not synced. Every operation may raise OSError.
 """
 
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class Folder(Protocol):
-    """Folder of plain files as the store and the writer use it; names have no path."""
+    """Operations of the store and the writer on a folder of plain files; file names contain no path."""
 
     def create(self) -> None:
         """Create the folder unless it exists; its parents must exist."""
@@ -28,7 +28,10 @@
         """Lock the folder until `close`; raise FolderLockedError if another process has locked it."""
 
     def ensure_lock(self) -> None:
-        """Lock the folder again if it was replaced; raise FolderLockedError if another process locked it."""
+        """Lock the folder again if it was replaced by a new folder.
+
+        Raises FolderLockedError if another process has locked the new folder.
+        """
 
     def names(self) -> list[str]:
         """Return the names of the files, sorted."""
@@ -43,7 +46,7 @@
         """Append to a file, which is created if missing; not durable before `sync`."""
 
     def sync(self, name: str) -> None:
-        """Make durable what was appended to a file, also before it was renamed."""
+        """Make all appended data of a file durable, also the data appended under an earlier name."""
 
     def rename(self, name: str, new_name: str) -> None:
         """Rename a file; not durable before `sync_names`."""
@@ -95,7 +98,7 @@
     def ensure_lock(self) -> None:
         """Lock the folder again if it was removed and created anew.
 
-        Raises FolderLockedError if another process has locked the new one.
+        Raises FolderLockedError if another process has locked the new folder.
         """
         if not self._holds_lock_file():
             self.close()
@@ -130,14 +133,14 @@
             fd = os.open(self._path_of(name), flags, FILE_MODE)
             self._descriptors[name] = fd
         elif os.fstat(fd).st_nlink == 0:
-            # The folder was removed: data written to a file without a name is lost with the process.
+            # The file was removed with its folder. Data written to it would be lost when the process ends.
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
         remaining = memoryview(data)
         while remaining:
             remaining = remaining[os.write(fd, remaining) :]
 
     def sync(self, name: str) -> None:
-        """Make durable what was appended to a file, also before it was renamed."""
+        """Make all appended data of a file durable, also the data appended under an earlier name."""
         os.fsync(self._descriptors[name])
 
     def rename(self, name: str, new_name: str) -> None:
--- a/granitespool/state/errors.py
+++ b/granitespool/state/errors.py
@@ -12,7 +12,7 @@
 
 
 class TornWriteError(StateError):
-    """The bytes of a file are not a valid frame from `offset` on; `reason` says why in a few words."""
+    """A file contains no valid frame at `offset`; `reason` is a short explanation."""
 
     def __init__(self, offset: int, reason: str) -> None:
         super().__init__(f"{reason} at byte {offset}")
@@ -28,7 +28,7 @@
 
 
 class UnsupportedFormatError(StateError):
-    """A file has a newer format than this program supports, so the folder must not be written."""
+    """A file has a newer format than this program supports, so the program must not write to the folder."""
 
     def __init__(self, name: str, version: int, supported_version: int) -> None:
         super().__init__(f"{name} has format {version}, this program supports up to {supported_version}")
--- a/granitespool/state/framing.py
+++ b/granitespool/state/framing.py
@@ -1,8 +1,9 @@
 """Framing of state files: encodes frames and decodes them with their checksums; no I/O.
 
-docs/state-format.md specifies the format. A file begins with MAGIC and its generation. A frame is a length, a
-checksum and a body whose first byte is its kind. The checksum also covers the frame's offset and generation,
-so that a block of another file, a moved block or a block of zeros is not a valid frame.
+docs/state-format.md specifies the format. A file begins with MAGIC and its generation. A frame consists of a
+length, a checksum and a body. The first byte of the body is the kind of the frame. The checksum also covers
+the offset of the frame and the generation of the file. A block that comes from another file or another
+place, or that is filled with zeros, is therefore not a valid frame.
 """
 
 import struct
@@ -14,13 +15,13 @@
 
 from granitespool.state.errors import TornWriteError
 
-# No text file begins with these bytes; the line end reveals a file that was transferred as text.
+# No text file begins with these bytes. A transfer as text changes the line end.
 MAGIC = b"granites\x00\x01\r\n"
 MAX_BODY_SIZE = 16 << 20  # bytes; a part of a snapshot takes at most a sixteenth of it
 
 _GENERATION = struct.Struct("<QI")  # after MAGIC: generation, checksum of MAGIC and generation
 _HEAD = struct.Struct("<II")  # length of the body, checksum
-_POSITION = struct.Struct("<QQI")  # covered by the checksum before the body: generation, offset, length
+_POSITION = struct.Struct("<QQI")  # generation, offset, length; the checksum covers them and the body
 
 FIRST_FRAME_OFFSET = len(MAGIC) + _GENERATION.size
 HEAD_SIZE = _HEAD.size
@@ -29,14 +30,14 @@
 class FrameKind(Enum):
     """Kind of a frame's contents, stored as the first byte of its body."""
 
-    HEADER = b"h"  # coordinator that wrote the file, and when
+    HEADER = b"h"  # the coordinator that wrote the file, and the time
     SNAPSHOT = b"s"  # part of the snapshot
     SNAPSHOT_END = b"w"  # the snapshot is complete
-    CHANGES = b"c"  # a batch of changes after the snapshot
+    CHANGES = b"c"  # a batch of changes that were made after the snapshot
 
 
 class Frame(NamedTuple):
-    """A frame with a valid checksum; `body` excludes the byte of the kind."""
+    """A frame with a valid checksum; `body` lacks its first byte, which is in `kind`."""
 
     offset: int
     kind: FrameKind
@@ -81,7 +82,7 @@
 def decode_frames(data: bytes) -> Iterator[Frame]:
     """Yield the frames of a file.
 
-    Raises TornWriteError at the first bytes that are not a valid frame, also if the file ends within a frame.
+    Raises TornWriteError at the first frame that is invalid or incomplete.
     """
     generation = decode_generation(data)
     offset = FIRST_FRAME_OFFSET
--- a/granitespool/state/record.py
+++ b/granitespool/state/record.py
@@ -1,9 +1,9 @@
-"""Stored values by key: their types, their encoding and the upgrade from older versions of the format.
+"""Types of the stored values, their encoding and the upgrade from older versions of the format.
 
-Structs are stored as arrays: the order of their fields is part of the format (docs/state-format.md), their
-names are not. Version 1 stored a backend with all its links in one value, so that a change of one link wrote
-all of them again; version 2 stores a value for each link, with its own time. Values that cannot be decoded
-raise CorruptRecordError.
+Structs are stored as arrays. The order of the fields is therefore part of the format (docs/state-format.md),
+their names are not. Version 1 stored a backend and all its links in one value, so that a change of one link
+wrote all links again. Version 2 stores a value for each link, with its own time. Functions raise
+CorruptRecordError if a value cannot be decoded.
 """
 
 from collections.abc import Iterator, Mapping
@@ -15,40 +15,40 @@
 from granitespool.planner.status import BackendSnapshot, FleetSnapshot, LinkSnapshot
 from granitespool.state.errors import CorruptRecordError
 
-FORMAT_VERSION = 2  # version in which files are written
+FORMAT_VERSION = 2  # version of the files that this program writes
 FLEET_KEY = b"f"
 MANAGED_SETTINGS_KEY = b"m"
 BACKEND_PREFIX = b"b"  # first byte of the key of a backend, followed by its name
 LINK_PREFIX = b"l"  # first byte of the key of a link, followed by (backend, zone) as msgpack
 
-Tree = dict[str, Any]  # tree of the YANG module in its JSON encoding
-Changes = dict[bytes, bytes | None]  # key -> new value, None for a removed key
+Tree = dict[str, Any]  # settings as nodes of the YANG module, in its JSON encoding
+Changes = dict[bytes, bytes | None]  # new value by key; None if the key is removed
 
 
 class Clocks(NamedTuple):
-    """Times of both clocks of a machine at one moment."""
+    """Wall clock and monotonic clock of a machine, read at the same time."""
 
-    wall: int  # ns, Unix time
+    wall: int  # Unix time in ns
     monotonic: int  # ns since the machine was booted
 
 
 class Header(msgspec.Struct, array_like=True, frozen=True):
-    """Body of the first frame; `format_version` is its first field in every version of the format."""
+    """Body of the first frame of a file; every version of the format has `format_version` as first field."""
 
     format_version: int
-    name: str  # of the coordinator
+    name: str  # name of the coordinator
     class_names: list[str | None]  # in their configured order
     zones: list[str]
     wall: int  # Unix time in ns when the file was created
     monotonic: int  # monotonic clock in ns at that time
-    start_number: int  # counts the starts of the coordinator, from 1
+    start_number: int  # number of this start of the coordinator, from 1
     program_version: str
 
 
 class LinkRecordV1(msgspec.Struct, array_like=True, frozen=True):
-    """Record of a link in version 1, which stored it as part of its backend.
+    """Record of a link in version 1, which stored links as part of a backend.
 
-    Times are Unix time in ns; sums and means are those of the planner.
+    Times are Unix time in ns. Sums and means are taken from the planner unchanged.
     """
 
     attempts: float
@@ -65,7 +65,7 @@
 class LinkRecord(LinkRecordV1, array_like=True, frozen=True):
     """Record of a link: what the proxies of a zone observed at a backend."""
 
-    taken_at: int  # ns, when it was read from the planner
+    taken_at: int  # Unix time in ns at which the link was read from the planner
 
 
 class BackendRecord(msgspec.Struct, array_like=True, frozen=True):
@@ -102,7 +102,10 @@
 
 
 class ManagedSettings(msgspec.Struct, array_like=True, frozen=True):
-    """Settings changed by managers: `base` is the tree of the files, `tree` that of the running settings."""
+    """Settings that managers have changed.
+
+    `base` contains the settings read from the files, `tree` the running settings.
+    """
 
     taken_at: int
     version: int
@@ -111,7 +114,7 @@
 
 
 class Batch(msgspec.Struct, array_like=True, frozen=True):
-    """Body of a frame of the snapshot or of later changes."""
+    """Body of a frame that contains a part of the snapshot or later changes."""
 
     wall: int  # ns
     monotonic: int  # ns
@@ -123,22 +126,22 @@
 
     wall: int  # ns
     monotonic: int  # ns
-    count: int  # values in the snapshot
+    count: int  # number of values in the snapshot
 
 
 Value = FleetRecord | BackendRecord | LinkRecord
-Values = dict[str | None, dict[bytes, Value]]  # by backend (None: the fleet) and key
+Values = dict[str | None, dict[bytes, Value]]  # by backend and key; the backend None stands for the fleet
 
 
 class StoredBackend(NamedTuple):
-    """Record of a backend and of its links by zone."""
+    """Record of a backend, and the records of its links by zone."""
 
     facts: BackendRecord
     links: dict[str, LinkRecord]
 
 
 class Record(msgspec.Struct):
-    """Decoded contents of a folder, upgraded to the newest version."""
+    """Decoded contents of a folder, upgraded to the newest version of the format."""
 
     fleet: FleetRecord | None
     backends: dict[str, StoredBackend]  # by name
@@ -170,7 +173,7 @@
 
 
 def decode_format_version(data: bytes) -> int:
-    """Return the format version in the bytes of a header; its other fields may differ by version."""
+    """Return the format version of an encoded header of any version."""
     first = _decode(_ANY_HEADER, data)
     if not first or type(first[0]) is not int:
         reason = "a header has no format version"
@@ -210,7 +213,7 @@
         is_overloaded=fleet.is_overloaded,
         admitted_share=fleet.admitted_share,
         success_ratio=fleet.success_ratio,
-        demand=cast(dict[str, float], fleet.demand),  # usage reports contain their class
+        demand=cast(dict[str, float], fleet.demand),  # usage reports contain a class, so no name is None
         list_index=list_index,
     )
 
@@ -220,7 +223,7 @@
     return BackendRecord(
         taken_at=now,
         phase=backend.phase,
-        zone=cast(str | None, backend.zone),  # the endpoint list may contain numbers, the format none
+        zone=cast(str | None, backend.zone),  # numbers are not part of the format
         machine_type=cast(str | None, backend.machine_type),
         configured_weight=backend.configured_weight,
         started_at=backend.started_at,
@@ -259,7 +262,7 @@
 
 
 def record_values(record: Record) -> Values:
-    """Return the values of a record that the planner updates, by backend (None: the fleet) and key."""
+    """Return the values of a record without the managed settings; the backend None stands for the fleet."""
     values: Values = {}
     for name, backend in record.backends.items():
         values[name] = {backend_key(name): backend.facts}
@@ -315,7 +318,7 @@
 
 
 def _upgrade_backend(backend: BackendRecordV1) -> StoredBackend:
-    """Upgrade a backend from version 1 to 2: its links get the time of the backend."""
+    """Upgrade a backend from version 1 to 2; its links take `taken_at` from the backend."""
     facts = BackendRecord(**dict(_fields(backend, BackendRecord)))
     links = {
         zone: LinkRecord(**dict(_fields(link, LinkRecordV1)), taken_at=backend.taken_at)
--- a/granitespool/state/recovery.py
+++ b/granitespool/state/recovery.py
@@ -1,10 +1,10 @@
-"""Restoring of a coordinator from its record, and collecting of later changes; no I/O, threads or event loop.
+"""Restores a coordinator from its record and collects later changes; without I/O, threads or event loop.
 
 Methods are called in this order:
 
 1. `Recovery(options, identity)`.
-2. `load(stored, record, reason, clocks)`, once: the contents of the folder, as far as they could be read.
-3. `choose_endpoint_list(configured)`: the endpoint list to start from.
+2. `load(stored, record, reason, clocks)`, once, with the contents of the folder or the reason for their lack.
+3. `choose_endpoint_list(configured)`, which returns the endpoint list to start from.
 4. `restore(coordinator, now, clocks)`, after that list was reported to the coordinator.
 5. `collect_changes(coordinator, addresses, list_index, now, names, is_last)`, repeatedly.
 """
@@ -22,7 +22,7 @@
 from granitespool.state.store import StoredState
 from granitespool.units import SECOND
 
-NO_RECORD_REASON = "the folder contains no record"  # first start, which is not logged
+NO_RECORD_REASON = "the folder contains no record"  # not logged, since it is normal at a first start
 
 
 class AgeOptions(Protocol):
@@ -30,7 +30,7 @@
 
     @property
     def half_life_s(self) -> float:
-        """Age in s at which the weight of a sum is halved."""
+        """Age in s at which a restored sum counts half."""
 
     @property
     def oldest_s(self) -> float:
@@ -38,9 +38,9 @@
 
 
 class Recovery:
-    """Restores a record at the start of a coordinator and collects the changes to write afterwards.
+    """Restores a record at the start of a coordinator, and collects the changes to write afterwards.
 
-    `rejection` is the reason why nothing is restored, or None.
+    `rejection` is the reason why nothing is restored; None if the record is restored.
     """
 
     def __init__(self, options: AgeOptions, identity: Identity) -> None:
@@ -53,7 +53,7 @@
         self.set_options(options)
 
     def set_options(self, options: AgeOptions) -> None:
-        """Set the age limits of values that are restored or written from now on."""
+        """Set the age limits; they apply to all values that are restored or written afterwards."""
         half_life = int(options.half_life_s * SECOND)
         self.policy = Policy(half_life, max_age=int(options.oldest_s * SECOND))
         self.change_filter.set_half_life(half_life)
@@ -61,10 +61,10 @@
     def load(
         self, stored: StoredState | None, record: Record | None, reason: str | None, clocks: Clocks
     ) -> dict[bytes, bytes]:
-        """Load the contents of a folder, or the `reason` why it could not be read.
+        """Load the contents of a folder; `reason` says why they could not be read, if so.
 
-        Returns the values to write again: those of the record, which keep their age until newer values
-        replace them, or none if the record is rejected.
+        Returns the encoded values of the record, which the caller writes again. They keep their age until
+        newer values replace them. If the record is rejected, no values are returned.
         """
         self.rejection = reason
         if reason is None and (stored is None or record is None):
@@ -82,7 +82,7 @@
         return records.encode_values(self.change_filter.written)
 
     def choose_endpoint_list(self, configured: dict[str, Any]) -> dict[str, Any]:
-        """Return the endpoint list of the record if it is newer than the configured one, else the latter."""
+        """Return the endpoint list of the record if it is newer than `configured`, otherwise `configured`."""
         newer = None
         if self._record is not None:
             index = configured.get("index")
@@ -91,9 +91,9 @@
         return newer or configured
 
     def restore(self, coordinator: Coordinator, now: int, clocks: Clocks) -> restore_policy.Restored | None:
-        """Restore in the coordinator what the policy selects, and return it.
+        """Restore the values that the policy selects from the record, and return them.
 
-        Returns None if there is nothing to restore, see `rejection`.
+        Returns None if there is no record to restore; `rejection` contains the reason.
         """
         record = self._record
         self._record = None  # release its memory
@@ -119,10 +119,10 @@
         names: list[str],
         is_last: bool,
     ) -> Changes:
-        """Return the encoded changes of the given backends by key.
+        """Return the encoded changes of the backends in `names`, by key.
 
-        `is_last` marks the last group of backends and adds the changes of the fleet and the removal of
-        backends that are not listed any more.
+        With the last group of backends (`is_last`), the changes of the fleet are added, and the keys of
+        backends that are no longer listed are removed.
         """
         snapshot = coordinator.snapshot(names)
         values: Values = {}
--- a/granitespool/state/restore_policy.py
+++ b/granitespool/state/restore_policy.py
@@ -1,11 +1,11 @@
 """Selection of the values of a record that are restored at a start; no I/O.
 
-    record of another name, other classes or zones    nothing is restored, and the reason is logged
-    a clock went backward                             the age is unknown, nothing is restored
-    older than the maximum age                        nothing is restored
-    younger                                           sums are weighted by 0.5 ** (age / half_life)
+    name, classes or zones of the record differ       nothing is restored, and the reason is logged
+    a clock went backward                             the age is unknown; nothing is restored
+    the record is older than the maximum age          nothing is restored
+    the record is younger                             sums are multiplied by 0.5 ** (age / half_life)
     backend not ready in the newest endpoint list     the backend is skipped
-    backend restarted since                           the backend is skipped
+    backend restarted since the record                the backend is skipped
     ejections, consecutive failures, overload         restored if the confidence is at least MIN_CONFIDENCE
 
 Observations after the start take precedence over restored values; the planner ensures that.
@@ -31,14 +31,14 @@
 )
 from granitespool.units import MILLISECOND, SECOND
 
-MIN_CONFIDENCE = 0.5  # below it, a flag (ejection, overload) is a guess and not restored
-CLOCK_SLACK = 1 * SECOND  # ns by which the clocks may differ: only one of them is slewed
-MAX_SUM = 1e18  # the limit of numbers on the wire
-ROUNDING_SLACK = 1.001  # factor by which rounding may let failures or successes exceed attempts
+MIN_CONFIDENCE = 0.5  # below it, flags (ejection, overload) are too uncertain to be restored
+CLOCK_SLACK = 1 * SECOND  # ns by which the clocks may differ, since only one of them is slewed
+MAX_SUM = 1e18  # maximum of a restored sum, equal to the limit of numbers on the wire
+ROUNDING_SLACK = 1.001  # factor by which failures or successes may exceed attempts because of rounding
 
 
 class Identity(NamedTuple):
-    """Identity of the coordinator that wrote a record; a record of another identity is not restored."""
+    """Identity of a coordinator; it only restores records that were written under the same identity."""
 
     name: str
     class_names: list[str | None]
@@ -63,11 +63,11 @@
 
 
 class Restored(NamedTuple):
-    """Values to restore, and counts of what was skipped."""
+    """Values to restore, and the number of skipped backends by reason."""
 
     fleet: FleetSnapshot
     backends: dict[str, BackendSnapshot]
-    skipped: dict[str, int]  # reason -> number of backends
+    skipped: dict[str, int]  # number of backends by reason
     link_count: int
     ejected_count: int
 
@@ -75,8 +75,8 @@
 def record_age(written: Clocks, now: Clocks) -> int | None:
     """Return the age of a record in ns, or None if a clock went backward since it was written.
 
-    After a reboot the monotonic clock has started again, so that its difference is always less than that of
-    the wall clock, which is the age.
+    The age is the difference of the wall clock. After a reboot the monotonic clock has started again, so
+    that its difference is always less than the age.
     """
     wall = now.wall - written.wall
     monotonic = now.monotonic - written.monotonic
@@ -88,7 +88,7 @@
 def rejection_reason(
     header: Header, written: Clocks, now: Clocks, identity: Identity, max_age: int
 ) -> str | None:
-    """Return the reason why nothing of a record is restored, in one sentence, or None."""
+    """Return why a record must not be restored, in one sentence; None if it may be restored."""
     reason = _mismatch(header, identity)
     if reason:
         return reason
@@ -145,7 +145,7 @@
 
 
 class _Restoration:
-    """One application of a policy to a record."""
+    """Selects the values of one record according to a policy."""
 
     def __init__(self, context: RestoreContext, policy: Policy) -> None:
         self.context = context
@@ -249,7 +249,7 @@
 
 
 def is_plausible(link: LinkRecord) -> bool:
-    """Return whether the sums of a link are consistent with each other."""
+    """Return whether the sums of a link are within their limits and consistent with each other."""
     sums = (link.attempts, link.failures, link.successes, link.response_time)
     if not all(map(_is_sum, sums)):
         return False
@@ -257,6 +257,6 @@
         return False
     if max(link.failures, link.successes) > link.attempts * ROUNDING_SLACK:
         return False
-    if link.successes and not link.response_time:  # the planner divides by the mean
+    if link.successes and not link.response_time:  # a mean of 0, by which the planner would divide
         return False
     return link.minimum_rtt is None or (_is_sum(link.minimum_rtt.mean) and link.minimum_rtt.mean > 0)
--- a/granitespool/state/snapshotter.py
+++ b/granitespool/state/snapshotter.py
@@ -1,8 +1,8 @@
 """Snapshotter: a coroutine of the event loop that passes snapshots of a coordinator to the writer.
 
-It visits all backends within half of `every_ms`, a few at a time to keep each turn of the loop short. Changes
-are durable within `every_ms` unless the disk takes longer than the other half. At a start it restores the
-record of the previous process.
+It reads all backends within half of `every_ms`, in small groups to keep each turn of the loop short. Changes
+are durable within `every_ms` if the disk takes at most the other half. At a start, the snapshotter restores
+the record of the previous process.
 """
 
 from collections.abc import Callable, Mapping
@@ -22,9 +22,9 @@
 from granitespool.state.writer import FolderContent, Writer
 from granitespool.units import MILLISECOND, SECOND
 
-OPEN_TIMEOUT = 0.4  # s that a start waits for the folder; the service can also start without its record
+OPEN_TIMEOUT = 0.4  # s that a start waits for the folder; afterwards the service starts without a record
 CLOSE_TIMEOUT = 0.25  # s for the last snapshot after SIGTERM; SIGKILL follows after at least 0.7 s
-LINKS_PER_GROUP = 200  # links in a group, which takes a millisecond
+LINKS_PER_GROUP = 200  # number of links in a group; reading a group takes a millisecond
 FIRST_LIST_POLL = SECOND // 20  # ns between checks whether an endpoint list has arrived
 FOLDER_READ_TIMED_OUT = "the folder could not be read in time"
 
@@ -53,9 +53,9 @@
 
 
 class ManagedSettingsTrees(NamedTuple):
-    """Trees of settings that managers changed before the restart."""
+    """Settings that managers had changed before the restart, and the settings of the files at that time."""
 
-    base: Tree  # settings of the files
+    base: Tree  # settings read from the files
     running: Tree
 
 
@@ -114,16 +114,17 @@
         values = self.recovery.load(content.state, content.record, content.reason, self._clocks())
         managed = content.record.managed if content.record else None
         if managed is not None and content.state and content.state.header.name == self.identity.name:
-            # Settings do not age, but only apply to the coordinator of that name.
+            # Settings are restored at any age, but only by the coordinator that stored them.
             self.managed_settings = ManagedSettingsTrees(managed.base, managed.tree)
             values[records.MANAGED_SETTINGS_KEY] = records.encode_value(managed)
         if values:
             self.writer.submit(dict(values))
 
     def save_settings(self, tree: Tree | None, base: Tree | None, version: int) -> int:
-        """Store settings for the next start; None removes them, so that those of the files apply.
+        """Store settings for the next start.
 
-        Returns a ticket for `is_durable`.
+        If `tree` or `base` is None, the stored settings are removed, and the next start uses those of the
+        files. Returns a ticket for `is_durable`.
         """
         value = None
         if tree is not None and base is not None:
@@ -131,7 +132,7 @@
         return self.writer.submit({records.MANAGED_SETTINGS_KEY: value})
 
     def is_durable(self, ticket: int) -> bool:
-        """Return whether the changes of a ticket are durable."""
+        """Return whether the changes for which `ticket` was returned are durable."""
         return self.writer.durable_ticket >= ticket
 
     def metrics(self) -> StateMetrics:
@@ -171,7 +172,7 @@
         return Clocks(self.loop.clock(), self.monotonic())
 
     def _run(self, coordinator: Coordinator, discovery: EndpointSource) -> Coroutine:
-        while not discovery.has_listed_backends:  # start from the first list that contains a backend
+        while not discovery.has_listed_backends:  # wait for the first list that contains a backend
             yield None, 0, self.loop.now + FIRST_LIST_POLL
             self._log_reports()
         self._restore(coordinator)
@@ -184,7 +185,7 @@
                 self._log_reports()
 
     def _groups(self, names: list[str]) -> list[list[str]]:
-        """Split names into groups that take a short time each; there is always at least one group."""
+        """Split backend names into groups that are short to read; without names there is one empty group."""
         size = max(1, LINKS_PER_GROUP // max(1, len(self.identity.zones)))
         return [names[start : start + size] for start in range(0, len(names), size)] or [[]]
 
--- a/granitespool/state/store.py
+++ b/granitespool/state/store.py
@@ -1,10 +1,10 @@
 """Store of keys and values in a folder, with one file per generation.
 
 A file contains a header, a snapshot, the end of the snapshot and a frame for each later batch of changes. A
-new generation is written to a temporary file, synced and renamed, and the folder is synced; only then are
-older generations removed. Reading always returns a complete state: the newest file whose snapshot is
-complete, with the changes up to the first torn frame. After any failure the next write begins a new
-generation, so that nothing depends on what a failed write or sync left behind.
+new generation is written to a temporary file. The file is synced and renamed, and the folder is synced. Only
+then are older generations removed. Reading always returns a complete state: the newest complete snapshot and
+the changes after it, up to the first invalid frame. After any failure the next write begins a new generation,
+so that no later write depends on the remains of a failed write or sync.
 """
 
 import errno
@@ -20,26 +20,26 @@
 from granitespool.state.record import Changes, Clocks, Header
 
 FILE_NAME = re.compile(r"state-([0-9a-f]{16})(\.new)?")
-INCOMPLETE_SUFFIX = ".new"  # of a file until it is complete
-# Approximate size in bytes of a frame of the snapshot: small pieces for the disk and the reader.
+INCOMPLETE_SUFFIX = ".new"  # suffix of the name of a file that is not complete
+# Approximate size in bytes of a frame of the snapshot, so that the disk and readers get small pieces.
 SNAPSHOT_PART_SIZE = 256 * 1024
-# Size in bytes of the changes below which a new generation is not worth its syncs.
+# Minimum size in bytes of the changes in a file before a new generation is worth its syncs.
 COMPACT_MIN_SIZE = 256 * 1024
-# Maximum size of the changes relative to the snapshot; limits what a start has to read.
+# Maximum size of the changes as a multiple of the snapshot. It limits the data that a start has to read.
 COMPACT_GROWTH = 4
-VALUE_OVERHEAD = 16  # bytes that a frame takes at most for a key and value beside their contents
-FILE_OVERHEAD = 4096  # bytes that a file takes at most beside its values: start, header, heads of frames
+VALUE_OVERHEAD = 16  # maximum number of bytes that the encoding adds to a key and its value
+FILE_OVERHEAD = 4096  # maximum number of bytes of a file start, a header and the heads of frames
 
 
 class FolderFiles(NamedTuple):
     """Files of a folder that belong to the store."""
 
-    complete: dict[int, str]  # generation -> name
+    complete: dict[int, str]  # file names by generation
     incomplete: list[str]  # names of temporary files that were never completed
 
     @property
     def highest_generation(self) -> int:
-        """Highest generation in any name, 0 if there is no file."""
+        """Highest generation of all files; 0 if there is no file."""
         return max([0, *self.complete, *map(_generation_in, self.incomplete)])
 
 
@@ -67,14 +67,14 @@
 
 
 class StoredState:
-    """State that was read from a file, with the header of the file."""
+    """Values and header that were read from a file."""
 
     def __init__(self, name: str, generation: int, header: Header) -> None:
         self.name = name
         self.generation = generation
         self.header = header
         self.values: dict[bytes, bytes] = {}
-        self.clocks = Clocks(0, 0)  # of the last frame
+        self.clocks = Clocks(0, 0)  # clocks in the last frame
         self.frame_count = 0
 
     def apply(self, changes: Changes) -> None:
@@ -87,21 +87,21 @@
 
 
 class FileReadResult(NamedTuple):
-    """Result of reading a file: its state, None without a complete snapshot, and a problem or None."""
+    """State of a file, None if its snapshot is incomplete; and the problem that was found, if any."""
 
     state: StoredState | None
     problem: str | None
 
 
 class FolderReadResult(NamedTuple):
-    """Newest complete state of a folder, or None, and the problems of the files that were read."""
+    """Newest complete state of a folder, if any; and the problems of the files that were read."""
 
     state: StoredState | None
     problems: list[str]
 
 
 class _FileReader:
-    """Applies the frames of a file in order; raises TornWriteError at the first that is out of place."""
+    """Applies the frames of a file in order; raises TornWriteError at the first unexpected frame."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -156,7 +156,7 @@
 
 
 def read_file(name: str, data: bytes) -> FileReadResult:
-    """Decode the bytes of a file; raise UnsupportedFormatError if its format is newer."""
+    """Decode the bytes of a file; raise UnsupportedFormatError if its format is too new for this program."""
     reader = _FileReader(name)
     try:
         reader.read(data)
@@ -169,7 +169,7 @@
     """Return the newest complete state of a folder.
 
     Files of more than `max_size` bytes are reported as problems and skipped. Raises UnsupportedFormatError if
-    a file has a newer format.
+    the format of a file is too new for this program.
     """
     problems: list[str] = []
     files = classify_names(folder.names()).complete
@@ -188,10 +188,10 @@
 
 
 class Store:
-    """Writes changes to a folder; `values` is the complete state, including changes not written yet."""
+    """Writes changes to a folder; `values` is the complete state, with changes that are not written yet."""
 
     def __init__(self, folder: Folder, max_size: int, make_header: Callable[[], Header]) -> None:
-        """Create a store in `folder`, which is limited to `max_size` bytes.
+        """Create a store in `folder`, whose files take at most `max_size` bytes.
 
         `make_header` is called for each new file.
         """
@@ -202,14 +202,14 @@
         self.generation = 0
         self.size = 0  # bytes of the current file
         self.bytes_written = 0  # since the start
-        self._name: str | None = None  # of the current file; None: the next write begins a new one
+        self._name: str | None = None  # name of the current file; if None, the next write begins a new file
         self._base_size = 0  # bytes of the current file up to the end of its snapshot
-        self._snapshot_size = FILE_OVERHEAD  # bytes that a snapshot of `values` takes at most
+        self._snapshot_size = FILE_OVERHEAD  # maximum size in bytes of a snapshot of `values`
 
     def append(self, clocks: Clocks, changes: Changes) -> None:
         """Write changes and sync them.
 
-        Raises OSError if that failed; the changes then stay in `values` for the next call.
+        Raises OSError if the write or sync fails. The next call then writes the changes from `values`.
         """
         self.stage(changes)
         if self._name is not None:
@@ -225,12 +225,12 @@
         new_size = self.size + len(data)
         if len(body) >= framing.MAX_BODY_SIZE:
             return False
-        if new_size + self._snapshot_size > self.max_size:  # the next snapshot has to fit beside it
+        if new_size + self._snapshot_size > self.max_size:  # the next snapshot has to fit beside this file
             return False
         return new_size - self._base_size <= max(COMPACT_MIN_SIZE, COMPACT_GROWTH * self._base_size)
 
     def stage(self, changes: Changes) -> None:
-        """Add changes to the state that the next write stores."""
+        """Apply changes to `values` without writing them."""
         for key, value in changes.items():
             old = self.values.pop(key, None)
             if old is not None:
@@ -248,15 +248,15 @@
         self.bytes_written += len(data)
 
     def write_snapshot(self, clocks: Clocks) -> None:
-        """Write all values as a new generation, and remove the older ones once it is durable.
+        """Write all values as a new generation, and remove older generations once it is durable.
 
-        Raises OSError if that failed; the next write then tries again.
+        Raises OSError if a write or sync fails. The next write then begins a new generation again.
         """
         if self._name is not None:
             self.folder.close_file(self._name)
         self._name = None
         files = classify_names(self.folder.names())
-        for name in files.incomplete:  # left by a write that was interrupted
+        for name in files.incomplete:  # left by an interrupted write
             self.folder.unlink(name)
         self._free_space(files)
         generation = max(self.generation, files.highest_generation) + 1
@@ -270,7 +270,7 @@
         self._remove_replaced(files.complete.values())
 
     def _free_space(self, files: FolderFiles) -> None:
-        """Remove older files if a snapshot would not fit; raise OSError if it still does not."""
+        """Remove older files if a snapshot would not fit; raise OSError if it does not fit even then."""
         used = sum(self.folder.size(name) for name in files.complete.values())
         if used + self._snapshot_size > self.max_size and len(files.complete) > 1:
             older = sorted(files.complete)[:-1]
@@ -326,10 +326,10 @@
             yield part
 
     def _remove_replaced(self, names: Iterable[str]) -> int:
-        """Remove files that a newer one replaces, ignoring failures; return the bytes that were freed."""
+        """Remove files that a newer file replaces, ignoring failures; return the number of freed bytes."""
         freed = 0
         for name in names:
-            # Failures are harmless: readers use the newest file, and the next generation tries again.
+            # Failures are harmless: readers use the newest file, and the next snapshot retries.
             with suppress(OSError):
                 size = self.folder.size(name)
                 self.folder.unlink(name)
--- a/granitespool/state/writer.py
+++ b/granitespool/state/writer.py
@@ -1,8 +1,8 @@
-"""Writer: the thread that owns the folder and its store, since the duration of a sync is unbounded.
+"""Writer: a thread that owns the state folder and its store.
 
-The event loop submits changes and never waits; only the newest value of each key waits for the disk. A
-failure of the disk is logged once, writes are retried with backoff, and the recovery is logged once.
-change_filter and restore_policy decide which changes are written and restored.
+A sync may take any time, so the event loop submits changes to the thread and does not wait for the disk. Only
+the newest value of each key is queued. A failure of the disk is logged once, writes are retried with backoff,
+and the recovery is logged once. change_filter and restore_policy select the values to write and restore.
 """
 
 import threading
@@ -19,12 +19,12 @@
 
 MB = 1 << 20
 RETRY_DELAY_MIN = 0.5  # s before the first retry of a failed write
-RETRY_DELAY_MAX = 30.0  # s; short enough that a repaired disk is soon used again
-MAX_REPORTS = 64  # limit of log reports that wait for the loop; there is one per change of state
+RETRY_DELAY_MAX = 30.0  # s between later retries; short, so that a repaired disk is soon used again
+MAX_REPORTS = 64  # maximum number of log reports that wait for the loop; a failure or recovery adds one
 
 
 class LogReport(NamedTuple):
-    """Log event of the thread, which the event loop writes to the log."""
+    """Event of the thread that the event loop writes to the log."""
 
     event: str
     fields: dict[str, Any]
@@ -37,9 +37,9 @@
     state: StoredState | None = None
     record: Record | None = None
     problems: list[str] = field(default_factory=list)
-    reason: str | None = None  # why nothing was read, in one sentence
-    lock_error: str | None = None  # set if another process has locked the folder
-    is_writable: bool = True  # False: the format is newer, the folder is left untouched
+    reason: str | None = None  # one sentence on why nothing was read; None if the folder was read
+    lock_error: str | None = None  # error message if another process has locked the folder
+    is_writable: bool = True  # False if the format is too new; the folder is then left untouched
 
 
 def read_folder(folder: Folder, max_size: int) -> FolderContent:
@@ -58,13 +58,13 @@
 
 
 class Backoff:
-    """Exponential backoff between attempts to use a failing disk; times in s."""
+    """Exponential backoff between operations on a failing disk; times are in s."""
 
     def __init__(self) -> None:
         self.delay = RETRY_DELAY_MIN
 
     def next_delay(self) -> float:
-        """Return the delay before the next attempt, which doubles each time up to RETRY_DELAY_MAX."""
+        """Return the next delay; it doubles with each call up to RETRY_DELAY_MAX."""
         delay = self.delay
         self.delay = min(RETRY_DELAY_MAX, delay * 2)
         return delay
@@ -83,23 +83,24 @@
     ) -> None:
         """Start the thread.
 
-        `make_header` is called with the number of the start; `wake` makes the event loop call `drain`.
+        `make_header` is called with the number of this start of the coordinator. `wake` makes the event
+        loop call `drain`.
         """
         self.folder = folder
         self.max_size = max_mb * MB
         self.make_header = make_header
         self.wake = wake
         self.clocks = clocks
-        self.synced_at = 0  # wall clock in ns of the newest durable batch
+        self.synced_at = 0  # wall clock in ns at which the newest durable batch was taken
         self.bytes_written = 0
         self.batches_written = 0
         self.is_failing = False  # whether the last report was a failure
-        self.durable_ticket = 0  # last ticket whose changes are durable
-        self._condition = threading.Condition()  # guards the next five attributes
+        self.durable_ticket = 0  # highest ticket whose changes are durable
+        self._condition = threading.Condition()  # lock for the next five attributes
         self._pending: Changes = {}
         self._is_closing = False
         self._reports: deque[LogReport] = deque(maxlen=MAX_REPORTS)
-        self._tickets = 0  # submitted batches; the number of a batch is its ticket
+        self._tickets = 0  # number of submitted batches; the number of a batch is its ticket
         self._is_awaited = False  # whether to wake the loop once pending changes are durable
         self._content: FolderContent | None = None
         self._is_open = threading.Event()
@@ -109,9 +110,9 @@
     # Called by the event loop
 
     def wait_until_open(self, timeout: float) -> FolderContent | None:
-        """Return the contents of the folder, or None if reading takes longer than `timeout` s.
+        """Return the contents of the folder, or None if reading takes longer than `timeout` (s).
 
-        In that case nothing is restored.
+        If it returns None, nothing is restored.
         """
         is_open = self._is_open.wait(timeout)
         content = self._content
@@ -147,9 +148,9 @@
         return reports
 
     def close(self, timeout: float) -> bool:
-        """Request a last snapshot and return whether it is durable within `timeout` s.
+        """Request a last snapshot and return whether the thread has ended within `timeout` (s).
 
-        The thread releases the folder when it ends, at the latest with the process.
+        The folder is unlocked when the thread or the process ends.
         """
         with self._condition:
             self._is_closing = True
@@ -157,7 +158,7 @@
         return self.join(timeout)
 
     def join(self, timeout: float) -> bool:
-        """Wait for the end of the thread and return whether it has ended within `timeout` s."""
+        """Wait up to `timeout` (s) for the thread to end, and return whether it has ended."""
         self._thread.join(timeout)
         return not self._thread.is_alive()
 
@@ -167,7 +168,7 @@
         self.is_failing = event != "state_write_recovered"
         with self._condition:
             self._reports.append(LogReport(event, fields))
-            if not self._is_closing:  # the loop may have ended and its descriptor may have been reused
+            if not self._is_closing:  # a loop that has ended may have freed the descriptor for other uses
                 self.wake()
 
     def _run(self) -> None:
@@ -217,7 +218,7 @@
                 has_failed = True
                 if self._content is None:
                     self._content = FolderContent(reason=f"the folder cannot be used: {error.strerror}")
-                self._is_open.set()  # a start does not wait for a failing disk
+                self._is_open.set()  # let the service start despite the failing disk
                 if self._pause(backoff.next_delay()):
                     return None
             else:
@@ -266,7 +267,10 @@
                 return is_closing
 
     def _take_pending(self, at_once: bool) -> tuple[Changes, int, bool]:
-        """Wait for changes; return them, their last ticket and whether the writer is closing."""
+        """Return the pending changes, their last ticket and whether the writer is closing.
+
+        Waits until there are changes or the writer is closing, unless `at_once` is set.
+        """
         with self._condition:
             self._condition.wait_for(lambda: self._pending or self._is_closing or at_once)
             changes = self._pending
@@ -275,7 +279,7 @@
 
     @staticmethod
     def _write(store: Store, clocks: Clocks, changes: Changes, is_last: bool) -> None:
-        if is_last:  # a snapshot of all values, so that the next start has to read no changes
+        if is_last:  # write a snapshot of all values, so that the next start reads no changes
             store.stage(changes)
             store.write_snapshot(clocks)
         else:
@@ -288,5 +292,5 @@
         with self._condition:
             self.durable_ticket = ticket
             if self._is_awaited and not self._is_closing:
-                self.wake()  # a manager waits for its settings to be durable
+                self.wake()  # a manager waits until its settings are durable
             self._is_awaited = False
--- a/granitespool/units.py
+++ b/granitespool/units.py
@@ -1,4 +1,4 @@
-"""Units of time, in integer nanoseconds."""
+"""Units of time as integer numbers of nanoseconds."""
 
 MICROSECOND = 1_000  # ns
 MILLISECOND = 1_000_000  # ns
