--- a/tests/planner/test_simulator_adapter.py
+++ b/tests/planner/test_simulator_adapter.py
@@ -1,4 +1,8 @@
-"""The adapter to the simulator: names and units of the protocol, and errors about invalid input."""
+"""Tests of the adapter to the simulator.
+
+Guards against messages with other names or units than the protocol, and against invalid input that ends in a
+traceback.
+"""
 
 import io
 import json
@@ -25,7 +29,7 @@
 def run(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], *lines: str
 ) -> tuple[int, str, str]:
-    """Run the adapter on input lines and return its exit code, output and errors."""
+    """Run the adapter on input lines; return its exit code, standard output and standard error."""
     monkeypatch.setattr(sys, "stdin", io.StringIO("".join(line + "\n" for line in lines)))
     code = simulator_adapter.main()
     out, err = capsys.readouterr()
@@ -33,7 +37,7 @@
 
 
 def batch(*items: object) -> str:
-    """Return an input line with these items, 5 us after the start of the simulation."""
+    """Return an input line with a batch of items, which is sent 5 us after the start of the simulation."""
     return json.dumps({"t_us": 5, "items": items})
 
 
--- a/tests/test_operator_files.py
+++ b/tests/test_operator_files.py
@@ -1,6 +1,6 @@
-"""Keys and values of the operator's and the platform's files, and the output of `check`, against records.
+"""Compares the operator's and the platform's files and the output of `check` with recordings.
 
-A renamed key, another default or another limit would change files that operators already have.
+Guards against renamed keys and changed defaults or limits, which would change the effect of existing files.
 """
 
 import json
@@ -52,7 +52,7 @@
 
 
 def type_text(kind):
-    """Return the type of a field and its limits in one line."""
+    """Return one line with the type of a field and the limits of its values."""
     info = inspect.type_info(kind)
     bounds = {
         name: getattr(info, name)
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -1,4 +1,7 @@
-"""Invalid settings, experiment files and command lines end with an error of one sentence, not a traceback."""
+"""Tests that invalid settings, experiment files and command lines are reported in one sentence.
+
+Guards against a traceback, or a message without the file, section or key, when an operator makes a mistake.
+"""
 
 from pathlib import Path
 
--- a/tests/test_state_format.py
+++ b/tests/test_state_format.py
@@ -1,9 +1,9 @@
 """Compatibility with a state folder of format 2, written by the version that introduced the format.
 
-Guards against changes that read or write such folders differently. `data/state-v2/` contains a snapshot,
-later changes, settings changed by managers, an ejected link, backends that drain, are not verified yet or are
-gone, and an end that was torn by a crash. `data/state-v2.json` contains the values of its file, the output of
-the commands, what a start restores and what that start leaves in the folder.
+Guards against changes that read or write such folders differently. `data/state-v2/` contains one file with
+a snapshot, later changes, settings changed by managers, an ejected link, and backends that are draining, gone
+or not verified yet. A crash interrupted the last write. `data/state-v2.json` contains the values in the file,
+the output of the commands, the state that a start restores, and the file that this start leaves behind.
 """
 
 import json
@@ -24,12 +24,12 @@
 FOLDER = DATA / "state-v2"
 NAME = "state-0000000000000006"
 RECORDED = json.loads((DATA / "state-v2.json").read_text())
-WRITTEN = 10**18, 540 * SECOND  # wall and monotonic clock in ns, half a second after the last batch
+WRITTEN = 10**18, 540 * SECOND  # wall and monotonic clock in ns, read half a second after the last batch
 CLASSES = [{"name": "pay", "latency_objective": SECOND // 10}, {"name": "look", "latency_objective": SECOND}]
 
 
 def read_file(path):
-    """Return (header, values by key) of a state file, decoded as docs/state-format.md specifies."""
+    """Return the header and the values by key of a state file, decoded as docs/state-format.md specifies."""
     data = path.read_bytes()
     assert data[:12] == b"granites\x00\x01\r\n"
     generation, check = struct.unpack_from("<QI", data, 12)
@@ -104,7 +104,7 @@
 
 
 class FirstStart(ServiceOnClock):
-    """The first start on a copy of the folder, one second after the last batch."""
+    """Service that starts on a copy of the folder, at one second after WRITTEN."""
 
     known = []
 
@@ -119,7 +119,7 @@
         return {**super().config(**state), "name": "n0", "listen": ("127.0.0.1", self.port)}
 
     def joined(self, proxy, zone):
-        """Return the first messages to a joining proxy, up to its ticket."""
+        """Connect a joining proxy and return the messages that it receives, up to its ticket."""
         joining = {"type": "joined", "node": proxy, "locality": zone, "w": 5.0, "cold": True}
         client = StreamClient(("127.0.0.1", self.port), joining)
         client.sock.settimeout(0.01)
@@ -136,7 +136,7 @@
         return data.decode("latin-1")
 
 
-LOG_FIELDS = {  # names of log fields in the recording -> current names
+LOG_FIELDS = {  # current names of log fields by their names in the recording
     "cuts": "ejected",
     "strained": "overloaded",
     "room": "admitted_share",
@@ -146,14 +146,14 @@
 
 
 def recorded_log_line():
-    """Return the recorded log event under the current names of the event and its fields."""
+    """Return the recorded log event with the current names of the event and its fields."""
     line = {LOG_FIELDS.get(key, key): value for key, value in RECORDED["start"]["log"].items()}
     assert line["event"] == "recalled"
     return {**line, "event": "snapshot_restored"}
 
 
 def restart_on(folder):
-    """Run the first start on a folder; return (restored state, header and values of its final file)."""
+    """Run a service on a folder; return the restored state, and the header and values of the final file."""
     with FirstStart(folder) as host:
         host.turn()
         observed = {"status": plain(status(host.service.coordinator))}
@@ -174,5 +174,5 @@
     assert observed["written"] == RECORDED["start"]["written"]
     assert observed["log"] == recorded_log_line()
     assert observed["status"] == RECORDED["start"]["status"]
-    assert json.dumps(observed["status"]) == json.dumps(RECORDED["start"]["status"])  # in the same order, too
+    assert json.dumps(observed["status"]) == json.dumps(RECORDED["start"]["status"])  # keys in the same order
     assert final_file == RECORDED["left"]
--- a/tests/test_state_restore.py
+++ b/tests/test_state_restore.py
@@ -1,6 +1,6 @@
-"""Selection of the values that a start restores, and of the changes that are written.
+"""Tests of the selection of the values that a start restores and of the changes that are written.
 
-Guards against restoring values that are too old, inconsistent or of a backend that has changed since.
+Guards against restored values that are too old or inconsistent, or whose backend has restarted or left since.
 """
 
 import math
@@ -105,9 +105,9 @@
         (3 * SECOND, 3 * SECOND, 3 * SECOND),
         (0, 0, 0),
         (3 * SECOND, -100 * SECOND, 3 * SECOND),  # reboot: the monotonic clock has started again
-        (-1, 3 * SECOND, None),  # wall clock set back to before the record
-        (100 * SECOND, 3700 * SECOND, None),  # wall clock set back by an hour, but still after the record
-        # wall clock set forward: the age is too high, which only lowers the confidence
+        (-1, 3 * SECOND, None),  # wall clock was set back to a time before the record
+        (100 * SECOND, 3700 * SECOND, None),  # wall clock was set back by an hour, to a time after the record
+        # wall clock was set forward: the computed age is too high, which only lowers the confidence
         (3700 * SECOND, 100 * SECOND, 3700 * SECOND),
         (3 * SECOND, 3 * SECOND + SECOND // 2, 3 * SECOND),  # one of the clocks is slewed
     ],
@@ -289,7 +289,7 @@
     for table in (0, 1):
         entries = coordinator.updates.tables[table]
         assert entries and all(math.isfinite(weight) and weight > 0 for weight in entries.values())
-        assert len(entries) >= 3  # at most a third of the links is ejected: one of four
+        assert len(entries) >= 3  # at most a third of the links is ejected, so at most one of four
 
 
 def test_a_link_with_successes_but_no_response_time_is_not_restored():
--- a/tests/test_state_service.py
+++ b/tests/test_state_service.py
@@ -1,4 +1,4 @@
-"""The state folder of a service: failing and slow disks, killed processes, old files and older versions.
+"""Tests of a service with a state folder: failing and slow disks, killed processes, old and newer formats.
 
 Guards against a service that does not start, hangs or restores wrong values because of its state folder.
 """
@@ -59,7 +59,7 @@
     return [event for event, _ in writer.drain()]
 
 
-# The writer
+# Tests of the writer
 
 
 @pytest.mark.parametrize("call", ["append", "sync", "rename", "sync_names"])
@@ -75,7 +75,7 @@
     writer.submit({b"a": b"2"})
     writer.submit({b"b": b"3"})
     if call in ("rename", "sync_names"):
-        disk.fails["append"] = code  # force a new file, since an append alone needs no rename
+        disk.fails["append"] = code  # a failed append forces a new file, which needs a rename
     assert wait_until(lambda: disk.calls > 12)
     reported = writer.drain()
     assert [(event, fields["reason"], fields["retry"]) for event, fields in reported] == [
@@ -148,17 +148,17 @@
 
 
 def file_of_newer_format(generation):
-    """Return the beginning of a file in a hypothetical next version of the format."""
+    """Return the first bytes of a file in a format that is newer than FORMAT_VERSION."""
     begin = framing.encode_file_start(generation)
     body = record.encode_value([record.FORMAT_VERSION + 1, {"name": "t"}, "more"])
     return begin + framing.encode_frame(generation, len(begin), FrameKind.HEADER, body)
 
 
-# A service in the test process
+# Tests of a service in the test process
 
 
 class ServiceOnClock:
-    """A service with a state folder whose clocks are set by the test and whose log is read back."""
+    """Service with a state folder; the test sets its clocks, and its log events are in `lines`."""
 
     def __init__(self, path, now=10**18, monotonic=10**12, **settings):
         self.path, self.now, self.monotonic, self.lines = path, now, monotonic, []
@@ -227,7 +227,7 @@
         return [line for line in self.lines if line["event"] == event]
 
     def report_means(self, **means):
-        """Send a load report for each backend with its mean in ms; 0 stands for failures only."""
+        """Send a load report for each backend with its mean in ms; with a mean of 0, all attempts fail."""
         for backend, mean in means.items():
             self.service.coordinator.report(
                 self.now,
@@ -243,7 +243,7 @@
             )
 
     def report_means_repeatedly(self, **means):
-        for second in range(15):  # a failing backend fails in the last two seconds only: it is ejected
+        for second in range(15):  # a backend with mean 0 fails in the last two seconds and is ejected
             self.report_means(**{name: mean or 40 * (second < 13) for name, mean in means.items()})
             for _ in range(20):
                 self.turn()
@@ -263,7 +263,7 @@
 
 
 def run_first_process(path, **means):
-    """Run a service for some seconds; return its table and its clocks at the end."""
+    """Run a service for some seconds; return its table, and its wall and monotonic clock at the end."""
     with ServiceOnClock(path) as first:
         first.report_means_repeatedly(**means)
         table = first.table()
@@ -473,11 +473,11 @@
     assert record.backend_key("b") in values
 
 
-# Services in processes of their own
+# Tests of a service in a separate process
 
 
 class StreamClient:
-    """Stream of a proxy or collector over a plain socket."""
+    """Client that sends the messages of a proxy or collector over a plain socket."""
 
     def __init__(self, where, *messages):
         self.sock = socket.create_connection(where, timeout=5)
@@ -589,7 +589,7 @@
             collector = StreamClient(deployment.where, {"type": "collector", "locality": "n"})
             end = time.monotonic() + rng.uniform(0.2, 0.6)
             while time.monotonic() < end:
-                # The slow backend alternates between processes, so that reports differ from restored values.
+                # The slow backend alternates between processes: reports differ from restored values.
                 collector.send(
                     *(
                         load_report(name, 200 if k == kill % 2 else 40, kill)
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -1,6 +1,6 @@
-"""The store on a faulty disk: crashes at every call, corrupt bytes, failing calls, comparison with a dict.
+"""Tests of the store on a faulty disk: crashes at every call, failing calls and corrupt bytes.
 
-Guards against reading a state that was never stored, or one older than the last that was synced.
+Guards against reading a state that was never stored, or a state older than the last synced state.
 """
 
 import copy
@@ -37,7 +37,7 @@
 
 
 def batches(count, seed=3):
-    """Yield batches of changes: most of them small, some large, with keys that are added and removed."""
+    """Yield small batches of changes, which add, change and remove keys."""
     rng = random.Random(seed)
     for number in range(count):
         changes = {
@@ -47,9 +47,9 @@
 
 
 def run(disk, count, max_size, crash_at=None):
-    """Write batches of changes.
+    """Write `count` batches of changes.
 
-    Returns the states in order, the index of the last synced state and whether the machine has crashed.
+    Returns the state after each batch, the index of the last synced state and whether the machine crashed.
     """
     states, synced, store = [{}], 0, store_on(disk, max_size)
     disk.crash_at = crash_at
@@ -148,7 +148,7 @@
 
 
 def file_with_frame(kind, body):
-    """Return a file with a header and one more frame."""
+    """Return the bytes of a file that contains a header and one more frame."""
     data = framing.encode_file_start(7) + framing.encode_frame(
         7, framing.FIRST_FRAME_OFFSET, FrameKind.HEADER, record.encode_value(header()())
     )
