--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -1,4 +1,4 @@
-"""A real coordinator: a process of `granitespool serve`, its configuration, and questions to it."""
+"""A real coordinator: a process of `granitespool serve`, its configuration, and queries to it."""
 
 import signal
 import socket
@@ -12,22 +12,22 @@
 from granitespool.scale.coordinator_endpoint import CoordinatorEndpoint
 from granitespool.scale.coordinator_log import CoordinatorLog
 from granitespool.scale.coroutines import Wait
-from granitespool.scale.discovery import Agent, as_row
+from granitespool.scale.discovery import DiscoveryAgent, as_row
 from granitespool.scale.fleet import ListedBackend
-from granitespool.scale.processes import Child, Sample, lines_of, sample, write_json
-from granitespool.scale.questions import ping, proxy_allowed, settings_question
+from granitespool.scale.processes import Child, Sample, read_lines, sample, write_json
+from granitespool.scale.queries import ping, proxy_allowed, settings_query
 from granitespool.scale.recorder import Recorder
 from granitespool.scale.schema import Scenario
 from granitespool.scale.trace import CoordinatorEnded, CoordinatorStarted
 from granitespool.units import SECOND
 
-ANSWER_TIMEOUT = 2 * SECOND  # ns that an answer is waited for
-EXIT_TIMEOUT = 5 * SECOND  # ns that the end of a process is waited for
-POLL_INTERVAL = SECOND // 100  # ns between two looks
+ANSWER_TIMEOUT = 2 * SECOND  # ns until the answer to a query has to be received
+EXIT_TIMEOUT = 5 * SECOND  # ns from a signal until the process is stopped by force
+POLL_INTERVAL = SECOND // 100  # ns between checks of a process
 
 
 class RealCoordinator:
-    """One process at a time; it may be ended and started again at the same address."""
+    """A coordinator of the run; its process may be stopped and started again at the same address."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         recorder: Recorder,
         scenario: Scenario,
         endpoint: CoordinatorEndpoint,
-        agent: Agent,
+        agent: DiscoveryAgent,
         index: int,
         folder: Path,
     ) -> None:
-        """`agent` is its discovery agent; its configuration is written to `folder`."""
+        """Create the coordinator; `agent` is its discovery agent, `folder` is for its configuration file."""
         self.loop = loop
         self.recorder = recorder
         self.scenario = scenario
@@ -49,10 +49,10 @@
         self.path = folder / f"{endpoint.name}.json"
         self.child: Child | None = None
         self.log = CoordinatorLog(endpoint.name)
-        self.version = 0  # of the settings in its file
-        self.in_force = 0  # newest version of the settings that it was seen to have
-        self.older_settings = 0  # looks at which it had older settings than before
-        self.samples: list[Sample] = []  # of all its processes
+        self.written_version = 0  # of the settings in its configuration file
+        self.applied_version = 0  # newest settings version observed as active
+        self.older_settings = 0  # queries that found older settings than an earlier one
+        self.samples: list[Sample] = []  # resource usage of all its processes
         self.ready_times: list[int] = []  # ns from each start to the first answer
         self.exit_codes: list[int] = []
 
@@ -63,14 +63,14 @@
 
     @property
     def serves(self) -> bool:
-        """Whether its process runs and has answered."""
-        return not self.endpoint.down and self.child is not None and not self.child.ended
+        """Whether the process runs and is ready."""
+        return not self.endpoint.down and self.child is not None and not self.child.exited
 
-    def write_configuration(self, version: int, usable: bool = True) -> None:
-        """Writes its configuration; one that is not usable lacks what every configuration must have."""
+    def write_configuration(self, version: int, valid: bool = True) -> None:
+        """Write the configuration file; an invalid one lacks the required settings."""
         configuration = self._configuration(version)
-        if usable:
-            self.version = version
+        if valid:
+            self.written_version = version
         else:
             del configuration["settings"]
         write_json(self.path, configuration)
@@ -86,7 +86,7 @@
             "seed": f"{self.scenario.scale.seed + self.index + 1:x}",
             "limits": {"memory_mb": coordinators.memory_mb, "sockets": coordinators.sockets},
             "known": {
-                "index": self.agent.known_index,
+                "index": self.agent.list_index,
                 "snapshot": True,
                 "endpoints": [as_row(entry) for entry in self.agent.list.entries.values()],
             },
@@ -94,97 +94,97 @@
         }
 
     def start(self, entries: list[ListedBackend]) -> Wait:
-        """Starts its process and waits until it is ready; True where it was in time."""
-        self.write_configuration(self.version)
-        self.agent.record_first_list(entries)
+        """Start the process and wait until it is ready; return whether that was before the timeout."""
+        self.write_configuration(self.written_version)
+        self.agent.record_initial_list(entries)
         coordinators = self.scenario.coordinators
         command = ["-m", "granitespool", "serve", "--config", str(self.path)]
-        began = self.loop.clock()
-        self.log.list_index = self.agent.known_index
+        started_at = self.loop.clock()
+        self.log.list_index = self.agent.list_index
         self.child = Child(command, coordinators.memory_mb, coordinators.sockets)
-        self.loop.spawn(lines_of(self.child, self.log.take))
-        until = began + int(self.scenario.times.ready_s * SECOND)
-        while self.loop.now < until and not self.child.ended:
-            if (yield from self.ask(ping())):
-                self._is_ready(began)
+        self.loop.spawn(read_lines(self.child, self.log.add_line))
+        deadline = started_at + int(self.scenario.times.ready_s * SECOND)
+        while self.loop.now < deadline and not self.child.exited:
+            if (yield from self.request(ping())):
+                self._record_ready(started_at)
                 return True
             yield None, 0, self.loop.now + POLL_INTERVAL
         return False
 
-    def _is_ready(self, began: int) -> None:
+    def _record_ready(self, started_at: int) -> None:
         now = self.loop.clock()
-        self.ready_times.append(now - began)
+        self.ready_times.append(now - started_at)
         self.recorder.add(CoordinatorStarted(at=now, coordinator=self.name))
         self.endpoint.down = False
-        self.in_force = self.version
+        self.applied_version = self.written_version
 
-    def ask(self, question: bytes) -> Wait:
-        """The answer to one message on a connection of its own; b"" where none came."""
+    def request(self, message: bytes) -> Wait:
+        """Send a message on a new connection and return the answer; b"" if none was received."""
         try:
-            answer = yield from self._answer(question)
+            answer = yield from self._request(message)
         except OSError:
             answer = b""
-        yield None, 0, self.loop.now  # the descriptor is closed before another is opened
+        yield None, 0, self.loop.now  # close the descriptor before another one is opened
         return answer
 
-    def _answer(self, question: bytes) -> Wait:
+    def _request(self, message: bytes) -> Wait:
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK) as sock:
-            until = self.loop.now + ANSWER_TIMEOUT
-            yield from dial(sock, self.endpoint.address, until)
-            yield from send(sock, question, until)
+            deadline = self.loop.now + ANSWER_TIMEOUT
+            yield from dial(sock, self.endpoint.address, deadline)
+            yield from send(sock, message, deadline)
             answer = b""
-            while not _is_whole(answer):
-                data = yield from receive(sock, until)
+            while not _is_complete(answer):
+                data = yield from receive(sock, deadline)
                 if not data:
                     return b""
                 answer += data
-            self.recorder.count(self.name, "in", "question", len(question))
+            self.recorder.count(self.name, "in", "question", len(message))
             self.recorder.count(self.name, "out", "answer", len(answer))
             return answer
 
     def has_settings(self, version: int) -> Wait:
-        """Whether settings of this version or a later one are in force; None where no answer came."""
+        """Return whether settings of this version or a later one are active; None without an answer."""
         if version < 1:
             return True
-        answer = yield from self.ask(settings_question(fleet.proxy_base(self.scenario) + version - 1))
+        answer = yield from self.request(settings_query(fleet.expected_proxies(self.scenario) + version - 1))
         if not answer:
             return None
         allowed = proxy_allowed(answer)
         if allowed:
-            self.in_force = max(self.in_force, version)
-        elif version <= self.in_force:
+            self.applied_version = max(self.applied_version, version)
+        elif version <= self.applied_version:
             self.older_settings += 1
         return allowed
 
     def reload(self) -> None:
-        """SIGHUP: its configuration is to be read anew."""
+        """Send SIGHUP, so that the process reads its configuration again."""
         assert self.child is not None
         self.child.signal(signal.SIGHUP)
 
-    def end(self, number: signal.Signals) -> None:
-        """Sends the signal that ends it; its proxies go elsewhere from then on."""
+    def stop(self, signal_number: signal.Signals) -> None:
+        """Send the signal that stops the process; its proxies connect elsewhere from then on."""
         assert self.child is not None
         self.endpoint.down = True
         self.recorder.add(CoordinatorEnded(at=self.loop.clock(), coordinator=self.name))
-        self.child.signal(number)
+        self.child.signal(signal_number)
 
     def wait_for_exit(self) -> Wait:
-        """Waits until its process has ended, and ends it where it does not."""
+        """Wait until the process has exited; stop it after EXIT_TIMEOUT."""
         assert self.child is not None
-        until = self.loop.now + EXIT_TIMEOUT
-        while not self.child.ended and self.loop.now < until:
+        deadline = self.loop.now + EXIT_TIMEOUT
+        while not self.child.exited and self.loop.now < deadline:
             yield None, 0, self.loop.now + POLL_INTERVAL
         self.exit_codes.append(self.child.close())
 
     def take_sample(self) -> None:
-        """Notes what its process has used."""
-        found = sample(self.child.pid, self.loop.clock()) if self.child else None
-        if found:
-            self.samples.append(found)
+        """Record the resource usage of the process."""
+        current = sample(self.child.pid, self.loop.clock()) if self.child else None
+        if current:
+            self.samples.append(current)
 
 
-def _is_whole(frame: bytes) -> bool:
-    """Whether a frame has come to its end."""
+def _is_complete(frame: bytes) -> bool:
+    """Return whether a frame is complete."""
     return len(frame) >= LENGTH_SIZE and len(frame) >= LENGTH_SIZE + int.from_bytes(
         frame[:LENGTH_SIZE], "little"
     )
--- a/granitespool/scale/cut_recovery.py
+++ b/granitespool/scale/cut_recovery.py
@@ -1,4 +1,8 @@
-"""Coordinators that were cut off: what they held when the cut ended, and when they were up to date again."""
+"""Recovery of coordinators after a network partition ("cut") between regions.
+
+Records which versions of the endpoint list and the settings a coordinator had when the cut ended, and when it
+was up to date again.
+"""
 
 from collections.abc import Sequence
 
@@ -9,20 +13,20 @@
 from granitespool.scale.coroutines import Wait
 from granitespool.scale.environment import Environment
 from granitespool.scale.faults import FaultInjector
-from granitespool.scale.plan import Planned
+from granitespool.scale.plan import PlannedEvent
 from granitespool.scale.settings_changes import SettingsChanges
 from granitespool.units import SECOND
 
-WATCH_TIME = 60 * SECOND  # ns after the end of a cut for which coordinators are looked at
-POLL_INTERVAL = SECOND // 20  # ns between two looks
+RECOVERY_TIMEOUT = 60 * SECOND  # ns after the end of a cut
+POLL_INTERVAL = SECOND // 20  # ns between checks of a coordinator
 
 
 class Recovery(msgspec.Struct):
-    """A coordinator after a cut."""
+    """One coordinator's versions at the end of a cut and its time to recover."""
 
     coordinator: RealCoordinator
     healed_at: int  # ns
-    list_held: int  # version when the cut ended
+    list_held: int  # version of its endpoint list when the cut ended
     list_newest: int
     settings_held: int
     settings_newest: int
@@ -31,12 +35,12 @@
 
     @property
     def complete(self) -> bool:
-        """Whether both list and settings are the newest."""
+        """Whether both the endpoint list and the settings are up to date."""
         return self.list_recovered_after is not None and self.settings_recovered_after is not None
 
 
 class CutRecovery:
-    """Ends cuts and follows the coordinators that were cut off."""
+    """Ends cuts and measures how long the coordinators that were cut off take to recover."""
 
     def __init__(
         self,
@@ -46,7 +50,7 @@
         settings: SettingsChanges,
         failures: list[str],
     ) -> None:
-        """What goes wrong is added to `failures`."""
+        """Create the recorder; failures of the run are appended to `failures`."""
         self.loop = loop
         self.environment = environment
         self.faults = faults
@@ -54,21 +58,21 @@
         self.failures = failures
         self.recoveries: list[Recovery] = []
 
-    def heal(self, planned: Planned) -> Wait:
-        """Ends a cut as planned."""
+    def heal(self, planned: PlannedEvent) -> Wait:
+        """End a cut as planned."""
         cut_off, now = self.environment.cut_coordinators(), self.loop.clock()
         recoveries = []
         for coordinator in cut_off:
-            yield from self._check_unaware(coordinator)
+            yield from self._check_still_isolated(coordinator)
             recoveries.append(self._recovery(coordinator, now))
         self.recoveries += recoveries
         self.faults.perform(planned)
-        self._follow(recoveries)
+        self._start_recovery(recoveries)
 
-    def _check_unaware(self, coordinator: RealCoordinator) -> Wait:
-        newer = yield from coordinator.has_settings(coordinator.version + 1)
+    def _check_still_isolated(self, coordinator: RealCoordinator) -> Wait:
+        newer = yield from coordinator.has_settings(coordinator.written_version + 1)
         if newer is True:
-            self.failures.append(f"{coordinator.name} had settings that it could not have been told")
+            self.failures.append(f"{coordinator.name} had settings that were published while it was cut off")
 
     def _recovery(self, coordinator: RealCoordinator, now: int) -> Recovery:
         return Recovery(
@@ -76,25 +80,25 @@
             healed_at=now,
             list_held=coordinator.log.list_index,
             list_newest=self.environment.list.index,
-            settings_held=coordinator.in_force,
+            settings_held=coordinator.applied_version,
             settings_newest=self.settings.version,
         )
 
-    def _follow(self, recoveries: Sequence[Recovery]) -> None:
+    def _start_recovery(self, recoveries: Sequence[Recovery]) -> None:
         for recovery in recoveries:
             recovery.healed_at = self.loop.clock()
             recovery.coordinator.write_configuration(self.settings.version)
             recovery.coordinator.reload()
-            self.loop.spawn(self._watch(recovery))
+            self.loop.spawn(self._wait_for_recovery(recovery))
 
-    def _watch(self, recovery: Recovery) -> Wait:
-        """Looks when a coordinator has the newest list and settings."""
+    def _wait_for_recovery(self, recovery: Recovery) -> Wait:
+        """Poll a coordinator until its endpoint list and settings are up to date."""
         coordinator = recovery.coordinator
-        until = recovery.healed_at + WATCH_TIME
-        while self.loop.now < until and not recovery.complete:
+        deadline = recovery.healed_at + RECOVERY_TIMEOUT
+        while self.loop.now < deadline and not recovery.complete:
             if recovery.settings_recovered_after is None:
-                in_force = yield from coordinator.has_settings(recovery.settings_newest)
-                if in_force:
+                applied = yield from coordinator.has_settings(recovery.settings_newest)
+                if applied:
                     recovery.settings_recovered_after = self.loop.clock() - recovery.healed_at
             if recovery.list_recovered_after is None and coordinator.log.list_index >= recovery.list_newest:
                 recovery.list_recovered_after = self.loop.clock() - recovery.healed_at
--- a/tests/service/test_service_invalid_messages.py
+++ b/tests/service/test_service_invalid_messages.py
@@ -1,4 +1,4 @@
-"""Invalid messages: each is dropped or ends the connection of its sender, and affects no other connection."""
+"""An invalid message is dropped or ends the sender's connection; other connections are not affected."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -96,11 +96,11 @@
     clients.send("p", messages.usage(1, "x"))
     log.wait_for("the unknown 'x'")
     clients.send("p", messages.usage(1, "pay", total=-1))
-    log.wait_for("'total' of a 'usage' is -1")
+    log.wait_for("'total' of a 'usage' is out of range: -1")
     clients.send("p", messages.usage(1, "pay", total="1"))
-    log.wait_for("holds '1'")
+    log.wait_for("is invalid: '1'")
     clients.send("p", '{"type":"usage","node":1,"route":"pay","total":1e300,"errors":0,"interval":1.0}')
-    log.wait_for("is 1e+300")
+    log.wait_for("is out of range: 1e+300")
     clients.send("p", messages.load_report("z", total=1))
     log.wait_for("the unknown 'z'")
     clients.send("p", messages.load_report("a", locality="x", total=1))
@@ -144,10 +144,10 @@
     clients.send("p", messages.usage(1, "pay", total=38_654_705_664))
     clients.send("p", messages.usage(2, "pay"))
     clients.send("c", messages.applied(node=1, nonce=1, latency=1.0))
-    log.wait_for_dropped(17)
+    log.wait_for_dropped_messages(17)
     assert service.state.attempts("a") == (0, [])
     clients.send("c", messages.load_report("a", total=9, errors=1, metrics={"util": "s"}))
-    log.wait_for_dropped(17)
+    log.wait_for_dropped_messages(17)
     clients.wait_for_heartbeat("c")
     clients.wait_for_heartbeat("p")
     service.state.wait_for_joined(1)
@@ -216,7 +216,7 @@
     clients.send("p", '{"type":"odd"}')
     log.wait_for('"suppressed"')
     log.wait_for('{"message_dropped":480}')
-    log.wait_for_dropped(22)
+    log.wait_for_dropped_messages(22)
 
 
 def test_a_rejected_client_can_read_the_reason_even_if_it_continues_to_send(
@@ -228,4 +228,4 @@
     clients.wait_for("x", '"type":"refused"')
     clients.send_bytes("x", b"GET / HTTP/1.1\r\n\r\n")
     clients.wait_for_end("x")
-    assert clients.ended_in_order("x")
+    assert clients.closed_without_reset("x")
--- a/tests/service/test_service_memory.py
+++ b/tests/service/test_service_memory.py
@@ -1,4 +1,4 @@
-"""What the service keeps does not grow with what has been."""
+"""The memory of the service does not grow with the number of former backends and streams."""
 
 from support import wire_messages as messages
 from support.backend_stand_ins import BackendStandIns
@@ -10,7 +10,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 
-def test_what_is_kept_does_not_grow_as_backends_and_streams_come_and_go(
+def test_collections_do_not_grow_as_backends_and_streams_come_and_go(
     service: ServiceHarness,
     clients: ServiceClients,
     discovery: DiscoveryStandIn,
@@ -35,7 +35,7 @@
         service.advance(SECOND)
         clients.close("churner")
         clients.wait_for_heartbeat("p")
-    assert service.state.larger_than(40) == {}
+    assert service.state.sizes_above(40) == {}
     clients.send("c", messages.load_report("churned-3", total=9, errors=9, rtt=0.0, interval=1000.0))
     log.wait_for("the unknown 'churned-3'")
     discovery.send_line(
--- a/tests/support/planner_comparison.py
+++ b/tests/support/planner_comparison.py
@@ -1,6 +1,6 @@
-"""Two coordinators that are told the same: one on the planner, one on its plain reference.
+"""Compares a coordinator with the planner to one with the reference planner on the same events.
 
-What their planners order of their hosts must be the same, call by call, and so must what they count.
+The actions of both planners must be equal, call by call, and so must their counters.
 """
 
 from random import Random
@@ -24,7 +24,7 @@
 from support.records import endpoint, settings_of
 
 SECOND = 10**9  # ns
-TURN = SECOND // 10
+TURN = SECOND // 10  # ns
 ACTIONS = (
     "set_entry",
     "assign",
@@ -36,7 +36,7 @@
     "set_timer",
     "subscribe",
 )
-COMPARED = {  # of the reference -> (part of the planner, attribute)
+COMPARED = {  # attribute of the reference -> (component of the planner, attribute)
     "credit": ("budget", "tokens"),
     "strained": ("overload", "is_overloaded"),
     "room": ("overload", "admitted_share"),
@@ -44,14 +44,14 @@
     "short": ("budget", "is_mandatory_waiting"),
     "later": ("publisher", "has_deferred"),
     "lag": ("inspection", "acknowledgement_latency"),
-    "next_flush": ("publisher", "next_message"),
-    "next_alarm": ("publisher", "next_complete_pass"),
+    "next_flush": ("publisher", "next_message_at"),
+    "next_alarm": ("publisher", "next_complete_pass_at"),
     "shut_at": ("exclusion", "exclusions_sent_at"),
 }
 
 
-class Recorder(Coordinator):
-    """A coordinator that writes down what its planner orders."""
+class RecordingCoordinator(Coordinator):
+    """A coordinator that records the actions of its planner."""
 
     def __init__(self, settings, seed, now):
         self.calls = []
@@ -59,28 +59,28 @@
 
 
 def _recorded(name):
-    def call(self, *words):
-        self.calls.append((name, *words))
-        return getattr(Coordinator, name)(self, *words)
+    def call(self, *arguments):
+        self.calls.append((name, *arguments))
+        return getattr(Coordinator, name)(self, *arguments)
 
     return call
 
 
 for _name in ACTIONS:
-    setattr(Recorder, _name, _recorded(_name))
+    setattr(RecordingCoordinator, _name, _recorded(_name))
 
 
 class PlannerComparison:
-    """A drawn fleet; `check` compares the two after each turn."""
+    """A random fleet before two coordinators, which `check` compares after each turn."""
 
-    def __init__(self, seed, backends, zones, proxies, pace, **more):
+    def __init__(self, seed, backends, zones, proxies, entries_per_s, **more):
         self.random, self.now = Random(seed), 100 * SECOND
         self.zones = [f"z{k}" for k in range(zones)]
         self.settings = {
             "zones": self.zones,
             "health_checks_allowed": bool(seed % 2),
-            "entries_per_s": pace,
-            "backlog_limit": 4 * pace,
+            "entries_per_s": entries_per_s,
+            "backlog_limit": 4 * entries_per_s,
             "message_header": 3.0,
             "bootstrap_entries": 5,
             "drain_grace": 7 * SECOND,
@@ -100,32 +100,32 @@
             ],
             **more,
         }
-        self.changed = Recorder(settings_of(self.settings), seed, self.now)
+        self.coordinator = RecordingCoordinator(settings_of(self.settings), seed, self.now)
         with patch("granitespool.coordinator.Planner", ReferencePlanner):
-            self.reference = Recorder(settings_of(self.settings), seed, self.now)
-        self.both = self.changed, self.reference
-        self.names, self.proxies, self.answers, self.ordered = 0, {}, [], 0
+            self.reference = RecordingCoordinator(settings_of(self.settings), seed, self.now)
+        self.coordinators = self.coordinator, self.reference
+        self.backends_created, self.proxies, self.pending_acknowledgements, self.action_count = 0, {}, [], 0
         self.entries, self.mean, self.failing = {}, 40_000_000, {}
         for _ in range(backends):
             self.new_backend()
-        self.list("restored", list(self.entries.values()))
+        self.send_list("restored", list(self.entries.values()))
         for proxy in range(proxies):
             self.join(proxy)
 
     def report(self, event):
-        for each in self.both:
-            each.report(self.now, event)
+        for coordinator in self.coordinators:
+            coordinator.report(self.now, event)
 
-    def list(self, form, entries):
-        self.report(EndpointListUpdate(form=ListForm(form), entries=[endpoint(**each) for each in entries]))
+    def send_list(self, form, entries):
+        self.report(EndpointListUpdate(form=ListForm(form), entries=[endpoint(**entry) for entry in entries]))
 
     def new_backend(self, started=0):
-        self.names += 1
-        name = f"s{self.names}"
+        self.backends_created += 1
+        name = f"s{self.backends_created}"
         self.entries[name] = {
             "name": name,
             "zone": self.random.choice(self.zones),
-            "machine_type": f"m{self.names % 3}",
+            "machine_type": f"m{self.backends_created % 3}",
             "phase": "ready",
             "weight": self.random.choice((1.0, 1.0, 2.0)),
             "started_at": started,
@@ -145,81 +145,87 @@
 
     def leave(self, proxy):
         del self.proxies[proxy]
-        self.answers = [each for each in self.answers if each[1] != proxy]
+        self.pending_acknowledgements = [item for item in self.pending_acknowledgements if item[1] != proxy]
         self.report(ProxyLeft(proxy=proxy))
 
     def turn(self):
-        """One turn of both, compared; then marks are answered, and probes, after a while."""
+        """Run and compare one turn of both; answer health checks at once and barriers after a delay."""
         self.now += TURN
-        due, self.answers = (
-            [each for each in self.answers if each[0] <= self.now],
-            [each for each in self.answers if each[0] > self.now],
+        due, self.pending_acknowledgements = (
+            [item for item in self.pending_acknowledgements if item[0] <= self.now],
+            [item for item in self.pending_acknowledgements if item[0] > self.now],
         )
-        for _, proxy, mark, took in due:
-            self.report(Acknowledged(proxy=proxy, sequence=mark, latency=took))
-        for each in self.both:
-            each.tick(self.now)
+        for _, proxy, sequence, latency in due:
+            self.report(Acknowledged(proxy=proxy, sequence=sequence, latency=latency))
+        for coordinator in self.coordinators:
+            coordinator.tick(self.now)
         self.check()
-        for party in self.changed.recipients():
-            orders = [each.next_message(party) for each in self.both]
-            while isinstance(party, Queue) and orders[0] is not None:
-                if isinstance(orders[0], HealthCheckRequest):
-                    self._probed(orders[0].backend)
-                orders = [each.next_message(party) for each in self.both]
-            if party in self.proxies and isinstance(orders[0], ProxyUpdate):
-                took = self.random.randint(TURN, 12 * TURN)
-                self.answers.append((self.now + took, party, orders[0].barrier, took))
-
-    def _probed(self, backend):
-        dead = self.failing.get(backend, 0.0) >= 1.0 and self.random.random() < 0.5
-        status = "timeout" if dead else self.random.choice(("ok", "ok", "ok", "full", "error"))
+        for recipient in self.coordinator.recipients():
+            messages = [coordinator.pick(recipient) for coordinator in self.coordinators]
+            while isinstance(recipient, Queue) and messages[0] is not None:
+                if isinstance(messages[0], HealthCheckRequest):
+                    self._report_health_check(messages[0].backend)
+                messages = [coordinator.pick(recipient) for coordinator in self.coordinators]
+            if recipient in self.proxies and isinstance(messages[0], ProxyUpdate):
+                latency = self.random.randint(TURN, 12 * TURN)
+                self.pending_acknowledgements.append(
+                    (self.now + latency, recipient, messages[0].barrier, latency)
+                )
+
+    def _report_health_check(self, backend):
+        times_out = self.failing.get(backend, 0.0) >= 1.0 and self.random.random() < 0.5
+        outcome = "timeout" if times_out else self.random.choice(("ok", "ok", "ok", "full", "error"))
         self.report(
             HealthCheckResult(
-                backend=backend, outcome=HealthCheckOutcome(status), latency=SECOND // 100, load={}
+                backend=backend, outcome=HealthCheckOutcome(outcome), latency=SECOND // 100, load={}
             )
         )
 
     def check(self):
-        changed, reference = self.both
-        assert not changed.queues[Queue.INTERNAL_ERRORS], changed.queues[Queue.INTERNAL_ERRORS][0]
+        coordinator, reference = self.coordinators
+        assert not coordinator.queues[Queue.INTERNAL_ERRORS], coordinator.queues[Queue.INTERNAL_ERRORS][0]
         assert not reference.queues[Queue.INTERNAL_ERRORS], reference.queues[Queue.INTERNAL_ERRORS][0]
-        assert changed.calls == reference.calls, first_difference(changed.calls, reference.calls)
-        self.ordered += len(changed.calls)
+        assert coordinator.calls == reference.calls, first_difference(coordinator.calls, reference.calls)
+        self.action_count += len(coordinator.calls)
         for name, (part, attribute) in COMPARED.items():
-            value = getattr(getattr(changed.planner, part), attribute)
+            value = getattr(getattr(coordinator.planner, part), attribute)
             assert value == getattr(reference.planner.former, name), name
-        assert changed.planner.in_flight.in_flight == reference.planner.former.channel.waiting
-        assert list(changed.planner.fleet.backends) == list(reference.planner.former.backends)
-        for each in self.both:
-            each.calls.clear()
-
-    def hear(self, share, scale=1.0, failed=0.0, but=None, zones=None):
-        """Reports of some links, of these zones and of none of one backend; a failing backend's tries fail,
-        the others' by chance."""
+        assert coordinator.planner.in_flight.in_flight == reference.planner.former.channel.waiting
+        assert list(coordinator.planner.fleet.backends) == list(reference.planner.former.backends)
+        for compared in self.coordinators:
+            compared.calls.clear()
+
+    def report_loads(self, share, scale=1.0, failed=0.0, excluding=None, zones=None):
+        """Report load of a random `share` of the links in `zones`, without the backend `excluding`.
+
+        At least the share `failed` of the attempts fails, and more at a failing backend.
+        """
         for name in self.entries:
             for zone in zones or self.zones:
-                if self.random.random() >= share or name == but:
+                if self.random.random() >= share or name == excluding:
                     continue
-                tries = self.random.randint(1, 12)
-                part = max(failed, self.failing.get(name, 0.0))
-                lost = sum(self.random.random() < part for _ in range(tries))
-                mean = int(self.mean * scale * self.random.uniform(0.6, 1.6)) if lost < tries else 0
+                attempts = self.random.randint(1, 12)
+                failed_share = max(failed, self.failing.get(name, 0.0))
+                failures = sum(self.random.random() < failed_share for _ in range(attempts))
+                mean = int(self.mean * scale * self.random.uniform(0.6, 1.6)) if failures < attempts else 0
                 self.report(
                     LoadReport(
                         zone=zone,
                         backend=name,
-                        attempts=tries,
-                        failures=lost,
+                        attempts=attempts,
+                        failures=failures,
                         mean=mean,
                         window=SECOND,
                         load={},
                     ),
                 )
-        for grade in ("a", "b"):
-            self.report(UsageReport(proxy=0, request_class=grade, requests=50, unanswered=0, window=SECOND))
+        for request_class in ("a", "b"):
+            self.report(
+                UsageReport(proxy=0, request_class=request_class, requests=50, unanswered=0, window=SECOND)
+            )
 
     def list_changes(self, count):
-        """Drawn changes of the list: drains, ends, restarts, new ones, other weights, kinds and zones."""
+        """Send random list changes: phases, restarts, new backends, weights, machine types and zones."""
         entries = []
         for _ in range(count):
             what = self.random.randrange(8)
@@ -245,49 +251,49 @@
             entries.append(entry)
             if entry["phase"] == "gone" and len(self.entries) > 3 and self.random.random() < 0.7:
                 del self.entries[entry["name"]]
-        self.list("changes", entries)
+        self.send_list("changes", entries)
 
-    def lose(self, names):
-        """These are gone by the list."""
+    def remove_backends(self, names):
+        """Send list changes by which these backends are gone."""
         gone = [{**self.entries.pop(name), "phase": "gone"} for name in names]
-        self.list("changes", gone)
+        self.send_list("changes", gone)
 
     def restart(self, name):
-        """A backend starts anew, cold."""
+        """Restart a backend: it is listed as ready with a new start time."""
         entry = self.entries[name] = {**self.entries[name], "phase": "ready", "started_at": self.now}
-        self.list("changes", [entry])
+        self.send_list("changes", [entry])
 
-    def whole_list(self):
-        """A whole list, which may leave some out."""
+    def send_complete_list(self):
+        """Send a complete list, which may lack a backend."""
         left_out = self.random.random() < 0.3 and self.random.choice(list(self.entries))
         if left_out and len(self.entries) > 3:
             del self.entries[left_out]
-        self.list("complete", list(self.entries.values()))
+        self.send_list("complete", list(self.entries.values()))
 
     def apply_settings(self, **changes):
         self.settings = {**self.settings, **changes}
-        for each in self.both:
-            each.apply_settings(self.now, settings_of(self.settings))
+        for coordinator in self.coordinators:
+            coordinator.apply_settings(self.now, settings_of(self.settings))
 
-    def event(self):
-        """Something drawn happens."""
+    def random_event(self):
+        """Report a random event."""
         what = self.random.randrange(13)
-        some = self.random.choice(list(self.entries))
+        backend = self.random.choice(list(self.entries))
         if what <= 2:
-            self.hear(self.random.choice((0.02, 0.3, 1.0)))
+            self.report_loads(self.random.choice((0.02, 0.3, 1.0)))
         elif what == 3:
-            self.hear(0.5, scale=self.random.choice((1.0, 12.0)))
+            self.report_loads(0.5, scale=self.random.choice((1.0, 12.0)))
         elif what == 4:
-            self.hear(0.3, failed=0.6)
+            self.report_loads(0.3, failed=0.6)
         elif what == 5:
-            self.failing[some] = self.random.choice((0.0, 0.5, 1.0))
-            self.hear(0.4)
+            self.failing[backend] = self.random.choice((0.0, 0.5, 1.0))
+            self.report_loads(0.4)
         elif what == 6:
             self.failing.clear()
         elif what in (7, 8):
             self.list_changes(self.random.choice((1, 1, 2, 8)))
         elif what == 9:
-            self.whole_list()
+            self.send_complete_list()
         elif what == 10:
             self.join(self.random.randrange(len(self.proxies) + 5))
         elif what == 11 and len(self.proxies) > 1:
@@ -304,9 +310,13 @@
             self.turn()
 
 
-def first_difference(one, other):
-    for number, (mine, theirs) in enumerate(zip(one, other)):
-        if mine != theirs:
-            return f"call {number}: {mine} and by the reference {theirs}"
-    longer = one if len(one) > len(other) else other
-    return f"{len(one)} calls and {len(other)} by the reference, such as {longer[min(len(one), len(other))]}"
+def first_difference(calls, reference_calls):
+    """Describe the first difference of two lists of calls."""
+    for number, (call, expected) in enumerate(zip(calls, reference_calls)):
+        if call != expected:
+            return f"call {number} is {call}, and {expected} by the reference"
+    longer = calls if len(calls) > len(reference_calls) else reference_calls
+    return (
+        f"{len(calls)} calls, and {len(reference_calls)} by the reference; "
+        f"the first extra call is {longer[min(len(calls), len(reference_calls))]}"
+    )
--- a/tests/test_operator_settings.py
+++ b/tests/test_operator_settings.py
@@ -1,4 +1,7 @@
-"""Invalid settings, experiment files and command lines end with an error of one sentence, not a traceback."""
+"""Tests that invalid settings, experiment files and command lines are reported in one sentence.
+
+Guards against a traceback, or a message without the file, section or key, when an operator makes a mistake.
+"""
 
 from pathlib import Path
 
@@ -141,12 +144,12 @@
 @pytest.mark.parametrize(
     ("change", "words"),
     [
-        ("load", "no KEY=VALUE"),
+        ("load", "expected KEY=VALUE"),
         ("nope=1", "no section has this key"),
         ("load=x", "[fleet] load is 'x'"),
         ("seeds=0", "seeds is '0'"),
         ("sizes=30", "30x150"),
-        ("variants=now", "variants names 'now'"),
+        ("variants=now", "variants contains 'now'"),
         ("fleet.nope=1", "nope is unknown"),
         ("kind=flood", "kind is 'flood', expected one of restart"),
     ],
@@ -159,7 +162,7 @@
 
 
 def test_an_experiment_is_loaded_by_name_or_from_a_file_with_changes(tmp_path, capsys):
-    assert "restart" in schema.names()
+    assert "restart" in schema.experiment_names()
     assert schema.load("restart", ["load=0.9"]).fleet.load == 0.9
     path = tmp_path / "mine.ini"
     path.write_text("[experiment]\nkind = restart\ntitle = mine\n[class.pay]\nbenefit = 9\n")
@@ -170,14 +173,14 @@
         [(4, 6)],
     )
     assert main(["emulate", "run", "nothing"]) == 1
-    assert "restart come with the program" in capsys.readouterr().err
+    assert "packaged ones are restart" in capsys.readouterr().err
     assert main(["emulate", "list"]) == 0
     assert "restart" in capsys.readouterr().out
-    with pytest.raises(InvalidInputError, match="lacks the section"):
+    with pytest.raises(InvalidInputError, match=r"the section \[experiment\] is missing"):
         path.write_text("[fleet]\nload = 0.5\n")
         schema.load(str(path))
 
 
 def test_an_invalid_boolean_is_reported_with_the_expected_values():
     with pytest.raises(InvalidInputError, match="again is 'perhaps', expected true or false"):
-        ini.parse("x.ini", "[c]\nagain = perhaps\n", {"c": schema.Class})
+        ini.parse("x.ini", "[c]\nagain = perhaps\n", {"c": schema.ClassSettings})
