--- a/granitespool/gnmi/capabilities.py
+++ b/granitespool/gnmi/capabilities.py
@@ -6,7 +6,7 @@
 from granitespool.management import model
 from granitespool.rpc.calls import Call, Steps
 
-VERSION = "0.8.0"  # of gNMI
+VERSION = "0.8.0"  # the version of gNMI
 ORGANIZATION = "granitespool"
 
 
--- a/granitespool/gnmi/connection.py
+++ b/granitespool/gnmi/connection.py
@@ -45,7 +45,7 @@
 
     @property
     def is_exempt_from_idle_timeout(self) -> bool:
-        """Whether the connection stays open however long the client is silent: while a call is open."""
+        """Whether the connection is exempt from the idle timeout, because a call is open."""
         return bool(self.calls.open)
 
     def start(self) -> None:
@@ -70,11 +70,11 @@
         self._flush()
 
     def next_deadline(self) -> int | None:
-        """Return the time in ns at which `tick` has to be called at the latest, None for never."""
+        """Return the time in ns by which `tick` must be called, None without a timer."""
         return self.calls.next_deadline()
 
     def tick(self, now: int) -> None:
-        """End calls whose deadline has passed, and resume those that waited until `now`, in ns."""
+        """End calls whose deadline has passed, and resume calls whose wait has ended at `now` (ns)."""
         self.calls.tick(now)
         self._flush()
 
--- a/granitespool/gnmi/edits.py
+++ b/granitespool/gnmi/edits.py
@@ -27,7 +27,7 @@
         path: the path from the root.
 
     Raises:
-        ManagementError: the path does not lead to settings, or what it names cannot be deleted.
+        ManagementError: the path does not lead to settings, or the node at the path cannot be deleted.
     """
     check_settable(path)
     relative_path = path[len(SETTINGS_PATH) :]
@@ -66,7 +66,7 @@
 
 
 def _settings_within(path: NodePath, value: Value) -> Value:
-    """Return the part of a value that contains the settings; `path` leads to one of their ancestors."""
+    """Return the settings within a value; `path` leads to an ancestor of the settings."""
     for name in SETTINGS_PATH[len(path) :]:
         children = value.items() if isinstance(value, dict) else ()
         values_by_name = {key.removeprefix(MODULE_PREFIX): item for key, item in children}
@@ -99,7 +99,7 @@
 
 
 def _key_changes(node: SchemaNode, element: PathElement) -> tuple[Change, ...]:
-    """Return the changes that set the keys of a list entry, none for other nodes."""
+    """Return the changes that set the keys of a list entry; the result is empty for other nodes."""
     if node.kind != "list":
         if element.keys:
             raise ManagementError(ErrorTag.BAD_ATTRIBUTE, f"{node.name} has no keys", node.path())
--- a/granitespool/gnmi/get.py
+++ b/granitespool/gnmi/get.py
@@ -13,7 +13,7 @@
 from granitespool.rpc.calls import Call, Steps
 from granitespool.rpc.errors import StatusCode, StatusError
 
-MATCHES_PER_STEP = 50  # matches that one step adds to a message, in half a millisecond
+MATCHES_PER_STEP = 50  # matches that one step adds to a message; this takes about 0.5 ms
 
 
 def get(context: CallContext, call: Call) -> Steps:
--- a/granitespool/gnmi/paths.py
+++ b/granitespool/gnmi/paths.py
@@ -14,7 +14,7 @@
 
 ANY = "*"
 ANY_DEPTH = "..."
-MAX_ELEMENTS = 32  # elements of a path; the module has six levels
+MAX_ELEMENTS = 32  # the longest accepted path, in elements; the module has six levels
 MODULE_PREFIX = f"{model.MODULE}:"
 
 
--- a/granitespool/gnmi/subscribe.py
+++ b/granitespool/gnmi/subscribe.py
@@ -15,8 +15,8 @@
 from granitespool.rpc.errors import StatusCode, StatusError
 
 MAX_SUBSCRIPTIONS = 64  # subscriptions of one call
-MAX_UPDATES = 500  # updates of one notification, some 50 KB
-UPDATES_PER_STEP = 50  # updates that one step adds to a message, in half a millisecond
+MAX_UPDATES = 500  # updates of one notification, about 50 KB
+UPDATES_PER_STEP = 50  # updates that one step adds to a message; this takes about 0.5 ms
 RESPONSE_FIELD = pb.SubscribeResponse.DESCRIPTOR.fields_by_name["update"].number
 SYNC_RESPONSE = pb.SubscribeResponse(sync_response=True).SerializeToString()
 
@@ -55,7 +55,7 @@
 
 
 def _poll(sender: "_Sender", call: Call, subscriptions: Sequence[Subscription]) -> Iterator[None]:
-    """Send all values at first, and again for each poll."""
+    """Send all values once, and again for each poll request."""
     yield from sender.send_all(subscriptions)
     while not call.is_half_closed or call.inbox:
         if not call.inbox:
@@ -73,7 +73,7 @@
 def _stream(
     sender: "_Sender", call: Call, subscriptions: Sequence[Subscription], updates_only: bool
 ) -> Iterator[None]:
-    """Send all values at first, and then the changes of each subscription at its interval."""
+    """Send all values once, and then the changes of each subscription at the interval of the subscription."""
     for subscription in subscriptions:
         values = yield from sender.current(subscription)
         subscription.start(values, sender.now())
@@ -126,7 +126,7 @@
         cached: LeafValues | None = shared.leaf_values.get(key)
         if cached is not None:
             return cached
-        leaf_values = shared.leaf_values  # of this reading: a newer one may replace it between two steps
+        leaf_values = shared.leaf_values  # a newer reading may replace `shared.leaf_values` between two steps
         values: dict[Leaf, Value] = {}
         for match in matches(RootNode(service.model.top), tree, subscription.path):
             for leaf_match in leaves(match):
@@ -141,7 +141,7 @@
         return values
 
     def send(self, values: LeafValues, deletes: Iterable[Leaf] = ()) -> Iterator[None]:
-        """Send updates and deletes, in several notifications if they exceed the limit of one."""
+        """Send updates and deletes, in several notifications if there are more than MAX_UPDATES."""
         deleted_paths = [path_message(leaf.path) for leaf in deletes]
         updates: list[bytes] = []
         for number, (leaf, value) in enumerate(values.items(), 1):
--- a/granitespool/gnmi/subscription.py
+++ b/granitespool/gnmi/subscription.py
@@ -12,9 +12,9 @@
 from granitespool.management.model import SchemaNode
 from granitespool.units import SECOND
 
-MIN_SAMPLE_INTERVAL = SECOND // 4  # ns; a reading of the state is shared for this time
+MIN_SAMPLE_INTERVAL = SECOND // 4  # ns; requests within this time share a reading of the state
 DEFAULT_SAMPLE_INTERVAL = 10 * SECOND  # ns
-ON_CHANGE_INTERVAL = SECOND  # ns between checks for changes: the planner's period
+ON_CHANGE_INTERVAL = SECOND  # ns between checks for changes; equal to the planner's period
 UPDATE_FIELD = pb.Notification.DESCRIPTOR.fields_by_name["update"].number
 SETTINGS_PATH = node_path(model.TOP, model.SETTINGS)
 
@@ -27,7 +27,7 @@
     def __init__(self, path: NodePath, node: Node) -> None:
         self.path = path
         self.node = node
-        self._encoded: dict[int, tuple[Value, bytes]] = {}  # by encoding: a value and its update
+        self._encoded: dict[int, tuple[Value, bytes]] = {}  # encoding -> the value and its encoded update
 
     def update_field(self, value: Value, encoding: int) -> bytes:
         """Return an Update with a value, encoded as a field of a Notification."""
@@ -74,20 +74,20 @@
         self._heartbeat_at = 0
 
     def _mode(self, request: pb.Subscription) -> int:
-        """Return the mode; for TARGET_DEFINED, settings are sent on change and all else is sampled."""
+        """Return the mode; TARGET_DEFINED becomes ON_CHANGE for settings, and SAMPLE for all other paths."""
         mode: int = request.mode
         if mode == pb.TARGET_DEFINED:
             mode = pb.ON_CHANGE if self.path[1:2] == SETTINGS_PATH[1:2] else pb.SAMPLE
         return mode
 
     def start(self, leaves: LeafValues, now: int) -> None:
-        """Record that the first values are sent."""
+        """Record that the initial values have been sent."""
         self.sent = leaves
         self.next_sample_at = now + self.interval
         self._heartbeat_at = now
 
     def delta(self, leaves: LeafValues, now: int) -> Delta:
-        """Return the changes to send for the current values; a missed sample is not made up for."""
+        """Return the changes to send for the current values; samples that were missed are skipped."""
         self.next_sample_at = max(self.next_sample_at + self.interval, now + self.interval // 2)
         deletes = [leaf for leaf in self.sent if leaf not in leaves]
         updates = leaves
--- a/granitespool/management/changes.py
+++ b/granitespool/management/changes.py
@@ -1,4 +1,4 @@
-"""Makes a tree of settings the running one: checks, saves and applies it, in this order; no I/O."""
+"""Checks a tree of settings, saves it, and then applies it as the running settings; no I/O."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol, TypeAlias
@@ -35,7 +35,7 @@
 
 
 class _PendingChange(NamedTuple):
-    """A tree that is to become running; `is_durable` is whether it survives a restart."""
+    """A tree that will replace the running one; `is_durable` is whether the tree survives a restart."""
 
     tree: Tree
     changed_by: str
@@ -46,8 +46,8 @@
 class ChangeSequence:
     """Processes the changes of running, one at a time.
 
-    `committing_session` is the session whose tree is being saved, None without one. `commits` and `rejected`
-    count the changes since the start.
+    `committing_session` is the session whose tree is being saved, None if none is being saved. `commits` and
+    `rejected` count the changes since the start.
     """
 
     def __init__(self, model: Model, host: DatastoreHost, trees: SettingsTrees) -> None:
--- a/granitespool/management/datastores.py
+++ b/granitespool/management/datastores.py
@@ -57,7 +57,7 @@
         return self.changes.rejected
 
     def tree(self, datastore: str) -> Tree:
-        """Return the settings of a datastore; those of startup are the ones that a restart would use."""
+        """Return the settings of a datastore; for startup, the settings that a restart would use."""
         return self.trees.tree(datastore)
 
     # Locks
@@ -178,7 +178,7 @@
     def _next_confirmation(
         self, session: object, now: int, options: CommitOptions
     ) -> PendingConfirmation | None:
-        """Return the confirmation that is pending after a commit with these options, None for none."""
+        """Return the pending confirmation after a commit with these options, None if none is needed."""
         if options.timeout is None:
             return None
         deadline = now + options.timeout * SECOND
@@ -251,7 +251,7 @@
     # Timeouts, closed sessions, reloaded files
 
     def next_deadline(self) -> int | None:
-        """Return the time at which `tick` has to be called at the latest, None for never."""
+        """Return the time in ns by which `tick` must be called, None without a timer."""
         return self.pending_confirmation.deadline if self.pending_confirmation else None
 
     def tick(self, now: int, on_undone: CompletionCallback) -> None:
--- a/granitespool/management/edits.py
+++ b/granitespool/management/edits.py
@@ -166,7 +166,7 @@
 
 
 def _find_index(entries: list[Value], reference: Value) -> int | None:
-    """Return the index of the entry with these keys, or with this value, None if there is none."""
+    """Return the index of the entry with these keys or this value, None if no entry matches."""
     for index, entry in enumerate(entries):
         if entry == reference or (isinstance(reference, dict) and _has_keys(entry, reference)):
             return index
@@ -254,7 +254,7 @@
 
 
 def _value_with_defaults(node: SchemaNode, value: Value) -> Value:
-    """Return the value of a child with defaults, None if it has none."""
+    """Return the value of a child with defaults, None if the child has neither a value nor a default."""
     if node.kind == "container":
         if value is None and node.has_presence:
             return None
--- a/granitespool/management/impact_check.py
+++ b/granitespool/management/impact_check.py
@@ -1,7 +1,7 @@
 """Rejects changes of settings that would do harm, or that need a restart; no I/O.
 
-The types and must statements of the YANG module are checked before. These checks depend on the current state
-of the coordinator.
+The types and must statements of the YANG module have been checked before. The checks of this module depend on
+the current state of the coordinator.
 """
 
 from collections.abc import Collection, Mapping
@@ -16,7 +16,8 @@
 Configuration: TypeAlias = Mapping[str, Any]
 """A configuration as `net.config` reads it."""
 
-# Channel entries of an order to one proxy, without the message header: the entry and its barrier.
+# An order to one proxy takes two channel entries: the changed table entry and its acknowledgement barrier.
+# The message header is not counted.
 ENTRIES_PER_ORDER = 2
 
 
--- a/granitespool/management/interfaces.py
+++ b/granitespool/management/interfaces.py
@@ -1,6 +1,7 @@
 """Interfaces between the datastores, the management protocols and the service.
 
-`net.management_service` and `net.management_listener` implement the sides of the service and the listener.
+`net.management_service` implements the interfaces of the service. `net.management_listener` implements those
+of the listener.
 """
 
 from collections.abc import Iterator, Mapping, MutableMapping
@@ -13,7 +14,7 @@
 
 
 class Listener(Protocol):
-    """The listener that accepted a connection, as far as its protocol uses it."""
+    """The part of the listener's interface that a protocol uses."""
 
     @property
     def streams(self) -> int | None:
@@ -29,7 +30,7 @@
 
     @property
     def end_reason(self) -> str | None:
-        """The reason for which the connection is about to end, None while it stays open."""
+        """The reason why the connection is being closed, None if it stays open."""
 
     @property
     def unsent(self) -> int:
@@ -49,7 +50,7 @@
 
 
 class ProtocolSession(Protocol):
-    """The session of a client, in any protocol, as the listener and the service use it."""
+    """The session of a client in any protocol: the interface for the listener and the service."""
 
     @property
     def number(self) -> int:
@@ -61,7 +62,7 @@
 
     @property
     def subscribed_events(self) -> frozenset[str] | None:
-        """The names of the subscribed events, empty for all; None without a subscription."""
+        """The names of the subscribed events; empty if all are subscribed, None without a subscription."""
 
     @property
     def has_work(self) -> bool:
@@ -69,7 +70,7 @@
 
     @property
     def is_exempt_from_idle_timeout(self) -> bool:
-        """Whether the session stays open however long the client sends nothing."""
+        """Whether the session is exempt from the idle timeout."""
 
     def start(self) -> None:
         """Start the session; the TLS handshake is complete."""
@@ -81,7 +82,7 @@
         """Do one short step of the pending work."""
 
     def next_deadline(self) -> int | None:
-        """Return the time in ns at which `tick` has to be called at the latest, None for never."""
+        """Return the time in ns by which `tick` must be called, None without a timer."""
 
     def tick(self, now: int) -> None:
         """Run the timers that have expired at `now`, in ns."""
@@ -109,7 +110,7 @@
     """A reading of the operational state, shared by all requests within a short time."""
 
     leaf_values: dict[tuple[str, int], Any]  # values that the protocols derived from the newest tree
-    leaf_cache: MutableMapping[str, Any]  # by path text, while a subscription refers to the leaf
+    leaf_cache: MutableMapping[str, Any]  # path text -> leaf, as long as a subscription refers to the leaf
 
     def poll(self, now: int) -> Tree | None:
         """Return a recent tree, or do one step of reading it and return None."""
@@ -146,4 +147,4 @@
         """Log an internal error of this program."""
 
     def on_session_closed(self, session: object) -> None:
-        """Forget a session that has ended, and release its locks."""
+        """Remove a session that has ended, and release the locks of the session."""
--- a/granitespool/management/mapping.py
+++ b/granitespool/management/mapping.py
@@ -48,7 +48,7 @@
     ("drain", "needs-entry"): Setting("removal_needs_drain", Representation.UNCHANGED),
     ("cold", "time"): Setting("warm_up_time", Representation.DURATION),
     ("cold", "share"): Setting("warm_up_start_share", Representation.DECIMAL),
-}  # by (container, leaf)
+}  # (container, leaf) -> setting
 CLASS_SETTINGS = {
     "name": Setting("name", Representation.UNCHANGED),
     "effect": Setting("effect", Representation.UNCHANGED),
@@ -56,8 +56,8 @@
     "time-limit": Setting("timeout", Representation.DURATION),
     "benefit": Setting("priority_weight", Representation.DECIMAL),
     "late-share": Setting("late_share", Representation.DECIMAL),
-}  # of a class, by leaf
-LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf: the configuration's name
+}  # leaf of a request class -> setting
+LIMITS = {"descriptors": "sockets", "memory-mb": "memory_mb"}  # leaf -> name in the configuration
 DECIMAL_DIGITS = 6  # fraction digits of the module's decimals, except those of the operator's file
 OPERATOR_DIGITS = 3  # fraction digits of the decimals of the operator's file
 NO_SETTINGS = Settings()  # the values of unset settings
--- a/granitespool/management/model.py
+++ b/granitespool/management/model.py
@@ -27,7 +27,7 @@
     "list-key": ErrorTag.MISSING_ELEMENT,
     "non-unique-key": ErrorTag.OPERATION_FAILED,
     "data-not-unique": ErrorTag.OPERATION_FAILED,
-}  # by the tag of a yangson validation error; any other tag maps to INVALID_VALUE
+}  # tag of a yangson validation error -> error tag; any other tag maps to INVALID_VALUE
 
 
 class SchemaNode:
@@ -67,7 +67,7 @@
         self.children = {child.name: SchemaNode(child, self) for child in children}
 
     def parse(self, text: str) -> Value:
-        """Return the value, in the form of a tree, of a leaf's or leaf-list entry's text in XML or in a path.
+        """Convert the text of a leaf or leaf-list entry, from XML or a path, to its value in a tree.
 
         Raises:
             ManagementError: the text is not a value of the node's type.
@@ -81,7 +81,7 @@
         return self.type.to_raw(value)
 
     def parse_json(self, value: Value) -> Value:
-        """Return the value, in the form of a tree, of a plain JSON value.
+        """Convert a plain JSON value to the value in a tree.
 
         Raises:
             ManagementError: the JSON value is not a value of the node's type.
--- a/granitespool/management/operational_state.py
+++ b/granitespool/management/operational_state.py
@@ -17,13 +17,13 @@
 from granitespool.planner.status import EntryStatus, PlannerStatus
 from granitespool.units import MICROSECOND
 
-LINKS_PER_STEP = 40  # pairs of a backend and a zone that one step reads, in half a millisecond
+LINKS_PER_STEP = 40  # pairs of a backend and a zone that one step reads; this takes about 0.5 ms
 MAX_FIGURE = 1e9  # the upper bound of the YANG type figure
 MAX_COST = 10**15  # us, the upper bound of the YANG type span
 
 
 class Coordinator(Protocol):
-    """A coordinator, as far as its state is read here."""
+    """The part of the coordinator's interface from which the state is read."""
 
     def status(self) -> CoordinatorStatus:
         """Return the state of the fleet and of the tables of each zone."""
@@ -38,8 +38,8 @@
 class StateFolderMetrics(NamedTuple):
     """Metrics of the state folder.
 
-    `bytes_written` and `batches_written` count since the start; `is_failing` is whether the disk currently
-    rejects writes.
+    `bytes_written` and `batches_written` are counted since the start; `is_failing` is whether the disk
+    currently rejects writes.
     """
 
     bytes_written: int
@@ -48,7 +48,7 @@
 
 
 class ServiceFacts(NamedTuple):
-    """State of the service that the coordinator does not contain; `list_age` in ns."""
+    """State of the service that is not part of the coordinator; `list_age` is in ns."""
 
     name: str
     version: int
@@ -84,7 +84,7 @@
             if number % backends_per_step == 0:
                 yield
             backend_status = self.coordinator.backend_status(name)
-            if backend_status is not None:  # it may have been removed since the reading began
+            if backend_status is not None:  # None if the backend was removed after the reading began
                 backends.append(_backend_tree(name, backend_status))
         if backends:
             self.tree["backend"] = backends
@@ -164,7 +164,7 @@
 
 
 def _absence_reason(status: CoordinatorBackendStatus, entry: EntryStatus) -> str | None:
-    """Return why a backend without a weight has none, None if its entry just has not been published yet."""
+    """Return the reason why a backend has no weight, None if its entry has only not been published yet."""
     if status.planner.phase != Phase.READY:
         return "not-ready"
     if not status.planner.verified:
--- a/granitespool/management/settings_trees.py
+++ b/granitespool/management/settings_trees.py
@@ -29,7 +29,7 @@
         self.candidate_editor: object = None
 
     def tree(self, datastore: str) -> Tree:
-        """Return the settings of a datastore; those of startup are the ones that a restart would use."""
+        """Return the settings of a datastore; for startup, the settings that a restart would use."""
         if datastore == CANDIDATE:
             return self.candidate
         if datastore == STARTUP and self.startup is not None:
--- a/granitespool/netconf/context.py
+++ b/granitespool/netconf/context.py
@@ -20,9 +20,9 @@
 class OperationContext:
     """The context of one session; `owner` identifies the session in the datastores.
 
-    `awaiting_completion` is whether an operation waits for its completion: no other operation of the session
-    is processed meanwhile. `notified_events` are the names of the subscribed events, an empty set for all,
-    None without a subscription.
+    `awaiting_completion` is whether an operation has been started and has not completed yet. Until it has
+    completed, the session processes no other operation. `notified_events` are the names of the subscribed
+    events. An empty set stands for all events, and None for a session without a subscription.
     """
 
     def __init__(self, service: ManagementService, user: User, transport: Transport, owner: object) -> None:
--- a/granitespool/netconf/errors.py
+++ b/granitespool/netconf/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a NETCONF peer outside of any rpc; each of them ends the session."""
+"""Protocol errors of a NETCONF peer that do not belong to an rpc; each of them ends the session."""
 
 from granitespool.errors import GranitespoolError
 
--- a/granitespool/netconf/filters.py
+++ b/granitespool/netconf/filters.py
@@ -30,7 +30,7 @@
             )
 
     def select_tree(self, top: SchemaNode, tree: Tree) -> Tree | None:
-        """Return the part of the tree that a subtree filter selects, None for nothing.
+        """Return the part of the tree that a subtree filter selects, None if it selects nothing.
 
         An XPath filter is applied by `select_elements` instead.
         """
@@ -44,7 +44,7 @@
         return selected
 
     def select_elements(self, data: Element) -> None:
-        """Reduce the reply's data element to the elements that an XPath filter selects, with ancestors."""
+        """Remove all elements of the reply except those selected by an XPath filter and their ancestors."""
         if self.element is None or self.kind != XPATH:
             return
         root = etree.Element("root")
@@ -94,7 +94,7 @@
 
 
 def select_subtree(node: SchemaNode, tree: Tree, filter_element: Element) -> Tree | None:
-    """Return the part of a container's tree that the filter's element for it selects, None for nothing."""
+    """Return the part of a container's tree that a filter element selects, None if it selects nothing."""
     children = list(filter_element)
     if not children:
         return tree  # a selection node
@@ -132,7 +132,7 @@
 
 
 def _select_child(node: SchemaNode, tree: Tree, element: Element, result: Tree) -> bool:
-    """Add the part that one element selects to the result, and return whether it selects anything."""
+    """Add what a filter element selects to the result, and return whether the element selects anything."""
     child = _child_node(node, element)
     if child is None or child.name not in tree:
         return False
@@ -153,7 +153,11 @@
 
 
 def _merged(node: SchemaNode, first: Value, second: Value) -> Value:
-    """Return the union of two parts of the same node, selected by two elements of a filter."""
+    """Merge two selected parts of the same node; two elements of a filter may select different parts.
+
+    List entries with the same keys are merged at their top level only: a child that both entries have is
+    taken from `second`.
+    """
     if first is None or node.kind in ("leaf", "leaf-list"):
         return second
     if node.kind == "container":
--- a/granitespool/netconf/framing.py
+++ b/granitespool/netconf/framing.py
@@ -7,7 +7,7 @@
 END_OF_MESSAGE = b"]]>]]>"
 END_OF_CHUNKS = b"\n##\n"
 CHUNK_START = b"\n#"
-MAX_CHUNK_BYTES = 4_294_967_295  # RFC 6242, 4.2; the reader limits whole messages
+MAX_CHUNK_BYTES = 4_294_967_295  # the limit of RFC 6242, 4.2; the reader also limits whole messages
 MAX_CHUNK_HEADER_BYTES = 13  # "\n#", ten digits, "\n"
 
 
@@ -29,14 +29,14 @@
         self.chunked = False
         self._received = bytearray()
         self._message = bytearray()  # the chunks of the current message so far
-        self._chunk_bytes_left = 0  # bytes of the current chunk that were not received yet
+        self._chunk_bytes_left = 0  # bytes of the current chunk that have not arrived yet
 
     def feed(self, data: bytes) -> None:
         """Append received bytes."""
         self._received += data
 
     def messages(self) -> Iterator[bytes]:
-        """Yield the complete messages.
+        """Yield each message that has been received completely.
 
         Raises:
             FramingError: the framing is invalid, or a message exceeds the size limit.
--- a/granitespool/netconf/namespaces.py
+++ b/granitespool/netconf/namespaces.py
@@ -36,7 +36,7 @@
     return f"{{{BASE}}}{name}"
 
 
-@cache  # called for each leaf of a reply; bounded, as all names are those of the module
+@cache  # called for each leaf of a reply; the cache holds at most one item per node name
 def module_tag(name: str) -> str:
     """Return the qualified name of a data node of the granitespool module."""
     return f"{{{model.NAMESPACE}}}{name}"
--- a/granitespool/netconf/operations/editing.py
+++ b/granitespool/netconf/operations/editing.py
@@ -28,7 +28,7 @@
     target = datastore_parameter(operation, "target")
     default_operation = choice_parameter(operation, "default-operation", DEFAULT_OPERATIONS)
     test_option = choice_parameter(operation, "test-option", TEST_OPTIONS)
-    # An edit is applied as a whole or not at all, whatever the error option.
+    # An edit is applied completely or not at all, with every error option.
     choice_parameter(operation, "error-option", ERROR_OPTIONS)
     config = operation.find(base_tag("config"))
     if config is None:
--- a/granitespool/netconf/operations/retrieval.py
+++ b/granitespool/netconf/operations/retrieval.py
@@ -15,7 +15,7 @@
 from granitespool.netconf.parameters import datastore_parameter
 from granitespool.netconf.xmltree import Element
 
-ENTRIES_PER_STEP = 20  # list entries that one step adds to a reply, in a fifth of a millisecond
+ENTRIES_PER_STEP = 20  # list entries that one step adds to a reply; this takes about 0.2 ms
 
 
 def get(context: OperationContext, operation: Element, reply: Element) -> Steps:
--- a/granitespool/netconf/session.py
+++ b/granitespool/netconf/session.py
@@ -17,7 +17,7 @@
 from granitespool.netconf.replies import add_ok, new_reply, replace_by_error
 from granitespool.netconf.xmltree import Element, element_namespace, element_text, local_name, parse_message
 
-MAX_MESSAGE_BYTES = 1 << 20  # settings with a thousand classes take a tenth of it
+MAX_MESSAGE_BYTES = 1 << 20  # settings with a thousand classes take about 100 KB
 MAX_PENDING_REQUESTS = 16  # requests that wait for the one in progress
 MAX_UNSENT_FOR_NOTIFICATION = 256 * 1024  # unsent bytes above which notifications are dropped
 
@@ -51,12 +51,12 @@
 
     @property
     def is_exempt_from_idle_timeout(self) -> bool:
-        """Whether the session stays open however long the client is silent, as a subscriber may be."""
+        """Whether the session is exempt from the idle timeout, by a subscription or a pending operation."""
         return self.subscribed_events is not None or self.context.awaiting_completion
 
     @property
     def subscribed_events(self) -> frozenset[str] | None:
-        """The names of the subscribed events, empty for all; None without a subscription."""
+        """The names of the subscribed events; empty if all are subscribed, None without a subscription."""
         return self.context.notified_events
 
     def start(self) -> None:
@@ -80,7 +80,7 @@
             self._finish(str(error))
 
     def next_deadline(self) -> None:
-        """Return None: a session has no timers; those of commits belong to the datastores."""
+        """Return None: a session has no timers. The datastores have the timers of commits."""
 
     def tick(self, now: int) -> None:
         """Do nothing: a session has no timers."""
@@ -97,7 +97,7 @@
             self._in_progress = None
 
     def announce_shutdown(self) -> None:
-        """Do nothing: NETCONF has no message for a shutdown; the client sees the end of the TLS session."""
+        """Do nothing: NETCONF has no message for a shutdown. The client sees the end of the TLS session."""
 
     def on_closed(self, _reason: str) -> None:
         """Discard the pending requests; the connection has ended."""
--- a/granitespool/netconf/xmltree.py
+++ b/granitespool/netconf/xmltree.py
@@ -10,7 +10,7 @@
 Element: TypeAlias = etree._Element
 
 MAX_DEPTH = 64  # nesting depth of elements; a tree of the module has nine levels
-MAX_ELEMENTS = 50_000  # elements of a message; a class takes seven
+MAX_ELEMENTS = 50_000  # elements of a message; a request class has seven
 MAX_REASON_CHARS = 200  # length of the parser's error message
 
 
--- a/granitespool/rpc/calls.py
+++ b/granitespool/rpc/calls.py
@@ -16,7 +16,7 @@
 from granitespool.rpc.errors import StatusCode, StatusError
 from granitespool.rpc.http2 import Headers, Http2Connection
 
-MAX_MESSAGE_BYTES = 1 << 20  # of a message from a client
+MAX_MESSAGE_BYTES = 1 << 20  # the longest accepted message from a client
 MAX_INBOX_MESSAGES = 64  # messages of a call that wait for its method
 PREFIX_BYTES = 5  # the prefix of a message: one byte of flags, four bytes of length
 TIMEOUT_UNITS = {
@@ -26,7 +26,7 @@
     "m": 10**6,
     "u": 10**3,
     "n": 1,
-}  # the units of the header grpc-timeout, in ns
+}  # unit of the grpc-timeout header -> ns
 TIMEOUT = re.compile(r"([0-9]{1,8})([HMSmun])")
 SAFE_IN_MESSAGE = " !#$&'()*+,-./:;<=>?@[]^_`{|}~\""  # characters that grpc-message contains unescaped
 RESPONSE_HEADERS = ((":status", "200"), ("content-type", "application/grpc"))
@@ -36,7 +36,7 @@
 
 
 class Call:
-    """One call.
+    """One gRPC call.
 
     `inbox` holds the messages that the method has not processed. `is_half_closed` is whether the client has
     sent its last message, `is_waiting` whether the method waits for `wake` or `wake_at`. `deadline` and
@@ -79,7 +79,7 @@
         self.calls.remove(self)
 
     def wake(self) -> None:
-        """Resume the method if it waits."""
+        """Resume the method if it is waiting."""
         self.is_waiting = False
         self.calls.on_wake()
 
@@ -133,7 +133,7 @@
         self.on_failure = on_failure
         self.on_wake = on_wake
         self.http2: Http2Connection
-        self.open: dict[int, Call] = {}  # by stream, in the order in which they are resumed
+        self.open: dict[int, Call] = {}  # stream -> call, in the order in which the calls are resumed
 
     # Events of the HTTP/2 connection
 
@@ -207,7 +207,7 @@
         call = next((candidate for candidate in self.open.values() if self._can_resume(candidate)), None)
         if call is None or call.steps is None:
             return
-        self.open[call.stream] = self.open.pop(call.stream)  # to the end of the order
+        self.open[call.stream] = self.open.pop(call.stream)  # move the call to the end of the order
         try:
             next(call.steps)
         except StopIteration:
@@ -223,12 +223,12 @@
             )
 
     def next_deadline(self) -> int | None:
-        """Return the time in ns at which `tick` has to be called at the latest, None for never."""
+        """Return the time in ns by which `tick` must be called, None without a timer."""
         times = [time for call in self.open.values() for time in (call.deadline, call.wake_at)]
         return min((time for time in times if time is not None), default=None)
 
     def tick(self, now: int) -> None:
-        """End calls whose deadline has passed, and resume those that waited until `now`, in ns."""
+        """End calls whose deadline has passed, and resume calls whose wait has ended at `now` (ns)."""
         for call in list(self.open.values()):
             if call.deadline is not None and now >= call.deadline:
                 reason = "the call's deadline has passed"
--- a/granitespool/rpc/errors.py
+++ b/granitespool/rpc/errors.py
@@ -12,7 +12,7 @@
 class Http2Error(RpcError):
     """The connection has to be closed, for the reason in the text.
 
-    The last frames for the client are still to be taken from `Http2Connection.outgoing`.
+    The caller must still send the last frames for the client, which it takes from `Http2Connection.outgoing`.
     """
 
 
--- a/granitespool/rpc/http2.py
+++ b/granitespool/rpc/http2.py
@@ -35,7 +35,7 @@
 HeaderFields: TypeAlias = Iterable[tuple[str, str]]
 
 MAX_STREAMS = 64  # concurrent streams of a connection
-MAX_HEADER_BYTES = 8 * 1024  # headers of a request; a usual call takes a twentieth of it
+MAX_HEADER_BYTES = 8 * 1024  # headers of a request; a usual call has about 400 bytes
 RECEIVE_WINDOW = 256 * 1024  # flow control window of a stream, and of a connection, in bytes
 MAX_STEP_BYTES = 64 * 1024  # bytes of all streams that one step sends, in under a millisecond with TLS
 QUEUE_HIGH_WATER = 64 * 1024  # queued bytes of a stream above which callers should not add more
@@ -63,7 +63,7 @@
 
 
 class Http2Connection:
-    """One connection.
+    """The server side of one HTTP/2 connection.
 
     `can_send` is whether `step` may have something to do, `queued` maps streams to their queued bytes.
     """
@@ -83,9 +83,9 @@
         self.h2.decoder.max_header_list_size = MAX_HEADER_BYTES
         self.queued: dict[int, bytearray] = {}
         self.can_send = False
-        self._trailers: dict[int, HeaderFields] = {}  # by stream; sent after the queued bytes
+        self._trailers: dict[int, HeaderFields] = {}  # stream -> trailers, sent after the queued bytes
         self._goaway_sent = False
-        self._costly_frames = 0  # received in the second `_costly_second`
+        self._costly_frames = 0  # costly frames received in the second `_costly_second`
         self._costly_second = 0
         self._frame_header = b""  # the received part of the next frame's header
         self._bytes_before_header = PREFACE_BYTES
@@ -98,7 +98,7 @@
     # Frames from the client
 
     def receive(self, data: bytes, now: int) -> None:
-        """Process bytes from the client; `now` in ns.
+        """Process bytes from the client; `now` is in ns.
 
         Raises:
             Http2Error: the bytes violate the protocol or a limit, or the client has closed the connection.
@@ -115,7 +115,7 @@
             self._handle(event)
 
     def _check_frame_sizes(self, data: bytes) -> None:
-        """Reject frames over the size limit by their headers; h2 would buffer a whole frame first."""
+        """Reject a frame over the size limit by its header alone; h2 would buffer the whole frame first."""
         self._frame_header += data[self._bytes_before_header :]
         self._bytes_before_header -= min(self._bytes_before_header, len(data))
         while len(self._frame_header) >= FRAME_HEADER_BYTES and not self._bytes_before_header:
@@ -242,7 +242,7 @@
 
 
 def _is_costly(event: Event) -> bool:
-    """Return whether a frame costs the server work and the client next to nothing."""
+    """Return whether a frame causes work for the server but almost none for the client."""
     if isinstance(event, DataReceived):
         return not event.data and event.stream_ended is None
     return isinstance(event, COSTLY_EVENTS)
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -29,14 +29,14 @@
 START = 1_800_000_000 * SECOND  # ns since 1970; the clock does not advance by itself
 BACKENDS = 8
 PROXIES = 8
-UNASSIGNED_PROXIES = 150  # more than can be assigned at once
-SECONDS = 13  # long enough for the failing link to be ejected at the end
+UNASSIGNED_PROXIES = 150  # more proxies than can be assigned at once
+SECONDS = 13  # simulated time; long enough for the failing link to be ejected at the end
 LIST_CHANGES = (
     (8, "s-2", "draining"),
     (8, "s-3", "draining"),
     (8, "s-8", "ready"),
     (10, "s-3", "gone"),
-)  # second, backend, phase
+)  # (second, backend, phase)
 CONFIGURATION = {
     "name": "n0",
     "listen": "127.0.0.1:0",
--- a/tests/test_gnmi.py
+++ b/tests/test_gnmi.py
@@ -107,7 +107,7 @@
         return json.loads(update.val.json_ietf_val)
 
     def set(self, **parts):
-        """Call Set, and return "ok" or the name of the status code.
+        """Call Set, and return "ok" or the name of the error status code.
 
         Args:
             **parts: delete=[path text], replace={path text: value}, update={path text: value}.
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -512,7 +512,7 @@
 
 
 class ConcurrentSessions(RuleBasedStateMachine):
-    """Sessions that edit, lock, commit and close at random, and reloads of files, against invariants."""
+    """Random edits, locks, commits and closes of sessions, and reloads of files; checks invariants."""
 
     @initialize()
     def begin(self):
--- a/tests/test_management_replies.py
+++ b/tests/test_management_replies.py
@@ -237,7 +237,7 @@
         self.exchange()
 
     def exchange(self):
-        """Exchange bytes between client and server until neither has any to send."""
+        """Exchange bytes between client and server until neither has any bytes left to send."""
         while True:
             self.managed.run_protocol(self.session)
             received, outgoing = self.transport.take_sent(), self.h2.data_to_send()
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -449,7 +449,7 @@
     assert len(calls) == 2 and configured_settings(calls[1]["settings"]) == before
     probes.reconfigure = real
     assert reply_tag(client.commit()) == "ok" and server.settings()["entries_per_s"] == 500
-    server.wait_for_log("task_failed")  # the log is read in another thread
+    server.wait_for_log("task_failed")  # another thread reads the log
     server.lines[:] = [line for line in server.lines if line["event"] != "task_failed"]
 
 
