--- a/granitespool/emulator/backend.py
+++ b/granitespool/emulator/backend.py
@@ -16,16 +16,16 @@
 class Response(NamedTuple):
     """Result of one attempt."""
 
-    latency: int | None  # ns; None: the backend never responds
+    latency: int | None  # ns; None if the backend never responds
     succeeded: bool
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Fault of a backend; the default is a healthy one."""
+    """Fault of a backend. The default values stand for a healthy backend."""
 
-    slowdown: float = 1.0  # factor on the service time
+    slowdown: float = 1.0  # the service time is multiplied by this factor
     failure_share: float = 0.0  # share of attempts that fail immediately
-    dead: bool = False  # responds to nothing
+    dead: bool = False  # whether the backend never responds
 
     @property
     def present(self) -> bool:
@@ -40,18 +40,21 @@
     """A backend that executes up to `workers` requests concurrently, first come, first served."""
 
     def __init__(self, name: str, zone: str, workers: int, service_time: float) -> None:
-        """Create a healthy backend; `service_time` is its mean in ns once it has warmed up."""
+        """Create a healthy backend.
+
+        `service_time` is the mean service time (ns) of the backend after it has warmed up.
+        """
         self.name = name
         self.zone = zone
         self.service_time = service_time
         self.workers_free_at = [0] * workers  # heap of the times (ns) at which workers become free
-        self.started_at = 0  # ns; 0: long ago, so that it is not warming up
+        self.started_at = 0  # ns; 0 means long ago: the backend has warmed up
         self.fault = HEALTHY
 
     def serve(self, now: int, random: Random, fleet: FleetSettings) -> Response:
         """Return the response to an attempt that arrives at `now` (ns).
 
-        An attempt that would have to queue for longer than `queue_ms` fails immediately.
+        An attempt that would have to queue for longer than the setting `queue_ms` fails immediately.
         """
         if self.fault.dead:
             return Response(None, False)
@@ -68,7 +71,10 @@
 
 
 def assign_faults(backends: Iterable[Backend], fleet: FleetSettings, random: Random) -> None:
-    """Make random shares of the backends slow, failing and dead, as configured, and the others healthy."""
+    """Choose random backends to be slow, failing or dead, and make all others healthy.
+
+    The settings contain the share of the backends for each fault.
+    """
     shuffled = list(backends)
     random.shuffle(shuffled)
     slow_end = round(len(shuffled) * fleet.slow_share)
@@ -85,7 +91,10 @@
 
 
 def swap_faults(backends: Iterable[Backend], random: Random) -> None:
-    """Move the fault of each faulty backend to a random healthy one, as long as there are healthy ones."""
+    """Move the fault of each faulty backend to a random healthy backend.
+
+    If there are more faulty than healthy backends, the remaining faulty backends keep their faults.
+    """
     all_backends = list(backends)
     faulty = [backend for backend in all_backends if backend.fault.present]
     healthy = [backend for backend in all_backends if not backend.fault.present]
--- a/granitespool/emulator/channel.py
+++ b/granitespool/emulator/channel.py
@@ -6,7 +6,7 @@
 from granitespool.emulator.schema import ChannelSettings
 from granitespool.units import MILLISECOND, SECOND
 
-# Messages that arrive within one interval are processed in one turn, at its end. In ns.
+# Interval in ns. All messages that arrive within one interval are processed together at its end.
 BATCH_INTERVAL = 10 * MILLISECOND
 
 
@@ -16,12 +16,12 @@
 
 
 class Channel:
-    """Channel of one incarnation of a coordinator."""
+    """Channel that one incarnation of a coordinator uses until it ends."""
 
     def __init__(self, settings: ChannelSettings, entry_rate: float, now: int) -> None:
         self.entry_rate = entry_rate  # table entries per second
         self.delay = int(settings.delay_ms * MILLISECOND)  # ns
-        self.free_at = now  # ns; when all messages so far have been sent
+        self.free_at = now  # time (ns) at which the last message has been sent completely
 
     def send(self, now: int, entries: int) -> int:
         """Send a message of `entries` table entries; return the time (ns) at which the proxy processes it."""
--- a/granitespool/emulator/clock.py
+++ b/granitespool/emulator/clock.py
@@ -4,22 +4,25 @@
 from collections.abc import Callable
 from typing import Any
 
-EPOCH = 10**18  # ns; start of virtual time
+EPOCH = 10**18  # virtual time (ns) at which an emulation starts
 
 # (time in ns, sequence number, function, arguments)
 _ScheduledCall = tuple[int, int, Callable[..., None], tuple[Any, ...]]
 
 
 class VirtualClock:
-    """Clock that runs calls in the order of their times; calls for the same time run first in, first out."""
+    """Virtual clock that runs scheduled calls in the order of their times.
+
+    Calls for the same time run in the order in which they were scheduled.
+    """
 
     def __init__(self, now: int = EPOCH) -> None:
         self.now = now  # ns
-        self.scheduled_count = 0  # calls scheduled so far; breaks ties in the queue
+        self.scheduled_count = 0  # number of calls scheduled so far; orders calls for the same time
         self._queue: list[_ScheduledCall] = []
 
     def call_at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401
-        """Schedule a call for a time (ns); if it has passed, the call runs as soon as possible."""
+        """Schedule a call for a time (ns). If the time has passed, the call runs as soon as possible."""
         self.scheduled_count += 1
         heapq.heappush(self._queue, (when, self.scheduled_count, call, arguments))
 
--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -1,7 +1,7 @@
 """Run the incarnations of a coordinator in virtual time, and deliver their inputs and outputs.
 
-Whatever is in flight for an incarnation that has ended is dropped, as closed sockets would drop it: messages
-to proxies, acknowledgements, load reports and health check results.
+When an incarnation ends, all its messages to proxies, acknowledgements, load reports and health check results
+that have not arrived yet are dropped, as closed sockets would drop them.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -33,17 +33,17 @@
 from granitespool.units import MILLISECOND, SECOND
 
 HEALTH_CHECK_LATENCY = 2 * MILLISECOND  # ns
-HEALTH_CHECK_TIMEOUT = SECOND // 2  # ns; same as in the service
+HEALTH_CHECK_TIMEOUT = SECOND // 2  # ns; same timeout as in the service
 APPLY_DURATION = 5 * MILLISECOND  # ns that a proxy needs to apply a message
 UPDATE_OVERHEAD_ENTRIES = 2  # size of a message without its contents, in table entries
-MACHINE_TYPE = "m"  # the same for all backends, like the cell
+MACHINE_TYPE = "m"  # all backends have the same machine type and cell
 CELL = 0
 
 RestoreCallback = Callable[[Coordinator], None]
 
 
 class CoordinatorHost:
-    """Host of at most one running coordinator for the backends and proxies of an emulation."""
+    """Host that runs one coordinator at a time for the backends and proxies of an emulation."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         """Create a host without a running coordinator.
 
         `make_coordinator(incarnation, now)` and `make_channel(now)` create a coordinator and its channel.
-        `transaction_rate` is in transactions per second, over all proxies.
+        `transaction_rate` is the number of transactions per second of all proxies together.
         """
         self.clock = clock
         self.random = random
@@ -68,15 +68,15 @@
         self.make_channel = make_channel
         self.transaction_rate = transaction_rate
         self.coordinator: Coordinator | None = None
-        self.incarnation = 0  # counted from 1
-        self.joined_proxies: set[int] = set()  # numbers of the proxies with a stream
+        self.incarnation = 0  # number of the latest incarnation; the first is 1
+        self.joined_proxies: set[int] = set()  # numbers of the proxies that have joined the coordinator
         self.internal_errors: list[str] = []
         self._channel = make_channel(clock.now)
         self._next_wakeup_at: int | None = None  # ns
         self._turn_scheduled = False
 
     def running(self, incarnation: int) -> Coordinator | None:
-        """Return the coordinator of this incarnation, or None if it has ended."""
+        """Return the coordinator of an incarnation, or None if the incarnation has ended."""
         return self.coordinator if incarnation == self.incarnation else None
 
     def start(self, restore: RestoreCallback | None = None, rejoin_s: float = 0.0) -> None:
@@ -103,9 +103,9 @@
         self.joined_proxies.clear()
 
     def deliver(self, incarnation: int, events: Iterable[Event]) -> None:
-        """Report events to this incarnation in one turn, unless it has ended.
+        """Report events to an incarnation and run one turn, unless the incarnation has ended.
 
-        Usage reports of proxies without a stream are dropped.
+        Usage reports of proxies that have not joined are dropped.
         """
         coordinator = self.running(incarnation)
         if coordinator is None:
@@ -116,7 +116,10 @@
         self._run_turn(coordinator)
 
     def zone_table(self, zone: str) -> dict[str, float]:
-        """Return the merged weights of the coordinator's tables for a zone, or an empty dict without any."""
+        """Return the weights of all of the coordinator's tables for a zone, merged into one dict.
+
+        The dict is empty if there is no coordinator or no table.
+        """
         if self.coordinator is None:
             return {}
         weights: dict[str, float] = {}
@@ -155,7 +158,10 @@
     # Turns of the coordinator
 
     def _schedule_turn(self) -> None:
-        """Run the turn after all other calls of the current time have reported their events."""
+        """Schedule a turn at the current time, unless one is scheduled.
+
+        Other calls that were scheduled before for this time report their events first.
+        """
         if not self._turn_scheduled:
             self._turn_scheduled = True
             self.clock.call_at(self.clock.now, self._run_scheduled_turn, self.incarnation)
@@ -179,7 +185,7 @@
             self.clock.call_at(max(due, self.clock.now + 1), self._wake_up, self.incarnation)
 
     def _needs_wakeup(self, due: int) -> bool:
-        """Return whether no wake-up is scheduled before or at `due` (ns)."""
+        """Return whether a wake-up at `due` (ns) has to be scheduled, as none comes earlier or then."""
         scheduled = self._next_wakeup_at
         return scheduled is None or due < scheduled or scheduled <= self.clock.now
 
--- a/granitespool/emulator/coordinator_settings.py
+++ b/granitespool/emulator/coordinator_settings.py
@@ -7,7 +7,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 DRAIN_GRACE_PERIOD = 10 * SECOND  # ns
-MAX_BACKLOG_SECONDS = 2  # limit of the channel's queue, as the time to send it
+MAX_BACKLOG_SECONDS = 2  # the channel's queue is limited to what is sent in this time (s)
 MESSAGE_HEADER_ENTRIES = 1  # size of a message without its entries, in table entries
 
 
--- a/granitespool/emulator/distance.py
+++ b/granitespool/emulator/distance.py
@@ -3,7 +3,7 @@
 import statistics
 from collections.abc import Iterable, Mapping, Sequence
 
-Shares = Mapping[str, float]  # endpoint -> its share of the table's total weight; the shares sum up to 1
+Shares = Mapping[str, float]  # endpoint -> share of the total weight; all shares sum to 1
 
 
 def shares(weights: Mapping[str, float]) -> dict[str, float]:
@@ -15,7 +15,7 @@
 def distance(first: Shares, second: Shares) -> float:
     """Return the total variation distance: half the sum of the absolute differences of the shares.
 
-    It is 0 for equal tables, and 1 for tables without a common endpoint or if one of them is empty.
+    It is 0 for equal tables, and 1 for tables without a common endpoint or if one of the tables is empty.
     """
     if not first or not second:
         return 1.0
@@ -23,11 +23,14 @@
 
 
 def mean_shares(tables: Sequence[Shares]) -> dict[str, float]:
-    """Return each endpoint's mean share over the tables."""
+    """Return the mean share of each endpoint over the tables.
+
+    An endpoint has share 0 in a table that does not contain it.
+    """
     names: set[str] = set().union(*tables)
     return {name: sum(table.get(name, 0) for table in tables) / len(tables) for name in names}
 
 
 def mean_distance(pairs: Iterable[tuple[Shares, Shares]]) -> float:
-    """Return the mean distance over pairs of tables."""
+    """Return the mean of the distances between the two tables of each pair."""
     return statistics.fmean(distance(first, second) for first, second in pairs)
--- a/granitespool/emulator/emulation.py
+++ b/granitespool/emulator/emulation.py
@@ -17,10 +17,10 @@
 
 
 class Emulation:
-    """Fleet in virtual time; all randomness comes from one generator."""
+    """Fleet in virtual time. All random numbers come from one generator."""
 
     def __init__(self, setup: ExperimentSetup, backends: int, proxies: int, seed: int) -> None:
-        """Create a fleet with the given numbers of backends and proxies; `start` starts a coordinator."""
+        """Create a fleet with these numbers of backends and proxies, and without a running coordinator."""
         self.setup = setup
         self.seed = seed
         self.random = Random(seed)
@@ -87,11 +87,14 @@
         self.host.kill()
 
     def swap_faults(self) -> None:
-        """Move the fault of each faulty backend to a random healthy one."""
+        """Move the fault of each faulty backend to a random healthy backend."""
         swap_faults(self.backends.values(), self.random)
 
     def zone_shares(self, zone: str) -> dict[str, float]:
-        """Return the weight shares of the coordinator's tables for a zone, or an empty dict without any."""
+        """Return each endpoint's share of the total weight in the coordinator's tables for a zone.
+
+        The dict is empty if there is no coordinator or no table.
+        """
         return shares(self.host.zone_table(zone))
 
     def outcomes(self, first: int, last: int) -> dict[str, OutcomeShares]:
--- a/granitespool/emulator/experiment.py
+++ b/granitespool/emulator/experiment.py
@@ -33,9 +33,9 @@
 
 
 def _run_size(setup: ExperimentSetup, backends: int, proxies: int, progress: ProgressCallback) -> list[Row]:
-    """Run the control of each seed and then all variants of one size.
+    """Run the control trial of each seed, and then the trials of all variants, for one size.
 
-    The control gives the distances by which tables vary without a restart.
+    The control trials show by which distances tables vary without a restart.
     """
     experiment = setup.experiment
     seeds = range(experiment.first_seed, experiment.first_seed + experiment.seeds)
--- a/granitespool/emulator/load_reports.py
+++ b/granitespool/emulator/load_reports.py
@@ -8,9 +8,10 @@
 
 
 class LoadReporter:
-    """Reporter that sends each second's counts to the coordinator.
+    """Reporter that sends the counts of each second to the coordinator.
 
-    The incarnation running at the end of the second receives them; without one, they are lost.
+    The incarnation that is running at the end of the second receives the counts. If no incarnation is
+    running then, the counts are lost.
     """
 
     def __init__(
@@ -19,7 +20,7 @@
         self.clock = clock
         self.traffic = traffic
         self.host = host
-        self.lag = int(lag_ms * MILLISECOND)  # ns
+        self.lag = int(lag_ms * MILLISECOND)  # delay (ns) from the end of a second to its reports
         clock.call_at(EPOCH + SECOND, self._report, 0)
 
     def _report(self, second: int) -> None:
--- a/granitespool/emulator/plot.py
+++ b/granitespool/emulator/plot.py
@@ -6,7 +6,7 @@
 from granitespool.emulator.report import Report, Row
 from granitespool.simulation.plotting import load_pyplot
 
-FIGURE_WIDTH, ROW_HEIGHT = 11.0, 3.2  # inches; each size has a row of axes
+FIGURE_WIDTH, ROW_HEIGHT = 11.0, 3.2  # inches; the plot has one row for each size
 COLUMN_TITLES = ("the coordinator's tables", "the proxies' tables")
 
 
--- a/granitespool/emulator/report.py
+++ b/granitespool/emulator/report.py
@@ -10,8 +10,8 @@
 from granitespool.emulator.restart import Sample, TrialResult
 from granitespool.units import SECOND
 
-DECIMAL_PLACES = 4  # of the reported values
-# (s after the start, distance of the coordinator's tables, distance of the proxies' tables)
+DECIMAL_PLACES = 4  # reported values are rounded to these decimal places
+# (seconds after the start, distance of the coordinator's tables, distance of the proxies' tables)
 DistancePoint = tuple[float, float, float]
 
 
@@ -22,10 +22,11 @@
     variant: str
     tables_s: float | None  # s after the start until the coordinator's tables have settled
     held_s: float | None  # s after the start until the proxies' tables have settled
-    service: dict[str, OutcomeShares]  # by class, of the first seconds after the start
-    usual: dict[str, float]  # by class, share answered in time before the kill
-    spread: dict[str, float]  # by class, range (maximum - minimum) of the share in time over the seeds
-    far: list[DistancePoint]  # distances over time, of the first seed
+    service: dict[str, OutcomeShares]  # class -> outcomes of the first seconds after the start
+    usual: dict[str, float]  # class -> share of transactions answered in time before the kill
+    # Class -> largest minus smallest share of transactions answered in time, over the trials of all seeds.
+    spread: dict[str, float]
+    far: list[DistancePoint]  # distances over time in the trial of the first seed
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
@@ -39,7 +40,7 @@
 
 
 def make_row(size: str, variant: str, trials: Sequence[TrialResult]) -> Row:
-    """Return the row of one size and variant from its trials, one for each seed."""
+    """Return the row of one size and variant; `trials` contains one result for each seed."""
     names = list(trials[0].outcomes)
     in_time_shares = {name: [trial.outcomes[name].in_time for trial in trials] for name in names}
     return Row(
@@ -59,7 +60,7 @@
 
 
 def _median_of_present(values: Iterable[float | None]) -> float | None:
-    """Return the rounded median of the values that are not None, or None without any."""
+    """Return the rounded median of the values that are not None, or None if there are none."""
     present = [value for value in values if value is not None]
     return _rounded_median(present) if present else None
 
--- a/granitespool/emulator/request_traffic.py
+++ b/granitespool/emulator/request_traffic.py
@@ -18,7 +18,7 @@
 from granitespool.simulation.proxy_table import ProxyTable
 from granitespool.units import MILLISECOND, SECOND
 
-SAME_ZONE_ROUND_TRIP_FACTOR = 0.1  # round trip within a zone, relative to that to another zone
+SAME_ZONE_ROUND_TRIP_FACTOR = 0.1  # round trip within a zone / round trip between zones
 
 
 class OutcomeCounts(msgspec.Struct):
@@ -32,9 +32,9 @@
 
 
 class OutcomeShares(msgspec.Struct, frozen=True):
-    """Outcomes as shares of all transactions. The fields are keys of the JSON report."""
+    """Outcomes as shares of all transactions of one class. The fields are keys of the JSON report."""
 
-    asked: float  # number of transactions
+    asked: float  # number of all transactions, not a share
     in_time: float
     late: float
     failed: float
@@ -47,11 +47,11 @@
     attempts: int = 0
     failed: int = 0
     answered: int = 0
-    total_latency: int = 0  # ns; sum over the answered attempts
+    total_latency: int = 0  # sum (ns) over the answered attempts
 
     @property
     def mean_latency(self) -> int:
-        """Mean latency of the answered attempts in ns, 0 without any."""
+        """Mean latency of the answered attempts in ns, or 0 if there are none."""
         return self.total_latency // self.answered if self.answered else 0
 
 
@@ -60,7 +60,7 @@
 
     proxy: ProxyTable
     class_name: str
-    counts: OutcomeCounts  # of the second in which it began
+    counts: OutcomeCounts  # counts of the second in which the transaction began
     started_at: int  # ns
 
 
@@ -82,7 +82,7 @@
         self.classes = classes
         self.backends = backends
         self.proxies = proxies
-        self.transaction_rate = fleet.load * self._capacity()  # transactions per second over all proxies
+        self.transaction_rate = fleet.load * self._capacity()  # transactions per second of all proxies
         self.class_names = list(classes)
         self.cumulative_shares = list(accumulate(settings.share for settings in classes.values()))
         self.outcomes: dict[tuple[int, str], OutcomeCounts] = {}  # (second, class) -> counts
@@ -103,7 +103,7 @@
         return self._links.pop(second, {})
 
     def take_demand(self) -> dict[tuple[int, str], int]:
-        """Return the number of transactions by (proxy, class) since the last call."""
+        """Return the number of transactions since the last call, by (proxy, class)."""
         demand, self._demand = self._demand, {}
         return demand
 
@@ -150,7 +150,7 @@
         return self.class_names[min(position, len(self.class_names) - 1)]
 
     def _attempt(self, transaction: Transaction, retries: int) -> None:
-        """Make an attempt, after `retries` retries."""
+        """Make an attempt of a transaction that was retried `retries` times before."""
         request_class = self.classes[transaction.class_name]
         endpoint = transaction.proxy.pick(self.random)
         time_left = transaction.started_at + int(request_class.limit_ms * MILLISECOND) - self.clock.now
--- a/granitespool/emulator/restart.py
+++ b/granitespool/emulator/restart.py
@@ -1,7 +1,8 @@
 """One trial of a restart: a coordinator runs, is killed, and the next incarnation starts.
 
-In the variant `CONTROL` the coordinator is not killed: it shows by how much tables vary without a restart. In
-the other variants, tables have settled once they are as near as that to the tables before the kill.
+In the variant `CONTROL` the coordinator is not killed. The control trial shows by which distances tables vary
+without a restart. In the other variants, tables have settled after a restart once their distances from the
+tables before the kill are that small again.
 """
 
 from collections.abc import Sequence
@@ -19,11 +20,11 @@
 from granitespool.units import SECOND
 
 SAMPLE_INTERVAL = SECOND // 10  # ns between samples of the tables
-REFERENCE_DURATION = 5 * SECOND  # ns before the kill over which the reference tables are averaged
-SETTLED_DURATION = 2 * SECOND  # ns for which tables must stay near the reference to count as settled
-CONTROL_QUANTILE = 0.95  # quantile of the control's distances below which tables count as near
-SAMPLED_PROXY_COUNT = 40  # proxies whose tables are sampled
-BASELINE_SECONDS = 10  # time before the kill over which the baseline outcomes are counted
+REFERENCE_DURATION = 5 * SECOND  # ns before the kill; the reference is the mean table of this time
+SETTLED_DURATION = 2 * SECOND  # ns; tables have settled if they stay near the reference this long
+CONTROL_QUANTILE = 0.95  # tables up to this quantile of the control's distances are near
+SAMPLED_PROXY_COUNT = 40  # in a larger fleet, at least this many tables are sampled
+BASELINE_SECONDS = 10  # baseline outcomes are counted over this time before the kill
 
 CONTROL = "control"  # the coordinator is not killed
 # Faulty and healthy backends swap their faults at the time of the kill.
@@ -49,17 +50,17 @@
 class TrialResult(msgspec.Struct, frozen=True, kw_only=True):
     """Result of one trial."""
 
-    # Seconds after the restart until the tables have settled. None if faults were swapped: the tables from
-    # before the kill are then no reference.
+    # Seconds after the restart until the tables have settled. None if faults were swapped, as
+    # the tables then have to differ from those before the kill.
     coordinator_settled_s: float | None
     proxies_settled_s: float | None
-    outcomes: dict[str, OutcomeShares]  # by class, of the first seconds after the restart
-    baseline_outcomes: dict[str, OutcomeShares]  # by class, of the last seconds before the kill
+    outcomes: dict[str, OutcomeShares]  # class -> first seconds after the restart
+    baseline_outcomes: dict[str, OutcomeShares]  # class -> last seconds before the kill
     samples: list[Sample]
 
 
 class PlannerFailedError(GranitespoolError):
-    """The planner failed in a trial, so that its result is not valid."""
+    """The planner failed in a trial, so the result of the trial is not valid."""
 
 
 class RestartTrial:
@@ -75,10 +76,10 @@
         self.recorder = SnapshotRecorder(self.emulation, setup.restart, folder)
         self.sampled_proxies = self.emulation.proxies[:: max(1, proxies // SAMPLED_PROXY_COUNT)]
         self.reference_tables: dict[str, Shares] = {}  # zone -> mean table before the kill
-        self.baseline_outcomes: dict[str, OutcomeShares] = {}  # by class, before the kill
+        self.baseline_outcomes: dict[str, OutcomeShares] = {}  # class -> outcomes before the kill
 
     def run_control(self) -> Distances:
-        """Run without a kill; return the distances below which tables count as near the reference."""
+        """Run without a kill; return the largest distances at which tables are near the reference."""
         samples = self._run_phases()
         return Distances(
             _quantile([sample.distances.coordinator for sample in samples]),
@@ -86,7 +87,9 @@
         )
 
     def run(self, thresholds: Distances) -> TrialResult:
-        """Run the trial; tables have settled once their distances stay within `thresholds`.
+        """Run the trial and return its result.
+
+        Tables are near the reference while their distances are at most `thresholds`.
 
         Raises:
             PlannerFailedError: the planner raised an internal error.
@@ -140,7 +143,7 @@
         self.emulation.start(restore, self.settings.rejoin_s)
 
     def _record_reference(self, until: int) -> None:
-        """Run until `until` (ns) and keep the mean tables of that time as the reference."""
+        """Run until `until` (ns) and use the mean tables of this period as the reference."""
         emulation = self.emulation
         tables: dict[str, list[Shares]] = {zone: [] for zone in emulation.zones}
         while emulation.now < until:
@@ -150,7 +153,7 @@
         self.reference_tables = {zone: mean_shares(tables[zone]) for zone in emulation.zones}
 
     def _take_samples(self, start: int, until: int) -> list[Sample]:
-        """Run until `until` and return samples, their times relative to `start` (both ns)."""
+        """Run until `until` (ns) and return samples; their times are counted from `start` (ns)."""
         samples = []
         while self.emulation.now < until:
             self.emulation.run_until(self.emulation.now + SAMPLE_INTERVAL)
@@ -165,9 +168,10 @@
         )
 
     def _settled_after(self, samples: Sequence[tuple[int, bool]]) -> float:
-        """Return the seconds until the tables stay near the reference, `settle_s` if they never do.
+        """Return the time (s) from which the tables stay near the reference for the settled duration.
 
-        A sample is its time (ns) and whether the tables were near the reference.
+        The result is the setting `settle_s` if the tables do not settle. A sample contains a time (ns) and
+        whether the tables were near the reference at that time.
         """
         near_since = None
         for at, is_near in samples:
--- a/granitespool/emulator/schema.py
+++ b/granitespool/emulator/schema.py
@@ -1,4 +1,4 @@
-"""Sections and keys of an experiment's INI file. A suffix of a key is its unit."""
+"""Sections and keys of an experiment's INI file. The suffix of a key, such as `_ms`, is its unit."""
 
 from collections.abc import Iterable
 from typing import Annotated, Any, Literal
@@ -12,7 +12,7 @@
 
 PACKAGE = "granitespool.emulator"  # contains the packaged experiments
 CLASS_SECTION_PREFIX = "class."
-MAX_SIZE = 100_000  # of backends and of proxies
+MAX_SIZE = 100_000  # largest number of backends, and of proxies
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Count = Annotated[int, Meta(ge=1, le=MAX_SIZE)]
@@ -26,7 +26,7 @@
     title: Annotated[str, Meta(min_length=1)]
     variants: str = "without, state, old, changed, wrong, alive"
     sizes: str = "30x150"  # BACKENDSxPROXIES, comma-separated; run one after another
-    seeds: Annotated[int, Meta(ge=1, le=100)] = 1  # number of consecutive seeds, from first_seed on
+    seeds: Annotated[int, Meta(ge=1, le=100)] = 1  # number of consecutive seeds; the first is first_seed
     first_seed: Annotated[int, Meta(ge=0, le=10**9)] = 1
 
     def __post_init__(self) -> None:
@@ -61,16 +61,17 @@
 
     zones: Annotated[int, Meta(ge=1, le=64)] = 2
     workers: Count = 4  # transactions that a backend executes concurrently
-    service_ms: Annotated[float, Meta(ge=0.1, le=60_000)] = 40.0  # mean of a backend that is not slow
-    queue_ms: Annotated[float, Meta(ge=0, le=600_000)] = 400.0  # queueing time above which a backend rejects
-    cross_zone_ms: Annotated[float, Meta(ge=0, le=10_000)] = 8.0  # round trip to another zone; a tenth within
+    service_ms: Annotated[float, Meta(ge=0.1, le=60_000)] = 40.0  # mean service time if not slow
+    queue_ms: Annotated[float, Meta(ge=0, le=600_000)] = 400.0  # longest time in a queue, else rejected
+    # Round trip to a backend in another zone. Within a zone, it is a tenth of this.
+    cross_zone_ms: Annotated[float, Meta(ge=0, le=10_000)] = 8.0
     load: Annotated[float, Meta(ge=0.01, le=5)] = 0.6  # offered load relative to the capacity of all backends
     slow_share: Share = 1 / 3  # share of backends that are slow
-    slow_factor: Annotated[float, Meta(ge=1, le=1000)] = 4.0  # on the service time of a slow backend
+    slow_factor: Annotated[float, Meta(ge=1, le=1000)] = 4.0  # multiplies the service time of a slow backend
     failing_share: Share = 0.1  # share of backends that are failing
     failing_part: Share = 0.4  # share of a failing backend's attempts that fail
-    dead_share: Share = 0.0  # share of backends that respond to nothing
-    cold_s: Seconds = 5.0  # time after its start in which a backend is warming up
+    dead_share: Share = 0.0  # share of backends that never respond
+    cold_s: Seconds = 5.0  # a backend is warming up for this time after its start
     cold_share: Annotated[float, Meta(ge=0.01, le=1)] = 0.25  # speed while warming up, relative to full speed
 
 
@@ -97,13 +98,13 @@
 
     learn_s: Seconds = 30.0  # from the first start to the kill
     down_s: Seconds = 1.0  # from the kill to the restart
-    rejoin_s: Seconds = 1.0  # after the restart, until all proxies have joined
-    look_s: Seconds = 10.0  # after the restart, in which outcomes are counted
-    settle_s: Seconds = 30.0  # after the restart, in which tables are sampled
+    rejoin_s: Seconds = 1.0  # all proxies join within this time after the restart
+    look_s: Seconds = 10.0  # outcomes are counted for this time after the restart
+    settle_s: Seconds = 30.0  # tables are sampled for this time after the restart
     every_ms: Annotated[int, Meta(ge=100, le=600_000)] = 1_000
     half_life_s: Annotated[float, Meta(ge=0.1, le=86_400)] = 30.0
     oldest_s: Annotated[float, Meta(ge=1, le=604_800)] = 300.0
-    old_s: Seconds = 7200.0  # added age of the snapshot in the variant `old`
+    old_s: Seconds = 7200.0  # the variant `old` restores a snapshot as if it were older by this
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
@@ -135,7 +136,7 @@
     An override is `SECTION.KEY=VALUE`, or `KEY=VALUE` if only one section has the key.
 
     Raises:
-        InvalidInputError: the file cannot be read, or it or an override is invalid.
+        InvalidInputError: the file cannot be read, or the file or an override is invalid.
     """
     path, text = ini_files.read_text(PACKAGE, name, "experiment")
     for override in overrides:
@@ -153,7 +154,10 @@
 
 
 def _with_section(override: ini_files.KeyOverride) -> ini_files.KeyOverride:
-    """Return the override with its section, which is the only one with the key if none was given."""
+    """Return the override with its section.
+
+    If no section was given, it is the only section with this key.
+    """
     if override.section:
         return override
     matching_sections = ini_files.sections_with(override.key, SECTIONS)
--- a/granitespool/emulator/snapshots.py
+++ b/granitespool/emulator/snapshots.py
@@ -14,7 +14,7 @@
 from granitespool.units import MILLISECOND, SECOND
 
 MAX_FOLDER_BYTES = 64 << 20
-HEADER_INCARNATION = 1  # incarnation in the snapshot header
+HEADER_INCARNATION = 1  # number of the incarnation, written to the snapshot header
 
 
 class SnapshotRecorder:
@@ -52,7 +52,10 @@
             self.store.append(Clocks(now, now), changes)
 
     def restore(self, age_s: float) -> RestoreCallback:
-        """Read the folder as if it were `age_s` older; return a callback to restore a coordinator from it."""
+        """Read the snapshot in the folder; return a callback that restores a coordinator from it.
+
+        The snapshot is treated as if it were older by `age_s` seconds.
+        """
         now = self.emulation.now
         read_at = now + int(age_s * SECOND)
         clocks = Clocks(read_at, read_at)
--- a/granitespool/simulation/__init__.py
+++ b/granitespool/simulation/__init__.py
@@ -5,5 +5,5 @@
     plotting        import of matplotlib, which is optional
     netconf_client  NETCONF client that can also violate the protocol
 
-No module in this package imports from its users.
+No module in this package imports from the emulator, the scale run, the benches or the tests.
 """
--- a/granitespool/simulation/ini_files.py
+++ b/granitespool/simulation/ini_files.py
@@ -11,9 +11,9 @@
 
 SUFFIX = ".ini"
 EXPERIMENTS_FOLDER = "experiments"  # within a package
-MAX_SHOWN_CHARS = 60  # of an invalid override in an error message
+MAX_SHOWN_CHARS = 60  # an error message shows at most this much of an override
 
-Schemas = Mapping[str, type[msgspec.Struct]]  # section -> Struct of its keys
+Schemas = Mapping[str, type[msgspec.Struct]]  # section -> Struct with the keys of the section
 
 
 class IniText(NamedTuple):
@@ -71,7 +71,7 @@
 
 
 def sections_with(key: str, schemas: Schemas) -> list[str]:
-    """Return the sections whose schema has a key."""
+    """Return the sections whose schema contains the key."""
     return [
         section
         for section, schema in schemas.items()
@@ -80,7 +80,10 @@
 
 
 def apply_override(text: str, override: KeyOverride) -> str:
-    """Return the text with the key set to the new value; a section that is missing is appended."""
+    """Return the text with the key set to the new value.
+
+    If the section is missing, it is appended.
+    """
     section, lines, found = "", [], False
     for line in text.splitlines():
         stripped = line.strip()
--- a/granitespool/simulation/netconf_client.py
+++ b/granitespool/simulation/netconf_client.py
@@ -19,17 +19,17 @@
     f'<hello xmlns="{BASE}"><capabilities><capability>urn:ietf:params:netconf:base:1.{{}}</capability>'
     "</capabilities></hello>"
 )
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: closing sends a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 s, so that closing sends a TCP reset
 
 
 class ConnectionEndedError(GranitespoolError):
-    """The server closed the connection, or it failed."""
+    """The server closed the connection, or the connection failed."""
 
 
 def client_context(folder: str, user: str | None) -> ssl.SSLContext:
     """Return a client context with the files that `granitespool keys make` wrote to a folder.
 
-    A `user` of None has no certificate.
+    If `user` is None, the client has no certificate.
     """
     context = ssl.create_default_context(cafile=f"{folder}/ca.pem")
     if user is not None:
@@ -51,7 +51,7 @@
     ) -> None:
         """Connect with a user's keys from a folder, and exchange hellos if `send_hello`.
 
-        The session uses base version 1.`minor`; `timeout` of the socket is in seconds.
+        The session uses base version 1.`minor`; `timeout` is the timeout of the socket in seconds.
         """
         self.sock = socket.create_connection(address, timeout=timeout)
         try:
@@ -111,7 +111,7 @@
             self.notifications.append(message)
 
     def receive_notification(self, name: str) -> str:
-        """Return the next notification of this name; messages before it are discarded."""
+        """Return the next notification with this name. Messages received before it are discarded."""
         while True:
             message = self.notifications.pop(0) if self.notifications else self.receive()
             if f"<{name} " in message:
@@ -131,7 +131,7 @@
         return self.rpc(f"<commit>{options}</commit>")
 
     def config(self, datastore: str = "running", options: str = "") -> str:
-        """Return the content of a datastore's settings element, or "" without one."""
+        """Return the content of a datastore's settings element, or "" if there is none."""
         reply = self.rpc(f"<get-config><source><{datastore}/></source>{options}</get-config>")
         match = re.search(r"<settings>(.*)</settings>", reply, re.DOTALL)
         return match[1] if match else ""
@@ -159,6 +159,6 @@
 
 
 def reply_tag(reply: str) -> str:
-    """Return the error tag of a reply, or "ok" without one."""
+    """Return the error tag of a reply, or "ok" if there is none."""
     match = re.search(r"<error-tag>([^<]*)<", reply)
     return match[1] if match else "ok"
--- a/granitespool/simulation/proxy_table.py
+++ b/granitespool/simulation/proxy_table.py
@@ -1,7 +1,7 @@
 """The routing table of a plain proxy, independent of its connection.
 
-A table contains weights, excluded endpoints and admission levels, applies updates to them, and picks
-endpoints by weight. It persists when the proxy changes streams. It makes no decisions of its own: it only
+A table contains weights, excluded endpoints and admission levels, applies updates, and picks endpoints by
+weight. The proxy keeps its table when it changes streams. The table makes no decisions of its own: it only
 applies updates.
 """
 
@@ -18,20 +18,20 @@
     """Admitted share and retries of a request class."""
 
     share: float = 1.0  # share of the requests that are admitted
-    retries: int = 0  # how a failed request may be retried, 0 for not at all
+    retries: int = 0  # how often a failed request may be retried; 0 means never
 
 
 class WeightUpdate(msgspec.Struct, frozen=True):
     """New weights of some endpoints."""
 
-    complete: bool  # whether it replaces all current weights
+    complete: bool  # whether the update replaces all current weights
     weights: Iterable[tuple[str, float]]  # a weight of 0 removes an endpoint
 
 
 class AdmissionUpdate(msgspec.Struct, frozen=True):
     """A new admission level for some classes."""
 
-    classes: Sequence[str | None] | None  # None: the default for classes without a level of their own
+    classes: Sequence[str | None] | None  # None sets the default level of all classes
     level: AdmissionLevel
 
 
@@ -53,7 +53,7 @@
         self.weights = dict(weights)
         self.excluded: set[str] = set()
         self.admission: dict[str | None, AdmissionLevel] = {}
-        self._choices: list[str] | None = None  # cached endpoints to pick from; None: has to be recomputed
+        self._choices: list[str] | None = None  # cached endpoints to pick from; None if outdated
         self._cumulative: list[float] = []  # cumulative weights of the choices
 
     def pick(self, random: Random) -> str | None:
@@ -86,7 +86,8 @@
     def admission_level(self, request_class: str) -> AdmissionLevel:
         """Return the level of a class.
 
-        A class without its own has that of all classes, or else is admitted fully and not retried.
+        A class without its own level has the default level. Without a default level, all requests are
+        admitted and none is retried.
         """
         default = self.admission.get(None, AdmissionLevel())
         return self.admission.get(request_class, default)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,7 @@
-"""Emulator: results depend on the seed alone, and a state folder shortens the recovery from a restart."""
+"""Test the emulator.
+
+Results depend only on the seed. A coordinator that restores a snapshot recovers sooner after a restart.
+"""
 
 import json
 from random import Random
