--- a/granitespool/emulator/coordinator_host.py
+++ b/granitespool/emulator/coordinator_host.py
@@ -185,7 +185,7 @@
             self.clock.call_at(max(due, self.clock.now + 1), self._wake_up, self.incarnation)
 
     def _needs_wakeup(self, due: int) -> bool:
-        """Return whether a wake-up at `due` (ns) has to be scheduled, as none comes earlier or then."""
+        """Return whether no wake-up is scheduled at `due` (ns) or earlier."""
         scheduled = self._next_wakeup_at
         return scheduled is None or due < scheduled or scheduled <= self.clock.now
 
--- a/granitespool/simulation/ini_files.py
+++ b/granitespool/simulation/ini_files.py
@@ -11,7 +11,7 @@
 
 SUFFIX = ".ini"
 EXPERIMENTS_FOLDER = "experiments"  # within a package
-MAX_SHOWN_CHARS = 60  # an error message shows at most this much of an override
+MAX_SHOWN_CHARS = 60  # characters of an invalid override that an error message shows
 
 Schemas = Mapping[str, type[msgspec.Struct]]  # section -> Struct with the keys of the section
 
