--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -2,8 +2,8 @@
 
     python -m bench.capacity --json=docs/capacity.json --page=docs/CAPACITY.md
 
-Each point is measured in a separate process, one at a time. Held-out points that are off and forms that were
-rejected are listed at the end and on the page.
+Each point is measured in a separate process, one at a time. Wrong predictions of held-out points and rejected
+forms are listed at the end and on the page.
 """
 
 import sys
@@ -37,7 +37,8 @@
 NONE = "none"
 ALL = "all"
 Progress = Callable[[str], None]
-PLAN_REPEATS = 2  # of each point of the sweep at the plan's sizes, which takes half a minute
+# Measurements of each point of the sweep at the plan's sizes. Each measurement takes half a minute.
+PLAN_REPEATS = 2
 
 
 def main(argv: list[str]) -> int:
@@ -128,7 +129,7 @@
 
 
 def _measure_process(result: sweep.Result, name: str, sizes: Sizes, report_progress: Progress) -> None:
-    """Measure a process at these sizes; a failure is printed, and its rows remain without figures."""
+    """Measure a process at these sizes; print a failure, after which its rows have no figures."""
     report_progress(f"{name}, process")
     try:
         result.processes[name] = process.measure(sizes)
@@ -137,7 +138,7 @@
 
 
 def _sweep_plan_classes(result: sweep.Result, report_progress: Progress) -> sweep.SweepResult:
-    """Sweep the classes at the plan's other sizes."""
+    """Sweep the number of request classes while the other sizes are those of the plan."""
     return sweep.run_sweep(
         sweep.PLAN, "classes", sweep.PLAN_CLASSES, result.seed, PLAN_REPEATS, report_progress
     )
--- a/bench/capacity/coordinator_rows.py
+++ b/bench/capacity/coordinator_rows.py
@@ -22,9 +22,9 @@
 
 
 def _assignment_s(costs: Costs) -> float:
-    """Return the time until the last proxy has its table: the channel's, if known, plus the processor's."""
+    """Return the time until the last proxy has its table: processor time plus the channel's time if known."""
     if costs.get("join_unbound"):
-        raise KeyError("join_unbound")  # some proxies got no table within the turns of the measurement
+        raise KeyError("join_unbound")  # some proxies received no table before the measurement ended
     return costs.get("join_s", 0.0) + costs["join_ms"] / 1000
 
 
--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""Drive one real coordinator in virtual time by a synthetic fleet, through its public calls alone.
+"""Drive a real coordinator in virtual time with a synthetic fleet, only through its public calls.
 
 The fleet is a stand-in of discovery, collectors, proxies and their channel. Processor time is measured around
 the calls of the coordinator and of the codec; the time of the stand-ins is excluded.
@@ -55,7 +55,7 @@
 
 
 def entries_of(data: bytes) -> int:
-    """Return the table entries of a message as the protocol counts them, without its head."""
+    """Return the number of table entries in a message by the protocol's count, without the head."""
     entries = 0
     while data:
         size = int.from_bytes(data[:LENGTH_SIZE], "little")
@@ -73,7 +73,7 @@
     """
 
     def __init__(self, sizes: Sizes, seed: int, index: int = 0) -> None:
-        """Create the coordinator with this index among its peers; no event is reported to it yet."""
+        """Create the coordinator with this index among its peers, without reporting any event to it."""
         self.sizes = sizes
         self.random = Random(seed)
         self.now = START
@@ -82,7 +82,7 @@
         self.read_ns = 0  # decoding of frames
         self.read_bytes = 0
         self.sent = SentCounts()
-        self.named_backends: set[str] = set()  # backends with a weight in any message to a proxy
+        self.named_backends: set[str] = set()  # backends that had a weight in a message to a proxy
         self.channel: deque[ChannelMessage] = deque()
         self.last_applied_at = START  # ns when a proxy last acknowledged a message
         self.channel_free_at = 0.0  # ns when the channel has sent all queued messages
@@ -218,7 +218,7 @@
             self._report(Acknowledged(proxy=message.proxy, sequence=message.barrier, latency=latency))
 
     def _empty_queues(self) -> list[str]:
-        """Empty the queues that are not of proxies; return the backends whose health is to be checked."""
+        """Empty the queues of all outputs except proxies; return the backends that need a health check."""
         checks = []
         for queue in Queue:
             while (message := self.coordinator.pick(queue)) is not None:
--- a/bench/capacity/messages.py
+++ b/bench/capacity/messages.py
@@ -11,14 +11,14 @@
 from bench.capacity.wire import RACK_SIZE
 from granitespool.scale.budget import DAY
 
-PING_BYTES = 100  # of a health check's request or of a ping, rounded up
-EMPTY_LINES_PER_S = 0.5  # on a watch, by the protocol
-EMPTY_LINE_BYTES = 6  # a chunk that contains a newline
-JOINED_BYTES = 90  # of a frame `joined`, rounded up
+PING_BYTES = 100  # size of a health check's request or of a ping, rounded up
+EMPTY_LINES_PER_S = 0.5  # rate of empty lines on a watch, set by the protocol
+EMPTY_LINE_BYTES = 6  # size of an HTTP chunk that contains a newline
+JOINED_BYTES = 90  # size of a frame `joined`, rounded up
 
 
 class MessageKind(msgspec.Struct, frozen=True, kw_only=True):
-    """One kind of message: its size, and its number in a mean and in the worst second."""
+    """One kind of message: its size, and its numbers in a mean second and in the worst second."""
 
     name: str
     sender: str
@@ -140,9 +140,9 @@
     """An event that leaves tables stale until the last proxy has applied the update."""
 
     name: str
-    share: Callable[[Sizes], float]  # of the requests that go to backends which have left
-    channel_cost: str  # name of the cost with the channel's time, in s
-    processor_cost: str  # name of the cost with the processor's time, in ms
+    share: Callable[[Sizes], float]  # share of requests that go to backends which have left
+    channel_cost: str  # name of the cost that is the channel's time, in s
+    processor_cost: str  # name of the cost that is the processor's time, in ms
     per_day: float  # number of events a day in the plan's fleet
 
 
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -39,7 +39,7 @@
 
 
 class MarkerMissingError(GranitespoolError):
-    """The page has no markers for a table; the text names them."""
+    """The page has no markers for a table; the error text contains the missing markers."""
 
 
 def to_json(result: sweep.Result) -> str:
@@ -59,7 +59,7 @@
 
 
 def compacted(result: sweep.Result) -> sweep.Result:
-    """Return the result with fewer digits, and in sweeps with the fitted costs alone."""
+    """Return the result with rounded figures; its sweeps keep only the costs that are fitted."""
     document = msgspec.to_builtins(result)
     for swept in [*document["sweeps"], *([document["plan_classes"]] if document["plan_classes"] else [])]:
         for point in swept["points"]:
@@ -109,12 +109,12 @@
 
 
 def slopes_off(result: sweep.Result) -> list[sweep.Slope]:
-    """Return the slopes whose held-out point is off by more than the limit, or whose form was rejected."""
+    """Return the slopes that miss their held-out point by more than the limit, or whose form was rejected."""
     return [slope for slope in _all_slopes(result) if slope.is_off or slope.refused]
 
 
 def figure(value: float | None) -> str:
-    """Format a figure with three significant digits and with separators from a thousand on."""
+    """Format a figure with three significant digits and with thousands separators."""
     if value is None:
         return "-"
     if not math.isfinite(value):
@@ -236,7 +236,7 @@
 
 
 def _message_cell(kind: MessageKind, scale: Scale) -> str:
-    """Return bytes, mean and worst a second, or "-" if a cost was not measured."""
+    """Return the bytes in a mean second and in the worst second, or "-" if a cost was not measured."""
     try:
         amounts = [formula(scale.costs, scale.sizes) for formula in (kind.size, kind.mean, kind.worst)]
     except KeyError:
@@ -275,7 +275,7 @@
 
 
 def _swept(swept: sweep.SweepResult, where: str) -> str:
-    """Return the section of one sweep; `where` names the other sizes."""
+    """Return the section of one sweep; `where` describes the sizes that do not change."""
     values = ", ".join(figure(point.sizes.variables()[swept.size]) for point in swept.points)
     constant = [slope.cost for slope in swept.slopes if _is_constant(slope)]
     body = [_slope(slope) for slope in swept.slopes if not _is_constant(slope)]
@@ -320,7 +320,7 @@
 
 
 def _reason(slope: sweep.Slope) -> str:
-    """Return the reason why a slope predicts nothing or is off."""
+    """Return why a slope makes no prediction, or its wrong prediction beside the measured figure."""
     if slope.refused:
         best = f"{slope.form}, {slope.residual:.2f}"
         return f"no form within a residual of {fits.RESIDUAL_LIMIT:g} (best: {best})"
@@ -337,7 +337,7 @@
 
 
 def _change(before: float | None, after: float | None) -> str:
-    """Format both figures and their ratio."""
+    """Format two figures and their ratio."""
     if before is None or after is None:
         return "-"
     ratio = f" ({after / before:.2f})" if before else ""
--- a/bench/capacity/point.py
+++ b/bench/capacity/point.py
@@ -23,17 +23,17 @@
 
 MB = 1 << 20
 NS_PER_MS = 1_000_000
-JOINING_TURNS_MAX = 1200  # turns after which the joining ends, whether complete or not
+JOINING_TURNS_MAX = 1200  # the joining ends after this number of turns, even if it is incomplete
 SETTLE_SECONDS = 3  # idle, after the joining and before the first measurement
 IDLE_SECONDS = 5  # measured without reports
 BUSY_WARM_UP_SECONDS = 1  # under reports, before the measurement
 BUSY_SECONDS = 3  # measured under reports
-FILE_READINGS = 3  # of one configuration file; the median is used
-CHANGED_ENTRIES = 3  # measured changes of an endpoint list entry
-COMPARED_COORDINATORS = 4  # whose tables are compared for the backends that they contain
+FILE_READINGS = 3  # number of readings of one configuration file; the median is used
+CHANGED_ENTRIES = 3  # number of measured changes of an endpoint list entry
+COMPARED_COORDINATORS = 4  # number of coordinators whose backends in tables are counted together
 REFERENCE_OBJECTS = 20_000  # in the reference walk, which measures the machine's current speed
 REFERENCE_MS = 0.45  # time of the reference walk to which all times are scaled
-EVENT_TURNS_MAX = 300  # turns within which the updates of an event have to be acknowledged
+EVENT_TURNS_MAX = 300  # the updates of an event have to be acknowledged within this number of turns
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
@@ -53,7 +53,7 @@
 
 
 def count_calls(action: Callable[[], object]) -> int:
-    """Return the number of Python and C calls of an action, a measure without the machine's noise."""
+    """Return the number of Python and C calls of an action, which does not depend on the machine's speed."""
     calls = [0]
 
     def count(_frame: object, event: str, _argument: object) -> None:
@@ -78,8 +78,8 @@
 class Meter:
     """Processor time, scaled by a reference walk over objects that is timed just before and after.
 
-    On a shared machine the same work takes up to twice the time while a neighbouring core is busy, and so
-    does the walk. A scaled time is the time of the work while the walk takes `REFERENCE_MS`.
+    On a shared machine the same work takes up to twice the time while a neighbouring core is busy. The
+    reference walk slows down equally. A scaled time is the time of the work if the walk takes `REFERENCE_MS`.
     """
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
         return self.references[-1]
 
     def scaled_ms(self, processor_ns: Callable[[], int], action: Callable[[], object]) -> float:
-        """Return in scaled ms what an action adds to a counter of processor time in ns."""
+        """Run an action; return the processor time in scaled ms that it adds to a counter in ns."""
         before_ms = self.reference_ms()
         before = processor_ns()
         action()
@@ -108,7 +108,7 @@
 
 
 def measure(request: Request) -> dict[str, float]:
-    """Return the costs by name: medians of the repeats; memory and call counts are of the first repeat."""
+    """Return the costs by name: medians of the repeats, except memory and call counts of the first repeat."""
     meter = Meter()
     costs: dict[str, list[float]] = {}
     for repeat in range(request.repeats):
@@ -315,7 +315,7 @@
 
 
 def _measure_event(fleet: Fleet, meter: Meter, name: str, action: Callable[[], object]) -> dict[str, float]:
-    """Measure the processor time of an event's turn and second, what is sent, and the time until applied."""
+    """Measure an event: processor time of its turn and second, what is sent, and the time until applied."""
     started_at = fleet.now
     sent = msgspec.structs.replace(fleet.sent)
 
--- a/bench/capacity/process.py
+++ b/bench/capacity/process.py
@@ -19,14 +19,14 @@
 from granitespool.errors import GranitespoolError
 from granitespool.net.frames import frame
 
-READY_TIMEOUT = 30.0  # s until the first ping has to be answered
+READY_TIMEOUT = 30.0  # s within which the first ping has to be answered
 SETTLE_TIME = 1.5  # s between the first answer and the next ping, in which the planner's first round runs
-ANSWER_TIMEOUT = 20.0  # s after which a ping is unanswered, and is recorded with this time
+ANSWER_TIMEOUT = 20.0  # s; an unanswered ping is recorded with this time
 EXIT_TIMEOUT = 2.0  # s from SIGTERM until the process is killed
 IDLE_TIME = 3.0  # s of the idle measurement
-RELOAD_TIMEOUT = 10.0  # s until a new configuration has to be active
+RELOAD_TIMEOUT = 10.0  # s within which a new configuration has to be active
 POLL_INTERVAL = 0.01  # s between two polls
-HEARTBEAT_INTERVAL = 2.0  # s between empty lines of the watch, by the protocol
+HEARTBEAT_INTERVAL = 2.0  # s between empty lines of the watch, set by the protocol
 NS_PER_MS = 1_000_000
 KB_PER_MB = 1024
 
@@ -34,7 +34,7 @@
 
 
 class DiscoveryStandIn(threading.Thread):
-    """Stand-in of discovery that answers each watch by chunks, with an empty line every two seconds."""
+    """Stand-in of discovery that answers each watch in chunks and sends an empty line every two seconds."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -77,11 +77,11 @@
 
     start_ms: float
     ready_s: float
-    answer_s: float  # until a ping is answered while the process is idle
+    answer_s: float  # s until a ping is answered while the process is idle
     idle_ms: float  # per second
     resident_mb: float
     descriptors: int
-    log_lines: int  # from the start to the end, with one reload
+    log_lines: int  # number of lines from start to exit, with one reload
     reload_ms: float | None  # None if pings are not answered in time
     reload_s: float | None
 
@@ -110,7 +110,7 @@
         self.path.write_bytes(orjson.dumps(self.configuration))
 
     def processor_ms(self) -> float:
-        """Return the processor time of the process, which has one thread."""
+        """Return the processor time of the process, which has a single thread."""
         return int(self._proc("schedstat").read_text().split()[0]) / NS_PER_MS
 
     def resident_mb(self) -> float:
--- a/bench/capacity/reports.py
+++ b/bench/capacity/reports.py
@@ -11,12 +11,12 @@
 from granitespool.planner.events import Event, LoadReport, UsageReport
 from granitespool.units import MILLISECOND
 
-INTERVAL_MS = 1000.0  # interval of a report
+INTERVAL_MS = 1000.0  # time that a report covers
 MEAN_MS = 40.0  # mean answer time of a backend
 MEAN_NOISE = 0.1  # relative standard deviation of a reported mean
-FAILED_SHARE = 0.002  # of the attempts
-DRAWN_ATTEMPTS_MAX = 100  # attempts of a report for which a failure is drawn
-POISSON_MEAN_MAX = 30.0  # above it the normal distribution is used instead of Poisson's
+FAILED_SHARE = 0.002  # share of the attempts that fail
+DRAWN_ATTEMPTS_MAX = 100  # in a report, failures are drawn for at most this number of attempts
+POISSON_MEAN_MAX = 30.0  # for larger means the normal distribution replaces Poisson's
 
 
 def load_reports(ready: Iterable[int], sizes: Sizes, random: Random) -> list[bytes]:
--- a/bench/capacity/row_spec.py
+++ b/bench/capacity/row_spec.py
@@ -30,7 +30,7 @@
     origin: Origin = Origin.MEASURED
 
     def row(self, scales: Mapping[str, Scale]) -> Row:
-        """Return the row with its figures, except for scales that lack a cost of the formula."""
+        """Return the row with its figures; a scale that lacks a cost of the formula has no figure."""
         return Row(
             role=self.role,
             cost=self.cost,
--- a/bench/capacity/scales.py
+++ b/bench/capacity/scales.py
@@ -32,7 +32,7 @@
 
 
 class Scale(msgspec.Struct, frozen=True):
-    """The sizes and costs at one scale; `worked_out` if they are extrapolated and not measured."""
+    """The sizes and costs at one scale; `worked_out` is true if the costs are extrapolated, not measured."""
 
     sizes: Sizes
     costs: Costs
--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -10,11 +10,11 @@
 
     backends: int
     zones: int
-    proxies: int  # of this coordinator
+    proxies: int  # proxies of this coordinator
     classes: int  # request classes, called routes in the plan
     tenants: int
-    requests: float  # per second, of the whole fleet
-    planners: int  # coordinators of the fleet
+    requests: float  # requests per second of the whole fleet
+    planners: int  # number of coordinators in the fleet
 
     @property
     def links(self) -> int:
@@ -23,11 +23,11 @@
 
     @property
     def heard_share(self) -> float:
-        """Expected share of links that get at least one of a second's requests, distributed at random."""
+        """Expected share of links with at least one request a second, if requests are spread at random."""
         return 1 - math.exp(-self.requests / self.links)
 
     def variables(self) -> dict[str, float]:
-        """Return the sizes by the names of the fits' variables."""
+        """Return the sizes by the names that the fits use for them."""
         return {
             "backends": float(self.backends),
             "zones": float(self.zones),
--- a/bench/capacity/sweep.py
+++ b/bench/capacity/sweep.py
@@ -36,7 +36,7 @@
     "memory_mb",
 )
 BASE = Sizes(backends=600, zones=8, proxies=70, classes=3, tenants=10, requests=1071.0, planners=50)
-SWEEP_VALUES = {  # at least four points and a last one that is held out
+SWEEP_VALUES = {  # at least four fitted values, and a last one that is held out
     "backends": (450, 600, 900, 1200, 2000),
     "zones": (2, 4, 8, 12, 20),
     "proxies": (50, 70, 90, 110, 150),
@@ -59,11 +59,14 @@
     "service_routes": SERVICE_ROUTES,
     "plan": PLAN,
 }
-UNREPEATED_SCALES = frozenset(("service_routes",))  # scales without repeats: each run takes half a minute
-PLAN_ROUTES = 3100  # in the plan, each a request class
-PLAN_CLASSES = (30, 60, 100, 160, 260)  # swept at the plan's other sizes, above the maximum of subsets
-STATE_POINTS = ((100, 3), (200, 4), (400, 4), (400, 8), (600, 10))  # backends x zones; the last is held out
-STATE_SECONDS = 10  # virtual seconds of each point
+# Scales that are measured once, because a measurement takes half a minute.
+UNREPEATED_SCALES = frozenset(("service_routes",))
+PLAN_ROUTES = 3100  # number of routes in the plan; each is a request class
+# Numbers of request classes, all above the maximum of subsets, for the sweep with the plan's other sizes.
+PLAN_CLASSES = (30, 60, 100, 160, 260)
+# (backends, zones); the last point is held out.
+STATE_POINTS = ((100, 3), (200, 4), (400, 4), (400, 8), (600, 10))
+STATE_SECONDS = 10  # virtual duration of each point
 CHILD_PROGRAM = "import sys; sys.path.insert(0, {program!r}); import granitespool; sys.path.pop(0)\n" + (
     "from bench.capacity.point import main; main()"
 )
@@ -114,7 +117,7 @@
     seed: int
     repeats: int
     scales: dict[str, Point] = {}
-    before: dict[str, Point] = {}  # the scales on an earlier version, measured in the same run
+    before: dict[str, Point] = {}  # by scale, of an earlier version measured in the same run
     processes: dict[str, process.ProcessCosts] = {}
     sweeps: list[SweepResult] = []
     plan_classes: SweepResult | None = None
@@ -178,7 +181,7 @@
 
 
 def fit_sweep(size: str, points: list[Point]) -> SweepResult:
-    """Return the points with the slope of every fitted cost."""
+    """Return the sweep of these points, with a slope for every fitted cost."""
     return SweepResult(size, points, [fit_slope(size, cost, points) for cost in FITTED_COSTS])
 
 
--- a/bench/capacity/wire.py
+++ b/bench/capacity/wire.py
@@ -5,9 +5,9 @@
 # Assumed values; the plan does not specify the rate.
 CHANNEL_RATE = 4000  # table entries a second
 CHANNEL_BACKLOG = 20_000  # table entries that the channel queues
-MESSAGE_HEAD_ENTRIES = 3  # table entries that a message's head counts as
-DRAIN_GRACE_MS = 7000  # within which a drained backend has to be out of all tables
-RACK_SIZE = 40  # backends of one rack
+MESSAGE_HEAD_ENTRIES = 3  # the protocol counts a message's head as this number of table entries
+DRAIN_GRACE_MS = 7000  # a drained backend has to be out of all tables within this time
+RACK_SIZE = 40  # backends in one rack
 
 MACHINE_TYPES = 4
 
@@ -76,8 +76,8 @@
 ) -> dict[str, object]:
     """Return the configuration file of one coordinator as an object.
 
-    Tenants have no field in the settings; they are a list that the program ignores, so that their cost in the
-    file is measured and not assumed.
+    The settings have no field for tenants. The file contains them as a list that the program ignores, so that
+    their cost is measured and not assumed.
     """
     return {
         "name": "capacity",
--- a/bench/days.py
+++ b/bench/days.py
@@ -52,7 +52,7 @@
 
 
 def broken_rules(result: DayResult) -> dict[str, int]:
-    """Return the rules that were broken, with the number of violations."""
+    """Return the broken rules with the number of violations of each."""
     return {rule: times for rule, times in result["row"]["rules"].items() if times}
 
 
@@ -67,7 +67,7 @@
 
 
 def nearest_class(result: DayResult) -> str:
-    """Return the class with the lowest ratio of served share to required share, and both shares."""
+    """Return the request class with the lowest ratio of served to required share, and its two shares."""
     results = [ClassResult(*fields) for fields in result["row"]["by_class"]]
     with_floor = [class_result for class_result in results if class_result.floor]
     if result["fault"] or not with_floor:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -26,7 +26,7 @@
   --from=S    seconds after the first line to begin at  [default: 0]
   --to=S      seconds after the first line to end at  [default: 1e9]"""
 ROW_MS = 1_000  # time span of a row
-BACKENDS_SHOWN = 8  # for each row, by attempts
+BACKENDS_SHOWN = 8  # in each row; those with the most attempts
 REASONS = (
     "warming_up",
     "recovering",
@@ -62,25 +62,25 @@
 
 @dataclass(kw_only=True)
 class FleetRow:
-    """One second of several coordinators: sums, and the worst value where a sum has no meaning."""
+    """Metrics of several coordinators in one second: sums, or the worst value if a sum has no meaning."""
 
     joined: int
     unassigned: int
     ejected_links: int
     last_resort_links: int
-    queue_share: float  # of the in-flight limit, highest
-    observed_share: float  # of the configured rate, lowest
+    queue_share: float  # highest share of the in-flight limit
+    observed_share: float  # lowest share of the configured rate
     acknowledgement_s: float
     new_entries: float
     new_reports: int
     admitted_share: float
     success_ratio: float
-    overloaded: int  # number of coordinators
+    overloaded: int  # number of overloaded coordinators
     list_age_s: float
     longest_turn_ms: float
     health_checks: int
-    attempts: Counter[str]  # to outliers, by reason
-    outliers: dict[str, OutlierTotals]  # by backend
+    attempts: Counter[str]  # attempts to outliers, by reason
+    outliers: dict[str, OutlierTotals]  # totals by backend
 
 
 COLUMNS = (  # title, field of FleetRow, format
--- a/bench/log.py
+++ b/bench/log.py
@@ -2,7 +2,7 @@
 
     python -m bench.log [LINES]
 
-Rounds of both alternate in one process, so that noise of the machine affects both; the medians are printed.
+Rounds of the two logs alternate in one process, so that the machine's noise affects both. Prints the medians.
 """
 
 import os
@@ -17,13 +17,13 @@
 from granitespool.net.log import UNREAD_MAX, VALUE_MAX, Log
 from granitespool.units import MILLISECOND
 
-ROUNDS = 9  # of each log, alternating
-LINES = 20_000  # per round, by default
+ROUNDS = 9  # rounds of each log
+LINES = 20_000  # default number of lines per round
 FIELDS = {"backend": "s-5be2a07c", "status": "ok", "duration_ms": 12}  # of the most frequent event
 
 
 class AnyLog(Protocol):
-    """The attributes that both logs have."""
+    """Attributes that both measured logs have."""
 
     unread: list[bytes]
     unread_size: int  # bytes
@@ -72,7 +72,7 @@
 
 
 def main(argv: list[str]) -> None:
-    """Measure and print; `argv` may contain the number of lines per round."""
+    """Measure both logs and print their times; `argv` may contain the number of lines per round."""
     lines = int(argv[0]) if argv else LINES
     plain_log = PlainLog(time.time_ns, name="n0")
     service_log = Log(os.open(os.devnull, os.O_WRONLY), time.time_ns, name="n0")
--- a/bench/manage.py
+++ b/bench/manage.py
@@ -8,8 +8,8 @@
 memory  resident memory without, with and after management
 
 The coordinator runs in a separate process with a synthetic fleet: backends of the endpoint list, proxies that
-joined without a stream, and a load report for each backend and zone every second. A turn is timed from the
-end of one wait to the start of the next.
+joined without a stream, and a load report for each backend and zone every second. A turn of the
+loop is timed from the end of one wait for events to the start of the next wait.
 """
 
 import json
@@ -51,15 +51,15 @@
 MS_PER_S = 1e3
 ZONES = ("n", "s")
 REPORTED_MEAN = 40_000_000  # ns, mean answer time of a backend
-PARTS_PER_SECOND = 20  # parts of a second that the load reports are spread over
-WARM_UP_S = 2.5  # until tables and first reports are complete
+PARTS_PER_SECOND = 20  # the load reports of a second are spread over this number of parts
+WARM_UP_S = 2.5  # time until the tables and the first load reports are complete
 IDLE_S = 3
-SUBSCRIPTIONS = 100  # of all state, sampled each second
+SUBSCRIPTIONS = 100  # number of subscriptions; each samples all state once a second
 STREAM_S = 8  # duration of the subscriptions
 COMMITS = 40
 READERS = 6
-READS = 4  # of each reader
-MIN_TURN_S = 1e-5  # a shorter turn that does not wait only polls
+READS = 4  # number of reads by each reader
+MIN_TURN_S = 1e-5  # shorter turns are not counted if they only poll without waiting
 
 
 class Fleet(NamedTuple):
--- a/bench/ready.py
+++ b/bench/ready.py
@@ -33,9 +33,9 @@
   --backends=N   backends in the list            [default: 200]
   --limit=S      seconds within which it counts as ready  [default: 10]"""
 READY_SHARE_MIN = 0.9  # share of the starts that have to be ready within the limit
-START_TIMEOUT = 60.0  # s after which a start has failed
-RECONNECT_DELAY = 0.01  # s between two connections of one peer
-POLL_MS = 5  # ms that the peers wait for events
+START_TIMEOUT = 60.0  # s; a start without an answer in this time has failed
+RECONNECT_DELAY = 0.01  # s before a peer or a ping connects again
+POLL_MS = 5  # ms, longest wait of the peers for events
 READ_SIZE = 1 << 16  # bytes
 SPARE_SOCKETS = 100  # descriptors beyond the proxies and half of the silent connections
 
--- a/bench/sites.py
+++ b/bench/sites.py
@@ -6,7 +6,7 @@
 
 A file of differences contains only the changed keys (docs/sites.md). Each key has to exist in the site with a
 value of the same type. The files that the bench reads beside a site are copied. With --bench that program
-checks the variant, and its reason is printed if it rejects it.
+checks each variant; the reason of a rejection is printed.
 """
 
 import shutil
@@ -28,7 +28,7 @@
   --into=DIR       parent folder of the variants  [default: deploy/sites/made]
   --bench=PROGRAM  bench that has to accept each variant"""
 COPIED = ("real.json", "wire.json", "unlock.txt")  # files that the bench reads beside a site
-EXAMPLE_DAY = ("--rough", "calm+mass", "--nodes", "30")  # arguments of `fit` that draw a day from the site
+EXAMPLE_DAY = ("--rough", "calm+mass", "--nodes", "30")  # arguments of `fit`: one day of the site
 TABLE = "a table"
 TABLES = "a list of tables"
 NUMBER = "a number"
@@ -37,7 +37,7 @@
 
 
 class SiteError(GranitespoolError):
-    """A file cannot be used; the text is one sentence."""
+    """A site or a file of differences cannot be used; the error text is one sentence."""
 
 
 def read_tables(path: str | Path) -> dict[str, Any]:
@@ -51,7 +51,7 @@
 
 
 def kind_of(value: object) -> str:
-    """Return the kind of a value; a number and a range of numbers, from which the bench draws, are equal."""
+    """Return the kind of a value; a number and a range of numbers are of the same kind."""
     if isinstance(value, dict):
         return TABLE
     if isinstance(value, list) and value:
@@ -102,7 +102,7 @@
     ) -> dict[str, Any]:
         """Merge an item of a list of tables into the site's item at the same index, or its last one.
 
-        A key that any item of the site has is permitted.
+        A key is permitted if any item of the site's list has it.
         """
         base = site_value[min(index, len(site_value) - 1)]
         all_keys = {name: value for table in site_value for name, value in table.items()}
@@ -129,7 +129,7 @@
 
 
 def check_accepted(site: Path, bench: str) -> None:
-    """Raise SiteError with the bench's reason if it rejects this site."""
+    """Check a site with the bench; raise SiteError with the bench's reason if the bench rejects the site."""
     command = [bench, "fit", str(site), *EXAMPLE_DAY]
     try:
         run = subprocess.run(command, capture_output=True, text=True, check=False)
--- a/bench/state.py
+++ b/bench/state.py
@@ -37,15 +37,15 @@
 SECOND = 1_000_000_000
 MB = 1 << 20
 START = 10**18  # ns, the virtual clock at the start
-SYNC_TIME = 0.2  # s that each sync takes in `stall`
-STALL_SECONDS = 8  # of each run of `stall`
-BYTES_SECONDS = 40  # of each run of `bytes`
+SYNC_TIME = 0.2  # s, duration of each sync in `stall`
+STALL_SECONDS = 8  # duration of each run of `stall`
+BYTES_SECONDS = 40  # duration of each run of `bytes`
 PROGRAM = "bench"
 MEAN = 40_000_000  # ns, mean answer time
 SLOW_MEAN = 3 * MEAN  # ns, mean answer time of a slow backend
 ALL_BACKENDS = slice(None)
-REPORT_PARTS = 50  # parts of a second that reports are spread over in `stall`
-MEMORY_SAMPLE_SECONDS = (300, 1200, 2400, 3599)  # virtual seconds after which `memory` samples
+REPORT_PARTS = 50  # `stall` spreads the reports of a second over this number of parts
+MEMORY_SAMPLE_SECONDS = (300, 1200, 2400, 3599)  # virtual seconds at which `memory` takes a sample
 
 
 def settings(zones: int) -> Settings:
@@ -62,11 +62,11 @@
     """How a synthetic backend answers."""
 
     mean: int  # ns
-    fails: bool  # a tenth of the attempts
+    fails: bool  # whether a tenth of its attempts fail
 
 
 class Fleet:
-    """Backends with noisy reports each second; a third are slow, one in ten fails a tenth of its attempts."""
+    """Backends with noisy reports; a third are slow, and one in ten fails a tenth of its attempts."""
 
     def __init__(self, backends: int, zones: int, seed: int = 1) -> None:
         self.random = random.Random(seed)
@@ -105,7 +105,7 @@
         coordinator.report(now, EndpointListUpdate(ListForm.CHANGES, entries))
 
     def report(self, coordinator: Coordinator, now: int, part: slice = ALL_BACKENDS) -> None:
-        """Report one load report of each zone about each backend of this part of the fleet."""
+        """Report one load report from each zone for every backend in this part of the fleet."""
         for name in list(self.backends)[part]:
             for zone in self.zones:
                 coordinator.report(now, self._load_report(name, zone))
@@ -186,7 +186,7 @@
 
 
 def sweep(coordinator: Coordinator, recovery: Recovery, fleet: Fleet, store: Store, now: int) -> None:
-    """Write the records that have changed enough."""
+    """Write the records whose values have changed enough to be stored."""
     names = list(coordinator.endpoint_states())
     changes = recovery.collect_changes(coordinator, fleet.addresses, fleet.index, now, names, is_last=True)
     if changes:
@@ -257,7 +257,7 @@
 
 
 class NoLog:
-    """A log that discards its events, so that no logging is measured."""
+    """Log that discards its events, so that the time of logging is not measured."""
 
     def event(self, *_: object, **__: object) -> None:
         """Discard an event."""
--- a/bench/upgrade.py
+++ b/bench/upgrade.py
@@ -2,11 +2,11 @@
 
     python -m bench.upgrade OTHER        OTHER: the source tree of another build, such as a clone of a release
 
-Each build reads what the other one wrote (state folder, configuration, operator's file, managers' settings),
-and both serve the same proxies side by side: proxies move between them, lose the connection to one without a
-reset, and are served while one is replaced by the other build. Processes of both builds run with this
-interpreter and its libraries. Needs the extra `manage`. Prints a line for each check; the exit code is 1 if
-one failed.
+Each build reads what the other build wrote (state folder, configuration, operator's file, managers'
+settings). Both builds serve the same proxies side by side: proxies move between them, lose the connection
+to one build without a reset, and are served while one build is replaced by the other. Processes of both
+builds run with this interpreter and its libraries. Needs the extra `manage`. Prints a line for each check;
+the exit code is 1 if a check failed.
 """
 
 import json
@@ -32,7 +32,7 @@
 USAGE = """Usage: upgrade OTHER"""
 LOOPBACK = "127.0.0.1"
 ROOT = Path(__file__).resolve().parents[1]
-STORED_STATES = ROOT / "tests" / "data"  # has a state folder of each format
+STORED_STATES = ROOT / "tests" / "data"  # contains a state folder of each format
 ZONES = ("north", "south")
 BACKENDS = 6
 PROXIES = 4
@@ -44,7 +44,7 @@
 REPORT_INTERVAL = 0.2  # s between two load reports
 REPORT_ROUNDS = 15
 POLL_INTERVAL = 0.02  # s
-CHANGED_GRACE_US = 2_345_678  # microseconds: the drain grace that a manager sets
+CHANGED_GRACE_US = 2_345_678  # microseconds, the drain grace that a manager sets
 DATAGRAM_SIZES = (1, 16, 256)  # bytes; 256 is the largest that the protocol permits
 FAULT_EVENTS = ("message_dropped", "internal_error", "task_failed", "rejected", "state_corrupt")
 
@@ -59,7 +59,7 @@
     tree: Path
 
     def command(self, *arguments: str) -> "subprocess.CompletedProcess[str]":
-        """Run one call of the command line to its end."""
+        """Run the program with these arguments until it exits."""
         return subprocess.run(
             [sys.executable, "-m", "granitespool", *arguments],
             cwd=self.tree,
@@ -177,7 +177,7 @@
         self.zone = ZONES[number % len(ZONES)]
         self.table: dict[str, float] = {}
         self.stream: Stream | None = None
-        self.silent_streams: list[Stream] = []  # left open to imitate a network cut
+        self.silent_streams: list[Stream] = []  # streams left open to imitate a network cut
 
     def join(self, address: Address) -> bool:
         """Join a coordinator and return whether it sent a complete table with usable entries."""
@@ -318,7 +318,7 @@
 
 
 def change_settings(netconf: Address, keys_folder: Path) -> bool:
-    """Change the drain grace by a confirmed commit; return whether all answers were ok."""
+    """Change the drain grace by a confirmed commit; return whether every answer was `ok`."""
     session = NetconfClient(netconf, str(keys_folder))
     try:
         answers = [
@@ -403,7 +403,7 @@
         events = sorted(name for name in coordinator.event_names() if name.startswith(("snapshot", "state")))
         outcomes.append((codes, ready, code, events))
     failures.check(outcomes[0] == outcomes[1], f"{stored.name}: both builds do the same: {outcomes[0]}")
-    (_, shown), ready, code, _ = outcomes[1]  # a recorded folder may end in a torn write, so verify may fail
+    (_, shown), ready, code, _ = outcomes[1]  # `verify` may fail: a recorded folder can end in a torn write
     failures.check(
         (shown, ready, code) == (0, True, 0), f"{stored.name}: `state show` passes and a coordinator serves"
     )
@@ -483,13 +483,13 @@
             self._leave()
 
     def _send_datagrams(self) -> None:
-        """Send datagrams of several permitted sizes from a peer that both have configured."""
+        """Send datagrams of several permitted sizes from a peer that both coordinators have configured."""
         for address in self.gossip:
             for size in DATAGRAM_SIZES:
                 self.peer.sendto(bytes(size), address)
 
     def _cut_proxies_off(self) -> None:
-        """Leave streams silent at one build, join the other, and rejoin the first after a reset."""
+        """Leave silent streams at one build, join the other build, and rejoin the first after a reset."""
         self._join(0)
         self._leave(silently=True)
         self._join(1)
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -32,7 +32,7 @@
 DRAINING_BACKEND = 1  # index in the endpoint list
 FAILING_BACKEND = 2  # index in the endpoint list
 ATTEMPTS = 10  # per second at each backend
-FAILURES = 5  # of the attempts at the failing backend
+FAILURES = 5  # per second, at the failing backend
 BUFFERS = 64  # message buffers of the proxy
 LOAD_REPORT = b"inflight=7,queue=2,util=0.61"
 
@@ -48,7 +48,7 @@
         self.failing = self.backends[FAILING_BACKEND]["name"]
         self.loop = Loop(self.report_failure)
         self.started_at = self.loop.now
-        self.table: dict[str, float] = {}  # of the proxy: backend -> weight
+        self.table: dict[str, float] = {}  # backend -> weight, as the proxy applied it
         self.tables_received = 0
         self.exit_code = 0
         self.loop.spawn(self.accept(parse_address(config["discovery"]), self.serve_watch))
@@ -103,7 +103,7 @@
                 return  # the coordinator closed the connection
 
     def send_lines(self, sock: socket.socket) -> Coroutine:
-        """Send the lines of a watch without end."""
+        """Send the lines of a watch until the connection ends."""
         has_sent_drain = False
         while True:
             wait = WATCH_PERIOD if has_sent_drain else max(WATCH_WAIT_MIN, DRAIN_AT - self.elapsed)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -141,7 +141,7 @@
     assert [point["sizes"]["backends"] for point in swept["points"]] == [8, 12, 16, 20, 32]
     slopes = {slope["cost"]: slope for slope in swept["slopes"]}
     assert set(slopes) == set(sweep.FITTED_COSTS)
-    assert "in backends" in slopes["file_bytes"]["form"]  # counted, so the same in each run
+    assert "in backends" in slopes["file_bytes"]["form"]  # the size is counted, so it is the same in each run
     assert abs(slopes["file_bytes"]["error"]) < 0.02
     written = (tmp_path / "page.md").read_text()
     assert "an old table" not in written
--- a/tests/test_play_tables.py
+++ b/tests/test_play_tables.py
@@ -1,4 +1,4 @@
-"""The table of the bench's results, a row a day."""
+"""The table of the bench's results, with a row for each day."""
 
 import json
 
