--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -251,7 +251,11 @@
 
 
 def _added_cell(event: StaleEvent, scale: Scale) -> str:
-    """Return the share of requests that meet a stale table in its window, the window, and the day's share."""
+    """Return how an event affects requests, as text "share / window / share of a day".
+
+    The first share is of the requests that meet a stale table within the window. The window is the time that
+    tables are stale, in seconds.
+    """
     costs, sizes = scale.costs, scale.sizes
     if event.channel_cost not in costs or event.processor_cost not in costs:
         return "-"
