--- a/granitespool/scale/backends.py
+++ b/granitespool/scale/backends.py
@@ -19,7 +19,7 @@
 
 
 class HealthCheckCounts(msgspec.Struct):
-    """Number and bytes of the health checks that the backends have answered."""
+    """Number and size of the health checks that the backends have answered."""
 
     number: int = 0
     request_bytes: int = 0
@@ -58,7 +58,7 @@
                 try:
                     sock, _ = listener.accept()
                 except OSError:
-                    continue  # the client has closed the connection already
+                    continue  # no connection to accept, for instance because the client has closed it
                 sock.setblocking(False)
                 self.loop.spawn(self._answer(sock))
 
@@ -73,7 +73,7 @@
                     request += data
                 yield from send(sock, ANSWER, self.loop.now + REQUEST_TIMEOUT)
             except OSError:
-                return  # the client has closed the connection
+                return  # the connection failed, or a timeout expired
             self.health_checks.number += 1
             self.health_checks.request_bytes += len(request)
             self.health_checks.answer_bytes += len(ANSWER)
--- a/granitespool/scale/checker/channel.py
+++ b/granitespool/scale/checker/channel.py
@@ -30,7 +30,7 @@
         self.violations.append(Violation(rule="channel", at=at, subject=subject, text=text))
 
     def backlog(self, event: ChannelBacklog) -> None:
-        """Check the queued entries; an overrun is reported once until it is over."""
+        """Check the queued entries; each overrun is reported once, when it begins."""
         if event.entries <= self.limits.backlog_limit:
             self.over_backlog_limit.discard(event.coordinator)
         elif event.coordinator not in self.over_backlog_limit:
--- a/granitespool/scale/checker/cold_backends.py
+++ b/granitespool/scale/checker/cold_backends.py
@@ -4,12 +4,13 @@
 from granitespool.scale.checker.violation import Handlers, Violation, as_seconds
 from granitespool.scale.trace import BackendLoad, CoordinatorEnded, CoordinatorStarted, Limits
 
-# Share of a backend's load that has to come from proxies with a weight from after its start, for a violation
+# An overload is a violation only if at least this share of the load comes from proxies that received a
+# weight for the backend after the backend's start.
 INFORMED_SHARE = 2 / 3
 
 
 class ColdBackendRule:
-    """Runs a time limit for each backend that gets more than its capacity at its age."""
+    """Runs a time limit for each backend that is warming up and receives more load than it can handle."""
 
     def __init__(self, limits: Limits, deadlines: Deadlines) -> None:
         self.limits = limits
@@ -38,13 +39,13 @@
         return event.warming_up and event.multiple > self.limits.overload_multiple and informed
 
     def started(self, event: CoordinatorStarted) -> None:
-        """Handle a coordinator's start; time limits begin a second later, unless another one runs."""
+        """Handle a coordinator's start; if it is the only one, time limits begin after `start_grace`."""
         self.answered[event.coordinator] = event.at
         self.any_answered = True
         self._refresh_all(event.at)
 
     def ended(self, event: CoordinatorEnded) -> None:
-        """Handle a coordinator's end; while none runs, no time limit runs."""
+        """Handle a coordinator's end; while no coordinator runs, no time limit runs."""
         self.answered.pop(event.coordinator, None)
         self._refresh_all(event.at)
 
--- a/granitespool/scale/checker/deadlines.py
+++ b/granitespool/scale/checker/deadlines.py
@@ -1,4 +1,4 @@
-"""Running time limits; one that is not stopped before it expires is a violation."""
+"""Running time limits; a time limit that expires before it is stopped is a violation."""
 
 import heapq
 
@@ -10,7 +10,7 @@
 
 
 class _Deadline(msgspec.Struct, frozen=True):
-    """A running time limit: `violation` is reported unless it is stopped by `due`."""
+    """A running time limit; `violation` is reported if the limit still runs after the time `due`."""
 
     began: int  # ns
     due: int  # ns of the last allowed instant
@@ -29,7 +29,10 @@
         self._sequence = 0
 
     def start(self, began: int, due: int, violation: Violation) -> None:
-        """Start a time limit (ns), or keep it if it runs; one that was reported is not reported again."""
+        """Start a time limit (ns), in place of a running one with other times.
+
+        A time limit whose violation was reported is not started again with the same beginning.
+        """
         key = (violation.rule, violation.subject)
         if self._reported.get(key) == began:
             return
--- a/granitespool/scale/checker/effects.py
+++ b/granitespool/scale/checker/effects.py
@@ -5,7 +5,7 @@
 
 
 class EffectRule:
-    """Checks that no such request is executed twice."""
+    """Checks that no request whose effect must happen once is executed twice."""
 
     def __init__(self, violations: list[Violation]) -> None:
         """Create the rule; violations are appended to `violations`."""
--- a/granitespool/scale/checker/endpoint_list.py
+++ b/granitespool/scale/checker/endpoint_list.py
@@ -18,7 +18,7 @@
     def __init__(self, only_draining_binds: bool) -> None:
         """Create an empty list; `only_draining_binds` is that of `Limits`."""
         self.only_draining_binds = only_draining_binds
-        self.unready: dict[str, int] = {}  # backend to remove from tables -> ns when that was received
+        self.unready: dict[str, int] = {}  # backend to remove from tables -> ns when its removal was received
         self._listings: dict[str, _Listing] = {}
 
     def update(self, event: BackendListed) -> None:
--- a/granitespool/scale/checker/tables.py
+++ b/granitespool/scale/checker/tables.py
@@ -23,8 +23,8 @@
         self.coordinator_name = ""
         self.joined_at = 0  # ns
         self.ended_by: str | None = None  # the coordinator that closed its last stream
-        self.usable: frozenset[str] = frozenset()  # backends that it may use
-        self.empty_since: int | None = 0  # ns; None: it may use a backend
+        self.usable: frozenset[str] = frozenset()  # backends that the proxy may use
+        self.empty_since: int | None = 0  # ns; None: the proxy may use a backend
         self.drain_timed: set[str] = set()  # backends with a running time limit of the rule `drain`
 
     def set_table(self, event: TableHeld) -> None:
--- a/granitespool/scale/coordinators.py
+++ b/granitespool/scale/coordinators.py
@@ -49,7 +49,7 @@
         self.path = folder / f"{endpoint.name}.json"
         self.child: Child | None = None
         self.log = CoordinatorLog(endpoint.name)
-        self.written_version = 0  # of the settings in its configuration file
+        self.written_version = 0  # version of the settings in the configuration file
         self.applied_version = 0  # newest settings version observed as active
         self.older_settings = 0  # queries that found older settings than an earlier one
         self.samples: list[Sample] = []  # resource usage of all its processes
@@ -67,7 +67,7 @@
         return not self.endpoint.down and self.child is not None and not self.child.exited
 
     def write_configuration(self, version: int, valid: bool = True) -> None:
-        """Write the configuration file; an invalid one lacks the required settings."""
+        """Write the configuration file; an invalid file lacks the required settings."""
         configuration = self._configuration(version)
         if valid:
             self.written_version = version
@@ -124,7 +124,7 @@
             answer = yield from self._request(message)
         except OSError:
             answer = b""
-        yield None, 0, self.loop.now  # close the descriptor before another one is opened
+        yield None, 0, self.loop.now  # close this descriptor before the next is opened
         return answer
 
     def _request(self, message: bytes) -> Wait:
--- a/granitespool/scale/discovery.py
+++ b/granitespool/scale/discovery.py
@@ -72,7 +72,7 @@
         return change
 
     def update_agents(self) -> None:
-        """Bring every agent that is not cut off up to date."""
+        """Send the latest changes to every agent that is not cut off."""
         for agent in self.agents:
             agent.update()
 
@@ -105,7 +105,7 @@
         self.opened_at = opened_at
         self.pending: deque[PendingLine] = deque()
         self.task: Task | None = None
-        self.waiting = False  # whether its coroutine waits, so that it can be resumed
+        self.waiting = False  # whether the coroutine of the watch is waiting, and so can be resumed
 
 
 class DiscoveryAgent:
@@ -122,7 +122,7 @@
         self.recorded = True  # whether the entries that it writes are added to the trace
         self.list_index = backend_list.index  # newest version that the agent has received
         self.cut = False
-        self.stalled_until = 0  # ns; until then a line stops in its middle and no request is answered
+        self.stalled_until = 0  # ns; before it, half a line is written at most and no request is answered
         self.watches: set[Watch] = set()
         self.written_index: dict[str, int] = {}  # backend -> newest version written to the coordinator
         self.written_at: dict[int, int] = {}  # version -> ns when the last open watch had received it
@@ -154,7 +154,7 @@
         self.update()
 
     def stall(self, until: int) -> None:
-        """Stop the next line in its middle, and send nothing until then (ns)."""
+        """Write only half of the next line, and nothing more until the given time (ns)."""
         self.stalled_until = until
 
     def end_watches(self) -> None:
--- a/granitespool/scale/environment.py
+++ b/granitespool/scale/environment.py
@@ -66,7 +66,7 @@
         channel = ChannelQueue(self.recorder, name, self.scenario.channel)
         address = self.network.coordinator(index)
         endpoint = CoordinatorEndpoint(self.recorder, name, zone, address, channel)
-        endpoint.down = True  # until it has answered
+        endpoint.down = True  # until the coordinator has answered
         agent = DiscoveryAgent(self.loop, self.list, self.recorder, name, self.network.agent(index))
         return RealCoordinator(self.loop, self.recorder, self.scenario, endpoint, agent, index, folder)
 
@@ -103,7 +103,7 @@
         self.streams.append(stream)
 
     def _first_table(self, number: int, region: str, random: Random) -> ProxyTable:
-        """Return a proxy's bootstrap table, in a random zone that is mostly one of this region."""
+        """Return a proxy's bootstrap table, in a random zone, in most cases of this region."""
         zones, settings = self.scenario.zones, self.scenario.proxies
         same = [zone for zone in zones if region_of(zone) == region]
         other = [zone for zone in zones if zone not in same]
--- a/granitespool/scale/fits.py
+++ b/granitespool/scale/fits.py
@@ -14,7 +14,7 @@
 
 from granitespool.errors import GranitespoolError
 
-NOISE_FLOOR = 0.02  # relative residual below which a lower one does not justify a further parameter
+NOISE_FLOOR = 0.02  # below this relative residual, a better fit does not justify a further parameter
 PARAMETER_PENALTY = 1.5  # factor by which a further term, or size in a term, must lower the residual
 RESIDUAL_LIMIT = 0.25  # relative residual above which a form does not describe the samples
 ERROR_LIMIT = 0.25  # relative error above which the prediction of a held-out sample is a miss
@@ -55,7 +55,7 @@
 
 
 class Form(msgspec.Struct, frozen=True):
-    """A sum of terms, each a product of sizes with a coefficient of its own."""
+    """A sum of terms, each a product of sizes with its coefficient."""
 
     name: str
     terms: tuple[Term, ...]
--- a/granitespool/scale/hollow/connection.py
+++ b/granitespool/scale/hollow/connection.py
@@ -21,7 +21,7 @@
         self.unsent = b""
         self.proxy: int | None = None
         self.task: Task | None = None
-        self.reading = False  # its coroutine is running, so it must not be resumed
+        self.reading = False  # the coroutine is running, so it must not be resumed
 
     @property
     def current_task(self) -> Task:
--- a/granitespool/scale/hollow/coordinator.py
+++ b/granitespool/scale/hollow/coordinator.py
@@ -43,8 +43,11 @@
 BARRIER_LIMIT = 65536  # acknowledgement barriers are numbered below this
 READ_KINDS = frozenset(("ping", "joined", "collector", "heard", "usage", "applied"))
 RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-ANY_ADDRESS = ""  # key for the addresses of all backends in a watch that stores none
-EMPTY_LIST: dict[str, Any] = {"index": 0, "endpoints": []}  # the endpoint list of a configuration without one
+ANY_ADDRESS = ""  # key for the addresses of all backends in a watch that stores no addresses
+EMPTY_LIST: dict[str, Any] = {
+    "index": 0,
+    "endpoints": [],
+}  # used if the configuration contains no endpoint list
 
 
 class _WatchLog:
@@ -100,7 +103,7 @@
         self.joins_replayed = 0
         self.changes_replayed = 0
         self.flushes_replayed = 0
-        self.barrier = 0  # the last one
+        self.barrier = 0  # number of the last barrier
         self.barrier_at = -1  # ns of the turn in which the last barrier was made
         listener = _listen()
         self.address: tuple[str, int] = listener.getsockname()
@@ -170,7 +173,7 @@
     def _write_update(
         self, connection: Connection, parts: Parts, entries: list[Entry], complete: bool = False
     ) -> None:
-        """Write one message, unless the previous one is not sent yet: a real one would merge the two."""
+        """Write one message; skip it if the previous one is unsent, as a real coordinator merges the two."""
         if connection.unsent:
             return
         if self.barrier_at != self.loop.now:  # all messages of one turn share a barrier
@@ -190,7 +193,7 @@
                     yield None, 0, self.loop.now + ACCEPT_RETRY_DELAY
 
     def _accept_some(self, listener: socket.socket) -> bool:
-        """Accept pending connections; return False if no descriptor is free for one."""
+        """Accept pending connections; return False if no file descriptor is free."""
         for _ in range(ACCEPTS_PER_TURN):
             try:
                 sock = listener.accept()[0]
@@ -234,7 +237,7 @@
             self.awaiting_list.pop(connection.proxy, None)
 
     def _handle(self, connection: Connection) -> None:
-        """Handle the complete messages in the reader; raise InvalidInputError if one is malformed."""
+        """Handle the complete messages in the reader; raise InvalidInputError if a message is malformed."""
         reader = connection.reader
         before = reader.available
         for message in reader.messages():
--- a/granitespool/scale/hollow/measurement.py
+++ b/granitespool/scale/hollow/measurement.py
@@ -148,5 +148,5 @@
 
 
 def _lacks_message(written: _Written, event: UpdateReceived) -> bool:
-    """Return whether the event's proxy is to get a message of this occasion and has none yet."""
+    """Return whether a message to the event's proxy is expected here and has not been written yet."""
     return event.proxy in written.messages and written.messages[event.proxy] is None
--- a/granitespool/scale/hollow/profile.py
+++ b/granitespool/scale/hollow/profile.py
@@ -1,7 +1,7 @@
 """The profile of the messages that a coordinator writes to its proxies: rates and sizes by kind.
 
 A profile is measured from a real coordinator (`measurement`) and replayed by hollow ones. Sizes are bytes of
-a message's parts with their length prefixes; None stands for an occasion without a message.
+a message's parts with their length prefixes; None means that no message was written.
 """
 
 import msgspec
@@ -12,9 +12,10 @@
 
 
 class MessageProfile(msgspec.Struct, frozen=True, kw_only=True):
-    """The messages of one kind, one for each occasion, in order; they are replayed in a loop.
+    """The messages of one kind in the order of their occasions, replayed in a loop.
 
-    An occasion is a joining proxy, or a change of the endpoint list for one proxy.
+    An occasion is an event that may cause a message to one proxy: the proxy joins, or the endpoint list
+    changes. An occasion without a message is None.
     """
 
     occasions: tuple[Parts | None, ...] = ()
@@ -64,6 +65,6 @@
 class Profile(msgspec.Struct, frozen=True, kw_only=True):
     """All messages that a coordinator writes to its proxies."""
 
-    joining: MessageProfile = MessageProfile()  # the first table; an occasion is a joining proxy
-    change: MessageProfile = MessageProfile()  # after a change; an occasion is a change and a proxy
+    joining: MessageProfile = MessageProfile()  # first tables, sent to joining proxies
+    change: MessageProfile = MessageProfile()  # updates after a change of the endpoint list
     refresh: RefreshProfile = RefreshProfile()
--- a/granitespool/scale/plan.py
+++ b/granitespool/scale/plan.py
@@ -32,7 +32,7 @@
     "end_watches",
     "kill_hollow",
 ]
-STALL_LEAD = SECOND // 20  # ns from a stall to the change whose line it interrupts
+STALL_LEAD = SECOND // 20  # ns from a stall to the change whose line is interrupted
 PARTITION_CHANGE = 0.4  # share of a cut's duration after which the list and the configuration change
 PARTITION_DRAINS = 4  # backends that drain during a cut
 RENAMED_SHARE = 1 / 2  # share of the replaced backends that return under another name
--- a/granitespool/scale/processes.py
+++ b/granitespool/scale/processes.py
@@ -169,7 +169,7 @@
 
 
 def write_json(path: Path, value: dict[str, Any]) -> int:
-    """Write a file atomically, so that a reader finds either the old or the new one; return its size."""
+    """Write a file atomically, so that a reader finds either the old or the new file; return its size."""
     data = orjson.dumps(value)
     new = path.with_suffix(".new")
     new.write_bytes(data)
--- a/granitespool/scale/propagation.py
+++ b/granitespool/scale/propagation.py
@@ -1,4 +1,4 @@
-"""Measures how long proxies may still use a backend after it drains or is gone."""
+"""Measures how long proxies may still use a backend after the backend drains or is removed."""
 
 from collections.abc import Callable, Sequence
 
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -56,7 +56,7 @@
     ) -> None:
         """Create a proxy, which connects to `home`.
 
-        `known_backends` are all that discovery has ever listed; a message with another one is an error.
+        `known_backends` are all that discovery has ever listed; a message with any other backend is an error.
         """
         self.loop = loop
         self.recorder = recorder
@@ -69,7 +69,7 @@
         self.without_table = True  # it has received no table yet
         self.resets = 0  # streams that the proxy closed because of a malformed message
         self.joined = False
-        self.weighted_at: dict[str, int] = {}  # backend -> ns when it last received a weight for it
+        self.weighted_at: dict[str, int] = {}  # backend -> ns when the proxy last received its weight
         self.on_applied: Callable[[ProxyStream], None] = _ignore
         self.half_open: list[socket.socket] = []  # sockets that a cut has left open
         self.sock: socket.socket | None = None
--- a/granitespool/scale/queries.py
+++ b/granitespool/scale/queries.py
@@ -1,4 +1,4 @@
-"""Queries to a coordinator, each on a connection of its own, and the evaluation of the answers."""
+"""Queries to a coordinator, each on a separate connection, and the evaluation of the answers."""
 
 import orjson
 
--- a/granitespool/scale/report.py
+++ b/granitespool/scale/report.py
@@ -16,7 +16,7 @@
 
 
 class Times(msgspec.Struct, frozen=True, kw_only=True):
-    """Statistics of durations of one kind, in ms; median and worst are None without any duration."""
+    """Statistics of durations of one kind, in ms; median and worst are None if there are no durations."""
 
     count: int
     median_ms: float | None = None
--- a/granitespool/scale/run.py
+++ b/granitespool/scale/run.py
@@ -25,16 +25,16 @@
 from granitespool.scale.size_check import check_size
 from granitespool.units import SECOND
 
-NETWORKS = range(64, 254)  # second bytes of the loopback networks that a run draws its own from
+NETWORKS = range(64, 254)  # a run picks the second byte of its loopback network from these at random
 TIMEOUT_MARGIN = 60 * SECOND  # ns beyond the planned time after which a run is aborted
 FAILURES_LIMIT = 50  # failures after which a run is aborted
-CONCURRENT_STARTS = 4  # coordinators expected to start within the start timeout of one
+CONCURRENT_STARTS = 4  # coordinators expected to start within one start timeout
 
 Progress = Callable[[str], None]
 
 
 class Run:
-    """One run of a scenario by `play`, which stops all its processes; afterwards it has the measurements."""
+    """One run of a scenario; `play` executes it, stops all its processes and keeps the measurements."""
 
     def __init__(self, scenario: Scenario, progress: Progress) -> None:
         """Plan the events.
@@ -213,7 +213,7 @@
             self.hollow.take_samples()
 
     def _watch_settings(self) -> Wait:
-        """Check every second that no coordinator has gone back to older settings."""
+        """Check every second that no coordinator has returned to older settings."""
         while True:
             yield from self._sleep(1)
             for coordinator in self.environment.coordinators:
--- a/granitespool/scale/samples.py
+++ b/granitespool/scale/samples.py
@@ -9,7 +9,7 @@
 
 SPAN_MIN = SECOND // 2  # ns; no share is computed over a shorter span
 WORST_SECOND_SPAN_MIN = 0.9  # s between two samples that count as a second apart
-SPAN_TOLERANCE = SECOND // 10  # ns by which a sample of a span may lie outside it
+SPAN_TOLERANCE = SECOND // 10  # ns by which a sample may lie outside its span
 
 
 class Span(msgspec.Struct):
@@ -47,12 +47,12 @@
     for position, first in enumerate(samples):
         last = _second_later(samples[position:])
         if first.at < begin or last is None or last.processor < first.processor:
-            continue  # before the measurement, at its end, or of two processes
+            continue  # before or at the end of the measurement, or the samples are of two processes
         worst = max(worst or 0.0, share_of(first, last) or 0.0)
     return worst
 
 
 def _second_later(samples: Sequence[Sample]) -> Sample | None:
-    """Return the first sample that is about a second after the first of all."""
+    """Return the first sample that is about a second after the first sample."""
     first, least = samples[0], SECOND * WORST_SECOND_SPAN_MIN
     return next((sample for sample in samples if sample.at - first.at >= least), None)
--- a/granitespool/scale/schema.py
+++ b/granitespool/scale/schema.py
@@ -121,9 +121,9 @@
     for_s: Seconds = 1.0
     count: Annotated[int, Meta(ge=1, le=100_000)] = 1
     refused: Annotated[int, Meta(ge=0, le=1_000)] = 0  # number of the configurations that are invalid
-    drain_s: Seconds = 7.0  # from a backend's drain until it is gone
+    drain_s: Seconds = 7.0  # from a backend's drain until its removal
     noticed_s: Seconds = 2.0  # from a backend's failure until discovery reports it
-    back_s: Seconds = 2.0  # from a backend's end until it or its replacement is back
+    back_s: Seconds = 2.0  # from a backend's end until the backend or its replacement starts
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
@@ -188,7 +188,7 @@
 
 
 def _with_section(change: ini_files.KeyOverride) -> ini_files.KeyOverride:
-    """Return the change with the only section that has its key, if it has none."""
+    """Return the change; if it contains no section, add the only section that has its key."""
     if change.section:
         return change
     matching_sections = ini_files.sections_with(change.key, SECTIONS)
