--- a/granitespool/scale/coordinator_endpoint.py
+++ b/granitespool/scale/coordinator_endpoint.py
@@ -40,8 +40,8 @@
         self.address = address
         self.channel = channel
         self.down = False  # stopped, killed or not reachable
-        self.reports_enabled = False  # whether load reports are sent to it
-        self.others: list[CoordinatorEndpoint] = []  # where its proxies connect once it has stopped
+        self.reports_enabled = False  # whether load reports are sent to the coordinator
+        self.others: list[CoordinatorEndpoint] = []  # to which proxies connect after a stop
         self._next_other = 0
 
     @property
@@ -50,7 +50,7 @@
         return region_of(self.zone)
 
     def successor(self) -> "CoordinatorEndpoint":
-        """Return the next running coordinator, round-robin; this one if no other runs."""
+        """Return the next running coordinator, round-robin; the coordinator itself if no other runs."""
         serving = [endpoint for endpoint in self.others if not endpoint.down]
         self._next_other += 1
         return serving[self._next_other % len(serving)] if serving else self
--- a/granitespool/scale/cut_recovery.py
+++ b/granitespool/scale/cut_recovery.py
@@ -26,7 +26,7 @@
 
     coordinator: RealCoordinator
     healed_at: int  # ns
-    list_held: int  # version of its endpoint list when the cut ended
+    list_held: int  # version of the coordinator's endpoint list at the end of the cut
     list_newest: int
     settings_held: int
     settings_newest: int
--- a/granitespool/scale/events.py
+++ b/granitespool/scale/events.py
@@ -18,7 +18,7 @@
 
 
 class EventPlayer:
-    """Executes planned events: those on processes itself, those on stand-ins by a `FaultInjector`."""
+    """Executes planned events on processes; passes those on stand-ins to a `FaultInjector`."""
 
     def __init__(
         self, loop: Loop, environment: Environment, hollow: HollowFleet | None, failures: list[str]
--- a/granitespool/scale/faults.py
+++ b/granitespool/scale/faults.py
@@ -1,4 +1,4 @@
-"""Planned events on the stand-ins, that is, all that need no process of a coordinator."""
+"""Planned events on the stand-ins: all events that need no coordinator process."""
 
 from collections.abc import Callable
 
--- a/granitespool/scale/fleet.py
+++ b/granitespool/scale/fleet.py
@@ -35,7 +35,7 @@
 
 
 class Network(msgspec.Struct, frozen=True):
-    """The loopback addresses of one run, in a network of its own: `127.NUMBER.x.y`."""
+    """The loopback addresses of one run, in a separate network: `127.NUMBER.x.y`."""
 
     number: int
 
@@ -92,7 +92,7 @@
         return backend
 
     def replacement_for(self, former: ListedBackend) -> ListedBackend:
-        """Create a further backend in the zone and rack of a former one."""
+        """Create a further backend in the zone and rack of an earlier one."""
         host, port = self.network.backend(self.backend_count)
         service = former.name.partition("-")[0]
         backend = msgspec.structs.replace(
--- a/granitespool/scale/hollow_fleet.py
+++ b/granitespool/scale/hollow_fleet.py
@@ -50,14 +50,14 @@
         self.path = path
         self.agent_index = agent_index
         self.child: Child | None = None
-        self.status: ProcessStatus | None = None  # the most recent one
+        self.status: ProcessStatus | None = None  # the most recent status
         self.samples: list[Sample] = []
         self.endpoints: list[CoordinatorEndpoint] = []
         self.killed = False
 
     @property
     def ready(self) -> bool:
-        """Whether all its coordinators have an endpoint list."""
+        """Whether all coordinators of the process have an endpoint list."""
         return self.status is not None and self.status.listed == len(self.names)
 
     def take_line(self, line: dict[str, Any]) -> None:
@@ -66,7 +66,7 @@
 
 
 class HollowFleet:
-    """All hollow coordinators of a run; they start after a real one has been measured."""
+    """All hollow coordinators of a run; they start after a real coordinator has been measured."""
 
     def __init__(self, environment: Environment, folder: Path) -> None:
         """Create the processes without starting them; their specs are written to `folder`."""
@@ -90,7 +90,7 @@
         return [process.child for process in self.processes if process.child]
 
     def start(self, measured: RealCoordinator) -> Wait:
-        """Start them with the profile of a real coordinator; wait until all have an endpoint list."""
+        """Start the processes with a real coordinator's profile; wait until all have an endpoint list."""
         profile = profile_of(
             self.environment.recorder, measured, self.loop.clock() + 1
         )  # after all that was seen
--- a/granitespool/scale/plan.py
+++ b/granitespool/scale/plan.py
@@ -14,11 +14,11 @@
 
 Action = Literal[
     "drain",  # discovery reports backends as draining
-    "remove",  # backends stop, and discovery reports them as gone
+    "remove",  # backends stop, and discovery reports their removal
     "crash",  # backends stop, and discovery reports nothing
     "add",  # backends start, need to warm up, and discovery reports them
     "configure",  # a new configuration for every coordinator that can be reached
-    "configure_badly",  # an invalid configuration for each of them
+    "configure_badly",  # an invalid configuration for each of these coordinators
     "kill",  # coordinators are killed
     "terminate",  # coordinators receive SIGTERM
     "start",  # coordinators are started again
@@ -42,7 +42,7 @@
 class PlannedEvent(msgspec.Struct, frozen=True, kw_only=True):
     """One event of the plan; the digest covers the names of its fields."""
 
-    at: int  # ns after the events have begun
+    at: int  # ns after the start of the events
     action: Action
     entries: tuple[ListedBackend, ...] = ()
     names: tuple[str, ...] = ()  # coordinators, zones or regions
--- a/granitespool/scale/proxy_stream.py
+++ b/granitespool/scale/proxy_stream.py
@@ -28,7 +28,7 @@
 DIAL_TIMEOUT = SECOND  # ns for a connection to be established
 RECONNECT_DELAY = (
     SECOND // 5
-)  # ns from a stream's end to the next attempt to connect, by chance up to half less or more
+)  # ns from a stream's end to the next attempt to connect; randomly up to 50 % shorter or longer
 USAGE_INTERVAL = SECOND  # ns between usage reports
 APPLY_TIME = 5 * MILLISECOND  # ns that a proxy needs to apply a delivered message
 BUFFERS = 1 << 16  # buffers of a stream's reader
@@ -66,7 +66,7 @@
         self.random = random
         self.rate = 0.0  # requests a second
         self.classes: tuple[str, ...] = ()
-        self.without_table = True  # it has received no table yet
+        self.without_table = True  # whether the proxy still waits for its first table
         self.resets = 0  # streams that the proxy closed because of a malformed message
         self.joined = False
         self.weighted_at: dict[str, int] = {}  # backend -> ns when the proxy last received its weight
--- a/granitespool/scale/recorder.py
+++ b/granitespool/scale/recorder.py
@@ -18,7 +18,7 @@
 
 
 class Recorder:
-    """The events of a run in order of one clock, and the traffic of each coordinator."""
+    """The events of a run in the order of a single clock, and the traffic of each coordinator."""
 
     def __init__(self, clock: Callable[[], int], traced: bool = True) -> None:
         """Create the recorder; `clock` returns ns, and events are kept only if `traced`."""
@@ -30,7 +30,7 @@
         self.bytes: Counter[TrafficKey] = Counter()
 
     def add(self, event: AnyEvent) -> None:
-        """Record one event, whose time is that of the clock."""
+        """Record one event with the clock's current time."""
         if self.traced:
             self.events.append(event)
 
--- a/granitespool/scale/trace.py
+++ b/granitespool/scale/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a run: typed events that the stand-ins observe of coordinators and of each other.
+"""The trace of a run: typed events that the stand-ins observe at the coordinators and at each other.
 
 A trace is the only input of the checker of the rules (`granitespool.scale.checker`). It contains only what
 is visible from outside, never a coordinator's own state, and shares no code with the planner. Events are in
@@ -53,14 +53,15 @@
 
     proxy: int
     coordinator: str
-    by_coordinator: bool = False  # it closed the stream or wrote a malformed message: no leave by the rules
+    # The coordinator closed the stream or wrote a malformed message; the rules do not count this as a leave
+    by_coordinator: bool = False
 
 
 class TableHeld(Event, frozen=True, kw_only=True):
     """The table that a proxy uses from now on, after it has applied a message."""
 
     proxy: int
-    weights: dict[str, float]  # by backend; only those above 0
+    weights: dict[str, float]  # by backend; only weights above 0
     excluded: frozenset[str] = frozenset()
 
 
@@ -78,7 +79,7 @@
     backend: str
     multiple: float  # load divided by the backend's capacity at its age
     warming_up: bool
-    informed_share: float = 1.0  # share of the load from proxies that received a weight after its start
+    informed_share: float = 1.0  # share of load by proxies that got a weight after the backend's start
 
 
 class MessageWritten(Event, frozen=True, kw_only=True):
@@ -127,7 +128,7 @@
     parts_limit: int = 64
     part_bytes: int = 1 << 20
     warm_up_time: int = 0  # from a backend's start; only a warmed-up backend makes an empty table a violation
-    only_draining_binds: bool = False  # a backend that is gone without a drain may stay in tables
+    only_draining_binds: bool = False  # a backend removed without a drain may stay in tables
 
 
 class UpdateReceived(Event, frozen=True, kw_only=True):
--- a/granitespool/scale/traffic.py
+++ b/granitespool/scale/traffic.py
@@ -1,4 +1,4 @@
-"""Simulated requests: the load of backends that follows from the tables, and single requests with retries.
+"""Simulated requests: the load that the tables give each backend, and single requests with retries.
 
 No request is sent on a socket. The load of a backend is computed from the tables of the proxies; a sample of
 each proxy's requests is simulated one by one, with their retries. All random numbers come from one seed.
@@ -42,9 +42,9 @@
         self.streams = streams
         self.backends = backends
         self.random = random
-        self.requests = 0  # simulated one by one
-        self.unserved = 0  # of those, the ones without an answer
-        self.warming_up: set[str] = set()  # backends that warmed up at the last tick
+        self.requests = 0  # number of requests simulated one by one
+        self.unserved = 0  # simulated requests without an answer
+        self.warming_up: set[str] = set()  # backends that were warming up at the last tick
         loop.spawn(self._run())
 
     def _run(self) -> Wait:
@@ -150,7 +150,7 @@
         for _ in range(2 if retries else 1):
             name = stream.table.pick(self.random)
             if name is None or name not in self.backends.running:
-                continue  # certainly not executed, so every policy with retries allows one
+                continue  # certainly not executed, so every policy with retries allows a retry
             executed = RequestExecuted(
                 at=self.loop.clock(), request=self.requests, backend=name, effect=effect
             )
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -39,7 +39,7 @@
     messages_span=10 * SECOND,
     warm_up_time=20 * SECOND,
 )
-BEGIN = 100 * SECOND  # of the first answer; time limits begin a second later
+BEGIN = 100 * SECOND  # ns of the coordinator's first answer; time limits begin one second later
 
 
 def started(at=BEGIN, coordinator="c0"):
@@ -213,7 +213,7 @@
     assert found(*elsewhere, until(LATER + 2 * SECOND + EMPTY)) == NONE
 
 
-# The rule double_effect: no effect twice
+# The rule double_effect: no request takes effect twice
 
 
 def test_each_repeated_execution_of_a_single_shot_request_is_a_violation():
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -83,7 +83,7 @@
 
 
 class HollowSubject:
-    """One hollow coordinator on a loop of its own."""
+    """One hollow coordinator with its own loop."""
 
     def __init__(self, discovery, clock, profile):
         self.failures = []
@@ -104,7 +104,7 @@
 
 
 class StandIn:
-    """Discovery, proxies and a collector for one coordinator; `events` are what they observed of it."""
+    """Discovery, proxies and a collector for one coordinator; `events` are their observations."""
 
     def __init__(self, stack, subject, *arguments):
         self.now, self.stack = START_TIME, stack
@@ -247,7 +247,7 @@
 
 def run_day(stand_in, proxies):
     """Run joins, pings, load reports, a drain, a new backend, a reconnecting proxy and a new snapshot."""
-    stand_in.run(0.7)  # so that nothing happens at the full seconds, at which a planner checks its fleet
+    stand_in.run(0.7)  # avoid events at full seconds, when a planner checks its fleet
     stand_in.publish(*(entry(f"s{number}") for number in range(6)), snapshot=True)
     stand_in.run(0.5)
     collector = stand_in.connect()
@@ -350,7 +350,7 @@
         stand_in = StandIn(stack, HollowSubject, profile_of_joins(*FIRST_TABLE_PARTS))
         stand_in.publish(entry("s1"), snapshot=True)
         stand_in.run(1)
-        stand_in.watches.clear()  # kept open, but without any further line
+        stand_in.watches.clear()  # the watches stay open, but receive no more lines
         stand_in.run(4)
         assert len(stand_in.requests) >= 2
 
--- a/tests/test_scale_recordings.py
+++ b/tests/test_scale_recordings.py
@@ -123,7 +123,7 @@
 
 
 def traffic_of():
-    """Return all that simulated requests record in 8 s in which a backend starts and another one stops."""
+    """Return events, counts, load and reports of 8 s of requests; one backend starts and one stops."""
     scenario = schema.load("ci", ["sampled_per_s=4"])
     loop = VirtualLoop()
     recorder = Recorder(loop.clock)
@@ -159,7 +159,7 @@
     )
 
 
-STRICT_LIMITS = {  # changes of the limits that make a clean trace violate them; the first one changes nothing
+STRICT_LIMITS = {  # limits that a clean trace violates; the first item changes no limit
     "as told": {},
     "drain": {"drain_grace": SECOND // 10, "slack": 0, "start_grace": 0},
     "drain needs entry": {"drain_grace": SECOND // 10, "slack": 0, "only_draining_binds": True},
