--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that stay in the repository; each module is a command (`make bench-...`)."""
+"""Benchmarks and analysis commands; each module runs as `python -m bench.NAME` (`make bench-...`)."""
--- a/bench/capacity/sweep.py
+++ b/bench/capacity/sweep.py
@@ -11,7 +11,7 @@
 from bench.capacity import process
 from bench.capacity.point import Request
 from bench.capacity.sizes import Sizes
-from bench.state import played
+from bench.state import simulate
 from granitespool.scale import fits
 
 SWEPT = ("backends", "zones", "proxies", "classes", "tenants", "heard_share", "planners")
@@ -196,7 +196,7 @@
     points = []
     for backends, zones in STATE_POINTS:
         with tempfile.TemporaryDirectory() as folder:
-            *_, store = played(folder, backends, zones, STATE_SECONDS)
+            *_, store = simulate(folder, backends, zones, STATE_SECONDS)
         points.append(StatePoint(backends, zones, store.bytes_written / STATE_SECONDS))
     samples = [
         fits.Sample({"backends": float(point.backends), "zones": float(point.zones)}, point.bytes_per_s)
