--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What a coordinator costs by size: sweeps, fits, and the tables of docs/CAPACITY.md."""
+"""Measure a coordinator's costs by size: sweeps, fits, and the tables of docs/CAPACITY.md."""
--- a/bench/capacity/row_spec.py
+++ b/bench/capacity/row_spec.py
@@ -1,4 +1,4 @@
-"""How a row of docs/CAPACITY.md comes about: a formula over the costs and sizes of each scale."""
+"""Specify a row of docs/CAPACITY.md by a formula over the costs and sizes of each scale."""
 
 from collections.abc import Callable, Mapping
 
@@ -11,13 +11,13 @@
 
 BUDGET = Budget()
 ORDINARY_DAY = Day()
-WHOLE_PROCESS = "process_"  # what the costs of a whole process begin with; they are always measured
+PROCESS_PREFIX = "process_"  # prefix of the costs of a whole process, which are always measured
 
 Formula = Callable[[Costs, Sizes], float]
 
 
 class RowSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """One row before its figures; the fields are those of `Row`."""
+    """A row without figures; the other fields are those of `Row`."""
 
     role: str
     cost: str
@@ -30,7 +30,7 @@
     origin: Origin = Origin.MEASURED
 
     def row(self, scales: Mapping[str, Scale]) -> Row:
-        """The row with its figures; a scale that lacks a cost of the formula has none."""
+        """Return the row with its figures, except for scales that lack a cost of the formula."""
         return Row(
             role=self.role,
             cost=self.cost,
@@ -47,12 +47,12 @@
             amount = self.formula(scale.costs, scale.sizes)
         except KeyError:
             amount = None
-        derived = scale.worked_out and self.origin is Origin.MEASURED and WHOLE_PROCESS not in self.source
+        derived = scale.worked_out and self.origin is Origin.MEASURED and PROCESS_PREFIX not in self.source
         return Value(amount, Origin.WORKED_OUT if derived else self.origin)
 
 
 def cost(name: str) -> Formula:
-    """The formula that is one measured cost."""
+    """Return the formula of one measured cost."""
 
     def formula(costs: Costs, _: Sizes) -> float:
         return costs[name]
@@ -61,20 +61,20 @@
 
 
 def of_costs(formula: Callable[[Costs], float]) -> Formula:
-    """A formula over costs alone."""
+    """Return a formula over costs alone."""
     return lambda costs, _: formula(costs)
 
 
 def of_sizes(formula: Callable[[Sizes], float]) -> Formula:
-    """A formula over sizes alone."""
+    """Return a formula over sizes alone."""
     return lambda _, sizes: formula(sizes)
 
 
 def constant(value: float) -> Formula:
-    """The formula that is the same at every scale."""
+    """Return a formula with the same value at every scale."""
     return lambda *_: value
 
 
 def list_entries(sizes: Sizes) -> float:
-    """Changed entries of the list on an ordinary day, in proportion to the fleet."""
+    """Return the changed endpoint list entries of an ordinary day, in proportion to the fleet."""
     return ORDINARY_DAY.list_entries * sizes.backends / sweep.PLAN.backends
--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -1,4 +1,4 @@
-"""The sizes that drive a coordinator's costs."""
+"""Sizes of a fleet that determine a coordinator's costs."""
 
 import math
 
@@ -6,14 +6,14 @@
 
 
 class Sizes(msgspec.Struct, frozen=True, kw_only=True):
-    """The sizes that drive a coordinator's costs."""
+    """Sizes of a fleet that determine a coordinator's costs."""
 
     backends: int
     zones: int
     proxies: int  # of this coordinator
-    classes: int  # routes, in the plan's words
+    classes: int  # request classes, called routes in the plan
     tenants: int
-    requests: float  # a second, of the whole fleet
+    requests: float  # per second, of the whole fleet
     planners: int  # coordinators of the fleet
 
     @property
@@ -23,11 +23,11 @@
 
     @property
     def heard_share(self) -> float:
-        """Share of links that a second's requests reach at least once, where they fall by chance."""
+        """Expected share of links that get at least one of a second's requests, distributed at random."""
         return 1 - math.exp(-self.requests / self.links)
 
     def variables(self) -> dict[str, float]:
-        """The sizes as the fits name them."""
+        """Return the sizes by the names of the fits' variables."""
         return {
             "backends": float(self.backends),
             "zones": float(self.zones),
